--- a/internal/cdn/clusterstate/change_bench_test.go
+++ b/internal/cdn/clusterstate/change_bench_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// largeBody is a configuration of so many routes, of which one has a time of its own in each version.
+// largeBody returns a configuration with the given number of routes, one of which has another timeout in each version.
 func largeBody(version, base, routes int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"edition":"r%d","based_on":"r%d","parcels":[`, version, base)
@@ -25,8 +25,8 @@
 	return []byte(b.String())
 }
 
-// What one change of one route costs, by how many there are: at the registry that reads it, at each core machine, at each
-// edge. `go test -run XXX -bench Change ./internal/cdn/clusterstate`
+// BenchmarkChange measures the cost of changing one route, by the number of routes: at the registry that parses the configuration, at each
+// core machine and at each edge. `go test -run XXX -bench Change ./internal/cdn/clusterstate`
 func BenchmarkChange(b *testing.B) {
 	for _, routes := range []int{100, 400, 1600} {
 		bodies := [][]byte{largeBody(1, 0, routes), largeBody(2, 1, routes)}
@@ -38,7 +38,7 @@
 			turn := 0
 			for b.Loop() {
 				turn++
-				c, err := h.Order(bodies[turn%2]) // so that there is always one that differs
+				c, err := h.Order(bodies[turn%2]) // alternating, so that it always differs from the last one
 				assert.NilError(b, err)
 				c.Encode()
 			}
--- a/internal/cdn/clusterstate/clusterstate.go
+++ b/internal/cdn/clusterstate/clusterstate.go
@@ -1,6 +1,6 @@
-// Package clusterstate is what the system's processes know in common: the configuration, the servers, the cache routers and who
-// holds which duty, as one state that changes by commands in the order of the log. Every process that applies the same
-// commands holds the same state. It does no I/O.
+// Package clusterstate is the replicated state machine that all processes share: the configuration, the servers, the cache routers
+// and the holder of the duty. Commands change it in the order of the log, and every process that applies the same commands holds
+// the same state. The package does no I/O.
 package clusterstate
 
 import (
@@ -12,13 +12,13 @@
 	"slices"
 )
 
-// Server states.
+// Values of Server.State.
 const (
 	Open    = "open"
-	Closing = "closing"
+	Closing = "closing" // it is about to leave, and does not open again
 )
 
-// Server is one life of a server, as it tells of itself.
+// Server is one incarnation of a server, as it registers itself.
 type Server struct {
 	ID       string `json:"id"`
 	Service  string `json:"carrier"`
@@ -28,67 +28,69 @@
 	Slots    int    `json:"berths"`
 	State    string `json:"state"`
 	WarmupMS int64  `json:"warmup_ms"`
-	Beat     uint64 `json:"postmark"` // of the call that changed it last
+	Beat     uint64 `json:"postmark"` // sequence number of the heartbeat that changed it last
 }
 
-// Same tells whether two calls of one server say the same but for their number.
-func (s Server) Same(o Server) bool {
-	s.Beat, o.Beat, s.WarmupMS, o.WarmupMS = 0, 0, 0, 0
-	return s == o
+// Same reports whether two heartbeats of one server are equal apart from Beat and WarmupMS.
+func (s Server) Same(other Server) bool {
+	s.Beat, other.Beat, s.WarmupMS, other.WarmupMS = 0, 0, 0, 0
+	return s == other
 }
 
-// Router is one cache router.
+// Router is a cache router as it stands in the roster.
 type Router struct {
 	Node, Zone, Address string
-	Weight              float64 // what it can carry beside the others, in Mbit/s; the part of the keys that it owns goes by it
-	Inner               bool    // serves no clients: it is there for the others' sake alone
+	Weight              float64 // its capacity in Mbit/s; the fraction of the keys that it owns is proportional to it
+	Inner               bool    // it serves no clients, only other routers
 }
 
-// Duty says which core machine looks after the silent, since which entry of the log.
+// Duty names the one core machine that does the cluster's maintenance: it removes silent servers and routers, divides rates and reports
+// usage.
 type Duty struct {
 	Holder string // the machine's IP
-	Epoch  uint64
+	Epoch  uint64 // index of the log entry that appointed it; commands under an older epoch are refused
 }
 
-// Purge ends the use of copies: of one path of a host, or of all that carry a tag.
+// Purge invalidates cache entries: those of one path of a host, or all that carry a tag.
 type Purge struct{ Host, Path, Tag string }
 
-// Step is one change of the roster of cache routers. Steps of one command are one change of the table.
+// Step is one change of the roster of cache routers. The steps of one command are one change of the table that assigns keys
+// to routers.
 type Step struct {
 	Router
 	Gone  bool
 	Index uint64 // of the command
 }
 
-// Taken remembers a configuration that was acknowledged.
+// Taken records a configuration that was acknowledged.
 type Taken struct {
 	Version Version
 	Digest  [32]byte
 }
 
-// State is the common knowledge. Its fields are read by their holder alone.
+// State is the replicated state. It has no lock: only its owner may read its fields.
 type State struct {
 	Index      uint64 // of the last command applied
 	Body       Text   // the configuration as it was put; empty before the first
 	Version    Version
-	Taken      []Taken
-	Forgotten  Version // the newest one that stands in Taken no longer
-	Servers    map[string]Server
-	Left       []string // servers that have left in order, the last ones: a late call does not bring them back
-	Routers    map[string]Router
-	Roster     []Step // by which the roster came to be: tables are cut by it, step by step
-	RosterBase uint64 // where Roster was begun anew
+	Taken      []Taken           // the last configurations acknowledged, the oldest first
+	Forgotten  Version           // the newest version that was dropped from Taken
+	Servers    map[string]Server // by ID
+	Left       []string          // IDs of the last servers that left in order: a late heartbeat must not bring them back
+	Routers    map[string]Router // by node
+	Roster     []Step            // the changes that led to Routers; the tables that assign keys to routers are built from it, step by step
+	RosterBase uint64            // index at which Roster was last compacted
 	Duty       Duty
-	Purges     uint64                        // how many there were
-	Parts      map[string]map[string]float64 // of services' rates, by service and node; nil where nothing was cut
+	Purges     uint64                        // number of purges so far
+	Parts      map[string]map[string]float64 // fractions of services' rates, by service and node; nil where none were assigned
 	Usage      UsageLedger
 }
 
 const (
-	mostTaken  = 1024
-	mostLeft   = 1024
-	mostRoster = 1024
-	mostAlive  = 65536 // servers
+	maxTaken   = 1024
+	maxLeft    = 1024
+	maxRoster  = 1024
+	maxServers = 65536
 )
 
 // New returns the state before the first command.
@@ -96,7 +98,7 @@
 	return &State{Servers: map[string]Server{}, Routers: map[string]Router{}}
 }
 
-// Clone copies a state for others to keep.
+// Clone returns a copy that stays unchanged while s goes on.
 func (s *State) Clone() *State {
 	c := *s
 	c.Servers, c.Routers = maps.Clone(s.Servers), maps.Clone(s.Routers)
@@ -105,35 +107,36 @@
 	return &c
 }
 
-// Command is one change; one of its fields is set.
+// Command is one entry of the log. One of its fields is set, apart from Epoch and Taken; none is set in a command that changes
+// nothing.
 type Command struct {
 	Put     Text     `json:"put,omitempty"`    // a configuration's body
-	Change  *Delta   `json:"change,omitempty"` // a configuration, to one who holds the one before it
+	Change  *Delta   `json:"change,omitempty"` // a configuration, as its difference from the one before it
 	Server  *Server  `json:"server,omitempty"`
-	Leave   string   `json:"leave,omitempty"` // a server that has left in order
-	Lost    string   `json:"lost,omitempty"`  // a server that has fallen silent
-	Epoch   uint64   `json:"epoch,omitempty"` // with Lost, Absent, Cut and what is of usage: of the duty under which that was decided
+	Leave   string   `json:"leave,omitempty"` // ID of a server that has left in order
+	Lost    string   `json:"lost,omitempty"`  // ID of a server that has fallen silent
+	Epoch   uint64   `json:"epoch,omitempty"` // of the duty that decided this; with Lost, Absent, Cut, FixUsage and UsageTaken
 	Purge   *Purge   `json:"purge,omitempty"`
-	Enrol   []Router `json:"enrol,omitempty"`   // cache routers that have come, or moved
-	Absent  string   `json:"absent,omitempty"`  // a router that has fallen silent
-	Appoint string   `json:"appoint,omitempty"` // who takes the duty
-	Cut     *Cut     `json:"cut,omitempty"`     // of a service's rate
+	Enrol   []Router `json:"enrol,omitempty"`   // cache routers that have joined, or whose entry has changed
+	Absent  string   `json:"absent,omitempty"`  // node of a router that has fallen silent
+	Appoint string   `json:"appoint,omitempty"` // IP of the new holder of the duty
+	Cut     *Cut     `json:"cut,omitempty"`     // a new division of a service's rate
 
-	FixUsage   *UsageReport `json:"fix_usage,omitempty"`   // under Epoch: the counts of the next window, which change no more
-	UsageTaken int64        `json:"usage_taken,omitempty"` // under Epoch: the platform has taken this window's report
+	FixUsage   *UsageReport `json:"fix_usage,omitempty"`   // the final counts of the next report window
+	UsageTaken int64        `json:"usage_taken,omitempty"` // number of the window whose report the platform has accepted
 
-	Taken *Manifest `json:"-"` // of a configuration that was taken, as it was read; not in the log
+	Taken *Manifest `json:"-"` // the parsed configuration, set if it came into force; not in the log
 }
 
-// Configures tells whether a command brings a configuration.
+// Configures reports whether a command carries a configuration.
 func (c Command) Configures() bool { return c.Put != nil || c.Change != nil }
 
-// underDuty tells whether only the holder of the duty brings such a command, under its epoch.
-func (c Command) underDuty() bool {
+// requiresDuty reports whether only the holder of the duty may issue such a command, under its epoch.
+func (c Command) requiresDuty() bool {
 	return c.Lost != "" || c.Absent != "" || c.Cut != nil || c.FixUsage != nil || c.UsageTaken > 0
 }
 
-// Kind names what a command changes, for figures and logs.
+// Kind names what a command changes, for metrics and logs.
 func (c Command) Kind() string {
 	switch {
 	case c.Configures():
@@ -164,16 +167,16 @@
 	return "none"
 }
 
-// Encode writes a command for the log.
+// Encode returns a command as it is written to the log.
 func (c Command) Encode() []byte {
 	text, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // plain structs
+		panic(err) // unreachable: plain structs always marshal
 	}
 	return text
 }
 
-// Decode reads a command of the log.
+// Decode parses an entry of the log. Empty data is the command that changes nothing.
 func Decode(data []byte) (c Command, err error) {
 	if len(data) == 0 {
 		return c, nil
@@ -182,55 +185,56 @@
 	return c, err
 }
 
-// The outcomes of a command.
+// Values of Outcome.Status, which are also the HTTP status codes that clients see.
 const (
 	Done    = 200
 	Invalid = 400
-	Stale   = 412 // another version is in place, or the duty has gone to another one
-	// Forgotten: it may have been taken, so long ago that nobody knows. It is neither acknowledged nor refused.
+	Stale   = 412 // another version is in force, or the duty has passed to another machine
+	// Forgotten means that the version is older than all that is remembered: whether it was accepted is unknown, so it is neither
+	// acknowledged nor refused.
 	Forgotten = 503
 )
 
-// Outcome is what came of a command.
+// Outcome is the result of applying a command.
 type Outcome struct {
 	Status int
-	Text   string // what was wrong
+	Text   string // the reason, if the command was refused
 
-	taken      *Manifest
-	unreadable bool // this copy can't make what the command stands for
+	installed   *Manifest // the configuration that came into force, if one did
+	deltaFailed bool      // the delta does not apply to this copy, which therefore differs from the others
 }
 
-// Apply takes the command at an index. The same commands bring the same state and outcomes everywhere.
+// Apply applies the command at an index of the log. It is deterministic: the same commands give the same state and outcomes everywhere.
 func (s *State) Apply(index uint64, c Command) Outcome { return s.apply(index, c, new(reader)) }
 
 func (s *State) apply(index uint64, c Command, r *reader) Outcome {
 	s.Index = index
 	switch {
 	case c.Put != nil:
-		return s.put(c.Put, r)
+		return s.putConfig(c.Put, r)
 	case c.Change != nil:
-		return s.change(c.Change, r)
+		return s.putDelta(c.Change, r)
 	case c.Server != nil:
-		return s.server(*c.Server)
+		return s.updateServer(*c.Server)
 	case c.Leave != "":
-		s.leave(c.Leave)
-	case c.Epoch < s.Duty.Epoch && c.underDuty():
-		return Outcome{Status: Stale, Text: "the duty has gone to another machine"}
+		s.removeServer(c.Leave)
+	case c.Epoch < s.Duty.Epoch && c.requiresDuty():
+		return Outcome{Status: Stale, Text: "the duty has passed to another machine"}
 	case c.Cut != nil:
-		return s.cut(c.Cut)
+		return s.applyCut(c.Cut)
 	case c.FixUsage != nil:
 		return s.fixUsage(*c.FixUsage)
 	case c.UsageTaken > 0:
-		s.usageTaken(c.UsageTaken)
+		s.acknowledgeUsage(c.UsageTaken)
 	case c.Lost != "":
-		if s.Servers[c.Lost].State == Closing { // it has said that it goes: a late call does not open it again
-			s.leave(c.Lost)
+		if s.Servers[c.Lost].State == Closing { // it has announced that it leaves: a late heartbeat must not reopen it
+			s.removeServer(c.Lost)
 		}
 		delete(s.Servers, c.Lost)
 	case c.Absent != "":
 		if r, ok := s.Routers[c.Absent]; ok {
 			delete(s.Routers, c.Absent)
-			s.step(Step{Router: r, Gone: true})
+			s.recordStep(Step{Router: r, Gone: true})
 		}
 	case c.Purge != nil:
 		s.Purges++
@@ -238,7 +242,7 @@
 		for _, r := range c.Enrol {
 			if old, ok := s.Routers[r.Node]; !ok || old != r {
 				s.Routers[r.Node] = r
-				s.step(Step{Router: r})
+				s.recordStep(Step{Router: r})
 			}
 		}
 	case c.Appoint != "":
@@ -247,26 +251,28 @@
 	return Outcome{Status: Done}
 }
 
-// leave lets a server go for good.
-func (s *State) leave(id string) {
+// removeServer removes a server and remembers its ID, so that a late heartbeat does not bring it back.
+func (s *State) removeServer(id string) {
 	delete(s.Servers, id)
 	if !slices.Contains(s.Left, id) {
-		s.Left = keepLast(append(s.Left, id), mostLeft)
+		s.Left = keepLast(append(s.Left, id), maxLeft)
 	}
 }
 
-func keepLast[T any](all []T, most int) []T {
-	if len(all) > most {
-		return slices.Clone(all[len(all)-most:])
+// keepLast returns the last items of a list, at most limit of them.
+func keepLast[T any](items []T, limit int) []T {
+	if len(items) > limit {
+		return slices.Clone(items[len(items)-limit:])
 	}
-	return all
+	return items
 }
 
-// step notes a change of the roster. When there are too many, the roster is written down anew and every table with it.
-func (s *State) step(change Step) {
+// recordStep appends a change to the roster. Past maxRoster changes the roster is compacted to one step per router, and the tables built
+// from it are rebuilt.
+func (s *State) recordStep(change Step) {
 	change.Index = s.Index
 	s.Roster = append(s.Roster, change)
-	if len(s.Roster) <= mostRoster {
+	if len(s.Roster) <= maxRoster {
 		return
 	}
 	s.Roster, s.RosterBase = nil, s.Index
@@ -275,73 +281,76 @@
 	}
 }
 
-func (s *State) server(now Server) Outcome {
-	old, known := s.Servers[now.ID]
+// updateServer applies a server's heartbeat. Heartbeats may arrive late and out of order: Beat decides which one is newer.
+func (s *State) updateServer(update Server) Outcome {
+	current, known := s.Servers[update.ID]
 	switch {
-	case slices.Contains(s.Left, now.ID), known && now.Beat <= old.Beat:
-		return Outcome{Status: Done} // an older call that comes late
-	case known && old.State == Closing && now.State == Open:
-		now.State = Closing
-	case !known && len(s.Servers) >= mostAlive:
+	case slices.Contains(s.Left, update.ID), known && update.Beat <= current.Beat:
+		return Outcome{Status: Done} // an older heartbeat that comes late
+	case known && current.State == Closing && update.State == Open:
+		update.State = Closing
+	case !known && len(s.Servers) >= maxServers:
 		return Outcome{Status: Invalid, Text: "too many servers"}
 	}
-	s.Servers[now.ID] = now
+	s.Servers[update.ID] = update
 	return Outcome{Status: Done}
 }
 
 const (
-	fewRouters = 16
-	strongPart = 0.5  // of the strongest router's weight: who carries as much may be a shield
-	lenderPart = 0.25 // and who carries as much lends copies to others
+	minShields        = 16   // of more candidates a quarter are shields, but at least this many
+	shieldWeightRatio = 0.5  // of the largest weight: a router with at least this much may be a shield
+	lenderWeightRatio = 0.25 // of the largest weight: a router with at least this much lends copies to others
 )
 
-func strong(routers map[string]Router, part float64) (nodes []string) {
-	most := 0.0
+// routersByWeight returns the routers that have at least the given fraction of the largest weight, in no particular order.
+func routersByWeight(routers map[string]Router, ratio float64) (nodes []string) {
+	maxWeight := 0.0
 	for _, r := range routers {
-		most = max(most, r.Weight)
+		maxWeight = max(maxWeight, r.Weight)
 	}
 	for node, r := range routers {
-		if r.Weight >= part*most {
+		if r.Weight >= ratio*maxWeight {
 			nodes = append(nodes, node)
 		}
 	}
 	return nodes
 }
 
-// Lenders returns which of the cache routers lend copies to others: not those whose links are slivers beside others', for what goes by way of
-// them is sent twice over such a link.
+// Lenders returns the cache routers that serve cached copies to other routers. Routers whose links are much slower than others' are left
+// out, because what passes through them crosses such a link twice.
 func Lenders(routers map[string]Router) map[string]bool {
 	chosen := map[string]bool{}
-	for _, n := range strong(routers, lenderPart) {
+	for _, n := range routersByWeight(routers, lenderWeightRatio) {
 		chosen[n] = true
 	}
 	return chosen
 }
 
-// Shields returns which of the cache routers talk to the servers of objects: of the strong ones all, if they are few, else a part, for the
-// servers take fewer connections than there are routers, and shares of their rate would be slivers. Of many, those are chosen that are first by
-// a hash of their names, so that one that comes or goes changes one of them at most.
+// Shields returns the cache routers that fetch objects from the servers (origin shields). Routers with enough weight are candidates. If
+// they are few, all are shields; otherwise a part of them, because the servers accept fewer connections than there are routers and
+// because each router's share of their rate would be too small. The first by a hash of their names are chosen, so that a router that
+// joins or leaves changes at most one shield.
 func Shields(routers map[string]Router) map[string]bool {
-	order := strong(routers, strongPart)
-	rank := func(s string) uint64 {
+	candidates := routersByWeight(routers, shieldWeightRatio)
+	nameHash := func(s string) uint64 {
 		h := uint64(14695981039346656037)
 		for i := range len(s) {
 			h = (h ^ uint64(s[i])) * 1099511628211
 		}
 		return h ^ h>>29
 	}
-	slices.SortFunc(order, func(a, b string) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a, b)) })
-	if len(order) > fewRouters {
-		order = order[:max(fewRouters, len(order)/4)]
+	slices.SortFunc(candidates, func(a, b string) int { return cmp.Or(cmp.Compare(nameHash(a), nameHash(b)), cmp.Compare(a, b)) })
+	if len(candidates) > minShields {
+		candidates = candidates[:max(minShields, len(candidates)/4)]
 	}
-	chosen := make(map[string]bool, len(order))
-	for _, n := range order {
+	chosen := make(map[string]bool, len(candidates))
+	for _, n := range candidates {
 		chosen[n] = true
 	}
 	return chosen
 }
 
-// CheckServer checks what a server says of itself.
+// CheckServer validates a server's registration.
 func CheckServer(s Server) error {
 	host, _, err := net.SplitHostPort(s.Address)
 	switch {
@@ -350,73 +359,74 @@
 	case s.Service == "":
 		return fmt.Errorf("carrier: missing")
 	case err != nil || net.ParseIP(host) == nil:
-		return fmt.Errorf("address: %q is none", s.Address)
+		return fmt.Errorf("address: %q is not an IP address with a port", s.Address)
 	case s.State != Open && s.State != Closing:
 		return fmt.Errorf("state: %q is neither %s nor %s", s.State, Open, Closing)
 	case s.Slots < 0:
-		return fmt.Errorf("berths: under 0")
+		return fmt.Errorf("berths: negative")
 	}
 	return nil
 }
 
-// put takes a configuration that came whole.
-func (s *State) put(body []byte, r *reader) Outcome {
+// putConfig applies a configuration that is given in full.
+func (s *State) putConfig(body []byte, r *reader) Outcome {
 	m, digest, err := r.read(body)
 	if err != nil {
 		return Outcome{Status: Invalid, Text: err.Error()}
 	}
-	if out := s.compare(m.Version, m.Base, digest); out != nil {
+	if out := s.checkVersion(m.Version, m.Base, digest); out != nil {
 		return *out
 	}
-	return s.takeManifest(m, body, digest)
+	return s.installManifest(m, body, digest)
 }
 
-// change takes a configuration that came as what it changes of the one before. A configuration that it does not make, though
-// it was made from this very version, means that this copy differs from the others.
-func (s *State) change(d *Delta, r *reader) Outcome {
-	if out := s.compare(d.Version, d.Base, d.Sum); out != nil {
+// putDelta applies a configuration that is given as its difference from the one before it. If the delta is based on this very version and
+// yet does not yield its configuration, this copy differs from the others.
+func (s *State) putDelta(d *Delta, r *reader) Outcome {
+	if out := s.checkVersion(d.Version, d.Base, d.Sum); out != nil {
 		return *out
 	}
 	body, err := d.Patch(s.Version, s.Body)
 	if err != nil {
-		return Outcome{Status: Invalid, Text: err.Error(), unreadable: true}
+		return Outcome{Status: Invalid, Text: err.Error(), deltaFailed: true}
 	}
 	m, digest, err := r.read(body)
 	switch {
 	case digest != d.Sum:
-		return Outcome{Status: Invalid, Text: "a delta that does not make its body", unreadable: true}
+		return Outcome{Status: Invalid, Text: "the delta does not yield the body it stands for", deltaFailed: true}
 	case err != nil:
 		return Outcome{Status: Invalid, Text: err.Error()}
 	}
-	return s.takeManifest(m, body, digest)
+	return s.installManifest(m, body, digest)
 }
 
-// compare is the one place where configurations are compared; nil means that this one is to be taken.
-func (s *State) compare(version, base Version, digest [32]byte) *Outcome {
-	for _, t := range s.Taken {
-		if t.Version == version && t.Digest == digest {
-			return &Outcome{Status: Done} // the same once more
+// checkVersion compares a configuration with the one in force and the ones acknowledged before; nil means that it is to be installed. No
+// other code compares configurations.
+func (s *State) checkVersion(version, base Version, digest [32]byte) *Outcome {
+	for _, accepted := range s.Taken {
+		if accepted.Version == version && accepted.Digest == digest {
+			return &Outcome{Status: Done} // a repeat of an acknowledged configuration
 		}
 	}
 	switch {
 	case version <= s.Forgotten:
-		return &Outcome{Status: Forgotten, Text: fmt.Sprintf("edition: what became of %s is no longer known", version)}
+		return &Outcome{Status: Forgotten, Text: fmt.Sprintf("edition: whether %s was accepted is no longer known", version)}
 	case base != s.Version:
-		return &Outcome{Status: Stale, Text: fmt.Sprintf("based_on: %s, but %s is in place", base, s.Version)}
+		return &Outcome{Status: Stale, Text: fmt.Sprintf("based_on: %s, but %s is in force", base, s.Version)}
 	case version <= s.Version:
 		return &Outcome{Status: Invalid, Text: fmt.Sprintf("edition: %s is not above %s", version, s.Version)}
 	}
 	return nil
 }
 
-// takeManifest is the one place where a configuration comes into force.
-func (s *State) takeManifest(m *Manifest, body []byte, digest [32]byte) Outcome {
+// installManifest puts a configuration into force. No other code does.
+func (s *State) installManifest(m *Manifest, body []byte, digest [32]byte) Outcome {
 	s.Body, s.Version = body, m.Version
-	s.keepParts(m)
+	s.pruneParts(m)
 	s.Taken = append(s.Taken, Taken{m.Version, digest})
-	if old := len(s.Taken) - mostTaken; old > 0 {
-		s.Forgotten = s.Taken[old-1].Version
-		s.Taken = keepLast(s.Taken, mostTaken)
+	if excess := len(s.Taken) - maxTaken; excess > 0 {
+		s.Forgotten = s.Taken[excess-1].Version
+		s.Taken = keepLast(s.Taken, maxTaken)
 	}
-	return Outcome{Status: Done, taken: m}
+	return Outcome{Status: Done, installed: m}
 }
--- a/internal/cdn/clusterstate/clusterstate_test.go
+++ b/internal/cdn/clusterstate/clusterstate_test.go
@@ -9,16 +9,16 @@
 	"gotest.tools/v3/assert"
 )
 
-func route(name, fields string) string {
+func routeParcel(name, fields string) string {
 	return fmt.Sprintf(`{"parcel_kind":"routes","label":{"name":%q},"manifest":{%s}}`, name, fields)
 }
 
 const (
-	carrier = `{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{"health_path":"/health","line_cap":130,"rate_per_s":380.0}}`
-	fine    = `"domain":"a.example","path_prefix":"/x/","mail_class":"shelved","timeout":"1500ms","target":"120ms","carrier":"shop","tries":2,"shelf":"20s"`
+	serviceParcel = `{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{"health_path":"/health","line_cap":130,"rate_per_s":380.0}}`
+	routeFields   = `"domain":"a.example","path_prefix":"/x/","mail_class":"shelved","timeout":"1500ms","target":"120ms","carrier":"shop","tries":2,"shelf":"20s"`
 )
 
-func sender(name string, keys ...string) string {
+func senderParcel(name string, keys ...string) string {
 	quoted, _ := json.Marshal(keys)
 	label, _ := json.Marshal(name)
 	return fmt.Sprintf(`{"parcel_kind":"senders","label":{"name":%s},"manifest":{"stamps":%s,"precedence":2}}`, label, quoted)
@@ -28,9 +28,10 @@
 	return fmt.Appendf(nil, `{"edition":%s,"based_on":%s,"parcels":[%s]}`, edition, base, strings.Join(parcels, ","))
 }
 
-func TestWhatIsTaken(t *testing.T) {
-	first := manifest(`"r5"`, `0`, route("a", fine), carrier)
-	second := manifest(`"r9"`, `"r5"`, route("a", fine), route("b", strings.Replace(fine, "/x/", "/x/y/", 1)), carrier)
+// A table of configurations, applied in order: which are accepted, and with which status and message the others are refused.
+func TestConfigurationOutcomes(t *testing.T) {
+	first := manifest(`"r5"`, `0`, routeParcel("a", routeFields), serviceParcel)
+	second := manifest(`"r9"`, `"r5"`, routeParcel("a", routeFields), routeParcel("b", strings.Replace(routeFields, "/x/", "/x/y/", 1)), serviceParcel)
 	cases := []struct {
 		name   string
 		body   []byte
@@ -38,33 +39,33 @@
 		says   string
 	}{
 		{"the first", first, Done, ""},
-		{"the same once more", first, Done, ""},
-		{"the same number, another body", manifest(`"r5"`, `0`, route("b", fine), carrier), Stale, "based_on"},
-		{"on the newest", second, Done, ""},
-		{"the first once more, when it is no longer the newest", first, Done, ""},
-		{"the loser of a race", manifest(`"r9"`, `"r5"`, carrier), Stale, "based_on: r5, but r9"},
-		{"a later loser", manifest(`"r12"`, `"r5"`, carrier), Stale, "based_on"},
-		{"cut short", second[:len(second)-7], Invalid, "not readable whole"},
-		{"more behind its end", append(append([]byte{}, second...), '}'), Invalid, "not readable whole"},
-		{"unknown service", manifest(`"r12"`, `"r9"`, route("a", fine)), Invalid, `route a: carrier: unknown service "shop"`},
-		{"one place twice", manifest(`"r12"`, `"r9"`, route("a", fine), route("b", fine), carrier), Invalid, "path_prefix: same place as a"},
-		{"no weight", manifest(`"r12"`, `"r9"`, route("a", strings.Replace(fine, `"carrier":"shop"`, `"split_among":[{"carrier":"shop","share":0}]`, 1)), carrier), Invalid, "shares add up to 0"},
-		{"no service at all", manifest(`"r12"`, `"r9"`, route("a", strings.Replace(fine, `"carrier":"shop",`, "", 1)), carrier), Invalid, "shares add up to 0"},
-		{"no timeout", manifest(`"r12"`, `"r9"`, route("a", strings.Replace(fine, "1500ms", "0s", 1)), carrier), Invalid, "timeout: 0"},
-		{"timeout left out", manifest(`"r12"`, `"r9"`, route("a", strings.Replace(fine, `"timeout":"1500ms",`, "", 1)), carrier), Invalid, "timeout: 0"},
-		{"long timeout", manifest(`"r12"`, `"r9"`, route("a", strings.Replace(fine, "1500ms", "601s", 1)), carrier), Invalid, "over ten minutes"},
-		{"no time", manifest(`"r12"`, `"r9"`, route("a", strings.Replace(fine, "1500ms", "soon", 1)), carrier), Invalid, "timeout"},
-		{"odd kind", manifest(`"r12"`, `"r9"`, route("a", strings.Replace(fine, "shelved", "parcel", 1)), carrier), Invalid, "mail_class"},
-		{"an edition that is not above", manifest(`"r9"`, `"r9"`, carrier), Invalid, "not above r9"},
-		{"no version", manifest(`"twelve"`, `"r9"`, carrier), Invalid, "no version"},
-		{"a key of two tenants", manifest(`"r12"`, `"r9"`, sender("wax", "k-1", "k-2"), sender("ink", "k-3", "k-1")), Invalid, "sender ink: stamps: a key of wax"},
-		{"an empty key", manifest(`"r12"`, `"r9"`, sender("wax", "k-1", "")), Invalid, "sender wax: stamps: an empty key"},
-		{"a tenant without a name", manifest(`"r12"`, `"r9"`, sender("", "k-1")), Invalid, "name"},
-		{"a tenant whose name ends a header", manifest(`"r12"`, `"r9"`, sender("wax\r\nx: y", "k-1")), Invalid, "name"},
-		{"keys that are no list", manifest(`"r12"`, `"r9"`, strings.Replace(sender("wax", "k-1"), `["k-1"]`, `"k-1"`, 1)), Invalid, "stamps"},
-		{"a key twice at one tenant", manifest(`"r11"`, `"r9"`, sender("wax", "k-1", "k-1"), sender("ink", "k-2"), sender("new")), Done, ""},
+		{"a repeat of it", first, Done, ""},
+		{"the same number, another body", manifest(`"r5"`, `0`, routeParcel("b", routeFields), serviceParcel), Stale, "based_on"},
+		{"one based on the newest", second, Done, ""},
+		{"a repeat of the first, which is no longer the newest", first, Done, ""},
+		{"one that lost a race", manifest(`"r9"`, `"r5"`, serviceParcel), Stale, "based_on: r5, but r9"},
+		{"one with a higher number that lost the same race", manifest(`"r12"`, `"r5"`, serviceParcel), Stale, "based_on"},
+		{"truncated body", second[:len(second)-7], Invalid, "not a complete JSON document"},
+		{"trailing data", append(append([]byte{}, second...), '}'), Invalid, "not a complete JSON document"},
+		{"unknown service", manifest(`"r12"`, `"r9"`, routeParcel("a", routeFields)), Invalid, `route a: carrier: unknown service "shop"`},
+		{"two routes of one prefix", manifest(`"r12"`, `"r9"`, routeParcel("a", routeFields), routeParcel("b", routeFields), serviceParcel), Invalid, "path_prefix: same place as a"},
+		{"no weight", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"carrier":"shop"`, `"split_among":[{"carrier":"shop","share":0}]`, 1)), serviceParcel), Invalid, "shares add up to 0"},
+		{"no service at all", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"carrier":"shop",`, "", 1)), serviceParcel), Invalid, "shares add up to 0"},
+		{"no timeout", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "0s", 1)), serviceParcel), Invalid, "timeout: 0"},
+		{"timeout left out", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"timeout":"1500ms",`, "", 1)), serviceParcel), Invalid, "timeout: 0"},
+		{"long timeout", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "601s", 1)), serviceParcel), Invalid, "more than ten minutes"},
+		{"a timeout that is not a duration", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "soon", 1)), serviceParcel), Invalid, "timeout"},
+		{"unknown kind", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "shelved", "parcel", 1)), serviceParcel), Invalid, "mail_class"},
+		{"an edition that is not above", manifest(`"r9"`, `"r9"`, serviceParcel), Invalid, "not above r9"},
+		{"not a version", manifest(`"twelve"`, `"r9"`, serviceParcel), Invalid, "not a version"},
+		{"a key of two tenants", manifest(`"r12"`, `"r9"`, senderParcel("wax", "k-1", "k-2"), senderParcel("ink", "k-3", "k-1")), Invalid, "sender ink: stamps: a key belongs to wax"},
+		{"an empty key", manifest(`"r12"`, `"r9"`, senderParcel("wax", "k-1", "")), Invalid, "sender wax: stamps: empty key"},
+		{"a tenant without a name", manifest(`"r12"`, `"r9"`, senderParcel("", "k-1")), Invalid, "name"},
+		{"a tenant whose name contains a line break", manifest(`"r12"`, `"r9"`, senderParcel("wax\r\nx: y", "k-1")), Invalid, "name"},
+		{"keys that are not a list", manifest(`"r12"`, `"r9"`, strings.Replace(senderParcel("wax", "k-1"), `["k-1"]`, `"k-1"`, 1)), Invalid, "stamps"},
+		{"a key twice at one tenant", manifest(`"r11"`, `"r9"`, senderParcel("wax", "k-1", "k-1"), senderParcel("ink", "k-2"), senderParcel("new")), Done, ""},
 		{"ten minutes are allowed, as are parcels of an unknown kind", manifest(`"r12"`, `"r11"`,
-			route("a", strings.Replace(fine, "1500ms", "600s", 1)), carrier, `{"parcel_kind":"stamps","label":{},"manifest":{"x":1}}`), Done, ""},
+			routeParcel("a", strings.Replace(routeFields, "1500ms", "600s", 1)), serviceParcel, `{"parcel_kind":"stamps","label":{},"manifest":{"x":1}}`), Done, ""},
 	}
 	s := New()
 	for i, c := range cases {
@@ -77,8 +78,9 @@
 	assert.Equal(t, s.Version, Version(12))
 }
 
-func TestServersCalls(t *testing.T) {
-	call := func(beat uint64, state string) Command {
+// Heartbeats of one server, some of them late: a closing server does not open again, and one that has left does not come back.
+func TestLateHeartbeats(t *testing.T) {
+	heartbeat := func(beat uint64, state string) Command {
 		return Command{Server: &Server{ID: "i-1", Service: "shop", Address: "10.0.0.1:80", State: state, Beat: beat}}
 	}
 	cases := []struct {
@@ -86,12 +88,12 @@
 		do    Command
 		state string
 	}{
-		{"it comes", call(1, Open), Open},
-		{"it leaves", call(4, Closing), Closing},
-		{"an older call comes late", call(3, Open), Closing},
-		{"a later call does not open it again", call(5, Open), Closing},
+		{"it registers", heartbeat(1, Open), Open},
+		{"it closes", heartbeat(4, Closing), Closing},
+		{"an older heartbeat comes late", heartbeat(3, Open), Closing},
+		{"a later heartbeat does not open it again", heartbeat(5, Open), Closing},
 		{"it has left", Command{Leave: "i-1"}, ""},
-		{"a late call does not bring it back", call(6, Open), ""},
+		{"a late heartbeat does not bring it back", heartbeat(6, Open), ""},
 	}
 	s := New()
 	for i, c := range cases {
@@ -100,7 +102,7 @@
 	}
 }
 
-// A holder of the duty whose time is over takes nobody out: another one has the duty, and may have heard them.
+// A former holder of the duty can't remove servers: the new holder may have heard from them.
 func TestDutyIsFenced(t *testing.T) {
 	s := New()
 	s.Apply(1, Command{Appoint: "10.0.0.1"})
@@ -112,8 +114,8 @@
 	assert.Equal(t, len(s.Servers), 0)
 }
 
-// Whoever asks with any version ends with the same state, by changes or by the whole; the roster stays bounded.
-func TestHistory(t *testing.T) {
+// A copy that asks for changes from any index ends with the same state, by changes or by a copy of the whole. The roster stays bounded.
+func TestHistoryCatchUp(t *testing.T) {
 	h := NewHistory(New())
 	var copies []*History
 	for i := uint64(1); i <= 1500; i++ {
@@ -121,12 +123,12 @@
 		if i%7 == 0 {
 			c = Command{Purge: &Purge{Tag: "t"}}
 		}
-		h.Apply(2*i, c.Encode()) // entries between them change no state
+		h.Apply(2*i, c.Encode()) // the entries in between change no state
 		if i%500 == 1 {
 			copies = append(copies, NewHistory(h.State.Clone()))
 		}
 	}
-	assert.Assert(t, len(h.State.Roster) <= mostRoster)
+	assert.Assert(t, len(h.State.Roster) <= maxRoster)
 	copies = append(copies, NewHistory(New()))
 	for _, c := range copies {
 		for c.State.Index < h.State.Index {
@@ -155,10 +157,10 @@
 	}
 }
 
-// The tenant of a key, and whether a route's requests need one: without tenants none does.
-func TestTenantsOfKeys(t *testing.T) {
-	open := strings.Replace(fine, `"/x/"`, `"/y/","unsealed":true`, 1)
-	m, err := ParseManifest(manifest(`"r5"`, `0`, route("a", fine), route("b", open), carrier, sender("wax", "k-1", "k-2"), sender("ink", "k-3")))
+// Looks up tenants by key, and checks which routes need a key: without tenants none does.
+func TestKeyTable(t *testing.T) {
+	open := strings.Replace(routeFields, `"/x/"`, `"/y/","unsealed":true`, 1)
+	m, err := ParseManifest(manifest(`"r5"`, `0`, routeParcel("a", routeFields), routeParcel("b", open), serviceParcel, senderParcel("wax", "k-1", "k-2"), senderParcel("ink", "k-3")))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, m.Tenants, []Tenant{{Name: "wax", Priority: 2, Keys: []string{"k-1", "k-2"}}, {Name: "ink", Priority: 2, Keys: []string{"k-3"}}})
 	assert.Assert(t, m.Keyed(&m.Routes[0]) && !m.Keyed(&m.Routes[1]))
@@ -175,7 +177,7 @@
 }
 
 func FuzzManifest(f *testing.F) {
-	f.Add(manifest(`"r5"`, `0`, route("a", fine), carrier))
+	f.Add(manifest(`"r5"`, `0`, routeParcel("a", routeFields), serviceParcel))
 	f.Add([]byte(`{"edition":1,"parcels":[{"parcel_kind":"routes","manifest":null}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s := New()
--- a/internal/cdn/clusterstate/delta_test.go
+++ b/internal/cdn/clusterstate/delta_test.go
@@ -8,34 +8,35 @@
 	"gotest.tools/v3/assert"
 )
 
-func many(n int, edition, base string, change func(i int, r string) string) []byte {
-	all := []string{carrier}
+// manyRoutes returns a configuration of n routes. change may replace the text of a route, or drop the route by returning an empty text.
+func manyRoutes(n int, edition, base string, change func(i int, r string) string) []byte {
+	parcels := []string{serviceParcel}
 	for i := range n {
-		r := route(fmt.Sprint("r", i), strings.Replace(fine, "/x/", fmt.Sprintf("/x%d/", i), 1))
+		r := routeParcel(fmt.Sprint("r", i), strings.Replace(routeFields, "/x/", fmt.Sprintf("/x%d/", i), 1))
 		if change != nil {
 			r = change(i, r)
 		}
 		if r != "" {
-			all = append(all, r)
+			parcels = append(parcels, r)
 		}
 	}
-	return manifest(edition, base, all...)
+	return manifest(edition, base, parcels...)
 }
 
-// What is handed on of a large configuration goes with what has changed; whoever follows it holds the same body, and what can't
-// be made whole is refused and changes nothing.
+// The size of an update to a large configuration depends on what has changed, and a copy that applies it holds the same body. A delta that
+// does not fit a copy's body is refused and changes nothing.
 func TestDeltas(t *testing.T) {
 	core, edge := NewHistory(New()), NewHistory(New())
 	bodies := [][]byte{
-		many(1280, `"r1"`, `0`, nil),
-		many(1280, `"r2"`, `"r1"`, func(i int, r string) string {
+		manyRoutes(1280, `"r1"`, `0`, nil),
+		manyRoutes(1280, `"r2"`, `"r1"`, func(i int, r string) string {
 			if i == 700 {
 				return strings.Replace(r, "1500ms", "1400ms", 1)
 			}
 			return r
 		}),
-		many(1281, `"r3"`, `"r2"`, nil),
-		many(1281, `"r4"`, `"r3"`, func(i int, r string) string {
+		manyRoutes(1281, `"r3"`, `"r2"`, nil),
+		manyRoutes(1281, `"r4"`, `"r3"`, func(i int, r string) string {
 			if i%100 == 3 {
 				return ""
 			}
@@ -69,7 +70,7 @@
 		assert.Equal(t, string(edge.State.Body), string(body))
 		assert.DeepEqual(t, edge.State, core.State)
 	}
-	_, out, _ := core.Apply(9, Command{Put: bodies[1]}.Encode()) // once more: nothing to hand on
+	_, out, _ := core.Apply(9, Command{Put: bodies[1]}.Encode()) // a repeat: nothing to send
 	assert.Equal(t, out.Status, Done)
 	assert.Equal(t, len(core.Since(4).Changes[0].Data), 0)
 }
--- a/internal/cdn/clusterstate/manifest.go
+++ b/internal/cdn/clusterstate/manifest.go
@@ -10,64 +10,64 @@
 	"cedarmast/internal/cdn/bootconfig"
 )
 
-// The kinds of route, in the operators' words.
+// Values of Route.Kind.
 const (
-	Resendable = "resendable"
-	OnceOnly   = "once_only"
-	Shelved    = "shelved"
+	Resendable = "resendable" // requests may be retried
+	OnceOnly   = "once_only"  // a request must not be sent twice
+	Shelved    = "shelved"    // responses are cached
 )
 
-const longestTimeout = 10 * time.Minute
+const maxTimeout = 10 * time.Minute
 
-// Version is a configuration's number; 0 is before the first.
+// Version is the number of a configuration; 0 stands for the state before the first one.
 type Version uint64
 
 func (v Version) String() string { return "r" + strconv.FormatUint(uint64(v), 10) }
 
-// ParseVersion reads r12; 0, r0 and nothing stand before the first.
+// ParseVersion parses a version such as r12. An empty text, 0 and r0 stand for the state before the first one.
 func ParseVersion(text string) (Version, error) {
 	if text == "" || text == "0" {
 		return 0, nil
 	}
 	n, err := strconv.ParseUint(strings.TrimPrefix(text, "r"), 10, 64)
 	if err != nil || !strings.HasPrefix(text, "r") {
-		return 0, fmt.Errorf("%.20q is no version", text)
+		return 0, fmt.Errorf("%.20q is not a version", text)
 	}
 	return Version(n), nil
 }
 
-// Share is a service's part of a route's requests.
+// Share is the fraction of a route's requests that a service gets: its weight, relative to the sum of the route's weights.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Route is one route. Times are durations; Shelf is how long a copy may be kept.
+// Route maps the requests to a host and a path prefix to one or more services. Shelf is how long a response may be cached.
 type Route struct {
 	Name, Host, Prefix, Kind string
 	Timeout, Target, Shelf   time.Duration
 	Priority, Tries          int
 	Unsealed                 bool    // its requests need no key
-	Split                    []Share // one with all the weight, if it is not split
+	Split                    []Share // one entry, if the route is not split among services
 }
 
-// Service is one service; rates are requests a second, of all routers together, 0 for no bound.
+// Service is a group of servers that answer the same requests.
 type Service struct {
 	Name, HealthPath string
 	ConnCap          int
-	RatePerS         float64
+	RatePerS         float64 // limit in requests per second, for all routers together; 0: unlimited
 }
 
-// UsualLimits hold where a configuration says nothing.
+// UsualLimits are the limits of a configuration that sets none.
 var UsualLimits = Limits{HeaderBytes: 16 << 10, BodyBytes: 64 << 20, Header: 3 * time.Second, Idle: 15 * time.Second}
 
-// Limits are what a client may send, and how long it may take or rest.
+// Limits bound a client's requests: the size of header and body, the time for sending the header, and the idle time of a connection.
 type Limits struct {
 	HeaderBytes, BodyBytes int64
 	Header, Idle           time.Duration
 }
 
-// Manifest is a configuration as it is used.
+// Manifest is a parsed configuration.
 type Manifest struct {
 	Version, Base Version
 	Routes        []Route
@@ -76,7 +76,7 @@
 	Limits        Limits
 }
 
-// The wire's form.
+// The JSON form of a configuration.
 type (
 	wireManifest struct {
 		Edition wireText     `json:"edition"`
@@ -123,7 +123,7 @@
 	}
 )
 
-// wireText is a text, or a number that stands for one.
+// wireText is a JSON string, or a number that is read as its text.
 type wireText string
 
 func (t *wireText) UnmarshalJSON(b []byte) error {
@@ -137,13 +137,14 @@
 	}
 	var n json.Number
 	if err := json.Unmarshal(b, &n); err != nil {
-		return fmt.Errorf("neither a text nor a number: %.20q", b)
+		return fmt.Errorf("neither a string nor a number: %.20q", b)
 	}
 	*t = wireText(n.String())
 	return nil
 }
 
-func (t wireText) span(field string) (time.Duration, error) {
+// duration parses a duration; an empty text and 0 are 0. An error names the field.
+func (t wireText) duration(field string) (time.Duration, error) {
 	if t == "" || t == "0" {
 		return 0, nil
 	}
@@ -154,60 +155,64 @@
 	return d, nil
 }
 
-// Editions reads a configuration's two versions alone.
+// Editions parses only the version of a configuration and that of its base, from its body.
 func Editions(body []byte) (edition, base Version, err error) {
 	var w struct {
 		Edition wireText `json:"edition"`
 		BasedOn wireText `json:"based_on"`
 	}
-	if err := unmarshalWhole(body, &w); err != nil {
+	if err := unmarshalBody(body, &w); err != nil {
 		return 0, 0, err
 	}
-	return editions(w.Edition, w.BasedOn)
+	return parseVersions(w.Edition, w.BasedOn)
 }
 
-func editions(text, on wireText) (edition, base Version, err error) {
+// parseVersions parses a configuration's version and that of its base.
+func parseVersions(text, baseText wireText) (edition, base Version, err error) {
 	if edition, err = ParseVersion(string(text)); err != nil {
 		return 0, 0, fmt.Errorf("edition: %w", err)
 	}
-	if base, err = ParseVersion(string(on)); err != nil {
+	if base, err = ParseVersion(string(baseText)); err != nil {
 		return 0, 0, fmt.Errorf("based_on: %w", err)
 	}
 	return edition, base, nil
 }
 
-func unmarshalWhole(body []byte, v any) error {
+// unmarshalBody parses a body that must be one complete JSON document.
+func unmarshalBody(body []byte, v any) error {
 	if err := json.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("not readable whole: %w", err)
+		return fmt.Errorf("not a complete JSON document: %w", err)
 	}
 	return nil
 }
 
-// ParseManifest reads and checks a configuration. The error names the parcel and the field.
+// ParseManifest parses and validates a configuration. An error names the parcel and the field.
 func ParseManifest(body []byte) (*Manifest, error) {
 	var w wireManifest
-	if err := unmarshalWhole(body, &w); err != nil {
+	if err := unmarshalBody(body, &w); err != nil {
 		return nil, err
 	}
-	edition, base, err := editions(w.Edition, w.BasedOn)
+	edition, base, err := parseVersions(w.Edition, w.BasedOn)
 	if err != nil {
 		return nil, err
 	}
 	m := newManifest(edition, base)
 	for i, p := range w.Parcels {
-		if err := m.takeParcel(p); err != nil {
+		if err := m.addParcel(p); err != nil {
 			return nil, fmt.Errorf("parcels[%d] (%s %s): %w", i, p.Kind, p.Label.Name, err)
 		}
 	}
-	return m, m.check()
+	return m, m.validate()
 }
 
+// newManifest returns a manifest without parcels, with the default limits.
 func newManifest(edition, base Version) *Manifest {
 	return &Manifest{Version: edition, Base: base,
 		Limits: UsualLimits}
 }
 
-func (m *Manifest) takeParcel(p wireParcel) error {
+// addParcel adds one parcel to the manifest. Parcels of unknown kinds are ignored.
+func (m *Manifest) addParcel(p wireParcel) error {
 	switch p.Kind {
 	case "routes":
 		return m.addRoute(p)
@@ -229,18 +234,18 @@
 	r := Route{Name: p.Label.Name, Host: strings.ToLower(w.Domain), Prefix: w.Prefix, Kind: w.Kind, Priority: w.Precedence,
 		Tries: max(w.Tries, 1), Unsealed: w.Unsealed}
 	var err error
-	if r.Timeout, err = w.Timeout.span("timeout"); err != nil {
+	if r.Timeout, err = w.Timeout.duration("timeout"); err != nil {
 		return err
 	}
-	if r.Target, err = w.Target.span("target"); err != nil {
+	if r.Target, err = w.Target.duration("target"); err != nil {
 		return err
 	}
-	if r.Shelf, err = w.Shelf.span("shelf"); err != nil {
+	if r.Shelf, err = w.Shelf.duration("shelf"); err != nil {
 		return err
 	}
 	for _, s := range w.Split {
 		if s.Share < 0 {
-			return fmt.Errorf("split_among: share of %s under 0", s.Carrier)
+			return fmt.Errorf("split_among: share of %s is negative", s.Carrier)
 		}
 		r.Split = append(r.Split, Share{s.Carrier, s.Share})
 	}
@@ -276,7 +281,7 @@
 		text wireText
 		to   *time.Duration
 	}{{"envelope", w.Envelope, &m.Limits.Header}, {"idle", w.Idle, &m.Limits.Idle}} {
-		d, err := f.text.span(f.name)
+		d, err := f.text.duration(f.name)
 		if err != nil {
 			return err
 		}
@@ -287,13 +292,13 @@
 	return nil
 }
 
-// check holds a configuration to the operators' list of what is invalid.
-func (m *Manifest) check() error {
+// validate returns the first fault of a configuration: a route of unknown kind, without timeout, to an unknown service, and so on.
+func (m *Manifest) validate() error {
 	services := map[string]bool{}
 	for _, s := range m.Services {
 		services[s.Name] = true
 	}
-	places := map[string]string{}
+	routeByPlace := map[string]string{}
 	for _, r := range m.Routes {
 		total := 0.0
 		for _, s := range r.Split {
@@ -304,29 +309,29 @@
 		place := r.Host + " " + r.Prefix
 		switch {
 		case r.Kind != Resendable && r.Kind != OnceOnly && r.Kind != Shelved:
-			return fmt.Errorf("route %s: mail_class: %q is none of the known ones", r.Name, r.Kind)
+			return fmt.Errorf("route %s: mail_class: unknown kind %q", r.Name, r.Kind)
 		case total <= 0:
 			return fmt.Errorf("route %s: split_among: the shares add up to 0", r.Name)
 		case r.Timeout <= 0:
 			return fmt.Errorf("route %s: timeout: 0", r.Name)
-		case r.Timeout > longestTimeout:
-			return fmt.Errorf("route %s: timeout: over ten minutes", r.Name)
-		case places[place] != "":
-			return fmt.Errorf("route %s: path_prefix: same place as %s", r.Name, places[place])
+		case r.Timeout > maxTimeout:
+			return fmt.Errorf("route %s: timeout: more than ten minutes", r.Name)
+		case routeByPlace[place] != "":
+			return fmt.Errorf("route %s: path_prefix: same place as %s", r.Name, routeByPlace[place])
 		case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 			return fmt.Errorf("route %s: path_prefix: %q does not begin and end with a slash", r.Name, r.Prefix)
 		}
-		places[place] = r.Name
+		routeByPlace[place] = r.Name
 	}
-	return checkTenants(m.Tenants)
+	return validateTenants(m.Tenants)
 }
 
-// Table finds the route of a request. It is made once for each configuration and not changed.
+// Table finds the route of a request. It is built once for each configuration and is immutable.
 type Table struct {
-	hosts map[string]map[string]*Route
+	hosts map[string]map[string]*Route // by host, then by prefix
 }
 
-// NewTable returns the table of a configuration.
+// NewTable builds the route table of a configuration.
 func NewTable(m *Manifest) *Table {
 	t := &Table{hosts: map[string]map[string]*Route{}}
 	for i := range m.Routes {
@@ -339,8 +344,8 @@
 	return t
 }
 
-// Find returns the route of the host with the longest prefix that begins the path; nil if there is none. The cost grows with
-// the path's length, not with the number of routes.
+// Find returns the host's route with the longest prefix of the path; nil if there is none. Its cost depends on the length of the path, not
+// on the number of routes.
 func (t *Table) Find(host, path string) *Route {
 	prefixes := t.hosts[strings.ToLower(host)]
 	for end := len(path); prefixes != nil; {
@@ -356,15 +361,16 @@
 	return nil
 }
 
-// Pick chooses a service by the shares, with a number from 0 to 1.
-func (r *Route) Pick(at float64) string {
+// Pick returns the service for a number from 0 to 1, drawn at random or from a hash: each service gets a part of the interval in proportion
+// to its share.
+func (r *Route) Pick(point float64) string {
 	total := 0.0
 	for _, s := range r.Split {
 		total += s.Weight
 	}
-	at *= total
+	point *= total
 	for _, s := range r.Split {
-		if at -= s.Weight; at < 0 && s.Weight > 0 {
+		if point -= s.Weight; point < 0 && s.Weight > 0 {
 			return s.Service
 		}
 	}
--- a/internal/cdn/clusterstate/news.go
+++ b/internal/cdn/clusterstate/news.go
@@ -5,46 +5,47 @@
 	"time"
 )
 
-// Change is one command of the log as it is handed on.
+// Change is one command of the log as it is sent to other processes.
 type Change struct {
 	Index uint64
-	Data  []byte
+	Data  []byte // the encoded command; empty if it changed nothing but the index
 }
 
-// Ask is a process's question for news, with the version that it has.
+// Ask is a process's request for the changes since the index that it holds.
 type Ask struct {
-	Have    uint64
-	Barrier bool   // the answer is to hold all that was acknowledged before it was asked for
-	Router  Router // who asks, if it is a cache router
-	HoldMS  int64  // how long the question may wait for news
+	Have    uint64 // index of the last command that the requester has applied
+	Barrier bool   // the reply must contain all that was acknowledged before the request
+	Router  Router // the requester, if it is a cache router
+	HoldMS  int64  // how long the request may be held until there are changes, in milliseconds
 }
 
-// Needs is what a cache router would ask of the servers of services whose rate is bounded, in requests a second, whether it may or not.
+// Needs is a cache router's demand on the services whose rate is limited: the requests per second that it would send without a limit.
 type Needs struct {
 	Node string
 	Per  map[string]float64 // by service
 }
 
-// News is the answer: what has changed, or all of it for one who is too far behind.
+// News is the reply to Ask: the changes since Have, or the whole state for a requester that is too far behind.
 type News struct {
 	State   *State
 	Changes []Change
-	Core    []string // where the core machines are
-	Fresh   bool     // the one who answers follows a leader that has a majority
-	// Proven: whoever holds Index holds all that had been acknowledged AgeMS before the question came; less than 0: after it, for a question may
-	// be held. Neighbours hand the proof on.
+	Core    []string // addresses of the core machines
+	Fresh   bool     // the sender follows a leader that has a majority
+	// Proven means that a process that holds Index holds all that had been acknowledged AgeMS before the request arrived. AgeMS may be
+	// negative (after the arrival), because a request may be held. Neighbours pass the proof on.
 	Proven bool
-	AgeMS  int64
-	Index  uint64 // what the one who answers holds; a cut answer brings less
-	WallMS int64  // true time at the answer, as far as the one who answers knows, in milliseconds since the start of 1970; 0: not told
+	AgeMS  int64  // in milliseconds
+	Index  uint64 // index that the sender holds; a reply that is cut short brings the requester less far
+	WallMS int64  // the true time of the reply as the sender knows it, in milliseconds since the start of 1970; 0: unknown
 }
 
-// Prove states that whoever holds Index holds all that had been acknowledged by a moment of the answerer's steady clock, as is the one at
-// which the question came. Of two proofs the younger one stays; an age is rounded up.
-func (n *News) Prove(by, came time.Time) {
-	age := came.Sub(by)
+// Prove states that a process that holds Index holds all that had been acknowledged by provenAt, in the reply to a request that arrived at
+// the moment arrived. Both are readings of the sender's monotonic clock. Of two proofs the newer one is kept. The age is rounded up to
+// milliseconds.
+func (n *News) Prove(provenAt, arrived time.Time) {
+	age := arrived.Sub(provenAt)
 	ms := age.Milliseconds()
-	if age > 0 && age%time.Millisecond > 0 { // a division rounds one below 0 up by itself
+	if age > 0 && age%time.Millisecond > 0 { // integer division already rounds a negative age up
 		ms++
 	}
 	if !n.Proven || ms < n.AgeMS {
@@ -52,16 +53,16 @@
 	}
 }
 
-// ProofOf is the moment of the asker's steady clock that an answer proves to one who holds Index: the age is counted from the begin of
-// the question, for it came after that. The zero time: it proves nothing.
-func (n *News) ProofOf(begun time.Time) time.Time {
+// ProofOf returns the moment by which the reply proves a holder of Index to be current, on the requester's monotonic clock. The age is
+// counted from when the request was started, which is before it arrived. The zero time means that nothing is proven.
+func (n *News) ProofOf(started time.Time) time.Time {
 	if !n.Proven {
 		return time.Time{}
 	}
-	return begun.Add(-time.Duration(n.AgeMS) * time.Millisecond)
+	return started.Add(-time.Duration(n.AgeMS) * time.Millisecond)
 }
 
-// History is a state together with its last changes, for those who ask what is new.
+// History is a state with its last changes, from which requests for changes are answered.
 type History struct {
 	State   *State
 	reader  reader
@@ -70,32 +71,33 @@
 }
 
 const (
-	mostChanges     = 4096
-	mostChangeBytes = 8 << 20
-	mostInOneAnswer = 512
+	maxChanges         = 4096
+	maxChangeBytes     = 8 << 20
+	maxChangesPerReply = 512
 )
 
-// NewHistory begins with a state.
+// NewHistory returns a history that starts with a state and holds no changes yet.
 func NewHistory(s *State) *History { return &History{State: s} }
 
-// Apply takes a change on. One that is held already changes nothing.
+// Apply applies a change to the state and records it. A change that was applied before has no effect. It fails if the change can't be
+// decoded, or if it is a delta that does not apply to this copy; the state is then unchanged.
 func (h *History) Apply(index uint64, data []byte) (Command, Outcome, error) {
 	if index <= h.State.Index {
 		return Command{}, Outcome{}, nil
 	}
-	before := h.State.Index
+	previousIndex := h.State.Index
 	c, err := Decode(data)
 	if err != nil {
 		return c, Outcome{Status: Invalid, Text: err.Error()}, err
 	}
 	version, body := h.State.Version, h.State.Body
 	out := h.State.apply(index, c, &h.reader)
-	c.Taken = out.taken
-	if out.unreadable {
-		h.State.Index = before
+	c.Taken = out.installed
+	if out.deltaFailed {
+		h.State.Index = previousIndex
 		return c, out, fmt.Errorf("%s", out.Text)
 	}
-	if c.Configures() && h.State.Version == version { // it was refused, or is known
+	if c.Configures() && h.State.Version == version { // it was refused, or is a repeat
 		data = nil
 	} else if c.Put != nil {
 		if d := Diff(version, h.State.Version, body, c.Put, h.State.Taken[len(h.State.Taken)-1].Digest); d != nil {
@@ -104,7 +106,7 @@
 	}
 	h.changes = append(h.changes, Change{index, data})
 	h.bytes += len(data)
-	for len(h.changes) > mostChanges || h.bytes > mostChangeBytes && len(h.changes) > 1 {
+	for len(h.changes) > maxChanges || h.bytes > maxChangeBytes && len(h.changes) > 1 {
 		h.bytes -= len(h.changes[0].Data)
 		h.changes[0].Data = nil
 		h.changes = h.changes[1:]
@@ -112,8 +114,8 @@
 	return c, out, nil
 }
 
-// Order makes the command that puts a configuration: what it changes of the one in force, if it builds on that, else the whole
-// of it. An invalid one is an error.
+// Order returns the command that puts a configuration: a delta if it is based on the configuration in force and a delta is worth it,
+// else the whole body. An invalid configuration is an error.
 func (h *History) Order(body []byte) (Command, error) {
 	m, digest, err := h.reader.read(body)
 	if err != nil {
@@ -127,8 +129,8 @@
 	return Command{Put: body}, nil
 }
 
-// Since returns what one who holds a version lacks, or the first part of it: n.Index tells what all of it would bring. The state in it,
-// if any, is a copy.
+// Since returns the changes after the index have, or the first part of them; Index in the result is where all of them lead. If the changes
+// are no longer held, the result contains a copy of the state instead.
 func (h *History) Since(have uint64) News {
 	n := News{Index: h.State.Index}
 	if have >= h.State.Index {
@@ -138,12 +140,13 @@
 	for first > 0 && h.changes[first-1].Index > have {
 		first--
 	}
-	// Indices skip entries that change no state, so the one before the first is held only if the ring has it or begins with it.
+	// Indices skip log entries that change no state. So it is certain that no change between have and the first recorded one is missing
+	// only if an older change is recorded as well, or if the first one is at have+1.
 	if first == 0 && (len(h.changes) == 0 || have == 0 || h.changes[0].Index != have+1) {
 		n.State = h.State.Clone()
 		return n
 	}
-	last := min(len(h.changes), first+mostInOneAnswer)
+	last := min(len(h.changes), first+maxChangesPerReply)
 	n.Changes = append([]Change(nil), h.changes[first:last]...)
 	return n
 }
--- a/internal/cdn/clusterstate/reader.go
+++ b/internal/cdn/clusterstate/reader.go
@@ -6,8 +6,8 @@
 	"encoding/json"
 )
 
-// This file reads a configuration by what has changed since the one before it. A body is cut in front of each parcel; a
-// parcel whose text was read before is not read again. What is not of the usual form is read whole, with the same result.
+// This file parses configurations incrementally. A body is split in front of each parcel, and a parcel whose text occurred in the
+// configuration before is not parsed again. A body of another form than the usual one is parsed as a whole, with the same result.
 
 var (
 	parcelsOpen  = []byte(`"parcels":[`)
@@ -15,31 +15,31 @@
 	parcelsComma = []byte(`,`)
 )
 
-// reader reads configurations one after the other. Its zero value is ready.
+// reader parses successive configurations and reuses what has not changed. Its zero value is ready for use.
 type reader struct {
-	known map[string]*parcelRead // by text: those of the configuration that was read last
+	parsed map[string]*parsedParcel // the parcels of the configuration that was parsed last, by text
 }
 
-// parcelRead is what a parcel says, and its text's checksum.
-type parcelRead struct {
-	sum     [32]byte
-	parcel  wireParcel // of a kind that is neither of those below
+// parsedParcel is a parsed parcel. One of route, service and tenant is set, or none if the parcel is of another kind.
+type parsedParcel struct {
+	sum     [32]byte   // SHA-256 of the text
+	parcel  wireParcel // used if none of the fields below is set
 	route   *Route
 	service *Service
 	tenant  *Tenant
 }
 
-// read reads and checks a configuration, and returns its digest as well.
+// read parses and validates a configuration, and returns it with its digest.
 func (r *reader) read(body []byte) (*Manifest, [32]byte, error) {
-	texts := parcels(withoutSpace(body))
+	texts := splitParcels(stripSpace(body))
 	if m, sum, ok := r.readParcels(texts); ok {
-		return m, sum, m.check()
+		return m, sum, m.validate()
 	}
 	m, err := ParseManifest(body)
-	return m, digestOf(texts), err
+	return m, digestParcels(texts), err
 }
 
-// readParcels reads a body of the usual form; ok tells whether it is one.
+// readParcels parses a body of the usual form, reusing cached parcels; ok is false if the body is of another form or invalid.
 func (r *reader) readParcels(texts [][]byte) (m *Manifest, digest [32]byte, ok bool) {
 	if len(texts) < 2 || !bytes.HasSuffix(texts[0], parcelsOpen) {
 		return nil, digest, false
@@ -48,7 +48,7 @@
 	if !ok {
 		return nil, digest, false
 	}
-	known, sums := make(map[string]*parcelRead, len(texts)), sha256.New()
+	parsed, sums := make(map[string]*parsedParcel, len(texts)), sha256.New()
 	head := sha256.Sum256(texts[0])
 	sums.Write(head[:])
 	for i, text := range texts[1:] {
@@ -56,60 +56,60 @@
 		if i == len(texts)-2 {
 			end = parcelsClose
 		}
-		p := r.known[string(text)]
+		p := r.parsed[string(text)]
 		if p == nil {
 			if p, ok = readParcel(text, end); !ok {
 				return nil, digest, false
 			}
 		}
-		known[string(text)] = p
+		parsed[string(text)] = p
 		sums.Write(p.sum[:])
-		if err := m.take(p); err != nil || !bytes.HasSuffix(text, end) {
+		if err := m.addParsed(p); err != nil || !bytes.HasSuffix(text, end) {
 			return nil, digest, false
 		}
 	}
-	r.known = known
+	r.parsed = parsed
 	return m, [32]byte(sums.Sum(nil)), true
 }
 
-// readHead reads what stands before the first parcel: an object whose last field is the list that begins there.
+// readHead parses what comes before the first parcel: the beginning of an object whose last field is the list of parcels.
 func readHead(text []byte) (*Manifest, bool) {
 	var w wireManifest
 	if json.Unmarshal(append(bytes.Clone(text), parcelsClose...), &w) != nil || len(w.Parcels) > 0 {
 		return nil, false
 	}
-	edition, base, err := editions(w.Edition, w.BasedOn)
+	edition, base, err := parseVersions(w.Edition, w.BasedOn)
 	if err != nil {
 		return nil, false
 	}
 	return newManifest(edition, base), true
 }
 
-// readParcel reads one parcel and what ends it.
-func readParcel(text, end []byte) (*parcelRead, bool) {
+// readParcel parses the text of one parcel, which ends with the separator end.
+func readParcel(text, end []byte) (*parsedParcel, bool) {
 	object, ok := bytes.CutSuffix(text, end)
-	p := &parcelRead{sum: sha256.Sum256(text)}
+	p := &parsedParcel{sum: sha256.Sum256(text)}
 	if !ok || json.Unmarshal(object, &p.parcel) != nil {
 		return nil, false
 	}
-	var one Manifest
-	if one.takeParcel(p.parcel) != nil {
+	var single Manifest
+	if single.addParcel(p.parcel) != nil {
 		return nil, false
 	}
-	if len(one.Routes) > 0 {
-		p.route = &one.Routes[0]
+	if len(single.Routes) > 0 {
+		p.route = &single.Routes[0]
 	}
-	if len(one.Services) > 0 {
-		p.service = &one.Services[0]
+	if len(single.Services) > 0 {
+		p.service = &single.Services[0]
 	}
-	if len(one.Tenants) > 0 {
-		p.tenant = &one.Tenants[0]
+	if len(single.Tenants) > 0 {
+		p.tenant = &single.Tenants[0]
 	}
 	return p, true
 }
 
-// take adds what a parcel says.
-func (m *Manifest) take(p *parcelRead) error {
+// addParsed adds a parsed parcel to the manifest.
+func (m *Manifest) addParsed(p *parsedParcel) error {
 	switch {
 	case p.route != nil:
 		m.Routes = append(m.Routes, *p.route)
@@ -118,15 +118,16 @@
 	case p.tenant != nil:
 		m.Tenants = append(m.Tenants, *p.tenant)
 	default:
-		return m.takeParcel(p.parcel)
+		return m.addParcel(p.parcel)
 	}
 	return nil
 }
 
-// Digest is what two bodies share that say the same to the letter, but for spaces between.
-func Digest(body []byte) [32]byte { return digestOf(parcels(withoutSpace(body))) }
+// Digest returns a hash of a configuration's body that does not depend on the white space between JSON tokens.
+func Digest(body []byte) [32]byte { return digestParcels(splitParcels(stripSpace(body))) }
 
-func digestOf(texts [][]byte) [32]byte {
+// digestParcels returns the SHA-256 of the concatenated SHA-256 hashes of the parts of a body.
+func digestParcels(texts [][]byte) [32]byte {
 	sums := sha256.New()
 	for _, text := range texts {
 		sum := sha256.Sum256(text)
@@ -135,8 +136,8 @@
 	return [32]byte(sums.Sum(nil))
 }
 
-// withoutSpace returns a text of JSON without the spaces between its tokens; the text itself if it has none.
-func withoutSpace(body []byte) []byte {
+// stripSpace returns a JSON text without the white space between its tokens; the text itself, not a copy, if it contains none.
+func stripSpace(body []byte) []byte {
 	if !bytes.ContainsAny(body, " \t\r\n") {
 		return body
 	}
--- a/internal/cdn/clusterstate/reader_test.go
+++ b/internal/cdn/clusterstate/reader_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Read by what has changed, a configuration says what it says when it is read whole, whatever its form: spaces anywhere, fields
-// behind the parcels, a parcel's beginning inside a text, parcels that are broken, invalid or of no known kind.
-func TestReaderReadsAsAWhole(t *testing.T) {
+// Parsed incrementally, a configuration has the same content as when it is parsed as a whole, whatever its form: white space anywhere,
+// fields after the parcels, the beginning of a parcel inside a string, and parcels that are broken, invalid or of an unknown kind.
+func TestReaderMatchesParseManifest(t *testing.T) {
 	usual := string(largeBody(7, 6, 9))
 	forms := []string{
 		usual,
@@ -28,8 +28,8 @@
 		strings.Replace(usual, `"parcels":[`, `"parcels":[],"parcels":[`, 1),
 		strings.Replace(usual, `"parcels":[`, `"parcels":[{"x":1},`, 1),
 		strings.Replace(usual, "},{", "}{", 1), strings.Replace(usual, "},{", "},,{", 1), usual[:len(usual)-1], usual + "]", usual[:len(usual)/2], "", "{}", "[]",
-		strings.Replace(usual, `]}`, `,`+sender("wax", "k-1", "k-2")+`,`+sender("ink", "k-3")+`]}`, -1),
-		strings.Replace(usual, `{"parcel_kind":"carriers"`, sender("wax", "k-1")+`,`+sender("ink", "k-1")+`,{"parcel_kind":"carriers"`, 1),
+		strings.Replace(usual, `]}`, `,`+senderParcel("wax", "k-1", "k-2")+`,`+senderParcel("ink", "k-3")+`]}`, -1),
+		strings.Replace(usual, `{"parcel_kind":"carriers"`, senderParcel("wax", "k-1")+`,`+senderParcel("ink", "k-1")+`,{"parcel_kind":"carriers"`, 1),
 		strings.Replace(usual, `"tries":2`, `"unsealed":true`, 1),
 		strings.Replace(usual, "/p4/", "/p5/", 1) + " ", strings.Replace(usual, "huvo11a", "nobody", 1),
 	}
@@ -37,13 +37,13 @@
 	rng := rand.New(rand.NewPCG(3, 1))
 	for range 4000 {
 		text := []byte(forms[rng.IntN(len(forms))])
-		if at := rng.IntN(4 * (len(text) + 1)); at < len(text) { // a byte that is another one, at times
-			text[at] = `{}[],:" 0x`[rng.IntN(10)]
+		if position := rng.IntN(4 * (len(text) + 1)); position < len(text) { // sometimes one byte is replaced
+			text[position] = `{}[],:" 0x`[rng.IntN(10)]
 		}
-		whole, wrong := ParseManifest(text)
+		whole, wholeErr := ParseManifest(text)
 		m, digest, err := r.read(text)
-		assert.Equal(t, err == nil, wrong == nil, "%s\n%v, whole %v", text, err, wrong)
-		if wrong == nil {
+		assert.Equal(t, err == nil, wholeErr == nil, "%s\n%v, whole %v", text, err, wholeErr)
+		if wholeErr == nil {
 			assert.DeepEqual(t, m, whole)
 		}
 		assert.Equal(t, digest, Digest(text))
@@ -52,14 +52,14 @@
 	assert.Assert(t, Digest([]byte(`{"a":"x y"}`)) != Digest([]byte(`{"a":"xy"}`)))
 }
 
-// What was taken so long ago that it is known no longer is neither acknowledged nor refused when it comes once more; what is
-// known still is acknowledged, and what was never taken is refused.
-func TestWhatWasTakenLongAgo(t *testing.T) {
+// A repeated configuration is acknowledged while it is remembered. One so old that it is forgotten is neither acknowledged nor refused, and
+// one that was never accepted is refused.
+func TestForgottenConfigurations(t *testing.T) {
 	s := New()
 	body := func(version, base int, zone string) []byte {
-		return manifest(fmt.Sprintf(`"r%d"`, version), fmt.Sprintf(`"r%d"`, base), carrier, route(zone, fine))
+		return manifest(fmt.Sprintf(`"r%d"`, version), fmt.Sprintf(`"r%d"`, base), serviceParcel, routeParcel(zone, routeFields))
 	}
-	const taken = mostTaken + 10
+	const taken = maxTaken + 10
 	for v := 1; v <= taken; v++ {
 		assert.Equal(t, s.Apply(uint64(v), Command{Put: body(2*v, 2*v-2, "a")}).Status, Done)
 	}
@@ -69,11 +69,11 @@
 		zone          string
 		want          int
 	}{
-		{"the newest once more", 2 * taken, 2*taken - 2, "a", Done},
-		{"the oldest that is known", 2 * 11, 2 * 10, "a", Done},
-		{"one that is known no longer", 2 * 10, 2 * 9, "a", Forgotten},
+		{"a repeat of the newest", 2 * taken, 2*taken - 2, "a", Done},
+		{"the oldest that is remembered", 2 * 11, 2 * 10, "a", Done},
+		{"the newest that is forgotten", 2 * 10, 2 * 9, "a", Forgotten},
 		{"the first", 2, 0, "a", Forgotten},
-		{"another one under a known number", 2 * 11, 2 * 10, "b", Stale},
+		{"another body under a remembered number", 2 * 11, 2 * 10, "b", Stale},
 		{"one on an old base", 2*taken + 1, 2 * 11, "a", Stale},
 	}
 	for _, c := range cases {
@@ -87,12 +87,12 @@
 	}
 }
 
-// Orders and servers' calls come in any number, order and mixture: whatever was closing is never open again, whoever left
-// stays out, and a configuration takes effect once.
-func TestCommandsComeTwice(t *testing.T) {
+// Commands are applied in any number, order and mixture, some repeatedly: a closing server never opens again, one that left never comes
+// back, and a configuration takes effect once.
+func TestRepeatedCommands(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		s, said := New(), []Command{}
+		s, issued := New(), []Command{}
 		closing, left := map[string]bool{}, map[string]bool{}
 		beat := uint64(0)
 		for step := range 120 {
@@ -108,13 +108,13 @@
 			case 3:
 				c.Lost, c.Epoch = id, s.Duty.Epoch
 			case 4:
-				c.Put = manifest(fmt.Sprintf(`"r%d"`, s.Version+1), fmt.Sprintf(`"r%d"`, s.Version), carrier, route(fmt.Sprint("x", step), fine))
+				c.Put = manifest(fmt.Sprintf(`"r%d"`, s.Version+1), fmt.Sprintf(`"r%d"`, s.Version), serviceParcel, routeParcel(fmt.Sprint("x", step), routeFields))
 			case 5:
-				if len(said) > 0 {
-					c = said[rng.IntN(len(said))]
+				if len(issued) > 0 {
+					c = issued[rng.IntN(len(issued))]
 				}
 			}
-			said = append(said, c)
+			issued = append(issued, c)
 			before := s.Version
 			out := s.Apply(uint64(step+1), c)
 			assert.Assert(t, out.Status == Done, "%+v: %+v", c, out)
--- a/internal/cdn/clusterstate/share.go
+++ b/internal/cdn/clusterstate/share.go
@@ -2,26 +2,26 @@
 
 import "math"
 
-// Cut is which part of a service's rate each cache router may use, beside what all have without one. It is decided by the holder of the
-// duty, by what the routers would ask for, and stands in the log: in every version of the state the parts of all add up to one whole.
+// Cut divides a service's rate among the cache routers by demand, apart from the fraction that all have without it. The holder of the duty
+// decides it from the routers' demand. It is in the log, so that in every version of the state the parts add up to at most the whole.
 type Cut struct {
 	Service string             `json:"service"`
-	Parts   map[string]float64 `json:"parts"` // by node; 1 together
+	Parts   map[string]float64 `json:"parts"` // by node; they add up to 1
 }
 
 const (
-	evenPart   = 0.3  // of a service's rate is shared without regard to need, for those who come to need it before anybody knows
-	othersPart = 0.15 // of that, for routers that are no shields
-	cutStep    = 0.1  // of the whole: parts that all move by less are not cut anew
-	leastNeed  = 2.0  // requests a second of all together, below which nothing is cut
+	evenFraction      = 0.3  // fraction of a service's rate that is divided without regard to demand, for routers with demand not known yet
+	nonShieldFraction = 0.15 // fraction of that for routers that are not shields
+	recutThreshold    = 0.1  // of the whole; if every part would change by less, the division stays as it is
+	minTotalNeed      = 2.0  // requests per second of all routers together, below which the division stays as it is
 )
 
-// Even is a router's part of a service's rate where nothing is known of need. Shields share almost all of it; where not every router is
-// one, the others keep a little for when no shield answers them.
+// Even returns the fraction of a service's rate that a router has while no demand is known. Shields have almost all of it. If not every
+// router is a shield, the others keep a little for when no shield answers them.
 func (s *State) Even(node string) float64 {
-	chosen := Shields(s.Routers)
-	n, shields := float64(max(len(s.Routers), 1)), float64(max(len(chosen), 1))
-	if _, there := s.Routers[node]; !there { // it is on its way in, and the others count without it
+	isShield := Shields(s.Routers)
+	n, shields := float64(max(len(s.Routers), 1)), float64(max(len(isShield), 1))
+	if _, listed := s.Routers[node]; !listed { // it is about to join, and the others don't count it yet
 		n++
 		if shields >= n-1 {
 			return 1 / n
@@ -30,65 +30,65 @@
 	switch {
 	case shields >= n:
 		return 1 / n
-	case chosen[node]:
-		return (1 - othersPart) / shields
+	case isShield[node]:
+		return (1 - nonShieldFraction) / shields
 	}
-	return othersPart / (n - shields)
+	return nonShieldFraction / (n - shields)
 }
 
-// Share is a router's part of a service's rate. The shares of all in the roster are never more than the whole.
+// Share returns the fraction of a service's rate that a router may use. The shares of all routers in the roster never exceed the whole.
 func (s *State) Share(service, node string) float64 {
 	even, parts := s.Even(node), s.Parts[service]
 	if parts == nil {
 		return even
 	}
-	if _, there := s.Routers[node]; !there { // it has part in nothing that was cut
-		return evenPart * even
+	if _, listed := s.Routers[node]; !listed { // it has no part in what was divided by demand
+		return evenFraction * even
 	}
-	return evenPart*even + (1-evenPart)*parts[node]
+	return evenFraction*even + (1-evenFraction)*parts[node]
 }
 
-// Recut returns how a service's rate is to be cut by what its routers would ask for, in requests a second; false if as it is is near enough.
-// Who is not in the roster counts for nothing.
+// Recut returns the division of a service's rate that fits the routers' demand, given in requests per second by node. It returns false
+// if the present division is close enough or the demand too small. Nodes that are not in the roster are ignored.
 func (s *State) Recut(service string, needs map[string]float64) (Cut, bool) {
 	total := 0.0
 	for node, need := range needs {
-		if _, there := s.Routers[node]; there && need > 0 && !math.IsInf(need, 0) {
+		if _, listed := s.Routers[node]; listed && need > 0 && !math.IsInf(need, 0) {
 			total += need
 		}
 	}
-	if total < leastNeed {
+	if total < minTotalNeed {
 		return Cut{}, false
 	}
-	c, old, moved := Cut{Service: service, Parts: map[string]float64{}}, s.Parts[service], false
+	c, current, moved := Cut{Service: service, Parts: map[string]float64{}}, s.Parts[service], false
 	for node := range s.Routers {
 		part := 0.0
 		if need := needs[node]; need > 0 && !math.IsInf(need, 0) {
 			part = need / total
 			c.Parts[node] = part
 		}
-		was, ok := old[node]
-		if !ok && old == nil {
-			was = s.Even(node)
+		previous, ok := current[node]
+		if !ok && current == nil {
+			previous = s.Even(node)
 		}
-		moved = moved || math.Abs(part-was) >= cutStep
+		moved = moved || math.Abs(part-previous) >= recutThreshold
 	}
 	return c, moved
 }
 
-// cut takes a cut that adds up.
-func (s *State) cut(c *Cut) Outcome {
+// applyCut puts a division of a service's rate into force if its parts are valid and don't exceed the whole.
+func (s *State) applyCut(c *Cut) Outcome {
 	total := 0.0
 	for _, part := range c.Parts {
 		if !(part >= 0 && part <= 1) {
-			return Outcome{Status: Invalid, Text: "a part of less than nothing or more than all"}
+			return Outcome{Status: Invalid, Text: "a part is not between 0 and 1"}
 		}
 		total += part
 	}
-	if total > 1+1e-6 || len(c.Parts) > mostRoster {
-		return Outcome{Status: Invalid, Text: "parts of more than the whole"}
+	if total > 1+1e-6 || len(c.Parts) > maxRoster {
+		return Outcome{Status: Invalid, Text: "the parts add up to more than the whole, or are too many"}
 	}
-	parts := make(map[string]map[string]float64, len(s.Parts)+1) // another one: who was handed the old map reads on
+	parts := make(map[string]map[string]float64, len(s.Parts)+1) // a new map: copies of the state share the old one
 	for service, old := range s.Parts {
 		parts[service] = old
 	}
@@ -97,8 +97,8 @@
 	return Outcome{Status: Done}
 }
 
-// keepParts lets the parts of services go that a configuration does not have.
-func (s *State) keepParts(m *Manifest) {
+// pruneParts drops the parts of services that a configuration does not contain.
+func (s *State) pruneParts(m *Manifest) {
 	kept := map[string]map[string]float64{}
 	for _, def := range m.Services {
 		if parts := s.Parts[def.Name]; parts != nil {
--- a/internal/cdn/clusterstate/share_test.go
+++ b/internal/cdn/clusterstate/share_test.go
@@ -8,19 +8,20 @@
 	"gotest.tools/v3/assert"
 )
 
-func shares(s *State, also ...string) (total float64) {
+// totalShare returns the sum of the shares of all routers in the roster, and of other nodes.
+func totalShare(s *State, others ...string) (total float64) {
 	for node := range s.Routers {
 		total += s.Share("shop", node)
 	}
-	for _, node := range also {
+	for _, node := range others {
 		total += s.Share("shop", node)
 	}
 	return total
 }
 
-// A rate is cut by need: nothing is cut without cause, a shield that is lost loses its part within a cut, and whoever needs it has it;
-// a cut of an older duty, or one that adds up to more than the whole, is refused.
-func TestRatesAreCutByNeed(t *testing.T) {
+// A rate is divided by demand: the division changes only with the demand, a shield that is lost loses its part with the next division, and
+// the routers with demand get it. A division of an older epoch, or one that adds up to more than the whole, is refused.
+func TestRateFollowsDemand(t *testing.T) {
 	s := New()
 	s.Duty.Epoch = 7
 	for i := range 4 {
@@ -40,13 +41,13 @@
 		least float64
 		most  float64
 	}{
-		{"nobody needs anything", nil, false, "store-0", 0.2, 0.25},
-		{"all need alike", all, false, "store-0", 0.2, 0.25},
-		{"too little to matter", map[string]float64{"store-0": 1}, false, "store-0", 0.2, 0.25},
+		{"no demand", nil, false, "store-0", 0.2, 0.25},
+		{"similar demand everywhere", all, false, "store-0", 0.2, 0.25},
+		{"too little demand", map[string]float64{"store-0": 1}, false, "store-0", 0.2, 0.25},
 		{"one is lost", map[string]float64{"store-0": 60, "store-1": 70, "store-2": 65}, true, "store-1", 0.25, 0.45},
-		{"the lost one keeps what is even", nil, false, "store-3", 0.05, 0.08},
+		{"the lost one keeps its even share", nil, false, "store-3", 0.05, 0.08},
 		{"an edge takes over", map[string]float64{"edge-7": 200}, true, "edge-7", 0.7, 0.72},
-		{"one that nobody knows counts for nothing", map[string]float64{"edge-7": 200, "stranger": 900}, false, "edge-7", 0.7, 0.72},
+		{"the demand of an unknown node is ignored", map[string]float64{"edge-7": 200, "stranger": 900}, false, "edge-7", 0.7, 0.72},
 		{"all are back", all, true, "store-3", 0.2, 0.3},
 	}
 	for i, c := range cases {
@@ -59,7 +60,7 @@
 			}
 			got := s.Share("shop", c.node)
 			assert.Assert(t, got >= c.least && got <= c.most, got)
-			assert.Assert(t, shares(s) < 1.001, shares(s))
+			assert.Assert(t, totalShare(s) < 1.001, totalShare(s))
 		})
 	}
 	before := s.Parts
@@ -68,12 +69,12 @@
 	}
 	assert.DeepEqual(t, s.Parts, before)
 	assert.Equal(t, s.Apply(100, Command{Put: manifest(`"r1"`, `0`, `{"parcel_kind":"carriers","label":{"name":"other"},"manifest":{}}`)}).Status, Done)
-	assert.Equal(t, len(s.Parts), 0) // of a service that is no more
+	assert.Equal(t, len(s.Parts), 0) // the service was removed
 }
 
-// Whatever comes and goes, and in whichever order rates are cut, the shares of a fleet are never more than the whole, in no version of
-// the state; with them one router that is on its way in.
-func TestSharesNeverPassTheWhole(t *testing.T) {
+// While routers join and leave and rates are divided in any order, the shares of the fleet never exceed the whole in any version of the
+// state.
+func TestSharesNeverExceedTheWhole(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	s := New()
 	for i := range 4000 {
@@ -92,10 +93,10 @@
 				assert.Equal(t, s.Apply(uint64(i+1), Command{Cut: &cut}).Status, Done)
 			}
 		}
-		total := shares(s)
+		total := totalShare(s)
 		assert.Assert(t, total < 1.0001, "%d: %v", i, total)
 		if len(s.Routers) > 0 {
-			assert.Assert(t, total > evenPart/2, "%d: %v", i, total)
+			assert.Assert(t, total > evenFraction/2, "%d: %v", i, total)
 		}
 	}
 }
--- a/internal/cdn/clusterstate/tenant.go
+++ b/internal/cdn/clusterstate/tenant.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// Tenant is one sender of requests, named by the keys that it holds.
+// Tenant is a client of the network, identified by its keys.
 type Tenant struct {
 	Name     string
-	Priority int // rank of its requests, before the route's; 0 is the highest
+	Priority int // of its requests, compared before the route's; 0 is the highest
 	Keys     []string
 }
 
-// KeyTable finds the tenant that holds a key. It is made once for each configuration and not changed.
+// KeyTable finds the tenant that holds a key. It is built once for each configuration and is immutable.
 type KeyTable struct {
 	byKey map[string]*Tenant
 }
 
-// NewKeyTable returns the key table of a configuration.
+// NewKeyTable builds the key table of a configuration.
 func NewKeyTable(m *Manifest) *KeyTable {
 	t := &KeyTable{byKey: map[string]*Tenant{}}
 	for i := range m.Tenants {
@@ -29,10 +29,10 @@
 	return t
 }
 
-// Find returns the tenant that holds a key; nil if none does.
+// Find returns the tenant that holds a key; nil if there is none.
 func (t *KeyTable) Find(key string) *Tenant { return t.byKey[key] }
 
-// Keyed tells whether requests on a route need a key: a configuration without tenants asks for none.
+// Keyed reports whether requests on a route need a key. In a configuration without tenants none does.
 func (m *Manifest) Keyed(r *Route) bool { return len(m.Tenants) > 0 && !r.Unsealed }
 
 func (m *Manifest) addTenant(p wireParcel) error {
@@ -44,20 +44,20 @@
 	return nil
 }
 
-// checkTenants refuses tenants whose requests could not be told apart: a key is held by one tenant, whose name a header can carry.
-func checkTenants(all []Tenant) error {
+// validateTenants checks that a key identifies one tenant, and that each tenant's name can be sent in a header.
+func validateTenants(tenants []Tenant) error {
 	holders := map[string]string{}
-	for _, t := range all {
+	for _, t := range tenants {
 		if t.Name == "" || strings.ContainsFunc(t.Name, isControl) {
-			return fmt.Errorf("sender %q: name: empty, or with a control character", t.Name)
+			return fmt.Errorf("sender %q: name: empty, or contains a control character", t.Name)
 		}
 		for _, key := range t.Keys {
 			holder, held := holders[key]
 			switch {
 			case key == "":
-				return fmt.Errorf("sender %s: stamps: an empty key", t.Name)
+				return fmt.Errorf("sender %s: stamps: empty key", t.Name)
 			case held && holder != t.Name:
-				return fmt.Errorf("sender %s: stamps: a key of %s", t.Name, holder)
+				return fmt.Errorf("sender %s: stamps: a key belongs to %s", t.Name, holder)
 			}
 			holders[key] = t.Name
 		}
--- a/internal/cdn/clusterstate/text.go
+++ b/internal/cdn/clusterstate/text.go
@@ -10,91 +10,93 @@
 	"sync"
 )
 
-// Text is a long text, a configuration's in the main, that travels and lies on disk deflated: routes are much alike, and a link of
-// 12 Mbit/s that is full of clients' answers takes seconds for what a thousand of them weigh.
+// Text is a long text, usually a configuration, that is compressed with DEFLATE on the wire and on disk. Routes are very similar and
+// compress well; uncompressed, a thousand of them take seconds on a link of 12 Mbit/s that is full of responses to clients.
 type Text []byte
 
 const (
-	shortText   = 512       // bytes, below which it stays as it is
-	longestText = 128 << 20 // bytes; more is refused and not unfolded
-	packedMark  = '~'       // before one that is deflated, where others have base64
-	plainByte   = 0
-	packedByte  = 1
+	minCompressedText = 512       // bytes; a shorter text is not compressed
+	maxTextBytes      = 128 << 20 // bytes; a text that would decompress to more is refused
+	compressedMark    = '~'       // first character of a compressed text in JSON; base64 does not contain it
+	plainFormat       = 0         // first byte of an uncompressed text in gob
+	compressedFormat  = 1         // first byte of a compressed text in gob
 )
 
-// Writers are kept: a new one clears a megabyte first.
-var writers = sync.Pool{New: func() any {
+// flateWriters is a pool, because a new writer clears a megabyte first.
+var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.BestSpeed)
 	if err != nil {
-		panic(err) // a constant level
+		panic(err) // unreachable: the level is valid
 	}
 	return w
 }}
 
-func (t Text) pack() []byte {
+// compress returns the text in DEFLATE format.
+func (t Text) compress() []byte {
 	var b bytes.Buffer
-	w := writers.Get().(*flate.Writer)
-	defer writers.Put(w)
+	w := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(w)
 	w.Reset(&b)
-	w.Write(t) // to memory
+	w.Write(t) // a write to memory does not fail
 	w.Close()
 	return b.Bytes()
 }
 
-func unpackText(packed []byte) (Text, error) {
-	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), longestText+1))
+// decompress is the inverse of Text.compress. It refuses a text of more than maxTextBytes without holding all of it.
+func decompress(compressed []byte) (Text, error) {
+	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxTextBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("a text that can't be unfolded: %w", err)
+		return nil, fmt.Errorf("text can't be decompressed: %w", err)
 	}
-	if len(text) > longestText {
-		return nil, fmt.Errorf("a text of more than %d bytes", longestText)
+	if len(text) > maxTextBytes {
+		return nil, fmt.Errorf("text of more than %d bytes", maxTextBytes)
 	}
 	return text, nil
 }
 
-// MarshalJSON writes it as a string: base64, behind a mark if it is deflated.
+// MarshalJSON encodes the text as a string: base64, with a mark in front if it is compressed.
 func (t Text) MarshalJSON() ([]byte, error) {
-	if len(t) < shortText {
+	if len(t) < minCompressedText {
 		return json.Marshal([]byte(t))
 	}
-	packed := t.pack()
-	out := make([]byte, 0, base64.StdEncoding.EncodedLen(len(packed))+3)
-	out = append(out, '"', packedMark)
-	return append(base64.StdEncoding.AppendEncode(out, packed), '"'), nil
+	compressed := t.compress()
+	out := make([]byte, 0, base64.StdEncoding.EncodedLen(len(compressed))+3)
+	out = append(out, '"', compressedMark)
+	return append(base64.StdEncoding.AppendEncode(out, compressed), '"'), nil
 }
 
-// UnmarshalJSON reads either form.
+// UnmarshalJSON decodes a text, compressed or not.
 func (t *Text) UnmarshalJSON(b []byte) error {
-	if len(b) < 3 || b[1] != packedMark {
+	if len(b) < 3 || b[1] != compressedMark {
 		return json.Unmarshal(b, (*[]byte)(t))
 	}
-	packed, err := base64.StdEncoding.DecodeString(string(b[2 : len(b)-1]))
+	compressed, err := base64.StdEncoding.DecodeString(string(b[2 : len(b)-1]))
 	if err != nil {
-		return fmt.Errorf("a text that can't be read: %w", err)
+		return fmt.Errorf("text is not base64: %w", err)
 	}
-	*t, err = unpackText(packed)
+	*t, err = decompress(compressed)
 	return err
 }
 
-// GobEncode writes it behind a byte that tells the form.
+// GobEncode encodes the text after a byte that tells whether it is compressed.
 func (t Text) GobEncode() ([]byte, error) {
-	if len(t) < shortText {
-		return append([]byte{plainByte}, t...), nil
+	if len(t) < minCompressedText {
+		return append([]byte{plainFormat}, t...), nil
 	}
-	return append([]byte{packedByte}, t.pack()...), nil
+	return append([]byte{compressedFormat}, t.compress()...), nil
 }
 
-// GobDecode reads either form.
+// GobDecode decodes a text, compressed or not.
 func (t *Text) GobDecode(b []byte) (err error) {
 	switch {
 	case len(b) == 0:
-		return fmt.Errorf("a text without its form")
-	case b[0] == plainByte:
+		return fmt.Errorf("text without its format byte")
+	case b[0] == plainFormat:
 		*t = append(Text(nil), b[1:]...)
-	case b[0] == packedByte:
-		*t, err = unpackText(b[1:])
+	case b[0] == compressedFormat:
+		*t, err = decompress(b[1:])
 	default:
-		err = fmt.Errorf("a text of form %d", b[0])
+		err = fmt.Errorf("text of unknown format %d", b[0])
 	}
 	return err
 }
--- a/internal/cdn/clusterstate/text_test.go
+++ b/internal/cdn/clusterstate/text_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// What is carried folded comes out to the byte, in the log's form and in that between processes; what can't be unfolded is an error and
-// changes nothing.
-func TestTexts(t *testing.T) {
+// A text is the same to the byte after encoding and decoding, as JSON (the log) and as gob (between processes). What can't be
+// decompressed is an error.
+func TestTextRoundTrip(t *testing.T) {
 	cases := []struct {
 		name string
 		text Text
@@ -23,8 +23,8 @@
 	}{
 		{"none", Text{}, 2},
 		{"short", Text("~not packed"), 32},
-		{"bytes that are no text", bytes.Repeat([]byte{0xff, 0, '"', '\\'}, 4096), 512},
-		{"a configuration of 1280 routes", many(1280, `"r1"`, `0`, nil), 40 << 10},
+		{"binary data", bytes.Repeat([]byte{0xff, 0, '"', '\\'}, 4096), 512},
+		{"a configuration of 1280 routes", manyRoutes(1280, `"r1"`, `0`, nil), 40 << 10},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -41,40 +41,41 @@
 			assert.Assert(t, bytes.Equal(over, c.text))
 		})
 	}
-	var old Text // of a log that was written before texts were folded
-	assert.NilError(t, json.Unmarshal([]byte(`"`+base64.StdEncoding.EncodeToString([]byte(carrier))+`"`), &old))
-	assert.Equal(t, string(old), carrier)
+	var old Text // from a log that was written before texts were compressed
+	assert.NilError(t, json.Unmarshal([]byte(`"`+base64.StdEncoding.EncodeToString([]byte(serviceParcel))+`"`), &old))
+	assert.Equal(t, string(old), serviceParcel)
 	for _, bad := range []string{`"~"`, `"~AAAA"`, `"~%%%"`, `7`} {
 		assert.Assert(t, json.Unmarshal([]byte(bad), &old) != nil, bad)
 	}
-	for _, bad := range [][]byte{nil, {7}, {packedByte}, {packedByte, 1, 2, 3}} {
+	for _, bad := range [][]byte{nil, {7}, {compressedFormat}, {compressedFormat, 1, 2, 3}} {
 		assert.Assert(t, old.GobDecode(bad) != nil, "%v", bad)
 	}
 }
 
-// A few bytes that unfold to gigabytes are refused, not held.
-func TestATextThatNeverEnds(t *testing.T) {
+// A few bytes that decompress to gigabytes are refused, not held in memory.
+func TestDecompressionIsBounded(t *testing.T) {
 	var b bytes.Buffer
 	w, _ := flate.NewWriter(&b, flate.BestSpeed)
 	chunk := make([]byte, 1<<20)
-	for range longestText>>20 + 1 {
+	for range maxTextBytes>>20 + 1 {
 		w.Write(chunk)
 	}
 	w.Close()
-	_, err := unpackText(b.Bytes())
+	_, err := decompress(b.Bytes())
 	assert.ErrorContains(t, err, "more than")
 }
 
-// 1,280 routes at once weighed 430 KB in the news for each edge, seconds of a link of 12 Mbit/s beside clients' answers: the version came
-// into force after its time (CONFIG, cqa-altiplano-grown).
-func TestManyRoutesWeighLittleInTheNews(t *testing.T) {
+// An update with many routes is small. Without compression 1,280 new routes took 430 KB for each edge, which is seconds on a link of 12
+// Mbit/s that also carries responses to clients, so that the version came into force too late (rule CONFIG, scenario
+// cqa-altiplano-grown).
+func TestManyRoutesMakeASmallUpdate(t *testing.T) {
 	core := NewHistory(New())
-	for i, body := range [][]byte{many(14, `"r1"`, `0`, nil), many(1294, `"r2"`, `"r1"`, nil)} {
+	for i, body := range [][]byte{manyRoutes(14, `"r1"`, `0`, nil), manyRoutes(1294, `"r2"`, `"r1"`, nil)} {
 		_, out, err := core.Apply(uint64(i+1), Command{Put: body}.Encode())
 		assert.NilError(t, err)
 		assert.Equal(t, out.Status, Done, out.Text)
 	}
-	for _, have := range []uint64{1, 0} { // the change, and the whole state for one who has nothing
+	for _, have := range []uint64{1, 0} { // the change, and the whole state for a copy that has nothing
 		var b bytes.Buffer
 		assert.NilError(t, gob.NewEncoder(&b).Encode(core.Since(have)))
 		assert.Assert(t, b.Len() < 48<<10, "%d bytes from %d", b.Len(), have)
@@ -83,7 +84,7 @@
 
 func FuzzTexts(f *testing.F) {
 	f.Add([]byte(`"~AAAA"`))
-	f.Add([]byte(strings.Repeat("x", 2*shortText)))
+	f.Add([]byte(strings.Repeat("x", 2*minCompressedText)))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var x Text
 		x.UnmarshalJSON(text)
--- a/internal/cdn/clusterstate/usage.go
+++ b/internal/cdn/clusterstate/usage.go
@@ -5,34 +5,34 @@
 	"slices"
 )
 
-// UsageReport is what the platform is told of one report window: the requests of each tenant. It is fixed in the log before it is sent for
-// the first time, so that every later holder of the duty repeats it exactly.
+// UsageReport is the report of one window to the platform: the number of requests of each tenant. It is written to the log before it is
+// sent for the first time, so that every later holder of the duty repeats it exactly.
 type UsageReport struct {
-	Round  int64            `json:"round"` // the window's number: it begins Round report windows after the start of 1970
-	Counts map[string]int64 `json:"counts,omitempty"`
+	Round  int64            `json:"round"`            // number of the window, which begins Round report windows after the start of 1970
+	Counts map[string]int64 `json:"counts,omitempty"` // requests, by tenant
 }
 
-// UsageLedger is what has become of report windows.
+// UsageLedger records which report windows have final counts and which are still to be accepted by the platform.
 type UsageLedger struct {
-	Fixed   int64         // the newest window whose counts are fixed; 0: none yet
-	Pending []UsageReport // fixed, and not yet known to be taken by the platform, the oldest first; a copy may be kept, and is not changed
+	Fixed   int64         // the newest window whose counts are final; 0: none yet
+	Pending []UsageReport // final, but not known to be accepted by the platform, the oldest first; the slice is replaced, never modified
 }
 
 const (
-	// MostPendingUsage is how many windows may wait for the platform: an hour of its silence, with windows of 5 s. Past that the oldest
-	// is let go, and is never reported.
+	// MostPendingUsage is the maximum number of windows that wait for the platform: an hour of its silence, with windows of 5 s. Past that
+	// the oldest is dropped and never reported.
 	MostPendingUsage = 720
-	// MostUsageTenants is how many tenants one window's counts may name.
+	// MostUsageTenants is the maximum number of tenants in one window's counts.
 	MostUsageTenants = 16384
 )
 
-// fixUsage takes the counts of the next window. A window that is fixed already keeps the counts that were fixed first.
+// fixUsage records the final counts of the next window. A repeat for the newest window keeps its first counts.
 func (s *State) fixUsage(report UsageReport) Outcome {
 	switch {
 	case report.Round == s.Usage.Fixed && report.Round > 0:
 		return Outcome{Status: Done}
 	case report.Round < s.Usage.Fixed:
-		return Outcome{Status: Stale, Text: fmt.Sprintf("round: %d is fixed already", s.Usage.Fixed)}
+		return Outcome{Status: Stale, Text: fmt.Sprintf("round: the counts of %d are already final", s.Usage.Fixed)}
 	case report.Round <= 0:
 		return Outcome{Status: Invalid, Text: "round: not above 0"}
 	case len(report.Counts) > MostUsageTenants:
@@ -43,13 +43,13 @@
 	return Outcome{Status: Done}
 }
 
-// usageTaken lets a window go that the platform has taken.
-func (s *State) usageTaken(round int64) {
-	var left []UsageReport // nil where none is left, as it is after a snapshot
+// acknowledgeUsage drops a window whose report the platform has accepted.
+func (s *State) acknowledgeUsage(round int64) {
+	var pending []UsageReport // nil if none is left, as after restoring a snapshot
 	for _, report := range s.Usage.Pending {
 		if report.Round != round {
-			left = append(left, report)
+			pending = append(pending, report)
 		}
 	}
-	s.Usage.Pending = left
+	s.Usage.Pending = pending
 }
--- a/internal/cdn/clusterstate/usage_test.go
+++ b/internal/cdn/clusterstate/usage_test.go
@@ -8,11 +8,13 @@
 	"gotest.tools/v3/assert"
 )
 
-func fix(epoch uint64, round int64, counts map[string]int64) Command {
+// fixUsageCommand returns the command that makes the counts of a window final.
+func fixUsageCommand(epoch uint64, round int64, counts map[string]int64) Command {
 	return Command{Epoch: epoch, FixUsage: &UsageReport{Round: round, Counts: counts}}
 }
 
-// The counts of a window are fixed once, under the duty's newest epoch, whoever holds it; a snapshot and a copy by changes say the same.
+// The counts of a window become final once, under the newest epoch of the duty, whoever holds it. A restored snapshot and a copy that
+// follows by changes agree.
 func TestUsageIsFixedOnce(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -21,17 +23,17 @@
 		fixed   int64
 		pending []UsageReport
 	}{
-		{"the holder", Command{Appoint: "10.0.0.1"}, Done, 0, nil},
-		{"the first window", fix(1, 70, map[string]int64{"a": 4}), Done, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"the same window, another count", fix(1, 70, map[string]int64{"a": 5}), Done, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"another holder", Command{Appoint: "10.0.0.2"}, Done, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"the old holder", fix(1, 71, nil), Stale, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"the old holder notes what was taken", Command{Epoch: 1, UsageTaken: 70}, Stale, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"the new holder counts the old window anew", fix(4, 70, map[string]int64{"a": 9}), Done, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"an empty window", fix(4, 71, map[string]int64{}), Done, 71, []UsageReport{{70, map[string]int64{"a": 4}}, {71, nil}}},
-		{"an older window", fix(4, 69, nil), Stale, 71, []UsageReport{{70, map[string]int64{"a": 4}}, {71, nil}}},
+		{"a holder is appointed", Command{Appoint: "10.0.0.1"}, Done, 0, nil},
+		{"the first window", fixUsageCommand(1, 70, map[string]int64{"a": 4}), Done, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"the same window, another count", fixUsageCommand(1, 70, map[string]int64{"a": 5}), Done, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"another holder is appointed", Command{Appoint: "10.0.0.2"}, Done, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"the old holder reports", fixUsageCommand(1, 71, nil), Stale, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"the old holder acknowledges", Command{Epoch: 1, UsageTaken: 70}, Stale, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"the new holder reports the old window again", fixUsageCommand(4, 70, map[string]int64{"a": 9}), Done, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"an empty window", fixUsageCommand(4, 71, map[string]int64{}), Done, 71, []UsageReport{{70, map[string]int64{"a": 4}}, {71, nil}}},
+		{"an older window", fixUsageCommand(4, 69, nil), Stale, 71, []UsageReport{{70, map[string]int64{"a": 4}}, {71, nil}}},
 		{"taken", Command{Epoch: 4, UsageTaken: 70}, Done, 71, []UsageReport{{71, nil}}},
-		{"taken, once more", Command{Epoch: 4, UsageTaken: 70}, Done, 71, []UsageReport{{71, nil}}},
+		{"accepted again", Command{Epoch: 4, UsageTaken: 70}, Done, 71, []UsageReport{{71, nil}}},
 		{"none is left", Command{Epoch: 4, UsageTaken: 71}, Done, 71, nil},
 	}
 	h, follower := NewHistory(New()), NewHistory(New())
@@ -58,14 +60,14 @@
 	}
 }
 
-// What waits for the platform is bounded, and a kept copy does not change.
+// The number of windows that wait for the platform is bounded, and a clone of the state does not change.
 func TestPendingUsageIsBounded(t *testing.T) {
 	s := New()
 	for round := int64(1); round <= MostPendingUsage; round++ {
-		s.Apply(uint64(round), fix(0, round, nil))
+		s.Apply(uint64(round), fixUsageCommand(0, round, nil))
 	}
 	kept := s.Clone()
-	s.Apply(MostPendingUsage+1, fix(0, MostPendingUsage+1, nil))
+	s.Apply(MostPendingUsage+1, fixUsageCommand(0, MostPendingUsage+1, nil))
 	assert.Equal(t, len(s.Usage.Pending), MostPendingUsage)
 	assert.Equal(t, s.Usage.Pending[0].Round, int64(2))
 	assert.Equal(t, kept.Usage.Pending[0].Round, int64(1))
@@ -73,5 +75,5 @@
 	for i := range MostUsageTenants + 1 {
 		many[string(rune(i+0x4e00))] = 1
 	}
-	assert.Equal(t, s.Apply(MostPendingUsage+2, fix(0, MostPendingUsage+2, many)).Status, Invalid)
+	assert.Equal(t, s.Apply(MostPendingUsage+2, fixUsageCommand(0, MostPendingUsage+2, many)).Status, Invalid)
 }
