--- a/internal/cdn/statesync/statesync.go
+++ b/internal/cdn/statesync/statesync.go
@@ -1,6 +1,7 @@
-// Package statesync keeps a process's copy of the common state: it asks a core machine for news with the version that it has,
-// is answered when there is some, and goes on to the next one if that one is silent or can't tell. The copy never goes
-// back. It keeps a proof of its freshness; while that is old, neighbours hand on what they have, and their own proof.
+// Package statesync keeps a process's copy of the replicated state up to date by long polling. It asks a core machine for the changes since
+// the index that it holds, and goes on to the next machine if that one does not answer or does not know whether it is current. The copy
+// never goes back. It keeps a proof of how current it is; while the proof is old, it also asks neighbours, which pass on their changes
+// and their own proof.
 package statesync
 
 import (
@@ -19,61 +20,67 @@
 )
 
 const (
-	hold      = 500 * time.Millisecond // a question waits so long for news
-	patience  = 350 * time.Millisecond // and its answer may take so much longer; twice as much after each failure in a row
-	mostTries = 2                      // of such doublings: the own link may be full, and a new connection would wait behind it as well
-	pause     = 40 * time.Millisecond  // between failed questions; more with each in a row
-	mostPause = 300 * time.Millisecond
-
-	oldProof          = 1500 * time.Millisecond // past it neighbours are asked; longer than hold, a core machine's own age and the ways together
-	neighboursEvery   = 400 * time.Millisecond
-	neighboursAtOnce  = 2
-	neighbourPatience = 700 * time.Millisecond
+	holdTime = 500 * time.Millisecond // how long a machine may hold a request until there are changes
+	// replyTimeout is how much longer the reply may take. It is doubled after each failure in a row, because this machine's own link may
+	// be full, and then a new connection would wait as well.
+	replyTimeout        = 350 * time.Millisecond
+	maxTimeoutDoublings = 2
+	retryBackoff        = 40 * time.Millisecond // times the number of failures in a row
+	maxRetryBackoff     = 300 * time.Millisecond
+
+	// maxProofAge is the age of the proof above which neighbours are asked. It is longer than the hold time, the age of a core
+	// machine's own proof and the network delay together.
+	maxProofAge        = 1500 * time.Millisecond
+	neighbourInterval  = 400 * time.Millisecond
+	neighboursPerRound = 2
+	neighbourTimeout   = 700 * time.Millisecond
 )
 
-// Phase is where the copy stands.
+// Phase is the state of a copy's contact with the core machines.
 type Phase int
 
-// The phases, in their order; a copy is in touch, out of touch and in touch again as often as it must.
+// The phases. A copy starts as Empty and then alternates between InTouch and OutOfTouch.
 const (
-	Empty      Phase = iota // nothing is held
-	InTouch                 // a core machine that follows a majority was heard lately
-	OutOfTouch              // none was: what is held may be old
+	Empty      Phase = iota // no core machine has answered yet
+	InTouch                 // a core machine that follows a leader with a majority answered lately
+	OutOfTouch              // none answered lately: the copy may be stale
 )
 
-func (p Phase) String() string { return [...]string{"empty", "in touch", "out of touch"}[p] }
+// String returns the name of the phase, for logs.
+func (p Phase) String() string { return [...]string{"empty", "connected", "disconnected"}[p] }
 
-// Replica is a process's copy. Its fields are set before Run.
+// Replica is a process's copy of the replicated state. Its exported fields are set before Run.
 type Replica struct {
 	Set    bootconfig.Settings
 	Peers  *peerrpc.Peers
 	Log    hclog.Logger
-	Router clusterstate.Router // who asks, if it is a cache router
-	Prefer string              // the address that is asked first, if any
-	// Took hears of each change in order, under the copy's lock; whole means that all is new. It must not wait.
+	Router clusterstate.Router // this process's own entry, if it is a cache router
+	Prefer string              // address of the core machine that is asked first, if any
+	// Took is called for each change in order, with the copy locked; whole means that the state was replaced. It must not block.
 	Took func(s *clusterstate.State, c clusterstate.Command, index uint64, whole bool)
-	// Heard is told what time it is for a core machine that answered a question, begun and answered at these moments; may be nil.
-	Heard func(source string, wall, begun, answered time.Time)
-	// Neighbours are addresses that may be asked while the proof is old; may be nil.
+	// Heard is called with the time of day of a core machine that answered a request, and with when the request was started and answered;
+	// it may be nil.
+	Heard func(source string, wall, started, answered time.Time)
+	// Neighbours returns the addresses of other processes to ask while the proof is old; it may be nil.
 	Neighbours func() []string
-	// Weak takes guards out, for tests alone.
+	// Weak disables safeguards; for tests only.
 	Weak Weaknesses
 
-	mu      sync.Mutex
-	history *clusterstate.History
-	core    []string
-	phase   Phase
-	heard   time.Time                 // when news, or the word that there is none, last came from a fresh core machine; of the question's begin
-	proof   atomic.Pointer[time.Time] // see Proof; written under the lock, after what it proves is in force
-	changed chan struct{}
-	whole   bool // the next question is for all of the state
+	mu            sync.Mutex
+	history       *clusterstate.History
+	coreAddresses []string
+	phase         Phase
+	lastCurrent   time.Time                 // start of the last request whose reply was fresh and left nothing missing
+	proof         atomic.Pointer[time.Time] // see Proof; written under the lock, after the changes that it covers are applied
+	changed       chan struct{}             // closed and replaced when the index changes
+	needWhole     bool                      // the next request is for the whole state
 }
 
-// Weaknesses take guards out of a copy, one each. They are for tests that show that a guard is needed; nothing else sets one, which a test
-// sees to.
+// Weaknesses disable one safeguard of a copy each. Tests set them to show that the safeguard is needed; a test checks that nothing else
+// does.
 type Weaknesses struct {
-	DropAge         bool // a neighbour hands its proof on as if it were of the moment of the answer
-	ProveIncomplete bool // an answer that does not bring all proves all the same
+	DropAge         bool // the proof that is passed on to neighbours has age 0, whatever its real age
+	ProveIncomplete bool // a reply advances the proof even if it does not contain all changes
 }
 
 // New returns an empty copy.
@@ -81,70 +88,70 @@
 	return &Replica{history: clusterstate.NewHistory(clusterstate.New()), changed: make(chan struct{})}
 }
 
-// Read shows the state under its lock.
-func (s *Replica) Read(look func(*clusterstate.State)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	look(s.history.State)
+// Read calls a function with the state while the copy is locked. The function must not keep the state.
+func (r *Replica) Read(read func(*clusterstate.State)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	read(r.history.State)
 }
 
-// Order makes the command that puts a configuration on top of what this copy holds; see clusterstate.History.
-func (s *Replica) Order(body []byte) (clusterstate.Command, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.history.Order(body)
+// Order returns the command that puts a configuration on top of the one that this copy holds; see clusterstate.History.
+func (r *Replica) Order(body []byte) (clusterstate.Command, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.history.Order(body)
 }
 
-// Phase returns the phase and when the copy was last surely current.
-func (s *Replica) Phase() (Phase, time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.phase == InTouch && time.Since(s.heard) > s.Set.Bounds.Contact/2 {
-		s.become(OutOfTouch)
+// Phase returns the phase and when the copy was last known to be current. It also notices that the contact has timed out.
+func (r *Replica) Phase() (Phase, time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.phase == InTouch && time.Since(r.lastCurrent) > r.Set.Bounds.Contact/2 {
+		r.setPhase(OutOfTouch)
 	}
-	return s.phase, s.heard
+	return r.phase, r.lastCurrent
 }
 
-// Proof is a moment of this process's steady clock: all that had been acknowledged by then is in the copy. The zero time: nothing is proven.
-// Whoever reads the copy after Proof holds at least as much.
-func (s *Replica) Proof() time.Time {
-	if at := s.proof.Load(); at != nil {
-		return *at
+// Proof returns the moment, on this process's monotonic clock, by which the copy is proven current: it contains all that had been
+// acknowledged by then. The zero time means that nothing is proven. A read of the copy after Proof sees at least as much.
+func (r *Replica) Proof() time.Time {
+	if provenAt := r.proof.Load(); provenAt != nil {
+		return *provenAt
 	}
 	return time.Time{}
 }
 
-// ProofIsOld tells whether neighbours are to be asked for a younger proof. In calm it never is.
-func (s *Replica) ProofIsOld(now time.Time) bool { return now.Sub(s.Proof()) > oldProof }
+// ProofIsOld reports whether neighbours are to be asked for a newer proof. It never is while core machines answer normally.
+func (r *Replica) ProofIsOld(now time.Time) bool { return now.Sub(r.Proof()) > maxProofAge }
 
-// prove moves the proof on; it never goes back. The caller holds the lock and has put into force what the proof is of.
-func (s *Replica) prove(at time.Time) {
-	if at.After(s.Proof()) {
-		s.proof.Store(&at)
+// advanceProof sets the proof unless the present one is newer. The caller holds the lock and has applied what the proof covers.
+func (r *Replica) advanceProof(at time.Time) {
+	if at.After(r.Proof()) {
+		r.proof.Store(&at)
 	}
 }
 
-// become is the one place where the phase changes. The caller holds the lock.
-func (s *Replica) become(p Phase) {
-	if s.phase != p {
-		s.Log.Info("phase", "from", s.phase.String(), "to", p.String(), "index", s.history.State.Index)
-		s.phase = p
+// setPhase changes the phase and logs the change. The caller holds the lock. No other code changes the phase.
+func (r *Replica) setPhase(next Phase) {
+	if r.phase != next {
+		r.Log.Info("phase", "from", r.phase.String(), "to", next.String(), "index", r.history.State.Index)
+		r.phase = next
 	}
 }
 
-// Index is the copy's version.
-func (s *Replica) Index() uint64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.history.State.Index
+// Index returns the index of the last command that the copy has applied.
+func (r *Replica) Index() uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.history.State.Index
 }
 
-// Await waits until the copy has an index, or the context ends.
-func (s *Replica) Await(ctx context.Context, index uint64) bool {
+// Await waits until the copy has applied the command at an index, and returns false if the context ends before.
+func (r *Replica) Await(ctx context.Context, index uint64) bool {
 	for {
-		s.mu.Lock()
-		ok, changed := s.history.State.Index >= index, s.changed
-		s.mu.Unlock()
+		r.mu.Lock()
+		ok, changed := r.history.State.Index >= index, r.changed
+		r.mu.Unlock()
 		if ok {
 			return true
 		}
@@ -156,80 +163,80 @@
 	}
 }
 
-// News answers another process whose question came at that time, as a core machine would; it never claims to be current, but states the
-// age of its own proof.
-func (s *Replica) News(a clusterstate.Ask, came time.Time) clusterstate.News {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	n := s.history.Since(a.Have)
-	n.Core = s.core
-	switch at := s.Proof(); {
-	case at.IsZero():
-	case s.Weak.DropAge:
-		n.Prove(came, came)
+// News answers another process's request, which arrived at the given moment, as a core machine would. The reply is never marked as
+// fresh, but states the age of this copy's proof.
+func (r *Replica) News(request clusterstate.Ask, arrived time.Time) clusterstate.News {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	reply := r.history.Since(request.Have)
+	reply.Core = r.coreAddresses
+	switch proof := r.Proof(); {
+	case proof.IsZero():
+	case r.Weak.DropAge:
+		reply.Prove(arrived, arrived)
 	default:
-		n.Prove(at, came)
+		reply.Prove(proof, arrived)
 	}
-	return n
+	return reply
 }
 
-// Core returns the addresses of core machines to ask, the preferred one first.
-func (s *Replica) Core() []string {
-	s.mu.Lock()
-	all := slices.Clone(s.core)
-	s.mu.Unlock()
-	for _, seed := range s.Set.SeedsNow() {
-		if at := s.Set.Inner(bootconfig.HostOf(seed), bootconfig.ConfigStorePort); !slices.Contains(all, at) {
-			all = append(all, at)
+// Core returns the addresses of the core machines in random order, the preferred one first.
+func (r *Replica) Core() []string {
+	r.mu.Lock()
+	addresses := slices.Clone(r.coreAddresses)
+	r.mu.Unlock()
+	for _, seed := range r.Set.SeedsNow() {
+		if address := r.Set.Inner(bootconfig.HostOf(seed), bootconfig.ConfigStorePort); !slices.Contains(addresses, address) {
+			addresses = append(addresses, address)
 		}
 	}
-	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	if s.Prefer != "" {
-		all = slices.DeleteFunc(all, func(a string) bool { return a == s.Prefer })
-		all = append([]string{s.Prefer}, all...)
+	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+	if r.Prefer != "" {
+		addresses = slices.DeleteFunc(addresses, func(a string) bool { return a == r.Prefer })
+		addresses = append([]string{r.Prefer}, addresses...)
 	}
-	return all
+	return addresses
 }
 
-// Run keeps the copy until the context ends.
-func (s *Replica) Run(ctx context.Context) {
-	var beside sync.WaitGroup
-	beside.Go(func() { s.followNeighbours(ctx) })
-	defer beside.Wait()
-	s.followCore(ctx)
+// Run keeps the copy up to date until the context ends.
+func (r *Replica) Run(ctx context.Context) {
+	var neighbours sync.WaitGroup
+	neighbours.Go(func() { r.pollNeighbours(ctx) })
+	defer neighbours.Wait()
+	r.pollCore(ctx)
 }
 
-// followCore asks core machines, one after the other.
-func (s *Replica) followCore(ctx context.Context) {
-	first, failed := true, 0
-	order := s.Core()
+// pollCore polls a core machine for changes, and moves on to the next one when a poll fails.
+func (r *Replica) pollCore(ctx context.Context) {
+	first, failures := true, 0
+	candidates := r.Core()
 	for ctx.Err() == nil {
-		if len(order) == 0 {
-			order = s.Core()
+		if len(candidates) == 0 {
+			candidates = r.Core()
 		}
-		at := order[0]
-		n, begun, err := s.ask(ctx, at, first, patience<<min(failed, mostTries))
-		took := Nothing
+		address := candidates[0]
+		reply, started, err := r.requestNews(ctx, address, first, replyTimeout<<min(failures, maxTimeoutDoublings))
+		got := Nothing
 		if err == nil {
-			s.hear(at, n, begun, time.Now())
-			took = s.Take(n, begun)
+			r.reportTime(address, reply, started, time.Now())
+			got = r.Take(reply, started)
 		}
-		if took == Part { // the rest is there as well
+		if got == Part { // the same machine has more
 			continue
 		}
-		if took == All && n.Fresh {
-			first, failed = false, 0
-			if s.Prefer != "" && at != s.Prefer && rand.IntN(8) == 0 {
-				order = s.Core() // it may be back
+		if got == All && reply.Fresh {
+			first, failures = false, 0
+			if r.Prefer != "" && address != r.Prefer && rand.IntN(8) == 0 {
+				candidates = r.Core() // the preferred machine may be back
 			}
 			continue
 		}
 		if err != nil && ctx.Err() == nil {
-			s.Log.Debug("no news", "err", err)
+			r.Log.Debug("poll of a core machine failed", "err", err)
 		}
-		order = order[1:]
-		failed++
-		wait := min(pause*time.Duration(failed), mostPause)
+		candidates = candidates[1:]
+		failures++
+		wait := min(retryBackoff*time.Duration(failures), maxRetryBackoff)
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait/2 + rand.N(wait/2+1)):
@@ -237,144 +244,149 @@
 	}
 }
 
-func (s *Replica) ask(ctx context.Context, at string, first bool, patience time.Duration) (clusterstate.News, time.Time, error) {
-	have := s.Index()
-	if s.mustHaveAll() {
+// requestNews sends one request to a core machine and returns its reply and when the request was started.
+func (r *Replica) requestNews(ctx context.Context, addr string, barrier bool, timeout time.Duration) (clusterstate.News, time.Time, error) {
+	have := r.Index()
+	if r.needsWholeState() {
 		have = 0
 	}
-	question := clusterstate.Ask{Have: have, Barrier: first, Router: s.Router, HoldMS: hold.Milliseconds()}
-	call, done := context.WithTimeout(ctx, hold+patience)
-	defer done()
-	begun := time.Now()
-	n, err := peerrpc.Call[clusterstate.Ask, clusterstate.News](call, s.Peers.At(at), "ConfigStore.News", &question)
-	return n, begun, err
+	request := clusterstate.Ask{Have: have, Barrier: barrier, Router: r.Router, HoldMS: holdTime.Milliseconds()}
+	callCtx, cancel := context.WithTimeout(ctx, holdTime+timeout)
+	defer cancel()
+	started := time.Now()
+	reply, err := peerrpc.Call[clusterstate.Ask, clusterstate.News](callCtx, r.Peers.At(addr), "ConfigStore.News", &request)
+	return reply, started, err
 }
 
-// answerTime is how much longer than it may be held an answer takes at most whose time of day is heeded.
-const answerTime = 100 * time.Millisecond
+// maxClockDelay is the longest time, beyond the hold time, after which a reply's time of day is still used.
+const maxClockDelay = 100 * time.Millisecond
 
-func (s *Replica) hear(source string, n clusterstate.News, begun, answered time.Time) {
-	if s.Heard != nil && n.WallMS > 0 && answered.Sub(begun) < hold+answerTime {
-		s.Heard(source, time.UnixMilli(n.WallMS), begun, answered)
+// reportTime passes a reply's time of day to Heard, unless the reply took too long for it to be useful.
+func (r *Replica) reportTime(source string, reply clusterstate.News, started, answered time.Time) {
+	if r.Heard != nil && reply.WallMS > 0 && answered.Sub(started) < holdTime+maxClockDelay {
+		r.Heard(source, time.UnixMilli(reply.WallMS), started, answered)
 	}
 }
 
-func (s *Replica) mustHaveAll() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.whole }
+// needsWholeState reports whether the next request must be for the whole state.
+func (r *Replica) needsWholeState() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.needWhole }
 
-// followNeighbours asks neighbours again and again while the proof is old, whatever becomes of the questions to core machines: those hang
-// for long when this machine is cut off.
-func (s *Replica) followNeighbours(ctx context.Context) {
-	look := time.NewTicker(neighboursEvery)
-	defer look.Stop()
+// pollNeighbours polls neighbours while the proof is old. It does not depend on the requests to core machines, which hang for long when
+// this machine is cut off from them.
+func (r *Replica) pollNeighbours(ctx context.Context) {
+	ticker := time.NewTicker(neighbourInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		s.Phase() // one that has run out is told in the log
-		if s.Neighbours != nil && s.ProofIsOld(time.Now()) {
-			s.askNeighbours(ctx)
+		r.Phase() // logs a contact that has timed out
+		if r.Neighbours != nil && r.ProofIsOld(time.Now()) {
+			r.askNeighbours(ctx)
 		}
 	}
 }
 
-// askNeighbours asks some neighbours at once, and waits for all of them.
-func (s *Replica) askNeighbours(ctx context.Context) {
-	all := s.Neighbours()
-	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	var asked sync.WaitGroup
-	for _, at := range all[:min(len(all), neighboursAtOnce)] {
-		asked.Go(func() { s.askNeighbour(ctx, at) })
+// askNeighbours asks some random neighbours concurrently, and waits for all of them.
+func (r *Replica) askNeighbours(ctx context.Context) {
+	addresses := r.Neighbours()
+	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+	var requests sync.WaitGroup
+	for _, address := range addresses[:min(len(addresses), neighboursPerRound)] {
+		requests.Go(func() { r.askNeighbour(ctx, address) })
 	}
-	asked.Wait()
+	requests.Wait()
 }
 
-func (s *Replica) askNeighbour(ctx context.Context, at string) {
-	call, done := context.WithTimeout(ctx, neighbourPatience)
-	defer done()
-	question := clusterstate.Ask{Have: s.Index()}
-	begun := time.Now()
-	n, err := peerrpc.Call[clusterstate.Ask, clusterstate.News](call, s.Peers.At(at), "Edge.News", &question)
+// askNeighbour asks one neighbour for changes and applies its reply.
+func (r *Replica) askNeighbour(ctx context.Context, address string) {
+	callCtx, cancel := context.WithTimeout(ctx, neighbourTimeout)
+	defer cancel()
+	request := clusterstate.Ask{Have: r.Index()}
+	started := time.Now()
+	reply, err := peerrpc.Call[clusterstate.Ask, clusterstate.News](callCtx, r.Peers.At(address), "Edge.News", &request)
 	if err != nil {
-		s.Log.Debug("no news of a neighbour", "err", err)
+		r.Log.Debug("poll of a neighbour failed", "err", err)
 		return
 	}
-	s.TakeFromNeighbour(n, begun)
+	r.TakeFromNeighbour(reply, started)
 }
 
-// TakeFromNeighbour takes a neighbour's news on. They may prove what is held, and never bring the copy in touch. Where core machines are is
-// taken from one whose proof is younger alone.
-func (s *Replica) TakeFromNeighbour(n clusterstate.News, begun time.Time) Taken {
-	n.Fresh = false
-	if !n.ProofOf(begun).After(s.Proof()) {
-		n.Core = nil
+// TakeFromNeighbour applies a neighbour's reply. It may advance the proof, but never changes the phase to InTouch. The addresses of the
+// core machines are adopted only if the neighbour's proof is newer than the copy's.
+func (r *Replica) TakeFromNeighbour(reply clusterstate.News, started time.Time) Taken {
+	reply.Fresh = false
+	if !reply.ProofOf(started).After(r.Proof()) {
+		reply.Core = nil
 	}
-	return s.Take(n, begun)
+	return r.Take(reply, started)
 }
 
-// Taken is how much of what the one who answered holds is in the copy after its answer.
+// Taken tells how much of the sender's state the copy holds after a reply was applied.
 type Taken int
 
-// What an answer may have brought.
+// The values of Taken.
 const (
-	Nothing Taken = iota // it brought nothing that can be read, and not all
-	Part                 // it brought something, and the one who answered holds more
-	All
+	Nothing Taken = iota // the sender holds more, and the reply brought no change that could be applied
+	Part                 // the sender holds more, but the reply brought some changes
+	All                  // the copy holds at least all that the sender does
 )
 
-// Take takes news on, as of a question begun at that time; older news than what is held changes nothing. Only news after which the copy
-// holds all that the one who answered does prove anything, or bring the copy in touch.
-func (s *Replica) Take(n clusterstate.News, begun time.Time) Taken {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	before := s.history.State.Index
-	if n.State != nil && (n.State.Index > before || s.whole && n.State.Index == before) {
-		s.whole = false
-		state := n.State
-		if state.Servers == nil { // gob leaves out what is empty
+// Take applies the reply to a request that was started at that time. A reply older than the copy changes nothing. Only if the copy then
+// holds all that the sender does can the reply advance the proof or change the phase to InTouch.
+func (r *Replica) Take(reply clusterstate.News, started time.Time) Taken {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	before := r.history.State.Index
+	if reply.State != nil && (reply.State.Index > before || r.needWhole && reply.State.Index == before) {
+		r.needWhole = false
+		state := reply.State
+		if state.Servers == nil { // gob omits empty maps
 			state.Servers = map[string]clusterstate.Server{}
 		}
 		if state.Routers == nil {
 			state.Routers = map[string]clusterstate.Router{}
 		}
-		s.history = clusterstate.NewHistory(state)
-		s.Took(state, clusterstate.Command{}, state.Index, true)
+		r.history = clusterstate.NewHistory(state)
+		r.Took(state, clusterstate.Command{}, state.Index, true)
 	}
-	for _, c := range n.Changes {
-		if c.Index <= s.history.State.Index {
+	for _, c := range reply.Changes {
+		if c.Index <= r.history.State.Index {
 			continue
 		}
-		command, _, err := s.history.Apply(c.Index, c.Data)
+		command, _, err := r.history.Apply(c.Index, c.Data)
 		if err != nil {
-			s.Log.Error("change not readable; asking for the whole", "index", c.Index, "err", err)
-			s.whole = true
+			r.Log.Error("change could not be applied; requesting the whole state", "index", c.Index, "err", err)
+			r.needWhole = true
 			break
 		}
-		s.Took(s.history.State, command, c.Index, false)
+		r.Took(r.history.State, command, c.Index, false)
 	}
-	if len(n.Core) > 0 {
-		s.core = n.Core
+	if len(reply.Core) > 0 {
+		r.coreAddresses = reply.Core
 	}
-	took := s.brought(n, before)
-	if took == All && n.Fresh {
-		s.heard = begun
-		s.become(InTouch)
+	got := r.coverage(reply, before)
+	if got == All && reply.Fresh {
+		r.lastCurrent = started
+		r.setPhase(InTouch)
 	}
-	if took == All || s.Weak.ProveIncomplete {
-		s.prove(n.ProofOf(begun))
+	if got == All || r.Weak.ProveIncomplete {
+		r.advanceProof(reply.ProofOf(started))
 	}
-	if s.history.State.Index != before {
-		close(s.changed)
-		s.changed = make(chan struct{})
+	if r.history.State.Index != before {
+		close(r.changed)
+		r.changed = make(chan struct{})
 	}
-	return took
+	return got
 }
 
-// brought tells what an answer that was taken on has brought. The caller holds the lock.
-func (s *Replica) brought(n clusterstate.News, before uint64) Taken {
-	switch have := s.history.State.Index; {
-	case have >= n.Index:
+// coverage returns how much of the sender's state the copy holds after a reply was applied; before is the index that the copy had before
+// it. The caller holds the lock.
+func (r *Replica) coverage(reply clusterstate.News, before uint64) Taken {
+	switch have := r.history.State.Index; {
+	case have >= reply.Index:
 		return All
 	case have > before:
 		return Part
--- a/internal/cdn/statesync/statesync_test.go
+++ b/internal/cdn/statesync/statesync_test.go
@@ -17,36 +17,38 @@
 	"gotest.tools/v3/assert"
 )
 
-// core is a stand-in for a core machine, or for a neighbour.
-type core struct {
-	mu      sync.Mutex
-	history *clusterstate.History
-	fresh   bool
-	down    bool
-	asked   int
-	barred  int
+// fakeCore is a fake core machine or neighbour.
+type fakeCore struct {
+	mu       sync.Mutex
+	history  *clusterstate.History
+	fresh    bool
+	down     bool
+	requests int
+	barriers int
 }
 
-func (c *core) News(a *clusterstate.Ask, n *clusterstate.News) error {
+func (c *fakeCore) News(request *clusterstate.Ask, reply *clusterstate.News) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked++
-	if a.Barrier {
-		c.barred++
+	c.requests++
+	if request.Barrier {
+		c.barriers++
 	}
 	if c.down {
 		return errors.New("down")
 	}
-	*n = c.history.Since(a.Have)
-	if n.Fresh = c.fresh; c.fresh {
-		n.Prove(time.Now(), time.Now())
+	*reply = c.history.Since(request.Have)
+	if reply.Fresh = c.fresh; c.fresh {
+		reply.Prove(time.Now(), time.Now())
 	}
 	return nil
 }
 
-func (c *core) set(f func()) { c.mu.Lock(); defer c.mu.Unlock(); f() }
+// set calls a function while the fake is locked.
+func (c *fakeCore) set(f func()) { c.mu.Lock(); defer c.mu.Unlock(); f() }
 
-func (c *core) purges(from, to uint64) {
+// addPurges adds one purge to the history for each index of a range.
+func (c *fakeCore) addPurges(from, to uint64) {
 	c.set(func() {
 		for i := from; i <= to; i++ {
 			c.history.Apply(i, clusterstate.Command{Purge: &clusterstate.Purge{Tag: "t"}}.Encode())
@@ -54,7 +56,8 @@
 	})
 }
 
-func serve(t *testing.T, address, name string, c *core) {
+// serve answers calls to the service name at an address until the test ends.
+func serve(t *testing.T, address, name string, c *fakeCore) {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
@@ -62,28 +65,29 @@
 	go peerrpc.Serve(l, name, peerrpc.Shared(c))
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+// waitFor waits for a condition, and fails the test if it does not hold within 8 s.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	late, look := time.After(8*time.Second), time.NewTicker(2*time.Millisecond)
-	defer look.Stop()
-	for !ok() {
+	deadline, ticker := time.After(8*time.Second), time.NewTicker(2*time.Millisecond)
+	defer ticker.Stop()
+	for !condition() {
 		select {
-		case <-late:
+		case <-deadline:
 			t.Fatal("never: " + what)
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// One day of a copy: it begins with a barrier, follows changes in order, leaves a core machine that can't tell whether it is current,
-// does not go back when it meets one that is behind, and takes what neighbours have when no core machine answers.
-func TestADayOfACopy(t *testing.T) {
-	a, b, near := &core{history: clusterstate.NewHistory(clusterstate.New())}, &core{history: clusterstate.NewHistory(clusterstate.New())}, &core{history: clusterstate.NewHistory(clusterstate.New())}
+// The life of a copy: it begins with a barrier, applies changes in order, leaves a core machine that does not know whether it is current,
+// does not go back when a machine is behind, and takes changes from neighbours when no core machine answers.
+func TestReplicaLifecycle(t *testing.T) {
+	a, b, neighbour := &fakeCore{history: clusterstate.NewHistory(clusterstate.New())}, &fakeCore{history: clusterstate.NewHistory(clusterstate.New())}, &fakeCore{history: clusterstate.NewHistory(clusterstate.New())}
 	serve(t, "127.0.73.1:7660", "ConfigStore", a)
 	serve(t, "127.0.73.2:7660", "ConfigStore", b)
-	serve(t, "127.0.73.3:7661", "Edge", near)
+	serve(t, "127.0.73.3:7661", "Edge", neighbour)
 	a.fresh = true
-	a.purges(1, 3)
+	a.addPurges(1, 3)
 
 	s := New()
 	s.Set = bootconfig.Settings{IP: "127.0.0.1", SparePort: 7660, Seeds: []string{"127.0.73.1:1", "127.0.73.2:1"}, Bounds: bootconfig.Bounds{Contact: 600 * time.Millisecond}}
@@ -101,42 +105,42 @@
 	phase, _ := s.Phase()
 	assert.Equal(t, phase, Empty)
 	go s.Run(t.Context())
-	until(t, "the first news", func() bool { p, _ := s.Phase(); return p == InTouch && s.Index() == 3 })
-	a.set(func() { assert.Check(t, a.barred > 0) })
-	near.set(func() { assert.Equal(t, near.asked, 0, "a neighbour was asked for nothing") })
+	waitFor(t, "the first news", func() bool { p, _ := s.Phase(); return p == InTouch && s.Index() == 3 })
+	a.set(func() { assert.Check(t, a.barriers > 0) })
+	neighbour.set(func() { assert.Equal(t, neighbour.requests, 0, "a neighbour was asked without need") })
 
-	a.purges(4, 9)
-	until(t, "changes", func() bool { return s.Index() == 9 })
+	a.addPurges(4, 9)
+	waitFor(t, "changes", func() bool { return s.Index() == 9 })
 
-	b.purges(1, 12)
-	a.set(func() { a.fresh = false }) // it follows no leader any more
+	b.addPurges(1, 12)
+	a.set(func() { a.fresh = false }) // it no longer follows a leader
 	b.set(func() { b.fresh = true })
-	until(t, "the other machine", func() bool { return s.Index() == 12 })
+	waitFor(t, "the other machine", func() bool { return s.Index() == 12 })
 	b.set(func() { b.down = true })
-	a.set(func() { a.fresh = true; a.asked = 0 }) // an older history that claims to be current
-	until(t, "questions to the older one", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.asked > 3 })
+	a.set(func() { a.fresh = true; a.requests = 0 }) // an older history that claims to be current
+	waitFor(t, "questions to the older one", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.requests > 3 })
 	assert.Equal(t, s.Index(), uint64(12), "it never goes back")
 
 	a.set(func() { a.down = true })
-	until(t, "out of touch", func() bool { p, _ := s.Phase(); return p == OutOfTouch })
-	near.purges(1, 20)
-	until(t, "what a neighbour has", func() bool { return s.Index() == 20 })
+	waitFor(t, "out of touch", func() bool { p, _ := s.Phase(); return p == OutOfTouch })
+	neighbour.addPurges(1, 20)
+	waitFor(t, "what a neighbour has", func() bool { return s.Index() == 20 })
 	phase, _ = s.Phase()
-	assert.Equal(t, phase, OutOfTouch, "a neighbour's word is no proof")
+	assert.Equal(t, phase, OutOfTouch, "a neighbour's reply must not change the phase")
 
 	ctx, done := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer done()
 	assert.Assert(t, !s.Await(ctx, 21) && s.Await(ctx, 20))
-	b.purges(13, 30)
+	b.addPurges(13, 30)
 	b.set(func() { b.down = false })
-	until(t, "in touch again", func() bool { p, _ := s.Phase(); return p == InTouch && s.Index() == 30 })
+	waitFor(t, "in touch again", func() bool { p, _ := s.Phase(); return p == InTouch && s.Index() == 30 })
 }
 
-// A copy whose core was exchanged whole while it was cut off knows nobody who is left; the settings file names others, and it asks them.
-func TestOtherSeeds(t *testing.T) {
-	c := &core{history: clusterstate.NewHistory(clusterstate.New()), fresh: true}
+// While a copy was cut off, all core machines it knows were replaced. It asks the new ones once the settings file names them.
+func TestNewSeedsAreAsked(t *testing.T) {
+	c := &fakeCore{history: clusterstate.NewHistory(clusterstate.New()), fresh: true}
 	serve(t, "127.0.73.5:7660", "ConfigStore", c)
-	c.purges(1, 3)
+	c.addPurges(1, 3)
 	s := New()
 	s.Set = bootconfig.Settings{IP: "127.0.0.1", SparePort: 7660, Seeds: []string{"127.0.73.4:1"}, Named: new(bootconfig.Seeds), Bounds: bootconfig.Bounds{Contact: time.Second}}
 	s.Peers, s.Log = peerrpc.NewPeers(), hclog.NewNullLogger()
@@ -144,23 +148,23 @@
 	assert.DeepEqual(t, s.Core(), []string{"127.0.73.4:7660"})
 	go s.Run(t.Context())
 	s.Set.Named.Set([]string{"127.0.73.5:1"})
-	until(t, "news from the new seed", func() bool { p, _ := s.Phase(); return p == InTouch && s.Index() == 3 })
+	waitFor(t, "news from the new seed", func() bool { p, _ := s.Phase(); return p == InTouch && s.Index() == 3 })
 }
 
-// alone is a copy whose news are handed to it.
-func alone() *Replica {
+// newTestReplica returns a copy that polls nobody; the test passes replies to it.
+func newTestReplica() *Replica {
 	s := New()
 	s.Set.Bounds.Contact, s.Log = time.Hour, hclog.NewNullLogger()
 	s.Took = func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
 	return s
 }
 
-// A copy is as current as the one who answered only once it holds all that that one does: an answer has room for a part, and a change may
-// not be readable.
-func TestAnAnswerThatDoesNotBringAll(t *testing.T) {
-	c := &core{history: clusterstate.NewHistory(clusterstate.New()), fresh: true}
-	c.purges(1, 600)
-	s := alone()
+// A copy is in touch, and its proof advances, only once it holds all that the sender does: a reply may contain only a part of the
+// changes, and a change may not be decodable.
+func TestIncompleteReplyProvesNothing(t *testing.T) {
+	c := &fakeCore{history: clusterstate.NewHistory(clusterstate.New()), fresh: true}
+	c.addPurges(1, 600)
+	s := newTestReplica()
 	first := clusterstate.Change{Index: 1, Data: clusterstate.Command{Purge: &clusterstate.Purge{Tag: "t"}}.Encode()}
 	s.Take(clusterstate.News{Changes: []clusterstate.Change{first}, Index: 1}, time.Now())
 	take := func() Phase {
@@ -176,34 +180,34 @@
 	assert.Equal(t, take(), InTouch)
 	assert.Equal(t, s.Index(), uint64(600))
 
-	s = alone()
+	s = newTestReplica()
 	s.Take(clusterstate.News{Fresh: true, Proven: true, Index: 2, Changes: []clusterstate.Change{first, {Index: 2, Data: []byte("{")}}}, time.Now())
 	if p, _ := s.Phase(); p == InTouch || !s.Proof().IsZero() {
-		t.Errorf("%v behind a change that can't be read, proof %v", p, s.Proof())
+		t.Errorf("%v after a change that can't be decoded, proof %v", p, s.Proof())
 	}
 }
 
-// A proof is counted from the question's begin, less the age that the answer states; it never goes back, and what has no age proves nothing.
+// A proof is the start of the request less the age that the reply states. It never goes back, and a reply without an age proves nothing.
 func TestProof(t *testing.T) {
-	s, start := alone(), time.Now()
+	s, start := newTestReplica(), time.Now()
 	for _, c := range []struct {
-		what         string
-		news         clusterstate.News
-		begun, proof time.Duration // since the start
+		what           string
+		news           clusterstate.News
+		started, proof time.Duration // since the start
 	}{
 		{"the first", clusterstate.News{Proven: true, AgeMS: 300}, time.Second, 700 * time.Millisecond},
 		{"an older one", clusterstate.News{Proven: true, AgeMS: 400}, time.Second, 700 * time.Millisecond},
 		{"current, without an age", clusterstate.News{Fresh: true}, 2 * time.Second, 700 * time.Millisecond},
-		{"of a question that was held", clusterstate.News{Proven: true, AgeMS: -400}, 2 * time.Second, 2400 * time.Millisecond},
-		{"by one who holds more", clusterstate.News{Proven: true, Index: 1}, 3 * time.Second, 2400 * time.Millisecond},
-		{"a question from before a long stop", clusterstate.News{Proven: true}, 0, 2400 * time.Millisecond},
+		{"of a request that was held", clusterstate.News{Proven: true, AgeMS: -400}, 2 * time.Second, 2400 * time.Millisecond},
+		{"from a sender that holds more", clusterstate.News{Proven: true, Index: 1}, 3 * time.Second, 2400 * time.Millisecond},
+		{"of a request from before a long pause", clusterstate.News{Proven: true}, 0, 2400 * time.Millisecond},
 	} {
-		s.Take(c.news, start.Add(c.begun))
+		s.Take(c.news, start.Add(c.started))
 		assert.Equal(t, s.Proof().Sub(start), c.proof, c.what)
 	}
 }
 
-// neighbour is another process's copy as it may be called.
+// neighbour serves a copy to other processes over RPC.
 type neighbour struct{ of *Replica }
 
 func (n neighbour) News(a *clusterstate.Ask, got *clusterstate.News) error {
@@ -211,19 +215,19 @@
 	return nil
 }
 
-// Copies that are cut off from all core machines, whose questions to these hang, prove what neighbours prove, over several of them, and are
-// not in touch by that. Once the core is gone nobody proves anything more.
-func TestProofsAreHandedOn(t *testing.T) {
-	c := &core{history: clusterstate.NewHistory(clusterstate.New()), fresh: true}
-	c.purges(1, 3)
+// Copies that are cut off from all core machines, to which their requests hang, adopt the proofs of neighbours, also over several hops,
+// without being in touch. Once the core machines are gone, no proof advances.
+func TestProofsPassBetweenNeighbours(t *testing.T) {
+	c := &fakeCore{history: clusterstate.NewHistory(clusterstate.New()), fresh: true}
+	c.addPurges(1, 3)
 	serve(t, "127.0.73.6:7660", "ConfigStore", c)
 	hangs, err := net.Listen("tcp", "127.0.73.7:7660")
 	assert.NilError(t, err)
 	t.Cleanup(func() { hangs.Close() })
-	begun := time.Now()
+	started := time.Now()
 	var all []*Replica
 	for i, seed := range []string{"127.0.73.6:1", "127.0.73.7:1", "127.0.73.7:1"} {
-		s := alone()
+		s := newTestReplica()
 		s.Set = bootconfig.Settings{IP: "127.0.0.1", SparePort: 7660, Seeds: []string{seed}, Bounds: bootconfig.Bounds{Contact: time.Hour}}
 		s.Peers = peerrpc.NewPeers()
 		if i > 0 {
@@ -237,22 +241,22 @@
 		all = append(all, s)
 	}
 	last := all[2]
-	until(t, "a proof over two neighbours", func() bool { return last.Index() == 3 && last.Proof().After(begun) })
-	assert.Assert(t, time.Since(begun) < 3*time.Second, "it waited for core machines that hang")
+	waitFor(t, "a proof over two hops", func() bool { return last.Index() == 3 && last.Proof().After(started) })
+	assert.Assert(t, time.Since(started) < 3*time.Second, "waited for core machines that hang")
 	phase, _ := last.Phase()
 	assert.Equal(t, phase, Empty)
-	c.purges(4, 5)
-	mark := time.Now()
-	until(t, "a later proof", func() bool { return last.Proof().After(mark) })
+	c.addPurges(4, 5)
+	since := time.Now()
+	waitFor(t, "a later proof", func() bool { return last.Proof().After(since) })
 	assert.Equal(t, last.Index(), uint64(5))
 	for _, s := range all[1:] {
 		proof := s.Proof()
 		assert.Assert(t, !proof.After(all[0].Proof()))
 	}
 	c.set(func() { c.down = true })
-	mark = time.Now()
-	until(t, "old proofs", func() bool { now := time.Now(); return all[0].ProofIsOld(now) && last.ProofIsOld(now) })
+	since = time.Now()
+	waitFor(t, "old proofs", func() bool { now := time.Now(); return all[0].ProofIsOld(now) && last.ProofIsOld(now) })
 	for _, s := range all {
-		assert.Assert(t, !s.Proof().After(mark))
+		assert.Assert(t, !s.Proof().After(since))
 	}
 }
