--- a/internal/cdn/clusterstate/clusterstate.go
+++ b/internal/cdn/clusterstate/clusterstate.go
@@ -27,8 +27,8 @@
 	Edition  string `json:"edition"`
 	Slots    int    `json:"berths"`
 	State    string `json:"state"`
-	WarmupMS int64  `json:"warmup_ms"`
-	Beat     uint64 `json:"postmark"` // sequence number of the heartbeat that changed it last
+	WarmupMS int64  `json:"warmup_ms"` // time until it is warm, in milliseconds; 0: it is warm
+	Beat     uint64 `json:"postmark"`  // sequence number of the heartbeat that changed it last
 }
 
 // Same reports whether two heartbeats of one server are equal apart from Beat and WarmupMS.
--- a/internal/cdn/clusterstate/manifest.go
+++ b/internal/cdn/clusterstate/manifest.go
@@ -22,6 +22,7 @@
 // Version is the number of a configuration; 0 stands for the state before the first one.
 type Version uint64
 
+// String returns the version as configurations write it, such as r12.
 func (v Version) String() string { return "r" + strconv.FormatUint(uint64(v), 10) }
 
 // ParseVersion parses a version such as r12. An empty text, 0 and r0 stand for the state before the first one.
@@ -42,7 +43,8 @@
 	Weight  float64
 }
 
-// Route maps the requests to a host and a path prefix to one or more services. Shelf is how long a response may be cached.
+// Route maps the requests to a host and a path prefix to one or more services. Timeout is the time limit of a request, Target the latency
+// to aim for, Shelf how long a response may be cached, and Tries the maximum number of attempts.
 type Route struct {
 	Name, Host, Prefix, Kind string
 	Timeout, Target, Shelf   time.Duration
@@ -54,7 +56,7 @@
 // Service is a group of servers that answer the same requests.
 type Service struct {
 	Name, HealthPath string
-	ConnCap          int
+	ConnCap          int     // connections that one of its servers accepts; 0: unknown
 	RatePerS         float64 // limit in requests per second, for all routers together; 0: unlimited
 }
 
@@ -76,7 +78,7 @@
 	Limits        Limits
 }
 
-// The JSON form of a configuration.
+// The JSON form of a configuration. Each parcel is a route, a service (carrier), a tenant (sender) or the limits (allowances).
 type (
 	wireManifest struct {
 		Edition wireText     `json:"edition"`
@@ -126,6 +128,7 @@
 // wireText is a JSON string, or a number that is read as its text.
 type wireText string
 
+// UnmarshalJSON accepts a string or a number.
 func (t *wireText) UnmarshalJSON(b []byte) error {
 	var s string
 	if len(b) > 0 && b[0] == '"' {
--- a/internal/cdn/clusterstate/share_test.go
+++ b/internal/cdn/clusterstate/share_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// totalShare returns the sum of the shares of all routers in the roster, and of other nodes.
+// totalShare returns the sum of the shares of all routers in the roster and of the other nodes.
 func totalShare(s *State, others ...string) (total float64) {
 	for node := range s.Routers {
 		total += s.Share("shop", node)
@@ -37,7 +37,7 @@
 		name  string
 		needs map[string]float64
 		moved bool
-		node  string // whose share is
+		node  string // whose share is checked
 		least float64
 		most  float64
 	}{
