--- a/internal/cdn/registry/duty.go
+++ b/internal/cdn/registry/duty.go
@@ -11,129 +11,139 @@
 	"cedarmast/internal/cdn/statesync"
 )
 
-// This file is what one registry does for all: the holder of the duty, under its epoch. The state refuses what comes under an older one.
+// This file contains the tasks that one registry performs for the whole cluster: the holder of the duty, under its
+// epoch. The replicated state rejects commands of an older epoch.
 
 const (
-	silentBeats  = 6                // missed beats after which a server is taken out
-	absentFor    = 12 * time.Second // a cache router that has asked nobody for news for so long is taken out: a restart changes no table
-	innerFor     = 3 * time.Second  // one that serves no clients: all go by way of it, and wait
-	cutEvery     = time.Second
-	mostAbsent   = 64 // cache routers taken out in one turn
-	absentAtOnce = 2  // that may be silent whatever their part of all: more than half at once, and it is the way to here that is silent
+	maxMissedHeartbeats = 6 // missed heartbeats after which a server is removed
+	// routerTimeout is the time without a request for news after which a cache router is removed. It is long enough that a restart changes no
+	// routing table.
+	routerTimeout        = 12 * time.Second
+	innerRouterTimeout   = 3 * time.Second // the same for routers that serve no clients: all requests go through them and wait
+	rateDivisionInterval = time.Second     // between divisions of the rate limits
+	maxRemovalsPerRound  = 64              // most nodes removed in one round
+	// minSilentLimit is the number of silent nodes that is always acted on. Above it, more than half of all nodes silent at once point to a
+	// fault of the network path to this machine.
+	minSilentLimit = 2
 )
 
-// term is a registry's time as holder of the duty.
+// term is the period for which a registry holds the duty under one epoch.
 type term struct {
-	epoch uint64 // 0: it is held by another one
-	since time.Time
-	cut   time.Time // when rates were last looked at
+	epoch        uint64 // 0: another registry holds the duty
+	since        time.Time
+	lastDivision time.Time // time of the last rate division
 }
 
-// follow takes the duty on or lets it go, by the state and by whether this process is in touch.
-func (t *term) follow(d clusterstate.Duty, self string, inTouch bool, now time.Time) {
+// update starts or ends the term, by the replicated state and by whether the replica is connected to the config
+// stores.
+func (t *term) update(d clusterstate.Duty, self string, connected bool, now time.Time) {
 	switch {
-	case d.Holder != self || !inTouch:
+	case d.Holder != self || !connected:
 		*t = term{}
 	case t.epoch != d.Epoch:
-		*t = term{epoch: d.Epoch, since: now, cut: now}
+		*t = term{epoch: d.Epoch, since: now, lastDivision: now}
 	}
 }
 
-// duties does what is to be done while the duty is held here.
-func (w *Registry) duties(ctx context.Context) {
+// runDuties performs the periodic tasks while this registry holds the duty, until ctx is cancelled.
+func (reg *Registry) runDuties(ctx context.Context) {
 	var t term
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(w.set.Heartbeat / 2):
+		case <-time.After(reg.settings.Heartbeat / 2):
 		}
 		now := time.Now()
 		var duty clusterstate.Duty
-		var servers, routers, inner []string
-		w.replica.Read(func(s *clusterstate.State) {
+		var servers, routers, innerRouters []string
+		reg.replica.Read(func(s *clusterstate.State) {
 			duty = s.Duty
 			for id := range s.Servers {
 				servers = append(servers, id)
 			}
 			for node, r := range s.Routers {
 				if r.Inner {
-					inner = append(inner, node)
+					innerRouters = append(innerRouters, node)
 				} else {
 					routers = append(routers, node)
 				}
 			}
 		})
-		phase, _ := w.replica.Phase()
-		t.follow(duty, w.set.IP, phase == statesync.InTouch, now)
-		w.forget(now)
+		phase, _ := reg.replica.Phase()
+		t.update(duty, reg.settings.IP, phase == statesync.InTouch, now)
+		reg.expireHeartbeats(now)
 		if t.epoch == 0 {
 			continue
 		}
-		w.prune(ctx, t, servers, now)
-		w.pruneRouters(ctx, t, routers, absentFor)
-		w.pruneRouters(ctx, t, inner, innerFor)
-		if now.Sub(t.cut) >= cutEvery {
-			t.cut = now
-			w.cutRates(ctx, t)
+		reg.removeSilentServers(ctx, t, servers, now)
+		reg.removeSilentRouters(ctx, t, routers, routerTimeout)
+		reg.removeSilentRouters(ctx, t, innerRouters, innerRouterTimeout)
+		if now.Sub(t.lastDivision) >= rateDivisionInterval {
+			t.lastDivision = now
+			reg.divideRates(ctx, t)
 		}
 	}
 }
 
-func (w *Registry) silence() time.Duration { return silentBeats * w.set.Heartbeat }
+// serverTimeout is the time without a heartbeat after which a server is removed.
+func (reg *Registry) serverTimeout() time.Duration {
+	return maxMissedHeartbeats * reg.settings.Heartbeat
+}
 
-// forget lets beats go that are long over.
-func (w *Registry) forget(now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.beats.Forget(2*w.silence(), now)
+// expireHeartbeats drops heartbeats that are older than twice the server timeout.
+func (reg *Registry) expireHeartbeats(now time.Time) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	reg.heartbeats.Forget(2*reg.serverTimeout(), now)
 }
 
-// prune takes out servers that have missed several beats. One who takes the duty over gives all of them their whole time, for it has not
-// heard them before.
-func (w *Registry) prune(ctx context.Context, t term, servers []string, now time.Time) {
-	if now.Sub(t.since) <= w.silence() {
+// removeSilentServers removes servers that have missed several heartbeats. A new duty holder first waits for the whole
+// timeout, because it has not heard the servers before.
+func (reg *Registry) removeSilentServers(ctx context.Context, t term, servers []string, now time.Time) {
+	if now.Sub(t.since) <= reg.serverTimeout() {
 		return
 	}
 	var silent []string
-	w.mu.Lock()
+	reg.mu.Lock()
 	for _, id := range servers {
-		if w.beats.Silent(id, w.silence(), now) {
+		if reg.heartbeats.Silent(id, reg.serverTimeout(), now) {
 			silent = append(silent, configstore.ServerKey(id))
 		}
 	}
-	w.mu.Unlock()
-	for _, key := range w.surelySilent(ctx, silent, len(servers), w.silence()) {
+	reg.mu.Unlock()
+	for _, key := range reg.confirmSilent(ctx, silent, len(servers), reg.serverTimeout()) {
 		id := key[len(configstore.ServerKey("")):]
-		if out, err := w.propose(ctx, clusterstate.Command{Lost: id, Epoch: t.epoch}, beatWithin); err == nil && out.Status == clusterstate.Done {
-			w.log.Info("server taken out", "id", id, "epoch", t.epoch)
+		if out, err := reg.propose(ctx, clusterstate.Command{Lost: id, Epoch: t.epoch}, commitTimeout); err == nil && out.Status == clusterstate.Done {
+			reg.log.Info("silent server removed", "id", id, "epoch", t.epoch)
 		}
 	}
 }
 
-// pruneRouters takes out cache routers that ask no core machine for news any more.
-func (w *Registry) pruneRouters(ctx context.Context, t term, routers []string, span time.Duration) {
-	for _, node := range w.surelySilent(ctx, routers, 2*len(routers), span) {
-		if out, err := w.propose(ctx, clusterstate.Command{Absent: node, Epoch: t.epoch}, beatWithin); err == nil && out.Status == clusterstate.Done {
-			w.log.Info("cache router taken out", "node", node, "epoch", t.epoch)
+// removeSilentRouters removes cache routers that no longer ask any core machine for news.
+func (reg *Registry) removeSilentRouters(ctx context.Context, t term, routers []string, timeout time.Duration) {
+	for _, node := range reg.confirmSilent(ctx, routers, 2*len(routers), timeout) {
+		if out, err := reg.propose(ctx, clusterstate.Command{Absent: node, Epoch: t.epoch}, commitTimeout); err == nil && out.Status == clusterstate.Done {
+			reg.log.Info("silent cache router removed", "node", node, "epoch", t.epoch)
 		}
 	}
 }
 
-// surelySilent asks the leader, who hears of all who are heard at any core machine, which of the names have been silent for so long. If it
-// is more than half of all at once, it is the way to here that is silent.
-func (w *Registry) surelySilent(ctx context.Context, names []string, all int, span time.Duration) (silent []string) {
-	if len(names) == 0 || len(names) > max(absentAtOnce, all/2) {
+// confirmSilent asks the leader, which learns of every node heard at any core machine, which of the names have been
+// silent for at least timeout. It returns none if more than half of the total are candidates at once: then the network
+// path to this machine is the likely fault.
+func (reg *Registry) confirmSilent(ctx context.Context, names []string, total int, timeout time.Duration) (silent []string) {
+	if len(names) == 0 || len(names) > max(minSilentLimit, total/2) {
 		return nil
 	}
-	call, done := context.WithTimeout(ctx, readWithin)
-	defer done()
-	ages, err := peerrpc.Call[configstore.Silence, []int64](call, w.store, "ConfigStore.Silent", &configstore.Silence{Names: names})
+	callCtx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	ages, err := peerrpc.Call[configstore.Silence, []int64](callCtx, reg.store, "ConfigStore.Silent", &configstore.Silence{Names: names})
 	if err != nil || len(ages) != len(names) {
 		return nil
 	}
 	for i, name := range names {
-		if time.Duration(ages[i])*time.Millisecond >= span && len(silent) < mostAbsent {
+		if time.Duration(ages[i])*time.Millisecond >= timeout && len(silent) < maxRemovalsPerRound {
 			silent = append(silent, name)
 		}
 	}
@@ -141,25 +151,25 @@
 	return silent
 }
 
-// cutRates cuts the rates of services anew where need has moved.
-func (w *Registry) cutRates(ctx context.Context, t term) {
-	call, done := context.WithTimeout(ctx, readWithin)
-	needs, err := peerrpc.Call[bool, map[string]map[string]float64](call, w.store, "ConfigStore.Needs", new(bool))
-	done()
+// divideRates divides the rate limits of services among the routers again where the demand has shifted.
+func (reg *Registry) divideRates(ctx context.Context, t term) {
+	callCtx, cancel := context.WithTimeout(ctx, readTimeout)
+	demand, err := peerrpc.Call[bool, map[string]map[string]float64](callCtx, reg.store, "ConfigStore.Needs", new(bool))
+	cancel()
 	if err != nil {
 		return
 	}
-	var cuts []clusterstate.Cut
-	w.replica.Read(func(s *clusterstate.State) {
-		for service, by := range needs {
-			if c, moved := s.Recut(service, by); moved {
-				cuts = append(cuts, c)
+	var divisions []clusterstate.Cut
+	reg.replica.Read(func(s *clusterstate.State) {
+		for service, byRouter := range demand {
+			if c, moved := s.Recut(service, byRouter); moved {
+				divisions = append(divisions, c)
 			}
 		}
 	})
-	for _, c := range cuts {
-		if out, err := w.propose(ctx, clusterstate.Command{Cut: &c, Epoch: t.epoch}, beatWithin); err == nil && out.Status == clusterstate.Done {
-			w.log.Info("rate cut anew", "service", c.Service, "parts", len(c.Parts), "epoch", t.epoch)
+	for _, c := range divisions {
+		if out, err := reg.propose(ctx, clusterstate.Command{Cut: &c, Epoch: t.epoch}, commitTimeout); err == nil && out.Status == clusterstate.Done {
+			reg.log.Info("rate limit divided", "service", c.Service, "parts", len(c.Parts), "epoch", t.epoch)
 		}
 	}
 }
--- a/internal/cdn/registry/platform.go
+++ b/internal/cdn/registry/platform.go
@@ -14,61 +14,63 @@
 	"cedarmast/internal/cdn/usage"
 )
 
-// longestCall bounds a call of the platform; a lease does as well. What is written within it carries its fence, however late it lands.
-const longestCall = 3 * time.Second
+// maxCallTimeout bounds a call of the platform, as does the lease. A request written within it carries its fencing
+// token, however late it arrives.
+const maxCallTimeout = 3 * time.Second
 
-// platformClient calls the operators' platform, each time on a connection of its own, so that the look at the lease stands between the
-// connection and the write.
+// platformClient calls the operators' platform. Each call uses a new connection, so that the lease is checked after the
+// connection is established and right before the request is written.
 type platformClient struct {
 	address string
-	holder  string
-	within  time.Duration
+	holder  string        // the node name, sent with each call
+	timeout time.Duration // of one call
 }
 
-// platformAnswer is what came of a call.
+// platformAnswer is the result of a call.
 type platformAnswer struct {
 	outcome    usage.CallOutcome
-	retryAfter time.Duration // asked for by the platform
+	retryAfter time.Duration // requested by the platform; 0 if none
 	err        error
 }
 
-// usageBody is a window's report on the wire.
+// usageBody is the JSON body of a window's usage report.
 type usageBody struct {
 	Round   int64            `json:"round"`
 	Tallies map[string]int64 `json:"tallies"`
 }
 
-// encodeUsage writes a report, always the same bytes for the same one: keys of maps are sorted.
+// encodeUsage encodes a report. Equal reports give the same bytes, because map keys are sorted.
 func encodeUsage(report clusterstate.UsageReport) []byte {
 	body := usageBody{Round: report.Round, Tallies: report.Counts}
 	if body.Tallies == nil {
 		body.Tallies = map[string]int64{}
 	}
-	text, err := json.Marshal(body)
+	encoded, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // plain maps
+		panic(err) // cannot happen: only integers and maps of integers
 	}
-	return text
+	return encoded
 }
 
-// report sends one window. maySend is asked once the connection is there, right before the write.
-func (p platformClient) report(ctx context.Context, step usage.Step, maySend func() bool) platformAnswer {
-	call, done := context.WithTimeout(ctx, p.within)
-	defer done()
-	conn, err := new(net.Dialer).DialContext(call, "tcp", p.address)
+// sendReport sends the report of one window. It calls maySend once the connection is established, right before the
+// write.
+func (p platformClient) sendReport(ctx context.Context, step usage.Step, maySend func() bool) platformAnswer {
+	callCtx, cancel := context.WithTimeout(ctx, p.timeout)
+	defer cancel()
+	conn, err := new(net.Dialer).DialContext(callCtx, "tcp", p.address)
 	if err != nil {
 		return platformAnswer{outcome: usage.NotSent, err: err}
 	}
 	defer conn.Close()
-	due, _ := call.Deadline()
-	conn.SetDeadline(due)
+	deadline, _ := callCtx.Deadline()
+	conn.SetDeadline(deadline)
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	request, text := p.request(step)
+	request, encoded := p.buildRequest(step)
 	if !maySend() {
-		return platformAnswer{outcome: usage.NotSent, err: Error.New("the lease is not surely held")}
+		return platformAnswer{outcome: usage.NotSent, err: Error.New("the lease may have expired")}
 	}
 	dropUnsentAtClose(conn, true)
-	if _, err := conn.Write(text); err != nil {
+	if _, err := conn.Write(encoded); err != nil {
 		return platformAnswer{outcome: usage.Unanswered, err: err}
 	}
 	response, err := http.ReadResponse(bufio.NewReader(conn), request)
@@ -77,10 +79,11 @@
 	}
 	response.Body.Close()
 	dropUnsentAtClose(conn, false)
-	return judge(response)
+	return classifyResponse(response)
 }
 
-// dropUnsentAtClose says whether what a cut holds up is lost with its connection, so that it does not land once another holder may act.
+// dropUnsentAtClose sets whether Close discards unsent data. If it does, data held back by a network partition cannot
+// arrive after another holder may have started to act.
 func dropUnsentAtClose(conn net.Conn, drop bool) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -93,26 +96,26 @@
 	tcp.SetLinger(linger)
 }
 
-// request makes a call's bytes, so that nothing is left to do between the look at the lease and the write.
-func (p platformClient) request(step usage.Step) (*http.Request, []byte) {
+// buildRequest encodes the whole request, so that no work remains between the lease check and the write.
+func (p platformClient) buildRequest(step usage.Step) (*http.Request, []byte) {
 	body := encodeUsage(step.Report)
 	request, err := http.NewRequest(http.MethodPost, "http://"+p.address+"/usage", bytes.NewReader(body))
 	if err != nil {
-		panic(err) // the address was checked when the settings were read
+		panic(err) // cannot happen: the address was validated with the settings
 	}
 	request.Close = true
 	request.Header.Set("Holder", p.holder)
 	request.Header.Set("Fence", strconv.FormatUint(step.Fence, 10))
 	request.Header.Set("Content-Type", "application/json")
-	var text bytes.Buffer
-	if err := request.Write(&text); err != nil {
-		panic(err) // a buffer takes all
+	var encoded bytes.Buffer
+	if err := request.Write(&encoded); err != nil {
+		panic(err) // cannot happen: writes to a buffer do not fail
 	}
-	return request, text.Bytes()
+	return request, encoded.Bytes()
 }
 
-// judge tells an answer's outcome.
-func judge(response *http.Response) platformAnswer {
+// classifyResponse maps a response to the outcome of the call.
+func classifyResponse(response *http.Response) platformAnswer {
 	answer := platformAnswer{outcome: usage.Failed, retryAfter: retryAfter(response.Header.Get("Retry-After"))}
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -127,7 +130,7 @@
 	return answer
 }
 
-// retryAfter reads a number of seconds; anything else asks for nothing.
+// retryAfter parses a Retry-After value as a number of seconds. Any other value gives 0.
 func retryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0) || seconds > 1e6 {
--- a/internal/cdn/registry/platform_test.go
+++ b/internal/cdn/registry/platform_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A report is the same bytes each time, and an object of tallies where nothing was counted.
-func TestUsageOnTheWire(t *testing.T) {
+// Equal reports must encode to the same bytes, and a report without counts must have an empty object of tallies.
+func TestEncodeUsage(t *testing.T) {
 	cases := []struct {
 		report clusterstate.UsageReport
 		want   string
@@ -26,8 +26,8 @@
 	}
 }
 
-// Each way in which a call can end, and that nothing leaves when the look right before the write forbids it.
-func TestCallsOfThePlatform(t *testing.T) {
+// Covers each outcome of a call. Nothing may be sent if the lease check right before the write fails.
+func TestPlatformCallOutcomes(t *testing.T) {
 	platform := localnet.NewPlatform(time.Second)
 	address, err := platform.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
@@ -41,24 +41,24 @@
 	}{
 		{"forbidden", localnet.Answering, 9, false, usage.NotSent},
 		{"taken", localnet.Answering, 5, true, usage.Accepted},
-		{"the same again", localnet.Answering, 5, true, usage.Accepted},
+		{"the same report again", localnet.Answering, 5, true, usage.Accepted},
 		{"busy", localnet.Busy, 5, true, usage.Busy},
 		{"failing", localnet.Failing, 5, true, usage.Failed},
-		{"taken, and the connection broken off", localnet.Resetting, 6, true, usage.Unanswered},
-		{"a lower fence", localnet.Answering, 5, true, usage.Refused},
-		{"taken, and no word", localnet.Silent, 6, true, usage.Unanswered},
+		{"accepted, but the connection is reset", localnet.Resetting, 6, true, usage.Unanswered},
+		{"older fence", localnet.Answering, 5, true, usage.Refused},
+		{"accepted, but no response", localnet.Silent, 6, true, usage.Unanswered},
 	}
-	client := platformClient{address: address, holder: "core-1", within: 150 * time.Millisecond}
+	client := platformClient{address: address, holder: "core-1", timeout: 150 * time.Millisecond}
 	for _, c := range cases {
 		platform.Behave(c.mood, 0)
 		step := usage.Step{Kind: usage.Send, Fence: c.fence, Report: clusterstate.UsageReport{Round: 7, Counts: map[string]int64{"a": 1}}}
-		answer := client.report(t.Context(), step, func() bool { return c.allowed })
+		answer := client.sendReport(t.Context(), step, func() bool { return c.allowed })
 		assert.Equal(t, answer.outcome, c.want, "%s: %v", c.name, answer.err)
 	}
 	assert.Equal(t, platform.Answered(http.StatusOK), 2)
 	assert.Equal(t, len(platform.Breaches()), 0, "%v", platform.Breaches())
 	client.address = "127.0.0.1:1"
-	assert.Equal(t, client.report(t.Context(), usage.Step{}, func() bool { return true }).outcome, usage.NotSent)
+	assert.Equal(t, client.sendReport(t.Context(), usage.Step{}, func() bool { return true }).outcome, usage.NotSent)
 }
 
 func TestRetryAfter(t *testing.T) {
--- a/internal/cdn/registry/registry.go
+++ b/internal/cdn/registry/registry.go
@@ -1,7 +1,8 @@
-// Package registry is the registry's process: on a core machine it takes the calls of servers and of the operator, brings what
-// they change into the log by way of the machine's config store, and answers only when a majority of disks has it. The one that
-// holds the duty also takes out servers and cache routers that have fallen silent, cuts the rates of services, and reports the tenants' usage
-// to the platform.
+// Package registry implements the registry process of a core machine. It serves the HTTP API for servers and operators,
+// proposes their changes to the replicated log through the machine's config store, and reports success only after a
+// majority of disks has stored the change. The registry that holds the duty (a role held by one registry at a time)
+// also removes silent servers and cache routers, divides the rate limits of services among the routers, and reports the
+// tenants' usage to the platform.
 package registry
 
 import (
@@ -34,116 +35,122 @@
 var Error = errs.Class("registry")
 
 const (
-	beatWithin   = 850 * time.Millisecond // servers wait a second for their acknowledgement
-	orderWithin  = 2500 * time.Millisecond
-	readWithin   = 900 * time.Millisecond
-	maxBeat      = 64 << 10
-	maxManifest  = 64 << 20
-	leaveWithin  = 400 * time.Millisecond
-	comeAgainSec = "0.2"
+	commitTimeout         = 850 * time.Millisecond  // timeout of a proposal; servers wait 1 s for their acknowledgement
+	operatorCommitTimeout = 2500 * time.Millisecond // timeout of an operator's proposal
+	readTimeout           = 900 * time.Millisecond  // timeout of a read from the config store
+	maxRequestBody        = 64 << 10                // bytes; request bodies other than the manifest
+	maxManifestBody       = 64 << 20                // bytes
+	shutdownTimeout       = 400 * time.Millisecond  // for calls in flight at shutdown
+	retryAfterSeconds     = "0.2"                   // value of the Retry-After header
 )
 
-// Registry is the process. Run starts it.
+// Registry is the registry process. Run creates and starts it.
 type Registry struct {
-	set     bootconfig.Settings
-	log     hclog.Logger
-	peers   *peerrpc.Peers
-	store   *peerrpc.Peer
-	replica *statesync.Replica
-	callers *departure.Ledger // servers and operators
+	settings bootconfig.Settings
+	log      hclog.Logger
+	peers    *peerrpc.Peers
+	store    *peerrpc.Peer // the config store on this machine
+	replica  *statesync.Replica
+	callers  *departure.Ledger // calls in progress by servers and operators
 
-	mu    sync.Mutex
-	beats *Beats
-	deaf  bool // the machine's config store could not be told who was heard
+	mu               sync.Mutex
+	heartbeats       *Beats
+	storeUnreachable bool // the last report of heard servers to the config store failed
 }
 
-// Run serves the outside calls until the context ends.
-func Run(ctx context.Context, set bootconfig.Settings, log hclog.Logger) error {
-	if set.Control == "" {
-		return Error.New("network.listen_on.control_dock: missing: the registry takes the outside calls")
+// Run serves the HTTP API and runs the background tasks until ctx is cancelled.
+func Run(ctx context.Context, settings bootconfig.Settings, log hclog.Logger) error {
+	if settings.Control == "" {
+		return Error.New("network.listen_on.control_dock: missing: the registry needs an address for its HTTP API")
 	}
-	w := &Registry{set: set, log: log, peers: peerrpc.NewPeers(), beats: NewBeats(), replica: statesync.New(), callers: departure.NewLedger()}
-	w.callers.LogBreaches(log)
-	own := set.Inner(set.IP, bootconfig.ConfigStorePort)
-	w.store = w.peers.At(own)
-	w.replica.Set, w.replica.Peers, w.replica.Log, w.replica.Prefer = set, w.peers, log.Named("statesync"), own
-	w.replica.Took = func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
-	listener, err := net.Listen("tcp", set.Control)
+	reg := &Registry{settings: settings, log: log, peers: peerrpc.NewPeers(), heartbeats: NewBeats(), replica: statesync.New(),
+		callers: departure.NewLedger()}
+	reg.callers.LogBreaches(log)
+	localStore := settings.Inner(settings.IP, bootconfig.ConfigStorePort)
+	reg.store = reg.peers.At(localStore)
+	reg.replica.Set, reg.replica.Peers, reg.replica.Log, reg.replica.Prefer = settings, reg.peers, log.Named("statesync"), localStore
+	reg.replica.Took = func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
+	listener, err := net.Listen("tcp", settings.Control)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	server := &http.Server{Handler: w.accounted(w.calls()), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second,
+	server := &http.Server{Handler: reg.trackCallers(reg.routes()), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second,
 		ErrorLog: log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})}
-	go w.duties(ctx)
-	go w.pass(ctx)
-	figures := []prometheus.Collector{w.callers}
-	if set.Platform.ReportsUsage() {
-		duty := newUsageDuty(w)
-		w.replica.Heard = duty.hear
-		figures = append(figures, duty.calls, duty.backlog)
+	go reg.runDuties(ctx)
+	go reg.reportHeardLoop(ctx)
+	collectors := []prometheus.Collector{reg.callers}
+	if settings.Platform.ReportsUsage() {
+		duty := newUsageDuty(reg)
+		reg.replica.Heard = duty.onTimeOfDay
+		collectors = append(collectors, duty.callsByOutcome, duty.backlog)
 		go duty.run(ctx)
 	}
-	go w.replica.Run(ctx)
-	metrics.Serve(ctx, set, log, figures...)
+	go reg.replica.Run(ctx)
+	metrics.Serve(ctx, settings, log, collectors...)
 	go server.Serve(halfclose.Listen(listener))
-	log.Info("started", "address", set.Control)
+	log.Info("started", "address", settings.Control)
 	<-ctx.Done()
-	last, done := context.WithTimeout(context.Background(), leaveWithin)
-	defer done()
-	server.Shutdown(last)
-	log.Info("ended in order")
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
+	server.Shutdown(shutdownCtx)
+	log.Info("shut down gracefully")
 	return nil
 }
 
-func (w *Registry) calls() *httproute.Tree {
+// routes returns the handlers of the HTTP API.
+func (reg *Registry) routes() *httproute.Tree {
 	return new(httproute.Tree).
-		On(http.MethodPut, "/servers/{id}", w.putServer).
-		On(http.MethodDelete, "/servers/{id}", w.deleteServer).
-		On(http.MethodPut, "/manifest", w.putManifest).
-		On(http.MethodGet, "/manifest", w.getManifest).
-		On(http.MethodPost, "/purge", w.purge).
-		On(http.MethodGet, "/status", w.status)
+		On(http.MethodPut, "/servers/{id}", reg.putServer).
+		On(http.MethodDelete, "/servers/{id}", reg.deleteServer).
+		On(http.MethodPut, "/manifest", reg.putManifest).
+		On(http.MethodGet, "/manifest", reg.getManifest).
+		On(http.MethodPost, "/purge", reg.purge).
+		On(http.MethodGet, "/status", reg.status)
 }
 
-// accounted keeps account of who calls and who leaves before the answer.
-func (w *Registry) accounted(next http.Handler) http.Handler {
+// trackCallers records each call while it is in progress, and whether its caller disconnects before the response.
+func (reg *Registry) trackCallers(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		caller := w.callers.Open(r.Context(), departure.Client, callName(r))
+		caller := reg.callers.Open(r.Context(), departure.Client, callLabel(r))
 		defer caller.Close()
 		next.ServeHTTP(rw, r)
 	})
 }
 
-// callName is what a call is accounted under: its method and the first part of its path.
-func callName(r *http.Request) string {
+// callLabel returns the label under which a call is recorded: its method and the first segment of its path.
+func callLabel(r *http.Request) string {
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	return r.Method + " /" + first
 }
 
-// propose brings a command into the log; an error says that what became of it is not known.
-func (w *Registry) propose(ctx context.Context, c clusterstate.Command, within time.Duration) (clusterstate.Outcome, error) {
-	call, done := context.WithTimeout(ctx, within)
-	defer done()
-	p := configstore.Proposal{Data: c.Encode(), Kind: c.Kind(), WaitMS: (within - 30*time.Millisecond).Milliseconds(), Ticket: peerrpc.NewTicket()}
-	r, err := peerrpc.CallTicketed[configstore.Proposal, configstore.Reply](call, w.store, "ConfigStore.Propose", &p, p.Ticket)
-	if err == nil && !r.Known {
-		err = Error.New("no majority in time")
+// propose proposes a command to the replicated log and waits at most timeout for its outcome. An error means that the
+// outcome is unknown: the command may or may not be committed.
+func (reg *Registry) propose(ctx context.Context, command clusterstate.Command, timeout time.Duration) (clusterstate.Outcome, error) {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	proposal := configstore.Proposal{Data: command.Encode(), Kind: command.Kind(),
+		WaitMS: (timeout - 30*time.Millisecond).Milliseconds(), Ticket: peerrpc.NewTicket()}
+	reply, err := peerrpc.CallTicketed[configstore.Proposal, configstore.Reply](callCtx, reg.store, "ConfigStore.Propose",
+		&proposal, proposal.Ticket)
+	if err == nil && !reply.Known {
+		err = Error.New("no majority acknowledged the proposal before the timeout")
 	}
-	return r.Outcome, err
+	return reply.Outcome, err
 }
 
-// say writes an answer. What is not known to be done is never answered as if it were: 503 sends the caller on.
-func (w *Registry) say(rw http.ResponseWriter, r *http.Request, out clusterstate.Outcome, err error, body any) {
+// writeOutcome writes a response. An unknown outcome is never reported as success: 503 makes the caller try another
+// registry.
+func (reg *Registry) writeOutcome(rw http.ResponseWriter, r *http.Request, out clusterstate.Outcome, err error, body any) {
 	rw.Header().Set("Content-Type", "application/json")
 	switch {
 	case err != nil:
-		w.log.Warn("no clear outcome", "call", r.Method+" "+r.URL.Path, "err", err)
-		rw.Header().Set("Retry-After", comeAgainSec)
+		reg.log.Warn("outcome of call unknown", "call", r.Method+" "+r.URL.Path, "err", err)
+		rw.Header().Set("Retry-After", retryAfterSeconds)
 		rw.WriteHeader(http.StatusServiceUnavailable)
 		body = map[string]string{"error": err.Error()}
 	case out.Status != clusterstate.Done:
 		if out.Status == clusterstate.Forgotten {
-			rw.Header().Set("Retry-After", comeAgainSec)
+			rw.Header().Set("Retry-After", retryAfterSeconds)
 		}
 		rw.WriteHeader(out.Status)
 		body = map[string]string{"error": out.Text}
@@ -154,12 +161,13 @@
 	json.NewEncoder(rw).Encode(body)
 }
 
-func invalid(err error) clusterstate.Outcome {
+// invalidOutcome returns the outcome of a request that fails validation.
+func invalidOutcome(err error) clusterstate.Outcome {
 	return clusterstate.Outcome{Status: clusterstate.Invalid, Text: err.Error()}
 }
 
-// beatBody is what a server says of itself.
-type beatBody struct {
+// heartbeatBody is the JSON body with which a server registers itself and sends its heartbeats.
+type heartbeatBody struct {
 	ID       string `json:"id"`
 	Carrier  string `json:"carrier"`
 	Address  string `json:"address"`
@@ -171,26 +179,28 @@
 	Postmark uint64 `json:"postmark"`
 }
 
-// forward is the answer to a beat: later ones go to the holder of the duty, who then knows all that are silent.
-func (w *Registry) forward() any {
+// forwardHint returns the response body of a heartbeat, or nil. It names the duty holder, so that later heartbeats go
+// to it and it knows every silent server.
+func (reg *Registry) forwardHint() any {
 	holder := ""
-	w.replica.Read(func(s *clusterstate.State) { holder = s.Duty.Holder })
-	if holder == "" || holder == w.set.IP {
+	reg.replica.Read(func(s *clusterstate.State) { holder = s.Duty.Holder })
+	if holder == "" || holder == reg.settings.IP {
 		return nil
 	}
-	_, port, _ := net.SplitHostPort(w.set.Control)
+	_, port, _ := net.SplitHostPort(reg.settings.Control)
 	return map[string]string{"forward_to": net.JoinHostPort(holder, port)}
 }
 
-func (w *Registry) putServer(rw http.ResponseWriter, r *http.Request, id string) {
-	body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, maxBeat))
+// putServer handles a server's registration or heartbeat.
+func (reg *Registry) putServer(rw http.ResponseWriter, r *http.Request, id string) {
+	body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, maxRequestBody))
 	if err != nil {
-		w.say(rw, r, invalid(err), nil, nil)
+		reg.writeOutcome(rw, r, invalidOutcome(err), nil, nil)
 		return
 	}
-	var b beatBody
+	var b heartbeatBody
 	if err := json.Unmarshal(body, &b); err != nil {
-		w.say(rw, r, invalid(err), nil, nil)
+		reg.writeOutcome(rw, r, invalidOutcome(err), nil, nil)
 		return
 	}
 	if b.ID == "" {
@@ -200,129 +210,136 @@
 	if err != nil {
 		warmup = 0
 	}
-	s := clusterstate.Server{ID: id, Service: b.Carrier, Address: b.Address, Zone: b.Zone, Edition: b.Edition, Slots: b.Berths,
+	server := clusterstate.Server{ID: id, Service: b.Carrier, Address: b.Address, Zone: b.Zone, Edition: b.Edition, Slots: b.Berths,
 		State: b.State, WarmupMS: warmup.Milliseconds(), Beat: b.Postmark}
-	if err = clusterstate.CheckServer(s); err == nil && b.ID != id {
-		err = errors.New("id: another one than in the path")
+	if err = clusterstate.CheckServer(server); err == nil && b.ID != id {
+		err = errors.New("id: differs from the id in the path")
 	}
 	if err != nil {
-		w.say(rw, r, invalid(err), nil, nil)
+		reg.writeOutcome(rw, r, invalidOutcome(err), nil, nil)
 		return
 	}
-	w.mu.Lock()
-	late, deaf := w.beats.Take(s, time.Now()), w.deaf
-	w.mu.Unlock()
-	var held clusterstate.Server
+	reg.mu.Lock()
+	outdated, storeUnreachable := reg.heartbeats.Take(server, time.Now()), reg.storeUnreachable
+	reg.mu.Unlock()
+	var known clusterstate.Server
 	listed := false
-	w.replica.Read(func(state *clusterstate.State) { held, listed = state.Servers[id] })
-	if phase, _ := w.replica.Phase(); Settled(s, late, held, listed, phase == statesync.InTouch && !deaf) {
-		w.say(rw, r, clusterstate.Outcome{Status: clusterstate.Done}, nil, w.forward())
+	reg.replica.Read(func(state *clusterstate.State) { known, listed = state.Servers[id] })
+	if phase, _ := reg.replica.Phase(); Settled(server, outdated, known, listed, phase == statesync.InTouch && !storeUnreachable) {
+		reg.writeOutcome(rw, r, clusterstate.Outcome{Status: clusterstate.Done}, nil, reg.forwardHint())
 		return
 	}
-	out, err := w.propose(r.Context(), clusterstate.Command{Server: &s}, beatWithin)
-	w.say(rw, r, out, err, w.forward())
+	out, err := reg.propose(r.Context(), clusterstate.Command{Server: &server}, commitTimeout)
+	reg.writeOutcome(rw, r, out, err, reg.forwardHint())
 }
 
-func (w *Registry) deleteServer(rw http.ResponseWriter, r *http.Request, id string) {
-	out, err := w.propose(r.Context(), clusterstate.Command{Leave: id}, beatWithin)
+// deleteServer removes a server at its own request.
+func (reg *Registry) deleteServer(rw http.ResponseWriter, r *http.Request, id string) {
+	out, err := reg.propose(r.Context(), clusterstate.Command{Leave: id}, commitTimeout)
 	if err == nil {
-		w.mu.Lock()
-		w.beats.Left(id)
-		w.mu.Unlock()
+		reg.mu.Lock()
+		reg.heartbeats.Left(id)
+		reg.mu.Unlock()
 	}
-	w.say(rw, r, out, err, nil)
+	reg.writeOutcome(rw, r, out, err, nil)
 }
 
-func (w *Registry) putManifest(rw http.ResponseWriter, r *http.Request, _ string) {
-	body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, maxManifest))
+// putManifest proposes a new configuration.
+func (reg *Registry) putManifest(rw http.ResponseWriter, r *http.Request, _ string) {
+	body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, maxManifestBody))
 	if err != nil {
-		w.say(rw, r, invalid(err), nil, nil)
+		reg.writeOutcome(rw, r, invalidOutcome(err), nil, nil)
 		return
 	}
-	order, err := w.replica.Order(body)
-	if err != nil { // the state would say the same; this costs no entry in the log
-		w.say(rw, r, invalid(err), nil, nil)
+	command, err := reg.replica.Order(body)
+	if err != nil { // applying it would fail the same way; checking here saves a log entry
+		reg.writeOutcome(rw, r, invalidOutcome(err), nil, nil)
 		return
 	}
-	out, err := w.propose(r.Context(), order, orderWithin)
-	w.say(rw, r, out, err, nil)
+	out, err := reg.propose(r.Context(), command, operatorCommitTimeout)
+	reg.writeOutcome(rw, r, out, err, nil)
 	if err == nil {
-		w.log.Info("configuration", "status", out.Status, "why", out.Text)
+		reg.log.Info("configuration", "status", out.Status, "why", out.Text)
 	}
 }
 
-func (w *Registry) getManifest(rw http.ResponseWriter, r *http.Request, _ string) {
-	call, done := context.WithTimeout(r.Context(), readWithin)
-	defer done()
-	ask := configstore.Asked{WaitMS: (readWithin - 30*time.Millisecond).Milliseconds(), Ticket: peerrpc.NewTicket()}
-	body, err := peerrpc.CallTicketed[configstore.Asked, []byte](call, w.store, "ConfigStore.Manifest", &ask, ask.Ticket)
+// getManifest returns the committed configuration.
+func (reg *Registry) getManifest(rw http.ResponseWriter, r *http.Request, _ string) {
+	callCtx, cancel := context.WithTimeout(r.Context(), readTimeout)
+	defer cancel()
+	request := configstore.Asked{WaitMS: (readTimeout - 30*time.Millisecond).Milliseconds(), Ticket: peerrpc.NewTicket()}
+	body, err := peerrpc.CallTicketed[configstore.Asked, []byte](callCtx, reg.store, "ConfigStore.Manifest", &request, request.Ticket)
 	switch {
 	case err != nil:
-		w.say(rw, r, clusterstate.Outcome{}, err, nil)
+		reg.writeOutcome(rw, r, clusterstate.Outcome{}, err, nil)
 	case len(body) == 0:
-		w.say(rw, r, clusterstate.Outcome{Status: http.StatusNotFound, Text: "no configuration yet"}, nil, nil)
+		reg.writeOutcome(rw, r, clusterstate.Outcome{Status: http.StatusNotFound, Text: "no configuration yet"}, nil, nil)
 	default:
 		rw.Header().Set("Content-Type", "application/json")
 		rw.Write(body)
 	}
 }
 
-func (w *Registry) purge(rw http.ResponseWriter, r *http.Request, _ string) {
-	var p struct {
+// purge proposes the purge of cached copies, by domain and path or by tag.
+func (reg *Registry) purge(rw http.ResponseWriter, r *http.Request, _ string) {
+	var target struct {
 		Domain string `json:"domain"`
 		Path   string `json:"path"`
 		Tag    string `json:"tag"`
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, maxBeat))
+	body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, maxRequestBody))
 	if err == nil {
-		err = json.Unmarshal(body, &p)
+		err = json.Unmarshal(body, &target)
 	}
-	if err == nil && p.Tag == "" && (p.Domain == "" || p.Path == "") {
+	if err == nil && target.Tag == "" && (target.Domain == "" || target.Path == "") {
 		err = errors.New("domain and path, or tag: missing")
 	}
 	if err != nil {
-		w.say(rw, r, invalid(err), nil, nil)
+		reg.writeOutcome(rw, r, invalidOutcome(err), nil, nil)
 		return
 	}
-	out, err := w.propose(r.Context(), clusterstate.Command{Purge: &clusterstate.Purge{Host: p.Domain, Path: p.Path, Tag: p.Tag}}, orderWithin)
-	w.say(rw, r, out, err, nil)
+	out, err := reg.propose(r.Context(),
+		clusterstate.Command{Purge: &clusterstate.Purge{Host: target.Domain, Path: target.Path, Tag: target.Tag}}, operatorCommitTimeout)
+	reg.writeOutcome(rw, r, out, err, nil)
 }
 
-func (w *Registry) status(rw http.ResponseWriter, r *http.Request, _ string) {
-	call, done := context.WithTimeout(r.Context(), readWithin)
-	defer done()
-	s, err := peerrpc.Call[bool, configstore.Status](call, w.store, "ConfigStore.Status", new(bool))
-	w.say(rw, r, clusterstate.Outcome{Status: clusterstate.Done}, err, s)
+// status returns the status of the machine's config store.
+func (reg *Registry) status(rw http.ResponseWriter, r *http.Request, _ string) {
+	callCtx, cancel := context.WithTimeout(r.Context(), readTimeout)
+	defer cancel()
+	status, err := peerrpc.Call[bool, configstore.Status](callCtx, reg.store, "ConfigStore.Status", new(bool))
+	reg.writeOutcome(rw, r, clusterstate.Outcome{Status: clusterstate.Done}, err, status)
 }
 
-// pass tells the machine's config store which servers were heard, and with it the leader: a server may beat at any registry.
-func (w *Registry) pass(ctx context.Context) {
+// reportHeardLoop reports the servers heard here to the machine's config store, which passes them on to the leader: a
+// server may send its heartbeats to any registry.
+func (reg *Registry) reportHeardLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(w.set.Heartbeat / 3):
+		case <-time.After(reg.settings.Heartbeat / 3):
 		}
-		w.passOn(ctx)
+		reg.reportHeard(ctx)
 	}
 }
 
-// passOn tells it once. While it can't be told nothing is acknowledged at once: nobody else would know that the servers live, and they would be
-// taken out. They go on to another machine.
-func (w *Registry) passOn(ctx context.Context) {
-	w.mu.Lock()
-	heard, deaf := w.beats.Heard(), w.deaf
-	w.mu.Unlock()
-	if len(heard) == 0 && !deaf {
+// reportHeard makes one report. While reports fail, no heartbeat is acknowledged without a log entry: no other machine
+// would know that the servers are alive, and they would be removed. They retry at another machine instead.
+func (reg *Registry) reportHeard(ctx context.Context) {
+	reg.mu.Lock()
+	heard, wasUnreachable := reg.heartbeats.Heard(), reg.storeUnreachable
+	reg.mu.Unlock()
+	if len(heard) == 0 && !wasUnreachable {
 		return
 	}
-	call, done := context.WithTimeout(ctx, readWithin)
-	defer done()
-	_, err := peerrpc.Call[[]string, bool](call, w.store, "ConfigStore.Heard", &heard)
+	callCtx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	_, err := peerrpc.Call[[]string, bool](callCtx, reg.store, "ConfigStore.Heard", &heard)
 	if err != nil {
-		w.log.Debug("not passed on", "err", err)
+		reg.log.Debug("cannot report heard servers to the config store", "err", err)
 	}
-	w.mu.Lock()
-	w.deaf = err != nil
-	w.mu.Unlock()
+	reg.mu.Lock()
+	reg.storeUnreachable = err != nil
+	reg.mu.Unlock()
 }
--- a/internal/cdn/registry/usage_test.go
+++ b/internal/cdn/registry/usage_test.go
@@ -20,128 +20,131 @@
 	"gotest.tools/v3/assert"
 )
 
-// logStore is a stand-in for all config stores: one log, whose state it hands to those who follow it.
-type logStore struct {
+// fakeConfigStore stands in for all config stores: one log, whose state it passes to one replica.
+type fakeConfigStore struct {
 	mu       sync.Mutex
 	history  *clusterstate.History
 	follower *statesync.Replica
 	sums     []usage.Sum
 }
 
-// Propose has net/rpc's form.
-func (s *logStore) Propose(p *configstore.Proposal, r *configstore.Reply) error {
+// Propose is an RPC method.
+func (s *fakeConfigStore) Propose(p *configstore.Proposal, r *configstore.Reply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, out, err := s.history.Apply(s.history.State.Index+1, p.Data)
 	*r = configstore.Reply{Outcome: clusterstate.Outcome{Status: out.Status, Text: out.Text}, Known: true}
-	s.tell()
+	s.updateFollower()
 	return err
 }
 
-// UsageSums has net/rpc's form.
-func (s *logStore) UsageSums(_ *bool, sums *[]usage.Sum) error {
+// UsageSums is an RPC method.
+func (s *fakeConfigStore) UsageSums(_ *bool, sums *[]usage.Sum) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*sums = s.sums
 	return nil
 }
 
-// tell brings the follower up to date. The caller holds the lock.
-func (s *logStore) tell() {
+// updateFollower brings the follower up to date. The caller holds the lock.
+func (s *fakeConfigStore) updateFollower() {
 	s.follower.Take(s.history.Since(s.follower.Index()), time.Now())
 }
 
-// follow hands the state to this copy from now on, and to no other one.
-func (s *logStore) follow(r *statesync.Replica) {
+// follow passes the state to this replica from now on, and to no other.
+func (s *fakeConfigStore) follow(r *statesync.Replica) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.follower = r
-	s.tell()
+	s.updateFollower()
 }
 
-func (s *logStore) order(c clusterstate.Command) {
+// apply appends a command to the log.
+func (s *fakeConfigStore) apply(c clusterstate.Command) {
 	s.Propose(&configstore.Proposal{Data: c.Encode()}, new(configstore.Reply))
 }
 
-func (s *logStore) usage() (l clusterstate.UsageLedger) {
+// ledger returns the usage ledger of the log's state.
+func (s *fakeConfigStore) ledger() (l clusterstate.UsageLedger) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.history.State.Usage
 }
 
-// dutyOf is a registry's part in the duty, on a machine whose copy is always proven.
-func dutyOf(node, ip, store, platform string) *usageDuty {
-	w := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), beats: NewBeats(), replica: statesync.New(), callers: departure.NewLedger()}
-	w.set = bootconfig.Settings{Node: node, IP: ip, Platform: bootconfig.Platform{Address: platform, Duties: []string{bootconfig.UsageDuty},
+// newTestDuty returns the usage duty of a registry whose replica always counts as up to date.
+func newTestDuty(node, ip, store, platform string) *usageDuty {
+	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewBeats(), replica: statesync.New(), callers: departure.NewLedger()}
+	reg.settings = bootconfig.Settings{Node: node, IP: ip, Platform: bootconfig.Platform{Address: platform, Duties: []string{bootconfig.UsageDuty},
 		DutyPerS: 1000, ReportWindow: 100 * time.Millisecond, UsageDelay: 200 * time.Millisecond, Lease: 300 * time.Millisecond}}
-	w.replica.Log, w.replica.Set.Bounds.Contact = w.log, time.Hour
-	w.replica.Took = func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
-	w.store = w.peers.At(store)
-	d := newUsageDuty(w)
-	d.proof = time.Now
+	reg.replica.Log, reg.replica.Set.Bounds.Contact = reg.log, time.Hour
+	reg.replica.Took = func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
+	reg.store = reg.peers.At(store)
+	d := newUsageDuty(reg)
+	d.provenAt = time.Now
 	return d
 }
 
-// turns takes turns until something is so.
-func (d *usageDuty) turns(t *testing.T, what string, ok func() bool) {
+// runUntil runs steps until the condition holds, for at most 10 s.
+func (d *usageDuty) runUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	late := time.Now().Add(10 * time.Second)
-	for !ok() {
-		assert.Assert(t, time.Now().Before(late), what)
-		<-time.After(min(d.turn(t.Context()), 20*time.Millisecond))
+	deadline := time.Now().Add(10 * time.Second)
+	for !condition() {
+		assert.Assert(t, time.Now().Before(deadline), what)
+		<-time.After(min(d.runStep(t.Context()), 20*time.Millisecond))
 	}
 }
 
-// A holder dies after its call was taken and before it was answered. The next one has heard other counts, and repeats those that were fixed. The
-// first one comes back with its old copy: its look forbids the call, and a call that leaves all the same is refused, once.
-func TestANextHolderRepeatsWhatWasFixed(t *testing.T) {
+// A holder dies after the platform accepted its report and before the response arrived. The next holder has collected
+// different counts and must resend the committed ones. When the first holder comes back with its outdated replica, its
+// lease check must prevent the call; a call that is sent nevertheless is refused once by the fencing token.
+func TestNextHolderResendsFixedCounts(t *testing.T) {
 	platform := localnet.NewPlatform(300 * time.Millisecond)
 	at, err := platform.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	defer platform.Stop()
-	store := &logStore{history: clusterstate.NewHistory(clusterstate.New())}
+	store := &fakeConfigStore{history: clusterstate.NewHistory(clusterstate.New())}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
 	go peerrpc.Serve(l, "ConfigStore", peerrpc.Shared(store))
-	first := dutyOf("core-1", "10.0.0.1", l.Addr().String(), at)
-	next := dutyOf("core-2", "10.0.0.2", l.Addr().String(), at)
+	first := newTestDuty("core-1", "10.0.0.1", l.Addr().String(), at)
+	next := newTestDuty("core-2", "10.0.0.2", l.Addr().String(), at)
 
 	store.follow(first.registry.replica)
 	round := usage.RoundOf(time.Now(), 100*time.Millisecond) - 10
 	store.sums = []usage.Sum{{Round: round, Counts: usage.Counts{"a": 4}, Complete: true}}
-	store.order(clusterstate.Command{Appoint: "10.0.0.1"})
-	first.turn(t.Context())
-	assert.Equal(t, store.usage().Fixed, int64(0), "by its own clock alone a machine does not know which windows have ended")
-	first.hear("core-1", time.Now(), time.Now(), time.Now())
-	next.hear("core-1", time.Now(), time.Now(), time.Now())
+	store.apply(clusterstate.Command{Appoint: "10.0.0.1"})
+	first.runStep(t.Context())
+	assert.Equal(t, store.ledger().Fixed, int64(0), "a machine's own clock alone does not tell which windows have ended")
+	first.onTimeOfDay("core-1", time.Now(), time.Now(), time.Now())
+	next.onTimeOfDay("core-1", time.Now(), time.Now(), time.Now())
 	platform.Behave(localnet.Resetting, 0)
-	first.turns(t, "the platform has taken it", func() bool { return len(platform.Windows()) > 0 })
-	assert.Equal(t, store.usage().Pending[0].Round, round)
+	first.runUntil(t, "the platform has accepted the report", func() bool { return len(platform.Windows()) > 0 })
+	assert.Equal(t, store.ledger().Pending[0].Round, round)
 
-	store.follow(next.registry.replica) // the first one's copy stays as it is
+	store.follow(next.registry.replica) // the first duty's replica stays as it is
 	store.mu.Lock()
 	store.sums = []usage.Sum{{Round: round, Counts: usage.Counts{"a": 9}, Complete: true}}
 	store.mu.Unlock()
-	store.order(clusterstate.Command{Appoint: "10.0.0.2"})
+	store.apply(clusterstate.Command{Appoint: "10.0.0.2"})
 	platform.Behave(localnet.Answering, 0)
-	next.turns(t, "it is known to be taken", func() bool {
-		ledger := store.usage()
+	next.runUntil(t, "the report is recorded as accepted", func() bool {
+		ledger := store.ledger()
 		return ledger.Fixed > 0 && (len(ledger.Pending) == 0 || ledger.Pending[0].Round > round)
 	})
 	assert.DeepEqual(t, platform.Windows()[round], map[string]int64{"a": 4})
 	assert.Equal(t, platform.Answered(http.StatusConflict), 0)
 
 	proven := time.Now().Add(-time.Second)
-	first.proof = func() time.Time { return proven }
+	first.provenAt = func() time.Time { return proven }
 	for range 5 {
-		first.turn(t.Context())
+		first.runStep(t.Context())
 	}
-	assert.Equal(t, platform.Answered(http.StatusConflict), 0, "its proof is too old")
-	first.proof = time.Now // as if it did not look
-	first.turns(t, "refused", func() bool { return first.reporter.State() == usage.Fenced })
+	assert.Equal(t, platform.Answered(http.StatusConflict), 0, "the proof is too old")
+	first.provenAt = time.Now // disables the lease check
+	first.runUntil(t, "refused", func() bool { return first.reporter.State() == usage.Fenced })
 	for range 5 {
-		first.turn(t.Context())
+		first.runStep(t.Context())
 	}
 	assert.Equal(t, platform.Answered(http.StatusConflict), 1)
 	assert.Equal(t, len(platform.Breaches()), 0, "%v", platform.Breaches())
