--- a/internal/cdn/usage/collector.go
+++ b/internal/cdn/usage/collector.go
@@ -6,96 +6,99 @@
 )
 
 const (
-	mostLives         = 8192 // of proxies, whose reports are kept
-	mostReportWindows = 1024 // that one report may name
-	mostSums          = 1024 // windows that are told at once
-	mostReportTenants = 16384
+	maxInstances     = 8192  // process instances of proxies whose reports are kept
+	maxReportWindows = 1024  // windows in one report
+	maxSums          = 1024  // windows returned by one call of Sums
+	maxReportTenants = 16384 // tenants in one window of a report
 )
 
-// Collector keeps what proxies have reported of windows that are not fixed yet, at the holder of the duty. It belongs to one goroutine.
+// Collector keeps, at the duty holder, what proxies have reported of windows that are not fixed yet. It is not safe for
+// concurrent use.
 type Collector struct {
-	lives  map[lifeKey]*life
-	newest map[string]lifeKey // by node: the life that was heard last
+	reports map[instanceKey]*instanceReport
+	newest  map[string]instanceKey // by node: the instance that was heard last
 }
 
-// lifeKey names one life of a proxy.
-type lifeKey struct{ node, life string }
+// instanceKey identifies one process instance of a proxy.
+type instanceKey struct{ node, instance string }
 
-// life is the newest report of one life.
-type life struct {
+// instanceReport is the newest report of one process instance.
+type instanceReport struct {
 	sequence uint64
 	final    int64
 	windows  map[int64]Counts
 }
 
-// NewCollector returns a collector that has heard nobody.
+// NewCollector returns an empty collector.
 func NewCollector() *Collector {
-	return &Collector{lives: map[lifeKey]*life{}, newest: map[string]lifeKey{}}
+	return &Collector{reports: map[instanceKey]*instanceReport{}, newest: map[string]instanceKey{}}
 }
 
-// Take keeps a report, without the windows up to the newest fixed one. It tells whether it was new: one that was overtaken by a later
-// one of the same life, or for which there is no room, changes nothing.
+// Take stores a report, without the windows up to the newest fixed one. It returns false, and changes nothing, for a
+// report that a later one of the same instance has overtaken, or that exceeds a limit.
 func (c *Collector) Take(r Report, fixed int64) bool {
-	key := lifeKey{r.Node, r.Life}
-	held := c.lives[key]
+	key := instanceKey{r.Node, r.Life}
+	previous := c.reports[key]
 	switch {
-	case r.Node == "" || len(r.Windows) > mostReportWindows:
+	case r.Node == "" || len(r.Windows) > maxReportWindows:
 		return false
-	case held != nil && r.Sequence <= held.sequence:
+	case previous != nil && r.Sequence <= previous.sequence:
 		return false
-	case held == nil && len(c.lives) >= mostLives:
+	case previous == nil && len(c.reports) >= maxInstances:
 		return false
 	}
-	now := &life{sequence: r.Sequence, final: r.Final, windows: map[int64]Counts{}}
+	current := &instanceReport{sequence: r.Sequence, final: r.Final, windows: map[int64]Counts{}}
 	for round, counts := range r.Windows {
-		if len(counts) > mostReportTenants {
+		if len(counts) > maxReportTenants {
 			return false
 		}
 		if round > fixed {
-			now.windows[round] = counts
+			current.windows[round] = counts
 		}
 	}
-	c.lives[key], c.newest[r.Node] = now, key
+	c.reports[key], c.newest[r.Node] = current, key
 	return true
 }
 
-// Sums returns the windows above the newest fixed one, in their order and without a gap, over all lives of all proxies. Complete are those
-// whose final counts every proxy of the roster has told.
+// Sums returns the windows after the newest fixed one, in order and without gaps, added up over all process instances
+// of all proxies. A window is complete if every proxy of the roster has reported its final counts.
 func (c *Collector) Sums(fixed int64, roster []string) []Sum {
-	c.forget(fixed, roster)
-	first, last := c.span(fixed)
-	final := c.final(roster)
+	c.prune(fixed, roster)
+	first, last := c.windowRange(fixed)
+	final := c.finalWindow(roster)
 	var sums []Sum
-	for round := first; round <= last && len(sums) < mostSums; round++ {
-		sums = append(sums, Sum{Round: round, Counts: c.sum(round), Complete: len(roster) > 0 && final >= round})
+	for round := first; round <= last && len(sums) < maxSums; round++ {
+		sums = append(sums, Sum{Round: round, Counts: c.sumWindow(round), Complete: len(roster) > 0 && final >= round})
 	}
 	return sums
 }
 
-// forget lets go of windows that are fixed, of replaced lives of which nothing is left, and of proxies that have gone.
-func (c *Collector) forget(fixed int64, roster []string) {
-	here := map[string]bool{}
+// prune drops fixed windows, replaced instances without windows, and instances without windows whose proxy has left the
+// roster.
+func (c *Collector) prune(fixed int64, roster []string) {
+	inRoster := map[string]bool{}
 	for _, node := range roster {
-		here[node] = true
+		inRoster[node] = true
 	}
-	for key, l := range c.lives {
+	for key, l := range c.reports {
 		maps.DeleteFunc(l.windows, func(round int64, _ Counts) bool { return round <= fixed })
 		newest := c.newest[key.node] == key
-		if len(l.windows) > 0 || newest && here[key.node] {
+		if len(l.windows) > 0 || newest && inRoster[key.node] {
 			continue
 		}
-		delete(c.lives, key)
+		delete(c.reports, key)
 		if newest {
 			delete(c.newest, key.node)
 		}
 	}
 }
 
-// span is the first window to be told and the last: from the one after the newest fixed one, or where none is fixed from the first one
-// in which anything was counted, to the newest that any proxy has counted in or told to be over.
-func (c *Collector) span(fixed int64) (first, last int64) {
+// windowRange returns the first and last window to return. The first follows the newest fixed window or, if none is
+// fixed, is the first with any count. The last is the newest in which any proxy has counted, or that any proxy has
+// reported as final.
+func (c *Collector) windowRange(fixed int64) (first, last int64) {
 	var counted []int64
-	for _, l := range c.lives {
+	for _, l := range c.reports {
 		last = max(last, l.final)
 		counted = slices.AppendSeq(counted, maps.Keys(l.windows))
 	}
@@ -111,26 +114,26 @@
 	return slices.Min(counted), last
 }
 
-// final is the newest window whose final counts all proxies of the roster have told.
-func (c *Collector) final(roster []string) int64 {
-	var all []int64
+// finalWindow returns the newest window for which all proxies of the roster have reported their final counts.
+func (c *Collector) finalWindow(roster []string) int64 {
+	var finals []int64
 	for _, node := range roster {
-		l := c.lives[c.newest[node]]
+		l := c.reports[c.newest[node]]
 		if l == nil {
 			return 0
 		}
-		all = append(all, l.final)
+		finals = append(finals, l.final)
 	}
-	if len(all) == 0 {
+	if len(finals) == 0 {
 		return 0
 	}
-	return slices.Min(all)
+	return slices.Min(finals)
 }
 
-// sum adds one window up.
-func (c *Collector) sum(round int64) Counts {
+// sumWindow adds up one window over all instances.
+func (c *Collector) sumWindow(round int64) Counts {
 	total := Counts{}
-	for _, l := range c.lives {
+	for _, l := range c.reports {
 		for tenant, count := range l.windows[round] {
 			total[tenant] += count
 		}
--- a/internal/cdn/usage/meter.go
+++ b/internal/cdn/usage/meter.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// mostWindows bounds the windows that a meter holds: those that the log has not fixed. Past it the oldest is let go.
-const mostWindows = 720
+// maxWindows bounds the windows that a meter holds, which are those not fixed yet. Beyond it the oldest is dropped.
+const maxWindows = 720
 
-// settleTime is how long after a window's end its counts may still change: a server's word that it did not run a request takes it out again.
+// settleTime is how long after a window's end its counts may still change: a server's response that it did not run a
+// request removes the request from the count.
 const settleTime = time.Second
 
-// Meter counts the requests of one life of a proxy by tenant and report window. All moments are of true time. It is safe for use by many
-// goroutines.
+// Meter counts the requests of one process instance of a proxy by tenant and report window. All times are true time. It
+// is safe for concurrent use.
 type Meter struct {
-	node, life string
-	window     time.Duration
+	node, instance string
+	window         time.Duration
 
 	mu       sync.Mutex
 	sequence uint64
-	fixed    int64 // windows up to this one are fixed in the log
+	fixed    int64 // windows up to this one are fixed
 	windows  map[int64]Counts
 }
 
-// NewMeter returns an empty meter of a life of a node.
-func NewMeter(node, life string, window time.Duration) *Meter {
-	return &Meter{node: node, life: life, window: window, windows: map[int64]Counts{}}
+// NewMeter returns an empty meter of a node's process instance, with report windows of the given length.
+func NewMeter(node, instance string, window time.Duration) *Meter {
+	return &Meter{node: node, instance: instance, window: window, windows: map[int64]Counts{}}
 }
 
-// Count adds a request of a tenant to the window of a moment, and returns that window. One that is fixed already takes no more. Requests
-// without a tenant are not counted.
+// Count adds a request of a tenant to the window that contains at, and returns that window. Requests without a tenant,
+// or in a window that is already fixed, are not counted.
 func (m *Meter) Count(tenant string, at time.Time) (round int64) {
 	round = RoundOf(at, m.window)
 	m.mu.Lock()
@@ -39,7 +40,7 @@
 	return round
 }
 
-// Withdraw takes a request out of the window in which it was counted.
+// Withdraw removes a request from the window in which it was counted.
 func (m *Meter) Withdraw(tenant string, round int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,8 +49,8 @@
 	}
 }
 
-// add changes a count. The caller holds the lock.
-func (m *Meter) add(tenant string, round, by int64) {
+// add adds delta to a count. The caller holds the lock.
+func (m *Meter) add(tenant string, round, delta int64) {
 	if round <= m.fixed || tenant == "" {
 		return
 	}
@@ -57,16 +58,16 @@
 	if counts == nil {
 		counts = Counts{}
 		m.windows[round] = counts
-		m.letGo()
+		m.evictOldest()
 	}
-	if counts[tenant] += by; counts[tenant] == 0 {
+	if counts[tenant] += delta; counts[tenant] == 0 {
 		delete(counts, tenant)
 	}
 }
 
-// letGo keeps the number of windows within its bound.
-func (m *Meter) letGo() {
-	if len(m.windows) <= mostWindows {
+// evictOldest drops the oldest window if there are more than maxWindows. The caller holds the lock.
+func (m *Meter) evictOldest() {
+	if len(m.windows) <= maxWindows {
 		return
 	}
 	oldest := int64(0)
@@ -78,7 +79,7 @@
 	delete(m.windows, oldest)
 }
 
-// Fixed lets the windows go that are fixed in the log.
+// Fixed drops all windows up to round, which are fixed.
 func (m *Meter) Fixed(round int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,12 +87,12 @@
 	maps.DeleteFunc(m.windows, func(round int64, _ Counts) bool { return round <= m.fixed })
 }
 
-// Report is what has been counted in windows that are not fixed, as of a moment.
+// Report returns the counts of the windows that are not fixed, as of now.
 func (m *Meter) Report(now time.Time) Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.sequence++
-	r := Report{Node: m.node, Life: m.life, Sequence: m.sequence, Final: RoundOf(now.Add(-settleTime), m.window) - 1, Windows: map[int64]Counts{}}
+	r := Report{Node: m.node, Life: m.instance, Sequence: m.sequence, Final: RoundOf(now.Add(-settleTime), m.window) - 1, Windows: map[int64]Counts{}}
 	for round, counts := range m.windows {
 		if len(counts) > 0 {
 			r.Windows[round] = maps.Clone(counts)
@@ -100,36 +101,36 @@
 	return r
 }
 
-// Request is the account of one request that servers run for a tenant: it is counted in the window in which it first left for a server that may
-// have begun it, and taken out again when no server that it went to has begun it.
+// Request accounts for one request that servers run for a tenant. It is counted in the window of the first attempt that
+// a server may have started, and removed from the count when no server that it was sent to has started it.
 type Request struct {
 	meter *Meter
 	now   func() time.Time // true time
 
-	mu     sync.Mutex
-	tenant string
-	round  int64
-	open   int // attempts that a server may have begun
+	mu       sync.Mutex
+	tenant   string
+	round    int64
+	attempts int // attempts that a server may have started
 }
 
 // NewRequest returns the account of a request that is not counted yet.
 func NewRequest(m *Meter, now func() time.Time) *Request { return &Request{meter: m, now: now} }
 
-// Begun notes that the request leaves for a server.
+// Begun records that an attempt of the request is sent to a server.
 func (r *Request) Begun(tenant string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.open++; r.open == 1 {
+	if r.attempts++; r.attempts == 1 {
 		r.tenant = tenant
 		r.round = r.meter.Count(tenant, r.now())
 	}
 }
 
-// NotRun notes that a server that it went to did not begin it.
+// NotRun records that a server did not start an attempt that was sent to it.
 func (r *Request) NotRun() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.open--; r.open == 0 {
+	if r.attempts--; r.attempts == 0 {
 		r.meter.Withdraw(r.tenant, r.round)
 	}
 }
--- a/internal/cdn/usage/meter_test.go
+++ b/internal/cdn/usage/meter_test.go
@@ -13,10 +13,11 @@
 	return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// A request is counted once, in the window of its first send that may have run; what servers turn away is taken out.
-func TestRequestsAreCountedOnce(t *testing.T) {
+// A request must be counted once, in the window of the first attempt that may have run; a request that servers reject
+// is not counted.
+func TestRequestIsCountedOnce(t *testing.T) {
 	type step struct {
-		begun  float64 // 0: turned away
+		begun  float64 // 0: the server rejects the attempt
 		tenant string
 	}
 	cases := []struct {
@@ -25,23 +26,23 @@
 		want  map[int64]Counts
 	}{
 		{"runs", []step{{1, "a"}}, map[int64]Counts{200: {"a": 1}}},
-		{"turned away", []step{{1, "a"}, {}}, map[int64]Counts{}},
-		{"turned away, then runs in the next window", []step{{1, "a"}, {}, {6, "a"}}, map[int64]Counts{201: {"a": 1}}},
-		{"a second copy", []step{{1, "a"}, {6, "a"}}, map[int64]Counts{200: {"a": 1}}},
-		{"a second copy that is turned away", []step{{1, "a"}, {6, "a"}, {}}, map[int64]Counts{200: {"a": 1}}},
-		{"its key is passed on between two attempts", []step{{1, "a"}, {}, {2, "b"}}, map[int64]Counts{200: {"b": 1}}},
+		{"rejected", []step{{1, "a"}, {}}, map[int64]Counts{}},
+		{"rejected, then runs in the next window", []step{{1, "a"}, {}, {6, "a"}}, map[int64]Counts{201: {"a": 1}}},
+		{"a second attempt in parallel", []step{{1, "a"}, {6, "a"}}, map[int64]Counts{200: {"a": 1}}},
+		{"a second attempt in parallel, rejected", []step{{1, "a"}, {6, "a"}, {}}, map[int64]Counts{200: {"a": 1}}},
+		{"its key moves to another tenant between two attempts", []step{{1, "a"}, {}, {2, "b"}}, map[int64]Counts{200: {"b": 1}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Time{}
 			m := NewMeter("edge-1", "life", testWindow)
-			r := NewRequest(m, func() time.Time { return now })
+			request := NewRequest(m, func() time.Time { return now })
 			for _, s := range c.steps {
 				if s.begun == 0 {
-					r.NotRun()
+					request.NotRun()
 				} else {
 					now = at(s.begun)
-					r.Begun(s.tenant)
+					request.Begun(s.tenant)
 				}
 			}
 			assert.DeepEqual(t, m.Report(at(20)).Windows, c.want)
@@ -49,8 +50,9 @@
 	}
 }
 
-// A report is cumulative over what is not fixed, and says which windows change no more; fixed ones take nothing.
-func TestReport(t *testing.T) {
+// A report must be cumulative over the windows that are not fixed and say which of them are final; fixed windows accept
+// no counts.
+func TestMeterReport(t *testing.T) {
 	m := NewMeter("edge-1", "life", testWindow)
 	m.Count("a", at(1))
 	first := m.Report(at(5.5))
@@ -66,14 +68,14 @@
 	assert.DeepEqual(t, m.Report(at(12)).Windows, map[int64]Counts{201: {"a": 1}})
 }
 
-// Windows that are never fixed are let go, the oldest first.
+// Windows that are never fixed must be dropped, the oldest first.
 func TestMeterIsBounded(t *testing.T) {
 	m := NewMeter("edge-1", "life", testWindow)
-	for k := range mostWindows + 3 {
+	for k := range maxWindows + 3 {
 		m.Count("a", at(float64(k)*testWindow.Seconds()))
 	}
 	windows := m.Report(at(0)).Windows
-	assert.Equal(t, len(windows), mostWindows)
+	assert.Equal(t, len(windows), maxWindows)
 	_, oldest := windows[200]
 	assert.Assert(t, !oldest)
 }
--- a/internal/cdn/usage/reporter.go
+++ b/internal/cdn/usage/reporter.go
@@ -9,52 +9,53 @@
 )
 
 const (
-	settleSpan    = time.Second            // after a window's end, for what is still on its way to the holder
-	firstPause    = 300 * time.Millisecond // after a failure; twice as long after each one in a row
-	mostPause     = 3 * time.Second
-	mostAskedWait = 30 * time.Second // that the platform may ask for by Retry-After
-	hearSpan      = 2 * time.Second  // a new holder gives the proxies, which report to it from now on
-	mostDoublings = 8                // of a pause
-	retryPart     = 10               // of the lease: so often it is looked whether a proof is young enough again
-	dutyPart      = 0.5              // of the calls that the platform takes from all machines: the rest is for a holder before or after
-	usualPerS     = 10.0             // calls a second, where the settings name none
+	reportArrivalDelay    = time.Second            // after a window's end, for reports still on their way to the duty holder
+	initialBackoff        = 300 * time.Millisecond // after the first failure; doubled after each further failure in a row
+	maxBackoff            = 3 * time.Second        // without a Retry-After of the platform
+	maxRetryAfter         = 30 * time.Second       // longest wait that the platform may request by Retry-After
+	newHolderDelay        = 2 * time.Second        // after a machine becomes the holder, for proxies to report to it
+	maxDoublings          = 8                      // of the backoff
+	proofRetryDivisor     = 10                     // an outdated proof is checked again after the lease divided by this
+	callRateShare         = 0.5                    // share of the platform's call rate; the rest is for the previous or next holder
+	defaultCallsPerSecond = 10.0                   // where the settings give no rate
 )
 
-// latestFix is when a window is fixed though not every proxy has spoken: so much of the span after its end in which its report falls due: a proxy that stands still for
-// some seconds is counted, and a next holder still has the time that it waits for.
-func latestFix(delay time.Duration) time.Duration { return delay * 3 / 5 }
+// maxFixDelay returns how long after its end a window is fixed even though not every proxy has reported: three fifths
+// of the delay after which its report is due. So a proxy that stalls for some seconds is still counted, and a next
+// holder still has the time that it must wait.
+func maxFixDelay(delay time.Duration) time.Duration { return delay * 3 / 5 }
 
-// Timetable is what the settings say of the duty.
+// Timetable holds the settings for usage reporting.
 type Timetable struct {
-	Window   time.Duration
-	Delay    time.Duration // after a window's end its report is due
-	Lease    time.Duration // within which two holders must not act by turns
-	DutyPerS float64       // calls a second that the platform takes from all machines together
+	Window   time.Duration // length of a report window
+	Delay    time.Duration // from a window's end until its report is due
+	Lease    time.Duration // two holders must not act alternately within it
+	DutyPerS float64       // calls per second that the platform accepts from all machines together
 }
 
-// View is what a machine knows when it asks its Reporter for the next step. The proof is read before the rest, so that the rest is at least
-// as new as the proof says.
+// View is what a machine knows when it asks its Reporter for the next step. The proof must be read before the rest, so
+// that the rest is at least as new as the proof.
 type View struct {
-	Now    time.Time // of the steady clock
+	Now    time.Time // monotonic clock
 	True   time.Time // true time
-	Epoch  uint64    // of the duty, if the copy names this machine as its holder; else 0
-	Proof  time.Time // all that was acknowledged by this moment of the steady clock is in the copy; zero: nothing is proven
+	Epoch  uint64    // of the duty, if the replica names this machine as its holder; else 0
+	Proof  time.Time // the replica holds all that was acknowledged by this moment of the monotonic clock; zero: no proof
 	Ledger clusterstate.UsageLedger
 	Sums   []Sum
-	Summed bool // Sums were read; without them nothing is fixed
+	Summed bool // Sums were read; otherwise nothing is fixed
 }
 
-// ReporterState is where a Reporter stands.
+// ReporterState is the state of a Reporter.
 type ReporterState int
 
-// The states of a Reporter. Fenced is left by another epoch alone.
+// The states of a Reporter. Only another epoch ends Fenced.
 const (
 	NotHolder ReporterState = iota
-	Idle                    // holder; nothing is under way
-	Fixing                  // a window's counts are on their way into the log
-	Sending                 // a call of the platform is under way
-	Noting                  // that a window was taken is on its way into the log
-	Fenced                  // the platform has seen a later epoch: no more acts under this one
+	Idle                    // holder, with no step in progress
+	Fixing                  // the counts of a window are being committed
+	Sending                 // a call of the platform is in progress
+	Noting                  // the fact that the platform accepted a window is being committed
+	Fenced                  // the platform has seen a later epoch: nothing more is done under this one
 )
 
 func (s ReporterState) String() string {
@@ -67,90 +68,91 @@
 // The kinds of steps.
 const (
 	Wait StepKind = iota
-	Fix           // propose Report as the counts of its window, under Fence
-	Send          // call the platform with Report and Fence; right before the write MaySend is asked
-	Note          // propose that Report's window was taken, under Fence
+	Fix           // propose Report as the counts of its window, under the epoch in Fence
+	Send          // call the platform with Report and Fence; MaySend must be asked right before the write
+	Note          // propose that the platform accepted Report's window, under the epoch in Fence
 )
 
-// Step is what a holder does next. Each but Wait is followed by the word of how it ended: Fixed, Sent or Noted.
+// Step is what a holder does next. The result of each step but Wait must be passed to Fixed, Sent or Noted.
 type Step struct {
 	Kind   StepKind
-	Until  time.Time // with Wait: there is nothing to do before this moment of the steady clock
+	Until  time.Time // with Wait: nothing is to be done before this moment of the monotonic clock
 	Report clusterstate.UsageReport
-	Fence  uint64
+	Fence  uint64 // fencing token: the epoch of the duty
 }
 
-// CallOutcome is what came of a call of the platform.
+// CallOutcome is the outcome of a call of the platform.
 type CallOutcome int
 
 // The outcomes of calls.
 const (
-	NotSent    CallOutcome = iota // no byte left: no connection, or the look at the lease forbade it
-	Accepted                      // 200
-	Refused                       // 409: a later epoch has called
-	Busy                          // 429
-	Failed                        // another status
-	Unanswered                    // it may have been taken, or not
+	NotSent    CallOutcome = iota // no byte was sent: no connection, or MaySend refused
+	Accepted                      // status 200
+	Refused                       // status 409: a later epoch has called
+	Busy                          // status 429
+	Failed                        // any other status
+	Unanswered                    // the report may or may not have been accepted
 )
 
 func (o CallOutcome) String() string {
 	return [...]string{"not sent", "accepted", "refused", "busy", "failed", "unanswered"}[o]
 }
 
-// Reporter decides what the holder of the duty does next about the tenants' usage. It belongs to one goroutine.
+// Reporter decides what the duty holder does next to report the tenants' usage. It is not safe for concurrent use.
 type Reporter struct {
-	timetable Timetable
-	state     ReporterState
-	epoch     uint64
-	since     time.Time      // when this machine learned that it holds the duty under this epoch
-	fenced    uint64         // the newest epoch under which a call was refused
-	round     int64          // of the act that is under way
-	fixed     int64          // the newest window that was fixed under this epoch, which the copy may not have heard of yet
-	accepted  map[int64]bool // windows that the platform has taken while the copy holds them; true: the log has it
-	tries     map[int64]int  // by window: calls under this epoch that brought no clear answer
-	proposals backoff
-	calls     backoff
-	nextCall  time.Time // no call of the platform before it, so that they are few
+	timetable       Timetable
+	state           ReporterState
+	epoch           uint64
+	heldSince       time.Time      // when this machine learned that it holds the duty under this epoch
+	fencedEpoch     uint64         // newest epoch under which a call was refused
+	activeRound     int64          // window of the step in progress
+	lastFixed       int64          // newest window fixed under this epoch; the replica may not have it yet
+	accepted        map[int64]bool // windows that the platform has accepted and the replica still lists; true: this is committed
+	unclearCalls    map[int64]int  // by window: calls under this epoch without a clear answer
+	proposalBackoff backoff
+	callBackoff     backoff
+	nextCallAt      time.Time // earliest time of the next call, which limits the call rate
 }
 
-// backoff is the pause after failures.
+// backoff is the pause after consecutive failures.
 type backoff struct {
-	inARow int
-	until  time.Time
+	failures int
+	until    time.Time
 }
 
-// fail begins a pause, longer after each failure in a row and at least as long as asked for.
-func (b *backoff) fail(now time.Time, asked time.Duration) {
-	span := min(firstPause<<min(b.inARow, mostDoublings), mostPause)
-	b.inARow++
-	b.until = now.Add(max(span, min(asked, mostAskedWait)))
+// recordFailure starts a pause. It is longer after each consecutive failure, and at least retryAfter, up to
+// maxRetryAfter.
+func (b *backoff) recordFailure(now time.Time, retryAfter time.Duration) {
+	pause := min(initialBackoff<<min(b.failures, maxDoublings), maxBackoff)
+	b.failures++
+	b.until = now.Add(max(pause, min(retryAfter, maxRetryAfter)))
 }
 
-// NewReporter returns the reporter of a machine that holds nothing.
+// NewReporter returns the reporter of a machine that does not hold the duty.
 func NewReporter(t Timetable) *Reporter {
 	if t.DutyPerS <= 0 {
-		t.DutyPerS = usualPerS
+		t.DutyPerS = defaultCallsPerSecond
 	}
-	return &Reporter{timetable: t, accepted: map[int64]bool{}, tries: map[int64]int{}}
+	return &Reporter{timetable: t, accepted: map[int64]bool{}, unclearCalls: map[int64]int{}}
 }
 
-// State is where the reporter stands.
+// State returns the current state.
 func (r *Reporter) State() ReporterState { return r.state }
 
-// become is the one place where the state changes.
-func (r *Reporter) become(s ReporterState, round int64) { r.state, r.round = s, round }
+// setState changes the state; nothing else does.
+func (r *Reporter) setState(s ReporterState, round int64) { r.state, r.activeRound = s, round }
 
-// Next returns the next step, once the one before it has ended.
+// Next returns the next step. While a step is in progress, this is Wait.
 func (r *Reporter) Next(v View) Step {
-	r.follow(v)
-	r.forgetTaken(v.Ledger)
+	r.updateEpoch(v)
+	r.forgetRemoved(v.Ledger)
 	if r.state != Idle {
-		return Step{Kind: Wait, Until: v.Now.Add(mostPause)}
+		return Step{Kind: Wait, Until: v.Now.Add(maxBackoff)}
 	}
-	if v.Now.Before(r.proposals.until) {
-		return Step{Kind: Wait, Until: r.proposals.until}
+	if v.Now.Before(r.proposalBackoff.until) {
+		return Step{Kind: Wait, Until: r.proposalBackoff.until}
 	}
-	toNote, toSend := r.pending(v.Ledger)
+	toNote, toSend := r.nextPending(v.Ledger)
 	report, fixAt := r.nextWindow(v)
 	switch {
 	case toNote != nil:
@@ -160,22 +162,22 @@
 	case toSend == nil:
 		return Step{Kind: Wait, Until: fixAt}
 	}
-	if at := r.sendAt(v); at.After(v.Now) {
+	if at := r.nextSendAt(v); at.After(v.Now) {
 		return Step{Kind: Wait, Until: earlier(at, fixAt)}
 	}
 	return r.begin(Sending, Step{Kind: Send, Report: *toSend, Fence: r.epoch})
 }
 
-// pending returns the oldest window that is to be noted as taken, and the one that is to be sent: of those with the fewest calls without a clear
-// answer the oldest, so that a platform that is slow over one window hears of the others.
-func (r *Reporter) pending(ledger clusterstate.UsageLedger) (toNote, toSend *clusterstate.UsageReport) {
+// nextPending returns the oldest window to record as accepted, and the window to send: the oldest of those with the
+// fewest calls without a clear answer, so that a platform that is slow for one window still receives the others.
+func (r *Reporter) nextPending(ledger clusterstate.UsageLedger) (toNote, toSend *clusterstate.UsageReport) {
 	for i := range ledger.Pending {
 		report := &ledger.Pending[i]
-		inLog, accepted := r.accepted[report.Round]
+		recorded, accepted := r.accepted[report.Round]
 		switch {
-		case accepted && !inLog && toNote == nil:
+		case accepted && !recorded && toNote == nil:
 			toNote = report
-		case !accepted && (toSend == nil || r.tries[report.Round] < r.tries[toSend.Round]):
+		case !accepted && (toSend == nil || r.unclearCalls[report.Round] < r.unclearCalls[toSend.Round]):
 			toSend = report
 		}
 	}
@@ -190,44 +192,44 @@
 }
 
 func (r *Reporter) begin(s ReporterState, step Step) Step {
-	r.become(s, step.Report.Round)
+	r.setState(s, step.Report.Round)
 	return step
 }
 
-// follow takes the duty on or lets it go, by the copy. An act that is under way under an older epoch ends with it.
-func (r *Reporter) follow(v View) {
+// updateEpoch starts or ends holding the duty, by the replica. It abandons a step in progress under an older epoch.
+func (r *Reporter) updateEpoch(v View) {
 	if v.Epoch == r.epoch {
 		return
 	}
-	r.epoch, r.since, r.fixed, r.proposals, r.calls = v.Epoch, v.Now, 0, backoff{}, backoff{}
+	r.epoch, r.heldSince, r.lastFixed, r.proposalBackoff, r.callBackoff = v.Epoch, v.Now, 0, backoff{}, backoff{}
 	clear(r.accepted)
-	clear(r.tries)
+	clear(r.unclearCalls)
 	switch {
 	case v.Epoch == 0:
-		r.become(NotHolder, 0)
-	case v.Epoch <= r.fenced:
-		r.become(Fenced, 0)
+		r.setState(NotHolder, 0)
+	case v.Epoch <= r.fencedEpoch:
+		r.setState(Fenced, 0)
 	default:
-		r.become(Idle, 0)
+		r.setState(Idle, 0)
 	}
 }
 
-// mayCall tells whether nobody who follows has begun to act. Whoever held the duty before has stopped a lease after this machine learned of it:
-// sendAt waits for that.
-func (r *Reporter) mayCall(now time.Time, epoch uint64, proof time.Time) bool {
+// leaseHeld reports whether no later holder can have started to act. An earlier holder has stopped one lease after this
+// machine learned that it holds the duty; nextSendAt waits for that.
+func (r *Reporter) leaseHeld(now time.Time, epoch uint64, proof time.Time) bool {
 	return epoch == r.epoch && epoch > 0 && !proof.IsZero() && now.Sub(proof) < r.timetable.Lease/2
 }
 
-// MaySend is the look at the lease right before a call is written: the time between the step and the write may have been long.
+// MaySend is the lease check right before a call is written: much time may have passed since the step was decided.
 func (r *Reporter) MaySend(now time.Time, epoch uint64, proof time.Time) bool {
-	return r.state == Sending && r.mayCall(now, epoch, proof)
+	return r.state == Sending && r.leaseHeld(now, epoch, proof)
 }
 
-// sendAt is when the platform may be called next; a moment that is over: now.
-func (r *Reporter) sendAt(v View) time.Time {
-	at := later(r.nextCall, later(r.calls.until, r.since.Add(r.timetable.Lease)))
-	if !at.After(v.Now) && !r.mayCall(v.Now, v.Epoch, v.Proof) { // a proof that is young enough may come at any time
-		return v.Now.Add(r.timetable.Lease / retryPart)
+// nextSendAt returns the earliest time of the next call of the platform; a time in the past means now.
+func (r *Reporter) nextSendAt(v View) time.Time {
+	at := later(r.nextCallAt, later(r.callBackoff.until, r.heldSince.Add(r.timetable.Lease)))
+	if !at.After(v.Now) && !r.leaseHeld(v.Now, v.Epoch, v.Proof) { // a recent enough proof may arrive at any time
+		return v.Now.Add(r.timetable.Lease / proofRetryDivisor)
 	}
 	return at
 }
@@ -239,24 +241,26 @@
 	return b
 }
 
-// nextWindow returns the next window to be fixed with its counts, and from when of the steady clock it may be.
+// nextWindow returns the next window to fix with its counts, and from which moment of the monotonic clock it may be
+// fixed.
 func (r *Reporter) nextWindow(v View) (clusterstate.UsageReport, time.Time) {
 	sum, known := r.nextSum(v)
 	if !v.Summed || !known {
 		return clusterstate.UsageReport{}, v.Now.Add(r.timetable.Window)
 	}
 	end := v.Now.Add(EndOf(sum.Round, r.timetable.Window).Sub(v.True))
-	at := end.Add(min(settleSpan, latestFix(r.timetable.Delay)))
+	at := end.Add(min(reportArrivalDelay, maxFixDelay(r.timetable.Delay)))
 	if !sum.Complete {
-		at = later(end.Add(latestFix(r.timetable.Delay)), r.since.Add(hearSpan))
+		at = later(end.Add(maxFixDelay(r.timetable.Delay)), r.heldSince.Add(newHolderDelay))
 	}
 	return clusterstate.UsageReport{Round: sum.Round, Counts: sum.Counts}, at
 }
 
-// nextSum is the window after the newest fixed one, empty if nobody spoke of it. Where none is fixed yet it is the first one in which any proxy
-// counted anything, if there is one. After a long outage the windows that could not wait for the platform any more are passed over.
+// nextSum returns the window after the newest fixed one, empty if no proxy has reported it. If none is fixed yet, it is
+// the first window with any count, if there is one. After a long outage, windows that exceed the limit of pending windows
+// are skipped.
 func (r *Reporter) nextSum(v View) (sum Sum, known bool) {
-	fixed := max(v.Ledger.Fixed, r.fixed)
+	fixed := max(v.Ledger.Fixed, r.lastFixed)
 	if fixed == 0 {
 		if i := slices.IndexFunc(v.Sums, func(s Sum) bool { return len(s.Counts) > 0 }); i >= 0 {
 			return v.Sums[i], true
@@ -270,80 +274,84 @@
 	return Sum{Round: round}, true
 }
 
-// NeedsSums tells whether the next step may hang on the sums: a window that is not fixed yet has ended, or none is fixed at all.
+// NeedsSums reports whether the next step may depend on the sums: a window that is not fixed yet has ended, or no
+// window is fixed at all.
 func (r *Reporter) NeedsSums(v View) bool {
-	fixed := max(v.Ledger.Fixed, r.fixed)
+	fixed := max(v.Ledger.Fixed, r.lastFixed)
 	if v.Epoch == 0 || r.state == Fenced {
 		return false
 	}
-	return fixed == 0 || !EndOf(fixed+1, r.timetable.Window).Add(min(settleSpan, latestFix(r.timetable.Delay))).After(v.True)
+	return fixed == 0 || !EndOf(fixed+1, r.timetable.Window).Add(min(reportArrivalDelay, maxFixDelay(r.timetable.Delay))).After(v.True)
 }
 
-// forgetTaken forgets accepted windows that the copy holds no longer.
-func (r *Reporter) forgetTaken(ledger clusterstate.UsageLedger) {
+// forgetRemoved forgets windows that are no longer pending in the replica.
+func (r *Reporter) forgetRemoved(ledger clusterstate.UsageLedger) {
 	for round := range r.accepted {
 		if !slices.ContainsFunc(ledger.Pending, func(p clusterstate.UsageReport) bool { return p.Round == round }) {
 			delete(r.accepted, round)
 		}
 	}
-	maps.DeleteFunc(r.tries, func(round int64, _ int) bool {
+	maps.DeleteFunc(r.unclearCalls, func(round int64, _ int) bool {
 		return !slices.ContainsFunc(ledger.Pending, func(p clusterstate.UsageReport) bool { return p.Round == round })
 	})
 }
 
-// Fixed takes the end of a Fix; done: the log has the window's counts, these or those of an earlier holder. The copy tells which.
+// Fixed records the end of a Fix step. If done, the window is committed, with these counts or with those of an earlier
+// holder; the replica tells which.
 func (r *Reporter) Fixed(now time.Time, epoch uint64, done bool) {
-	if r.ends(Fixing, epoch) {
+	if r.isCurrent(Fixing, epoch) {
 		if done {
-			r.fixed = r.round
+			r.lastFixed = r.activeRound
 		}
-		r.proposed(now, done)
+		r.proposalEnded(now, done)
 	}
 }
 
-// Noted takes the end of a Note; done: the log has it.
+// Noted records the end of a Note step. If done, it is committed.
 func (r *Reporter) Noted(now time.Time, epoch uint64, done bool) {
-	if r.ends(Noting, epoch) {
+	if r.isCurrent(Noting, epoch) {
 		if done {
-			r.accepted[r.round] = true
+			r.accepted[r.activeRound] = true
 		}
-		r.proposed(now, done)
+		r.proposalEnded(now, done)
 	}
 }
 
-// ends tells whether the word of an act's end is of the one that is under way.
-func (r *Reporter) ends(s ReporterState, epoch uint64) bool { return r.state == s && r.epoch == epoch }
+// isCurrent reports whether a result belongs to the step in progress.
+func (r *Reporter) isCurrent(s ReporterState, epoch uint64) bool {
+	return r.state == s && r.epoch == epoch
+}
 
-func (r *Reporter) proposed(now time.Time, done bool) {
-	r.become(Idle, 0)
+func (r *Reporter) proposalEnded(now time.Time, done bool) {
+	r.setState(Idle, 0)
 	if done {
-		r.proposals = backoff{}
+		r.proposalBackoff = backoff{}
 	} else {
-		r.proposals.fail(now, 0)
+		r.proposalBackoff.recordFailure(now, 0)
 	}
 }
 
-// Sent takes the end of a Send. What is not known to be taken is sent again, the same.
+// Sent records the end of a Send step. A report that is not known to be accepted is sent again unchanged.
 func (r *Reporter) Sent(now time.Time, epoch uint64, outcome CallOutcome, retryAfter time.Duration) {
-	r.nextCall = now.Add(time.Duration(float64(time.Second) / (dutyPart * r.timetable.DutyPerS)))
+	r.nextCallAt = now.Add(time.Duration(float64(time.Second) / (callRateShare * r.timetable.DutyPerS)))
 	if outcome == Refused {
-		r.fenced = max(r.fenced, epoch)
+		r.fencedEpoch = max(r.fencedEpoch, epoch)
 	}
-	if !r.ends(Sending, epoch) {
+	if !r.isCurrent(Sending, epoch) {
 		return
 	}
-	round := r.round
-	r.become(Idle, 0)
+	round := r.activeRound
+	r.setState(Idle, 0)
 	switch outcome {
 	case Accepted:
-		r.calls = backoff{}
+		r.callBackoff = backoff{}
 		r.accepted[round] = false
 	case Refused:
-		r.become(Fenced, 0)
+		r.setState(Fenced, 0)
 	default:
 		if outcome == Unanswered || outcome == Failed {
-			r.tries[round]++
+			r.unclearCalls[round]++
 		}
-		r.calls.fail(now, retryAfter)
+		r.callBackoff.recordFailure(now, retryAfter)
 	}
 }
--- a/internal/cdn/usage/reporter_test.go
+++ b/internal/cdn/usage/reporter_test.go
@@ -12,18 +12,18 @@
 const ms = time.Millisecond
 
 var (
-	timetable = Timetable{Window: 5 * time.Second, Delay: 10 * time.Second, Lease: 3 * time.Second, DutyPerS: 10}
-	begin     = time.Unix(500, 0) // of window 100, by both clocks
+	timetable   = Timetable{Window: 5 * time.Second, Delay: 10 * time.Second, Lease: 3 * time.Second, DutyPerS: 10}
+	windowStart = time.Unix(500, 0) // start of window 100, by both clocks
 )
 
-// turn is one look of a machine at its reporter.
+// turn is one call of Next, after the end of a step if there is one.
 type turn struct {
-	at    time.Duration // since the beginning of window 100
+	at    time.Duration // since the start of window 100
 	ended func(r *Reporter, now time.Time)
-	view  View // proven just now, unless the proof is set
+	view  View // proven at this turn, unless Proof is set
 	want  StepKind
 	round int64
-	until time.Duration // of a Wait
+	until time.Duration // with Wait
 }
 
 func pending(rounds ...int64) (l clusterstate.UsageLedger) {
@@ -34,14 +34,14 @@
 	return l
 }
 
-func holds(epoch uint64, ledger clusterstate.UsageLedger, sums ...Sum) View {
+func holderView(epoch uint64, ledger clusterstate.UsageLedger, sums ...Sum) View {
 	return View{Epoch: epoch, Ledger: ledger, Sums: sums, Summed: true}
 }
 
-func proven(v View, at time.Duration) View { v.Proof = begin.Add(at); return v }
+func withProof(v View, at time.Duration) View { v.Proof = windowStart.Add(at); return v }
 
-func sent(epoch uint64, outcome CallOutcome, asked time.Duration) func(*Reporter, time.Time) {
-	return func(r *Reporter, now time.Time) { r.Sent(now, epoch, outcome, asked) }
+func sent(epoch uint64, outcome CallOutcome, retryAfter time.Duration) func(*Reporter, time.Time) {
+	return func(r *Reporter, now time.Time) { r.Sent(now, epoch, outcome, retryAfter) }
 }
 
 func fixed(epoch uint64, done bool) func(*Reporter, time.Time) {
@@ -55,105 +55,105 @@
 func TestReporter(t *testing.T) {
 	whole, part := Sum{100, Counts{"a": 3}, true}, Sum{100, Counts{"a": 2}, false}
 	none, old := clusterstate.UsageLedger{}, clusterstate.UsageLedger{Fixed: 99}
-	unread := holds(7, old)
+	unread := holderView(7, old)
 	unread.Summed = false
 	s := time.Second
 	cases := []struct {
 		name  string
 		turns []turn
 	}{
-		{"a window from its counts to the platform's word, once each", []turn{
-			{at: 0, view: holds(7, none), until: 5 * s},
-			{at: 5 * s, view: holds(7, none, whole), until: 6 * s},
-			{at: 6 * s, view: holds(7, none, whole), want: Fix, round: 100},
-			{at: 6100 * ms, ended: fixed(7, true), view: holds(7, none, whole), until: 16 * s},
-			{at: 6200 * ms, view: holds(7, pending(100)), want: Send, round: 100},
-			{at: 6300 * ms, ended: sent(7, Accepted, 0), view: holds(7, pending(100)), want: Note, round: 100},
-			{at: 6400 * ms, ended: noted(7, true), view: holds(7, pending(100)), until: 16 * s},
-			{at: 6500 * ms, view: holds(7, clusterstate.UsageLedger{Fixed: 100}), until: 16 * s},
-			{at: 16 * s, view: holds(7, clusterstate.UsageLedger{Fixed: 100}), want: Fix, round: 101},
+		{"one window is fixed, sent and recorded once each", []turn{
+			{at: 0, view: holderView(7, none), until: 5 * s},
+			{at: 5 * s, view: holderView(7, none, whole), until: 6 * s},
+			{at: 6 * s, view: holderView(7, none, whole), want: Fix, round: 100},
+			{at: 6100 * ms, ended: fixed(7, true), view: holderView(7, none, whole), until: 16 * s},
+			{at: 6200 * ms, view: holderView(7, pending(100)), want: Send, round: 100},
+			{at: 6300 * ms, ended: sent(7, Accepted, 0), view: holderView(7, pending(100)), want: Note, round: 100},
+			{at: 6400 * ms, ended: noted(7, true), view: holderView(7, pending(100)), until: 16 * s},
+			{at: 6500 * ms, view: holderView(7, clusterstate.UsageLedger{Fixed: 100}), until: 16 * s},
+			{at: 16 * s, view: holderView(7, clusterstate.UsageLedger{Fixed: 100}), want: Fix, round: 101},
 		}},
-		{"another's duty", []turn{{at: 20 * s, view: holds(0, pending(100), whole), until: 23 * s}}},
+		{"another machine holds the duty", []turn{{at: 20 * s, view: holderView(0, pending(100), whole), until: 23 * s}}},
 		{"fixing does not wait for the lease, sending does", []turn{
-			{at: 6 * s, view: holds(7, old, whole), want: Fix, round: 100},
-			{at: 6 * s, ended: fixed(7, true), view: holds(7, pending(100)), until: 9 * s},
-			{at: 9 * s, view: holds(7, pending(100)), want: Send, round: 100},
+			{at: 6 * s, view: holderView(7, old, whole), want: Fix, round: 100},
+			{at: 6 * s, ended: fixed(7, true), view: holderView(7, pending(100)), until: 9 * s},
+			{at: 9 * s, view: holderView(7, pending(100)), want: Send, round: 100},
 		}},
-		{"a copy whose proof is old", []turn{
-			{at: 0, view: holds(7, pending(100)), until: 3 * s},
-			{at: 4500 * ms, view: proven(holds(7, pending(100)), 3*s), until: 4800 * ms},
-			{at: 4500 * ms, view: proven(holds(7, pending(100)), 3001*ms), want: Send, round: 100},
+		{"a replica with an outdated proof", []turn{
+			{at: 0, view: holderView(7, pending(100)), until: 3 * s},
+			{at: 4500 * ms, view: withProof(holderView(7, pending(100)), 3*s), until: 4800 * ms},
+			{at: 4500 * ms, view: withProof(holderView(7, pending(100)), 3001*ms), want: Send, round: 100},
 		}},
-		{"refused for its fence: no more acts under this epoch, nor under it again", []turn{
-			{at: 0, view: holds(7, pending(100)), until: 3 * s},
-			{at: 3 * s, view: holds(7, pending(100)), want: Send, round: 100},
-			{at: 4 * s, ended: sent(7, Refused, 0), view: holds(7, pending(100)), until: 7 * s},
-			{at: 60 * s, view: holds(7, pending(100)), until: 63 * s},
-			{at: 61 * s, view: holds(0, pending(100)), until: 64 * s},
-			{at: 62 * s, view: holds(7, pending(100)), until: 65 * s},
-			{at: 63 * s, view: holds(9, clusterstate.UsageLedger{Fixed: 112, Pending: pending(100).Pending}), until: 66 * s},
-			{at: 66 * s, view: holds(9, clusterstate.UsageLedger{Fixed: 112, Pending: pending(100).Pending}), want: Send, round: 100},
+		{"refused for its fencing token: no more steps under this epoch, nor when it returns", []turn{
+			{at: 0, view: holderView(7, pending(100)), until: 3 * s},
+			{at: 3 * s, view: holderView(7, pending(100)), want: Send, round: 100},
+			{at: 4 * s, ended: sent(7, Refused, 0), view: holderView(7, pending(100)), until: 7 * s},
+			{at: 60 * s, view: holderView(7, pending(100)), until: 63 * s},
+			{at: 61 * s, view: holderView(0, pending(100)), until: 64 * s},
+			{at: 62 * s, view: holderView(7, pending(100)), until: 65 * s},
+			{at: 63 * s, view: holderView(9, clusterstate.UsageLedger{Fixed: 112, Pending: pending(100).Pending}), until: 66 * s},
+			{at: 66 * s, view: holderView(9, clusterstate.UsageLedger{Fixed: 112, Pending: pending(100).Pending}), want: Send, round: 100},
 		}},
-		{"busy, and a wait that is asked for", []turn{
-			{at: 0, view: holds(7, pending(100)), until: 3 * s},
-			{at: 3 * s, view: holds(7, pending(100)), want: Send, round: 100},
-			{at: 3 * s, ended: sent(7, Busy, 2*s), view: holds(7, pending(100)), until: 5 * s},
-			{at: 5 * s, view: holds(7, pending(100)), want: Send, round: 100},
+		{"busy, with Retry-After", []turn{
+			{at: 0, view: holderView(7, pending(100)), until: 3 * s},
+			{at: 3 * s, view: holderView(7, pending(100)), want: Send, round: 100},
+			{at: 3 * s, ended: sent(7, Busy, 2*s), view: holderView(7, pending(100)), until: 5 * s},
+			{at: 5 * s, view: holderView(7, pending(100)), want: Send, round: 100},
 		}},
-		{"no answer: the same again after pauses that grow; it fixes meanwhile, and what was not tried goes first", []turn{
-			{at: 0, view: holds(7, pending(99)), until: 3 * s},
-			{at: 3 * s, view: holds(7, pending(99)), want: Send, round: 99},
-			{at: 3 * s, ended: sent(7, Unanswered, 0), view: holds(7, pending(99)), until: 3300 * ms},
-			{at: 3300 * ms, view: holds(7, pending(99)), want: Send, round: 99},
-			{at: 3300 * ms, ended: sent(7, NotSent, 0), view: holds(7, pending(99)), until: 3900 * ms},
-			{at: 3900 * ms, view: holds(7, pending(99)), want: Send, round: 99},
-			{at: 3900 * ms, ended: sent(7, Failed, 0), view: holds(7, pending(99)), until: 5100 * ms},
-			{at: 5100 * ms, view: holds(7, pending(99)), want: Send, round: 99},
-			{at: 5100 * ms, ended: sent(7, Failed, 0), view: holds(7, pending(99), whole), until: 6 * s},
-			{at: 6 * s, view: holds(7, pending(99), whole), want: Fix, round: 100},
-			{at: 6 * s, ended: fixed(7, true), view: holds(7, pending(99, 100)), until: 7500 * ms},
-			{at: 7500 * ms, view: holds(7, pending(99, 100)), want: Send, round: 100},
-			{at: 7500 * ms, ended: sent(7, Unanswered, 0), view: holds(7, pending(99, 100)), until: 10500 * ms},
+		{"no answer: retries with growing backoff; fixing continues, and untried windows are sent first", []turn{
+			{at: 0, view: holderView(7, pending(99)), until: 3 * s},
+			{at: 3 * s, view: holderView(7, pending(99)), want: Send, round: 99},
+			{at: 3 * s, ended: sent(7, Unanswered, 0), view: holderView(7, pending(99)), until: 3300 * ms},
+			{at: 3300 * ms, view: holderView(7, pending(99)), want: Send, round: 99},
+			{at: 3300 * ms, ended: sent(7, NotSent, 0), view: holderView(7, pending(99)), until: 3900 * ms},
+			{at: 3900 * ms, view: holderView(7, pending(99)), want: Send, round: 99},
+			{at: 3900 * ms, ended: sent(7, Failed, 0), view: holderView(7, pending(99)), until: 5100 * ms},
+			{at: 5100 * ms, view: holderView(7, pending(99)), want: Send, round: 99},
+			{at: 5100 * ms, ended: sent(7, Failed, 0), view: holderView(7, pending(99), whole), until: 6 * s},
+			{at: 6 * s, view: holderView(7, pending(99), whole), want: Fix, round: 100},
+			{at: 6 * s, ended: fixed(7, true), view: holderView(7, pending(99, 100)), until: 7500 * ms},
+			{at: 7500 * ms, view: holderView(7, pending(99, 100)), want: Send, round: 100},
+			{at: 7500 * ms, ended: sent(7, Unanswered, 0), view: holderView(7, pending(99, 100)), until: 10500 * ms},
 		}},
-		{"a proxy that never speaks", []turn{
-			{at: 5 * s, view: holds(7, old, part), until: 11 * s},
-			{at: 10999 * ms, view: holds(7, old, part), until: 11 * s},
-			{at: 11 * s, view: holds(7, old, part), want: Fix, round: 100},
+		{"a proxy that never reports", []turn{
+			{at: 5 * s, view: holderView(7, old, part), until: 11 * s},
+			{at: 10999 * ms, view: holderView(7, old, part), until: 11 * s},
+			{at: 11 * s, view: holderView(7, old, part), want: Fix, round: 100},
 		}},
 		{"a new holder gives the proxies time to report to it", []turn{
-			{at: 9 * s, view: holds(7, old), until: 11 * s},
-			{at: 11 * s, view: holds(7, old), want: Fix, round: 100},
+			{at: 9 * s, view: holderView(7, old), until: 11 * s},
+			{at: 11 * s, view: holderView(7, old), want: Fix, round: 100},
 		}},
-		{"counts that could not be read are not fixed", []turn{{at: 0, view: holds(7, old), until: 11 * s}, {at: 12 * s, view: unread, until: 17 * s}}},
-		{"a proposal without a clear end is made again", []turn{
-			{at: 6 * s, view: holds(7, old, whole), want: Fix, round: 100},
-			{at: 6 * s, ended: fixed(7, false), view: holds(7, old, whole), until: 6300 * ms},
-			{at: 6300 * ms, view: holds(7, old, whole), want: Fix, round: 100},
-			{at: 6300 * ms, ended: fixed(7, false), view: holds(7, pending(100)), until: 6900 * ms},
-			{at: 9 * s, view: holds(7, pending(100)), want: Send, round: 100},
+		{"counts that could not be read are not fixed", []turn{{at: 0, view: holderView(7, old), until: 11 * s}, {at: 12 * s, view: unread, until: 17 * s}}},
+		{"a proposal with unknown outcome is repeated", []turn{
+			{at: 6 * s, view: holderView(7, old, whole), want: Fix, round: 100},
+			{at: 6 * s, ended: fixed(7, false), view: holderView(7, old, whole), until: 6300 * ms},
+			{at: 6300 * ms, view: holderView(7, old, whole), want: Fix, round: 100},
+			{at: 6300 * ms, ended: fixed(7, false), view: holderView(7, pending(100)), until: 6900 * ms},
+			{at: 9 * s, view: holderView(7, pending(100)), want: Send, round: 100},
 		}},
-		{"a backlog goes in its order, at half of the calls that the platform takes", []turn{
-			{at: 0, view: holds(7, pending(99, 100)), until: 3 * s},
-			{at: 3 * s, view: holds(7, pending(99, 100)), want: Send, round: 99},
-			{at: 3 * s, ended: sent(7, Accepted, 0), view: holds(7, pending(99, 100)), want: Note, round: 99},
-			{at: 3 * s, ended: noted(7, true), view: holds(7, pending(99, 100)), until: 3200 * ms},
-			{at: 3200 * ms, view: holds(7, pending(99, 100)), want: Send, round: 100},
+		{"a backlog is sent in order, at half of the call rate that the platform accepts", []turn{
+			{at: 0, view: holderView(7, pending(99, 100)), until: 3 * s},
+			{at: 3 * s, view: holderView(7, pending(99, 100)), want: Send, round: 99},
+			{at: 3 * s, ended: sent(7, Accepted, 0), view: holderView(7, pending(99, 100)), want: Note, round: 99},
+			{at: 3 * s, ended: noted(7, true), view: holderView(7, pending(99, 100)), until: 3200 * ms},
+			{at: 3200 * ms, view: holderView(7, pending(99, 100)), want: Send, round: 100},
 		}},
-		{"the word of an older epoch's call changes nothing", []turn{
-			{at: 0, view: holds(7, pending(99)), until: 3 * s},
-			{at: 3 * s, view: holds(7, pending(99)), want: Send, round: 99},
-			{at: 4 * s, view: holds(9, pending(99)), until: 7 * s},
-			{at: 5 * s, ended: sent(7, Accepted, 0), view: holds(9, pending(99)), until: 7 * s},
-			{at: 7 * s, view: holds(9, pending(99)), want: Send, round: 99},
-			{at: 7100 * ms, ended: sent(7, Accepted, 0), view: holds(9, pending(99)), until: 10100 * ms},
-			{at: 7200 * ms, ended: sent(9, Accepted, 0), view: holds(9, pending(99)), want: Note, round: 99},
+		{"the result of a call under an older epoch is ignored", []turn{
+			{at: 0, view: holderView(7, pending(99)), until: 3 * s},
+			{at: 3 * s, view: holderView(7, pending(99)), want: Send, round: 99},
+			{at: 4 * s, view: holderView(9, pending(99)), until: 7 * s},
+			{at: 5 * s, ended: sent(7, Accepted, 0), view: holderView(9, pending(99)), until: 7 * s},
+			{at: 7 * s, view: holderView(9, pending(99)), want: Send, round: 99},
+			{at: 7100 * ms, ended: sent(7, Accepted, 0), view: holderView(9, pending(99)), until: 10100 * ms},
+			{at: 7200 * ms, ended: sent(9, Accepted, 0), view: holderView(9, pending(99)), want: Note, round: 99},
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := NewReporter(timetable)
 			for i, turn := range c.turns {
-				now := begin.Add(turn.at)
+				now := windowStart.Add(turn.at)
 				if turn.ended != nil {
 					turn.ended(r, now)
 				}
@@ -164,7 +164,7 @@
 				step := r.Next(turn.view)
 				assert.Equal(t, step.Kind, turn.want, "turn %d: %+v", i, step)
 				if step.Kind == Wait {
-					assert.Equal(t, step.Until.Sub(begin), turn.until, "turn %d", i)
+					assert.Equal(t, step.Until.Sub(windowStart), turn.until, "turn %d", i)
 					continue
 				}
 				assert.Equal(t, step.Report.Round, turn.round, "turn %d", i)
@@ -174,30 +174,30 @@
 	}
 }
 
-// A holder that was stopped after its step was decided looks once more right before it writes.
-func TestTheLookBeforeTheWrite(t *testing.T) {
+// A holder that was suspended after a step was decided must check its lease again right before the write.
+func TestMaySend(t *testing.T) {
 	r := NewReporter(timetable)
-	v := holds(7, pending(99))
-	v.Now, v.True = begin, begin
+	v := holderView(7, pending(99))
+	v.Now, v.True = windowStart, windowStart
 	r.Next(v)
-	now := begin.Add(3 * time.Second)
-	assert.Assert(t, !r.MaySend(now, 7, now), "nothing is to be sent")
+	now := windowStart.Add(3 * time.Second)
+	assert.Assert(t, !r.MaySend(now, 7, now), "no Send step is in progress")
 	v.Now, v.True, v.Proof = now, now, now
 	assert.Equal(t, r.Next(v).Kind, Send)
 	cases := []struct {
 		name   string
-		late   time.Duration
+		delay  time.Duration
 		epoch  uint64
 		proven time.Duration
 		want   bool
 	}{
 		{"at once", 0, 7, 0, true},
-		{"stopped for half a lease", 1500 * ms, 7, 0, false},
-		{"stopped, and proven anew", 1500 * ms, 7, ms, true},
-		{"stopped, and another holds it", 1500 * ms, 0, 1500 * ms, false},
-		{"stopped, and appointed anew", 1500 * ms, 9, 1500 * ms, false},
+		{"suspended for half a lease", 1500 * ms, 7, 0, false},
+		{"suspended, with a new proof", 1500 * ms, 7, ms, true},
+		{"suspended, and another machine is the holder", 1500 * ms, 0, 1500 * ms, false},
+		{"suspended, and holder again under a new epoch", 1500 * ms, 9, 1500 * ms, false},
 	}
 	for _, c := range cases {
-		assert.Equal(t, r.MaySend(now.Add(c.late), c.epoch, now.Add(c.proven)), c.want, c.name)
+		assert.Equal(t, r.MaySend(now.Add(c.delay), c.epoch, now.Add(c.proven)), c.want, c.name)
 	}
 }
