--- a/internal/cdn/peerrpc/peerrpc.go
+++ b/internal/cdn/peerrpc/peerrpc.go
@@ -1,5 +1,6 @@
-// Package peerrpc is how the system's own processes call one another: gob over TCP, many calls on one connection, each
-// with its own deadline. A connection that brings nothing within a call's time is given up and dialled anew.
+// Package peerrpc implements the RPCs between the system's own processes: gob over TCP, with many concurrent calls on
+// one connection, each with its own deadline. A connection without any reply until a call's deadline is closed, and
+// the next call dials a new one.
 package peerrpc
 
 import (
@@ -15,283 +16,293 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of this package's errors; they name the call and the peer.
+// Error is the class of this package's errors. They name the method and the peer's address.
 var Error = errs.Class("peerrpc")
 
-// ErrNotBegun is the cause where a call was surely not begun: no connection came up.
+// ErrNotBegun is the cause of a call that certainly did not reach the peer, because no connection was established.
 var ErrNotBegun = errors.New("no connection")
 
 const (
-	dialPatience = 400 * time.Millisecond
-	// unacknowledged is how long sent bytes may stay without the peer's word, in milliseconds.
-	unacknowledged = 1500
-	tcpUserTimeout = 18
+	dialTimeout = 400 * time.Millisecond
+	// tcpUserTimeoutMS is how long sent data may stay unacknowledged before the kernel closes the connection, in
+	// milliseconds.
+	tcpUserTimeoutMS  = 1500
+	optTCPUserTimeout = 18 // TCP_USER_TIMEOUT of Linux, which package syscall does not define
 )
 
-// Peer is another process, by its address. It is safe for use by many goroutines.
+// Peer is another process, identified by its address. It is safe for concurrent use.
 type Peer struct {
-	Address  string
-	patience time.Duration // of a dial
+	Address     string
+	dialTimeout time.Duration // of one dial
 
-	in, out atomic.Int64 // bytes
+	bytesIn, bytesOut atomic.Int64 // bytes received and sent
 
-	mu     sync.Mutex
-	link   *link
-	heard  time.Time
-	failed time.Time               // when a dial last came to nothing
-	dials  chan struct{}           // holds one while a dial is under way
-	awake  context.CancelCauseFunc // of that dial
+	mu             sync.Mutex
+	conn           *peerConn
+	lastReply      time.Time               // when the last reply arrived
+	dialTimedOutAt time.Time               // when a dial last timed out; zero after a successful one
+	dialing        chan struct{}           // semaphore: holds an element while a dial is in progress
+	restartDial    context.CancelCauseFunc // restarts that dial; nil if there is none
 }
 
-// link is one connection to a peer and the calls on it.
-type link struct {
-	client   *rpc.Client
-	conn     *counted
-	gone     atomic.Bool
-	watched  int // calls that are watched; under the peer's lock
-	watching bool
+// peerConn is one connection to a peer, with the calls in flight on it.
+type peerConn struct {
+	client       *rpc.Client
+	conn         *countingConn
+	gone         atomic.Bool // the peer stopped responding
+	watchedCalls int         // watched calls in flight; guarded by the peer's mu
+	watching     bool        // the watch goroutine is running; guarded by the peer's mu
 }
 
-// NewPeer returns a peer that has not been called yet.
+// NewPeer returns a peer. It is dialed at the first call.
 func NewPeer(address string) *Peer {
-	return &Peer{Address: address, patience: dialPatience, dials: make(chan struct{}, 1)}
+	return &Peer{Address: address, dialTimeout: dialTimeout, dialing: make(chan struct{}, 1)}
 }
 
-// counted counts a connection's bytes.
-type counted struct {
+// countingConn counts a connection's bytes for its peer.
+type countingConn struct {
 	net.Conn
-	peer  *Peer
-	heard atomic.Int64 // when it last brought a byte, in nanoseconds since start
+	peer     *Peer
+	lastRead atomic.Int64 // when bytes last arrived, in nanoseconds since baseTime
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.heard.Store(sinceStart())
+		c.lastRead.Store(sinceBase())
 	}
-	c.peer.in.Add(int64(n))
+	c.peer.bytesIn.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.peer.out.Add(int64(n))
+	c.peer.bytesOut.Add(int64(n))
 	return n, err
 }
 
-// Call makes one call and waits for its answer or the context's end.
+// Call makes one call and waits for its reply or the end of ctx.
 func Call[A, R any](ctx context.Context, p *Peer, method string, args *A) (R, error) {
-	return call[A, R](ctx, p, method, args, terms{})
+	return call[A, R](ctx, p, method, args, callOptions{})
 }
 
-func call[A, R any](ctx context.Context, p *Peer, method string, args *A, how terms) (R, error) {
-	var none R
-	k, err := p.connect(ctx, how.watched)
+// call makes one call with the given options.
+func call[A, R any](ctx context.Context, p *Peer, method string, args *A, options callOptions) (R, error) {
+	var zero R
+	conn, err := p.connect(ctx, options.watched)
 	if err != nil {
-		return none, Error.New("%s at %s: %w: %w", method, p.Address, ErrNotBegun, err)
+		return zero, Error.New("%s at %s: %w: %w", method, p.Address, ErrNotBegun, err)
 	}
-	if how.watched {
-		p.hold(k, 1)
-		defer p.hold(k, -1)
+	if options.watched {
+		p.addWatched(conn, 1)
+		defer p.addWatched(conn, -1)
 	}
-	begun, reply := time.Now(), new(R)
-	call := k.client.Go(method, args, reply, make(chan *rpc.Call, 1))
+	started, reply := time.Now(), new(R)
+	call := conn.client.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
 		if call.Error == nil {
 			p.mu.Lock()
-			p.heard = time.Now()
+			p.lastReply = time.Now()
 			p.mu.Unlock()
 			return *reply, nil
 		}
-		var said rpc.ServerError
-		if !errors.As(call.Error, &said) {
-			p.drop(k)
+		var serverErr rpc.ServerError
+		if !errors.As(call.Error, &serverErr) {
+			p.drop(conn)
 		}
-		if k.gone.Load() {
-			return none, Error.New("%s at %s: %w", method, p.Address, ErrGone)
+		if conn.gone.Load() {
+			return zero, Error.New("%s at %s: %w", method, p.Address, ErrGone)
 		}
-		return none, Error.New("%s at %s: %w", method, p.Address, call.Error)
+		return zero, Error.New("%s at %s: %w", method, p.Address, call.Error)
 	case <-ctx.Done():
 		p.mu.Lock()
-		silent := p.heard.Before(begun)
+		silent := p.lastReply.Before(started)
 		p.mu.Unlock()
-		if how.ticket != 0 {
-			go k.giveUp(how.ticket) // not from here: a connection that takes nothing would hold the caller up
+		if options.ticket != 0 {
+			go conn.cancelCall(options.ticket) // in a goroutine: a connection whose writes block must not hold up the caller
 		}
-		if silent && ctx.Err() == context.DeadlineExceeded { // it may be cut: a new connection shows
-			p.drop(k)
+		if silent && ctx.Err() == context.DeadlineExceeded { // the path may be cut: the next call dials a new connection
+			p.drop(conn)
 		}
-		return none, Error.New("%s at %s: %w", method, p.Address, ctx.Err())
+		return zero, Error.New("%s at %s: %w", method, p.Address, ctx.Err())
 	}
 }
 
-// dial dials, and once more at once if the peer was heard meanwhile: the first was begun before it was there, and its opening would be sent
-// again only after a second.
-func (p *Peer) dial(ctx context.Context, d *net.Dialer) (net.Conn, error) {
+// dial dials the peer. If the peer is heard from meanwhile, it dials once more without delay: the first attempt may
+// have started before the peer was up, and the kernel would retransmit its SYN only after a second.
+func (p *Peer) dial(ctx context.Context, dialer *net.Dialer) (net.Conn, error) {
 	for {
-		try, stop := context.WithCancelCause(ctx)
+		dialCtx, cancel := context.WithCancelCause(ctx)
 		p.mu.Lock()
-		p.awake = stop
+		p.restartDial = cancel
 		p.mu.Unlock()
-		c, err := d.DialContext(try, "tcp", p.Address)
+		conn, err := dialer.DialContext(dialCtx, "tcp", p.Address)
 		p.mu.Lock()
-		p.awake = nil
+		p.restartDial = nil
 		p.mu.Unlock()
-		again := err != nil && errors.Is(context.Cause(try), errAwake)
-		stop(nil)
-		if !again {
-			return c, err
+		restart := err != nil && errors.Is(context.Cause(dialCtx), errPeerHeard)
+		cancel(nil)
+		if !restart {
+			return conn, err
 		}
 	}
 }
 
-var errAwake = errors.New("the peer was heard")
+// errPeerHeard is the cancellation cause of a dial that is restarted.
+var errPeerHeard = errors.New("peer heard from during the dial")
 
-// Awake says that the peer was heard from: a dial of it that is under way begins anew.
+// Awake reports that the peer was heard from: a dial in progress is restarted.
 func (p *Peer) Awake() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.awake != nil {
-		p.awake(errAwake)
-		p.awake = nil // once a dial: one that hangs for another reason is not begun anew with every word
+	if p.restartDial != nil {
+		p.restartDial(errPeerHeard)
+		p.restartDial = nil // once per dial: one that hangs for another reason must not restart at every message
 	}
 }
 
-// hold counts the watched calls that are out on a link.
-func (p *Peer) hold(k *link, n int) {
+// addWatched adds delta to the number of watched calls in flight on a connection, and starts its watch if needed.
+func (p *Peer) addWatched(conn *peerConn, delta int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if k.watched += n; k.watched > 0 && !k.watching {
-		k.watching = true
-		go p.watch(k)
+	if conn.watchedCalls += delta; conn.watchedCalls > 0 && !conn.watching {
+		conn.watching = true
+		go p.watch(conn)
 	}
 }
 
-var errJustFailed = errors.New("a dial has just failed")
+// errDialBackoff is the error of watched calls for dialPause after a dial that timed out.
+var errDialBackoff = errors.New("a dial to the peer has just timed out")
 
-// held returns the link, if there is one; for a watched call an error while nobody is to dial. Others have their own ways of waiting: after a
-// loss of power each votes as soon as the next machine is up.
-func (p *Peer) held(watched bool) (*link, error) {
+// currentConn returns the current connection, or nil if there is none. A watched call gets an error while dials are
+// paused. Other calls have their own ways of waiting: after a power loss, each node votes as soon as the next machine
+// is up.
+func (p *Peer) currentConn(watched bool) (*peerConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.link == nil && watched && !p.failed.IsZero() && time.Since(p.failed) < dialPause {
-		return nil, errJustFailed
+	if p.conn == nil && watched && !p.dialTimedOutAt.IsZero() && time.Since(p.dialTimedOutAt) < dialPause {
+		return nil, errDialBackoff
 	}
-	return p.link, nil
+	return p.conn, nil
 }
 
-func (p *Peer) connect(ctx context.Context, watched bool) (*link, error) {
-	if k, err := p.held(watched); k != nil || err != nil {
-		return k, err
+// connect returns the current connection or dials a new one. Only one dial is in progress at a time.
+func (p *Peer) connect(ctx context.Context, watched bool) (*peerConn, error) {
+	if current, err := p.currentConn(watched); current != nil || err != nil {
+		return current, err
 	}
 	select {
-	case p.dials <- struct{}{}:
-		defer func() { <-p.dials }()
+	case p.dialing <- struct{}{}:
+		defer func() { <-p.dialing }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if k, err := p.held(watched); k != nil || err != nil { // another call's dial brought it, or failed: not each waits out a dial of its own
-		return k, err
+	if current, err := p.currentConn(watched); current != nil || err != nil { // another call has dialed: do not dial in turn
+		return current, err
 	}
-	dialer := net.Dialer{Timeout: p.patience, KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { // best effort: without it a call's own deadline shows a cut
-			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, unacknowledged)
+	dialer := net.Dialer{Timeout: p.dialTimeout, KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
+		return c.Control(func(fd uintptr) { // best effort: without the option, the call's own deadline detects a cut
+			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, optTCPUserTimeout, tcpUserTimeoutMS)
 		})
 	}}
-	begun := time.Now()
+	started := time.Now()
 	c, err := p.dial(ctx, &dialer)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		if time.Since(begun) >= slowDial { // no word at all; one that is refused may be listening in a moment
-			p.failed = time.Now()
+		if time.Since(started) >= minTimedOutDial { // no answer at all; a peer that refused the connection may be listening in a moment
+			p.dialTimedOutAt = time.Now()
 		}
 		return nil, err
 	}
-	p.failed = time.Time{}
-	conn := &counted{Conn: c, peer: p}
-	p.link = &link{client: rpc.NewClient(conn), conn: conn}
-	return p.link, nil
+	p.dialTimedOutAt = time.Time{}
+	conn := &countingConn{Conn: c, peer: p}
+	p.conn = &peerConn{client: rpc.NewClient(conn), conn: conn}
+	return p.conn, nil
 }
 
-func (p *Peer) drop(k *link) {
+// drop closes a connection, so that the next call dials a new one. Calls in flight on it fail.
+func (p *Peer) drop(conn *peerConn) {
 	p.mu.Lock()
-	if p.link == k {
-		p.link = nil
+	if p.conn == conn {
+		p.conn = nil
 	}
 	p.mu.Unlock()
-	k.client.Close()
+	conn.client.Close()
 }
 
-// Bytes is what all peers have brought and been sent.
+// Bytes returns the number of bytes received from and sent to all peers.
 func (s *Peers) Bytes() (in, out int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, k := range s.all {
-		in, out = in+k.in.Load(), out+k.out.Load()
+	for _, peer := range s.all {
+		in, out = in+peer.bytesIn.Load(), out+peer.bytesOut.Load()
 	}
 	return in, out
 }
 
-// Close ends the connection; calls under way fail.
+// Close closes the connection; calls in flight fail.
 func (p *Peer) Close() {
 	p.mu.Lock()
-	k := p.link
-	p.link = nil
+	conn := p.conn
+	p.conn = nil
 	p.mu.Unlock()
-	if k != nil {
-		k.client.Close()
+	if conn != nil {
+		conn.client.Close()
 	}
 }
 
-// Peers keeps one Peer for each address. What has not been asked for in a while is let go.
+// Peers holds one Peer per address. Peers that have not been requested for a while are removed when the limit is
+// reached.
 type Peers struct {
-	DialPatience time.Duration // set before use; 0: the usual one
+	DialPatience time.Duration // timeout of a dial; set before use, 0 for the default
 
 	mu  sync.Mutex
-	all map[string]*kept
+	all map[string]*peerEntry
 }
 
-type kept struct {
+// peerEntry is a Peer in the set, with the time of the last request for it.
+type peerEntry struct {
 	*Peer
-	used time.Time
+	lastUsed time.Time
 }
 
 const (
-	mostPeers = 1024
-	unusedFor = time.Minute
+	maxPeers        = 1024 // number at which idle peers are removed
+	peerIdleTimeout = time.Minute
 )
 
 // NewPeers returns an empty set.
-func NewPeers() *Peers { return &Peers{all: map[string]*kept{}} }
+func NewPeers() *Peers { return &Peers{all: map[string]*peerEntry{}} }
 
 // At returns the peer at an address.
 func (s *Peers) At(address string) *Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	k := s.all[address]
-	if k == nil {
-		if len(s.all) >= mostPeers {
+	entry := s.all[address]
+	if entry == nil {
+		if len(s.all) >= maxPeers {
 			for a, old := range s.all {
-				if now.Sub(old.used) > unusedFor {
+				if now.Sub(old.lastUsed) > peerIdleTimeout {
 					old.Close()
 					delete(s.all, a)
 				}
 			}
 		}
-		k = &kept{Peer: NewPeer(address)}
+		entry = &peerEntry{Peer: NewPeer(address)}
 		if s.DialPatience > 0 {
-			k.patience = s.DialPatience
+			entry.dialTimeout = s.DialPatience
 		}
-		s.all[address] = k
+		s.all[address] = entry
 	}
-	k.used = now
-	return k.Peer
+	entry.lastUsed = now
+	return entry.Peer
 }
 
-// Serve answers calls of the named service until the listener is closed. Each connection has a session, and a service made for it.
+// Serve answers calls of the named service until the listener is closed. The service function is called once per
+// connection, with the session of that connection, and once to validate the service.
 func Serve(l net.Listener, name string, service func(*Session) any) error {
 	if _, err := newServer(name, service, newSession(context.Background())); err != nil {
 		return err
@@ -302,46 +313,49 @@
 			return nil
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // for want of descriptors; connections come back
+			time.Sleep(10 * time.Millisecond) // for lack of file descriptors; they become free when connections close
 			continue
 		}
 		go serveConn(c, name, service)
 	}
 }
 
+// newServer returns an RPC server for one connection: the service itself and the methods of every process.
 func newServer(name string, service func(*Session) any, session *Session) (*rpc.Server, error) {
 	server := rpc.NewServer()
 	if err := server.RegisterName(name, service(session)); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if err := server.RegisterName("Peer", common{session}); err != nil {
+	if err := server.RegisterName("Peer", peerService{session}); err != nil {
 		return nil, Error.Wrap(err)
 	}
 	return server, nil
 }
 
-// serveConn answers one connection's calls. With it they end: whoever called can't have an answer any more.
-func serveConn(c net.Conn, name string, service func(*Session) any) {
-	ctx, end := context.WithCancelCause(context.Background())
-	defer end(ErrGivenUp)
+// serveConn answers the calls of one connection. When the connection ends, so do the contexts of its calls: the caller
+// can no longer receive a reply.
+func serveConn(conn net.Conn, name string, service func(*Session) any) {
+	ctx, cancel := context.WithCancelCause(context.Background())
+	defer cancel(ErrGivenUp)
 	server, err := newServer(name, service, newSession(ctx))
-	if err != nil { // Serve has made such a one already
-		c.Close()
+	if err != nil { // cannot happen: Serve has registered the same service before
+		conn.Close()
 		return
 	}
-	server.ServeConn(&endTelling{c, func() { end(ErrGivenUp) }})
+	server.ServeConn(&closeNotifyingConn{conn, func() { cancel(ErrGivenUp) }})
 }
 
-// endTelling tells when its connection can't be read from any more. net/rpc waits for all calls under way before it returns.
-type endTelling struct {
+// closeNotifyingConn calls onClose when its connection can no longer be read. This is needed because net/rpc waits for
+// all calls in flight before it returns.
+type closeNotifyingConn struct {
 	net.Conn
-	ended func()
+	onClose func()
 }
 
-func (c *endTelling) Read(b []byte) (int, error) {
+func (c *closeNotifyingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if err != nil {
-		c.ended()
+		c.onClose()
 	}
 	return n, err
 }
--- a/internal/cdn/peerrpc/peerrpc_test.go
+++ b/internal/cdn/peerrpc/peerrpc_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// When a peer is asked for a word and when it is taken for gone, by what its connection brings.
+// Checks when a peer is probed and when it is considered gone, by the bytes that its connection brings.
 func TestLiveness(t *testing.T) {
 	type look struct {
-		at, heard time.Duration // since the begin
+		at, heard time.Duration // since baseTime
 		ask, gone bool
 	}
 	ms := time.Millisecond
@@ -23,16 +23,16 @@
 		looks []look
 	}{
 		{"bytes all the time", []look{{100 * ms, 90 * ms, false, false}, {900 * ms, 800 * ms, false, false}}},
-		{"silent for good", []look{{100 * ms, 0, false, false}, {300 * ms, 0, true, false}, {600 * ms, 0, false, false}, {700 * ms, 0, false, true}}},
-		{"a word comes late", []look{{300 * ms, 0, true, false}, {600 * ms, 550 * ms, false, false}, {800 * ms, 550 * ms, false, false}, {900 * ms, 550 * ms, true, false}}},
-		{"works for long and has a word each time", []look{{300 * ms, 0, true, false}, {400 * ms, 302 * ms, false, false}, {700 * ms, 302 * ms, true, false}, {800 * ms, 702 * ms, false, false}}},
-		{"a watch that was held up", []look{{5000 * ms, 0, true, false}, {5100 * ms, 5001 * ms, false, false}}},
+		{"silent forever", []look{{100 * ms, 0, false, false}, {300 * ms, 0, true, false}, {600 * ms, 0, false, false}, {700 * ms, 0, false, true}}},
+		{"a late response to the probe", []look{{300 * ms, 0, true, false}, {600 * ms, 550 * ms, false, false}, {800 * ms, 550 * ms, false, false}, {900 * ms, 550 * ms, true, false}}},
+		{"a long call, with a response to each probe", []look{{300 * ms, 0, true, false}, {400 * ms, 302 * ms, false, false}, {700 * ms, 302 * ms, true, false}, {800 * ms, 702 * ms, false, false}}},
+		{"a delayed watch", []look{{5000 * ms, 0, true, false}, {5100 * ms, 5001 * ms, false, false}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var l liveness
 			for _, x := range c.looks {
-				ask, gone := l.turn(start.Add(x.at), start.Add(x.heard))
+				ask, gone := l.check(baseTime.Add(x.at), baseTime.Add(x.heard))
 				assert.Equal(t, ask, x.ask, x.at.String())
 				assert.Equal(t, gone, x.gone, x.at.String())
 			}
@@ -40,13 +40,15 @@
 	}
 }
 
-type worker struct{ until chan struct{} }
+// worker blocks in each call until its channel is closed.
+type worker struct{ release chan struct{} }
 
-func (w *worker) Work(_ *bool, ok *bool) error { <-w.until; *ok = true; return nil }
+func (w *worker) Work(_ *bool, ok *bool) error { <-w.release; *ok = true; return nil }
 
-// All stores of a site lost power and each request that was on its way to one waited for its deadline, four seconds, 950 in two. A peer that
-// works for long is waited for; one that says nothing any more ends all calls to it in 0.8 s, and who dials it then does not wait in a row.
-func TestAPeerThatIsGoneEndsItsCalls(t *testing.T) {
+// When all stores of a site lost power, each request on its way to one waited for its deadline of four seconds, 950 of
+// them in two seconds. The call to a slow peer must continue, all calls to a silent peer must fail in 0.8 s, and calls
+// that dial it afterwards must not each wait for a dial in turn.
+func TestCallsFailWhenPeerIsGone(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	w := &worker{make(chan struct{})}
@@ -57,37 +59,38 @@
 	defer done()
 	slow := make(chan error, 1)
 	go func() { _, err := CallWatched[bool, bool](ctx, p, "Worker.Work", new(bool), 0); slow <- err }()
-	late := time.After(listenFor + 2*answerIn + 2*watchEvery)
+	longWait := time.After(probeAfter + 2*probeTimeout + 2*watchInterval)
 	select {
 	case err := <-slow:
-		t.Fatal("given up though the peer is there: ", err)
-	case <-late:
+		t.Fatal("the call ended although the peer is alive: ", err)
+	case <-longWait:
 	}
-	close(w.until)
+	close(w.release)
 	assert.NilError(t, <-slow)
 
-	dead, err := net.Listen("tcp", "127.0.0.1:0") // accepts, and has no word
+	dead, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections, but never responds
 	assert.NilError(t, err)
 	defer dead.Close()
 	gone := NewPeer(dead.Addr().String())
-	begun, all := time.Now(), make(chan error, 8)
-	for range cap(all) {
-		go func() { _, err := CallWatched[bool, bool](ctx, gone, "Worker.Work", new(bool), 0); all <- err }()
+	started, errs := time.Now(), make(chan error, 8)
+	for range cap(errs) {
+		go func() { _, err := CallWatched[bool, bool](ctx, gone, "Worker.Work", new(bool), 0); errs <- err }()
 	}
-	for range cap(all) {
-		assert.Assert(t, errors.Is(<-all, ErrGone))
+	for range cap(errs) {
+		assert.Assert(t, errors.Is(<-errs, ErrGone))
 	}
-	assert.Assert(t, time.Since(begun) < 3*time.Second, time.Since(begun).String())
+	assert.Assert(t, time.Since(started) < 3*time.Second, time.Since(started).String())
 
 	gone.mu.Lock()
-	gone.failed = time.Now()
+	gone.dialTimedOutAt = time.Now()
 	gone.mu.Unlock()
 	_, err = CallWatched[bool, bool](ctx, gone, "Worker.Work", new(bool), 0)
 	assert.Assert(t, errors.Is(err, ErrNotBegun), "%v", err)
 }
 
-// After a loss of power a dial that was begun before its peer was up would hang until its end; a word from the peer begins it anew, once.
-func TestAPeerThatWasHeardIsDialledAnew(t *testing.T) {
+// After a power loss, a dial that started before its peer was up would hang until its timeout. A message from the peer
+// must restart it, once per dial.
+func TestDialRestartsWhenPeerIsHeard(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
@@ -98,7 +101,7 @@
 			return nil
 		}
 		close(up)
-		<-ctx.Done() // no word comes, as from a machine without power
+		<-ctx.Done() // no answer, as from a machine without power
 		return ctx.Err()
 	}}
 	go func() { <-up; p.Awake(); p.Awake() }()
@@ -106,39 +109,40 @@
 	assert.NilError(t, err)
 	c.Close()
 	assert.Equal(t, dials, 2)
-	p.Awake() // no dial is under way
+	p.Awake() // without effect: no dial is in progress
 }
 
-// holding answers each call with its own number, once it is let go.
-type holding struct {
-	came chan int
-	free map[int]chan struct{}
+// blockingEcho replies to each call with its argument, once that call is released.
+type blockingEcho struct {
+	arrived chan int
+	release map[int]chan struct{}
 }
 
-func (h *holding) Ask(n *int, answer *int) error {
-	h.came <- *n
-	<-h.free[*n]
+func (h *blockingEcho) Ask(n *int, answer *int) error {
+	h.arrived <- *n
+	<-h.release[*n]
 	*answer = *n
 	return nil
 }
 
-func serveHolding(t *testing.T, at string, calls int) (address string, h *holding, end func()) {
+// serveBlockingEcho starts a blockingEcho for so many calls; end closes its listener.
+func serveBlockingEcho(t *testing.T, at string, calls int) (address string, h *blockingEcho, end func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", at)
 	assert.NilError(t, err)
-	h = &holding{came: make(chan int, calls), free: map[int]chan struct{}{}}
+	h = &blockingEcho{arrived: make(chan int, calls), release: map[int]chan struct{}{}}
 	for n := range calls {
-		h.free[n] = make(chan struct{})
+		h.release[n] = make(chan struct{})
 	}
 	go Serve(l, "Holding", Shared(h))
 	return l.Addr().String(), h, func() { l.Close() }
 }
 
-// An answer reaches the call that it belongs to and no other: not a later one on the same connection after its own was given
-// up, and not one to the process that has the address now.
-func TestAnswersReachTheirOwnCall(t *testing.T) {
+// A reply must reach the call that it belongs to: not a later call on the same connection after its own was cancelled,
+// and not a call to the process that has the address afterwards.
+func TestRepliesReachTheirOwnCall(t *testing.T) {
 	const calls = 40
-	address, h, end := serveHolding(t, "127.0.0.1:0", calls)
+	address, h, end := serveBlockingEcho(t, "127.0.0.1:0", calls)
 	p := NewPeer(address)
 	defer p.Close()
 	type result struct {
@@ -147,21 +151,21 @@
 	}
 	results := make(chan result, calls)
 	for n := range calls {
-		ctx, giveUp := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
 			answer, err := Call[int, int](ctx, p, "Holding.Ask", &n)
 			results <- result{n, answer, err}
 		}()
-		<-h.came
-		if n%2 == 0 { // given up while it is carried out; its answer comes while others wait for theirs
-			giveUp()
+		<-h.arrived
+		if n%2 == 0 { // cancelled while it runs; its reply arrives while other calls wait for theirs
+			cancel()
 			r := <-results
 			assert.Assert(t, r.err != nil)
 		}
-		defer giveUp()
+		defer cancel()
 	}
 	for n := range calls {
-		close(h.free[n])
+		close(h.release[n])
 	}
 	for range calls / 2 {
 		r := <-results
@@ -171,12 +175,12 @@
 
 	end()
 	p.Close()
-	_, other, endOther := serveHolding(t, address, 1)
+	_, other, endOther := serveBlockingEcho(t, address, 1)
 	defer endOther()
-	close(other.free[0])
+	close(other.release[0])
 	n := 0
 	answer, err := Call[int, int](t.Context(), p, "Holding.Ask", &n)
 	assert.NilError(t, err)
 	assert.Equal(t, answer, 0)
-	assert.Equal(t, <-other.came, 0)
+	assert.Equal(t, <-other.arrived, 0)
 }
--- a/internal/cdn/peerrpc/session.go
+++ b/internal/cdn/peerrpc/session.go
@@ -9,119 +9,125 @@
 	"time"
 )
 
-// This file lets a caller give a call up: net/rpc knows no such thing, and the one who answers would work on for nobody. A call that may be
-// given up bears a ticket; the one who answers begins it at its session, which ends its context when the ticket is given up or the
-// connection is gone.
+// This file lets a caller cancel a call. net/rpc has no cancellation: without it the server would continue to work for
+// nobody. A call that may be cancelled carries a ticket; the server registers the call with its session, which cancels
+// the call's context when the caller cancels the ticket or the connection ends.
 
-// ErrGivenUp is the cause of a call's end where its caller waits no longer.
-var ErrGivenUp = errors.New("given up by its caller")
+// ErrGivenUp is the cancellation cause of a call whose caller no longer waits.
+var ErrGivenUp = errors.New("cancelled by the caller")
 
-// Ticket numbers a call among those of its process, so that it can be given up; 0 for one that can't.
+// Ticket identifies a call among those of the calling process, so that it can be cancelled; 0 for a call that cannot be
+// cancelled.
 type Ticket uint64
 
-var tickets atomic.Uint64
+// lastTicket is the newest ticket of this process.
+var lastTicket atomic.Uint64
 
-// NewTicket returns a ticket that this process has not used.
-func NewTicket() Ticket { return Ticket(tickets.Add(1)) }
+// NewTicket returns a ticket that this process has not used before.
+func NewTicket() Ticket { return Ticket(lastTicket.Add(1)) }
 
-// Session is a connection as the one who answers its calls sees it.
+// Session is the server's side of a connection.
 type Session struct {
-	ctx   context.Context
+	ctx   context.Context // cancelled when the connection ends
 	mu    sync.Mutex
-	calls map[Ticket]context.CancelCauseFunc
-	early []Ticket // given up before they were begun: each call is carried out by a goroutine of its own, in no order
+	calls map[Ticket]context.CancelCauseFunc // calls in progress
+	// cancelledEarly holds tickets that were cancelled before their calls began: each call runs in its own goroutine, in no defined order.
+	cancelledEarly []Ticket
 }
 
-// mostEarly bounds the tickets that are kept for calls yet to begin. Most of them are of calls that have ended already.
-const mostEarly = 256
+// maxCancelledEarly bounds the tickets kept for calls that have yet to begin. Most of them belong to calls that have
+// already ended.
+const maxCancelledEarly = 256
 
 func newSession(ctx context.Context) *Session {
 	return &Session{ctx: ctx, calls: map[Ticket]context.CancelCauseFunc{}}
 }
 
-// Shared makes one service answer all connections: its calls can't be given up.
+// Shared makes one service answer all connections. Its calls cannot be cancelled.
 func Shared(service any) func(*Session) any { return func(*Session) any { return service } }
 
-// Begin returns the context of a call, which is to be let go with done. A nil session is that of the process's own calls.
-func (s *Session) Begin(t Ticket, within time.Duration) (ctx context.Context, done func()) {
+// Begin returns the context of a call; done must be called when the call ends. A nil session is that of calls within
+// the process.
+func (s *Session) Begin(ticket Ticket, timeout time.Duration) (ctx context.Context, done func()) {
 	if s == nil {
-		return context.WithTimeout(context.Background(), within)
+		return context.WithTimeout(context.Background(), timeout)
 	}
-	ctx, end := context.WithCancelCause(s.ctx)
-	ctx, stop := context.WithTimeout(ctx, within)
-	if t == 0 {
-		return ctx, func() { stop(); end(nil) }
+	ctx, cancel := context.WithCancelCause(s.ctx)
+	ctx, cancelTimeout := context.WithTimeout(ctx, timeout)
+	if ticket == 0 {
+		return ctx, func() { cancelTimeout(); cancel(nil) }
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, early := range s.early {
-		if early == t {
-			s.early = append(s.early[:i], s.early[i+1:]...)
-			end(ErrGivenUp)
-			return ctx, stop
+	for i, cancelled := range s.cancelledEarly {
+		if cancelled == ticket {
+			s.cancelledEarly = append(s.cancelledEarly[:i], s.cancelledEarly[i+1:]...)
+			cancel(ErrGivenUp)
+			return ctx, cancelTimeout
 		}
 	}
-	s.calls[t] = end
+	s.calls[ticket] = cancel
 	return ctx, func() {
 		s.mu.Lock()
-		delete(s.calls, t)
+		delete(s.calls, ticket)
 		s.mu.Unlock()
-		stop()
-		end(nil)
+		cancelTimeout()
+		cancel(nil)
 	}
 }
 
-func (s *Session) giveUp(t Ticket) {
+// cancel cancels the context of a call, or remembers its ticket if the call has not begun.
+func (s *Session) cancel(ticket Ticket) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if end := s.calls[t]; end != nil {
-		delete(s.calls, t)
-		end(ErrGivenUp)
+	if cancel := s.calls[ticket]; cancel != nil {
+		delete(s.calls, ticket)
+		cancel(ErrGivenUp)
 		return
 	}
-	if s.early = append(s.early, t); len(s.early) > mostEarly {
-		s.early = s.early[1:]
+	if s.cancelledEarly = append(s.cancelledEarly, ticket); len(s.cancelledEarly) > maxCancelledEarly {
+		s.cancelledEarly = s.cancelledEarly[1:]
 	}
 }
 
-// common is what every process answers beside its own calls. Its methods have net/rpc's form.
-type common struct{ session *Session }
+// peerService holds the RPC methods that every process offers beside its own service.
+type peerService struct{ session *Session }
 
-// Word answers at once.
-func (common) Word(_ *bool, ok *bool) error { *ok = true; return nil }
+// Word replies at once, to show that the process is alive.
+func (peerService) Word(_ *bool, ok *bool) error { *ok = true; return nil }
 
-// GiveUp ends a call that its caller waits for no longer.
-func (c common) GiveUp(t *Ticket, ok *bool) error {
-	c.session.giveUp(*t)
+// GiveUp cancels a call whose caller no longer waits for it.
+func (c peerService) GiveUp(ticket *Ticket, ok *bool) error {
+	c.session.cancel(*ticket)
 	*ok = true
 	return nil
 }
 
 const (
-	wordCall   = "Peer.Word"
-	giveUpCall = "Peer.GiveUp"
+	pingMethod   = "Peer.Word"
+	cancelMethod = "Peer.GiveUp"
 )
 
-// giveUp tells the peer that a call is waited for no longer.
-func (k *link) giveUp(t Ticket) {
+// cancelCall tells the peer that a call is cancelled. It does not wait for the reply.
+func (c *peerConn) cancelCall(ticket Ticket) {
 	ok := new(bool)
-	k.client.Go(giveUpCall, &t, ok, make(chan *rpc.Call, 1))
+	c.client.Go(cancelMethod, &ticket, ok, make(chan *rpc.Call, 1))
 }
 
-// CallWatched is Call for what may take long: it fails with ErrGone soon after the peer has fallen silent, and when the context ends, be it for its
-// time, the peer is told that the call with this ticket is given up: it counts a call's time from when the call came to it, which may have been
-// late.
+// CallWatched is Call for calls that may take long. It fails with ErrGone soon after the peer stops responding. When
+// ctx ends, even by its deadline, the peer is told to cancel the call with this ticket: the peer measures the call's
+// time from its arrival, which may have been late.
 func CallWatched[A, R any](ctx context.Context, p *Peer, method string, args *A, ticket Ticket) (R, error) {
-	return call[A, R](ctx, p, method, args, terms{watched: true, ticket: ticket})
+	return call[A, R](ctx, p, method, args, callOptions{watched: true, ticket: ticket})
 }
 
-// CallTicketed is Call, with the peer told when the context ends.
+// CallTicketed is Call, but tells the peer to cancel the call when ctx ends.
 func CallTicketed[A, R any](ctx context.Context, p *Peer, method string, args *A, ticket Ticket) (R, error) {
-	return call[A, R](ctx, p, method, args, terms{ticket: ticket})
+	return call[A, R](ctx, p, method, args, callOptions{ticket: ticket})
 }
 
-// terms are how a call is to be waited for.
-type terms struct {
-	watched bool
-	ticket  Ticket
+// callOptions are the options of a call.
+type callOptions struct {
+	watched bool   // fail soon after the peer stops responding
+	ticket  Ticket // cancelled when the context ends; 0: none
 }
--- a/internal/cdn/peerrpc/session_test.go
+++ b/internal/cdn/peerrpc/session_test.go
@@ -9,87 +9,88 @@
 	"gotest.tools/v3/assert"
 )
 
-// patient works on each call until its context ends, and tells why it did.
-type patient struct {
+// blockingWorker blocks in each call until its context ends, and reports the cause.
+type blockingWorker struct {
 	session *Session
-	begun   chan Ticket
+	started chan Ticket
 	ended   chan error
 }
 
-// Work has net/rpc's form.
-func (w *patient) Work(t *Ticket, ok *bool) error {
+// Work is an RPC method.
+func (w *blockingWorker) Work(t *Ticket, ok *bool) error {
 	ctx, done := w.session.Begin(*t, time.Minute)
 	defer done()
-	w.begun <- *t
+	w.started <- *t
 	<-ctx.Done()
 	w.ended <- context.Cause(ctx)
 	return nil
 }
 
-// The one who answers learns that a call is given up, or that its caller's connection is gone, and works no longer; another call on the same
-// connection goes on.
-func TestACallThatIsGivenUpEndsAtThePeer(t *testing.T) {
+// A server must learn that a call is cancelled, or that its caller's connection is closed, and stop working on it;
+// another call on the same connection must continue.
+func TestCancelledCallEndsAtPeer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
-	begun, ended := make(chan Ticket, 4), make(chan error, 4)
-	go Serve(l, "Worker", func(s *Session) any { return &patient{s, begun, ended} })
+	started, ended := make(chan Ticket, 4), make(chan error, 4)
+	go Serve(l, "Worker", func(s *Session) any { return &blockingWorker{s, started, ended} })
 	p := NewPeer(l.Addr().String())
 	work := func(ctx context.Context) Ticket {
 		ticket := NewTicket()
 		go CallWatched[Ticket, bool](ctx, p, "Worker.Work", &ticket, ticket)
-		assert.Equal(t, <-begun, ticket)
+		assert.Equal(t, <-started, ticket)
 		return ticket
 	}
-	stays, stop := context.WithCancel(t.Context())
+	firstCtx, stop := context.WithCancel(t.Context())
 	defer stop()
-	leaves, leave := context.WithCancelCause(t.Context())
-	work(stays)
-	work(leaves)
-	link := p.link
-	leave(ErrGone) // whatever the cause is called
+	cancelledCtx, cancel := context.WithCancelCause(t.Context())
+	work(firstCtx)
+	work(cancelledCtx)
+	conn := p.conn
+	cancel(ErrGone) // the cause must make no difference
 	assert.ErrorIs(t, <-ended, ErrGivenUp)
-	assert.Equal(t, len(ended), 0, "the other call goes on")
-	assert.Assert(t, p.link == link, "on the same connection")
+	assert.Equal(t, len(ended), 0, "the other call continues")
+	assert.Assert(t, p.conn == conn, "on the same connection")
 	p.Close()
-	assert.ErrorIs(t, <-ended, ErrGivenUp, "its connection is gone")
+	assert.ErrorIs(t, <-ended, ErrGivenUp, "its connection is closed")
 }
 
-// A call whose time is over ends at the peer as well, though the peer is heard on the same connection: it counts a call's time from when the call
-// came to it, which may have been late. (A cache router that was paused as the question came worked on for half a second after the last client's
-// time was over: the soak's seed 3054.)
-func TestACallWhoseTimeIsOverEndsAtThePeer(t *testing.T) {
+// A call whose deadline has passed must end at the peer as well, even if the peer responds on the same connection: it
+// measures the call's time from its arrival, which may have been late. (A cache router that was paused as the request
+// arrived continued for half a second after the last client's deadline: seed 3054 of the soak test.)
+func TestExpiredCallEndsAtPeer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
-	begun, ended := make(chan Ticket, 1), make(chan error, 1)
-	go Serve(l, "Worker", func(s *Session) any { return &patient{s, begun, ended} })
+	started, ended := make(chan Ticket, 1), make(chan error, 1)
+	go Serve(l, "Worker", func(s *Session) any { return &blockingWorker{s, started, ended} })
 	p := NewPeer(l.Addr().String())
 	short, stop := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer stop()
 	ticket := NewTicket()
 	go CallWatched[Ticket, bool](short, p, "Worker.Work", &ticket, ticket)
-	<-begun
-	_, err = Call[bool, bool](t.Context(), p, wordCall, new(bool)) // so that the connection does not pass for a cut one
+	<-started
+	_, err = Call[bool, bool](t.Context(), p, pingMethod, new(bool)) // so that the connection does not count as cut
 	assert.NilError(t, err)
-	link := p.link
+	conn := p.conn
 	select {
 	case cause := <-ended:
 		assert.ErrorIs(t, cause, ErrGivenUp)
 	case <-time.After(10 * time.Second):
-		t.Fatal("it works on")
+		t.Fatal("the call still runs at the peer")
 	}
-	assert.Assert(t, p.link == link, "on the same connection")
+	assert.Assert(t, p.conn == conn, "on the same connection")
 }
 
-// A call that is given up before it is begun does not begin to work; tickets of calls that have ended are forgotten in time.
-func TestGivenUpBeforeItIsBegun(t *testing.T) {
+// A call that is cancelled before it begins must not start to work. Tickets of calls that have ended must be dropped
+// once there are too many.
+func TestCancelBeforeBegin(t *testing.T) {
 	s := newSession(t.Context())
-	for ticket := range Ticket(2 * mostEarly) {
-		s.giveUp(ticket + 1)
+	for ticket := range Ticket(2 * maxCancelledEarly) {
+		s.cancel(ticket + 1)
 	}
-	assert.Equal(t, len(s.early), mostEarly)
-	ctx, done := s.Begin(2*mostEarly, time.Minute)
+	assert.Equal(t, len(s.cancelledEarly), maxCancelledEarly)
+	ctx, done := s.Begin(2*maxCancelledEarly, time.Minute)
 	defer done()
 	assert.ErrorIs(t, context.Cause(ctx), ErrGivenUp)
 	ctx, done = s.Begin(1, time.Minute)
--- a/internal/cdn/peerrpc/watch.go
+++ b/internal/cdn/peerrpc/watch.go
@@ -5,69 +5,75 @@
 	"time"
 )
 
-// This file tells a peer that works for long from one that is gone. A machine without power or behind a cut says nothing at all, and a call
-// that may take seconds would wait for it to its end: while a watched call is out and its connection brings nothing, the peer is asked for a
-// word; one that has none is taken for gone, and all calls under way to it fail at once.
+// This file distinguishes a peer that works on a call for long from one that is gone. A machine without power or behind
+// a network partition sends nothing at all, and a call that may take seconds would wait until its deadline. While a
+// watched call is in flight and its connection brings nothing, the peer is probed. If it does not respond, it is
+// considered gone, and all calls in flight to it fail at once.
 
 const (
-	listenFor  = 300 * time.Millisecond // without a byte, then the peer is asked
-	answerIn   = 400 * time.Millisecond // and without one for so long after that it is gone; a fifth of a core may be away for a tenth of a second
-	watchEvery = 100 * time.Millisecond
-	slowDial   = 150 * time.Millisecond // a dial that fails after so long got no word
-	dialPause  = 250 * time.Millisecond // after such a one nobody dials for so long
+	probeAfter = 300 * time.Millisecond // without a byte received, until a probe is sent
+	// probeTimeout is the time without a byte received after the probe, until the peer is considered gone. A process that has a fifth of a
+	// core may be off the CPU for a tenth of a second.
+	probeTimeout    = 400 * time.Millisecond
+	watchInterval   = 100 * time.Millisecond // between checks of a connection
+	minTimedOutDial = 150 * time.Millisecond // a dial that fails after at least this time got no answer
+	dialPause       = 250 * time.Millisecond // no watched call dials for this time after such a failure
 )
 
-// ErrGone is the cause where a peer was found gone while a call was under way: it may have been carried out.
-var ErrGone = errors.New("the peer is gone")
+// ErrGone is the cause of a call whose peer stopped responding while it was in flight. The peer may have carried it
+// out.
+var ErrGone = errors.New("the peer stopped responding")
 
-// liveness is what a watch thinks of a peer. Its one function for changes is turn.
+// liveness is the state of a connection's watch. Only check changes it.
 type liveness struct {
-	asked time.Time // when it was asked for a word; zero: it was not
+	probeSent time.Time // when the probe was sent; zero: none is outstanding
 }
 
-// turn takes the time at which the connection last brought a byte, and tells whether to ask the peer now, or that it is gone.
-func (l *liveness) turn(now, heard time.Time) (ask, gone bool) {
+// check takes the time at which the connection last brought a byte. It returns whether to probe the peer now, and
+// whether the peer is gone.
+func (l *liveness) check(now, lastRead time.Time) (probe, gone bool) {
 	switch {
-	case !l.asked.IsZero() && heard.After(l.asked), now.Sub(heard) < listenFor:
-		l.asked = time.Time{}
-	case l.asked.IsZero():
-		l.asked = now
+	case !l.probeSent.IsZero() && lastRead.After(l.probeSent), now.Sub(lastRead) < probeAfter:
+		l.probeSent = time.Time{}
+	case l.probeSent.IsZero():
+		l.probeSent = now
 		return true, false
-	case now.Sub(l.asked) >= answerIn:
+	case now.Sub(l.probeSent) >= probeTimeout:
 		return false, true
 	}
 	return false, false
 }
 
-// start is what the times of a connection's bytes are counted from, by the steady clock.
-var start = time.Now()
+// baseTime is the reference for the times at which connections bring bytes, by the monotonic clock.
+var baseTime = time.Now()
 
-func sinceStart() int64 { return int64(time.Since(start)) }
+// sinceBase returns the nanoseconds since baseTime.
+func sinceBase() int64 { return int64(time.Since(baseTime)) }
 
-// watch looks after a link while watched calls are out on it.
-func (p *Peer) watch(k *link) {
-	var l liveness
-	turn := time.NewTicker(watchEvery)
-	defer turn.Stop()
-	begun := time.Now()
-	for now := range turn.C {
+// watch checks a connection while watched calls are in flight on it.
+func (p *Peer) watch(conn *peerConn) {
+	var state liveness
+	ticker := time.NewTicker(watchInterval)
+	defer ticker.Stop()
+	started := time.Now()
+	for now := range ticker.C {
 		p.mu.Lock()
-		if k.watched == 0 {
-			k.watching = false
+		if conn.watchedCalls == 0 {
+			conn.watching = false
 			p.mu.Unlock()
 			return
 		}
 		p.mu.Unlock()
-		heard := start.Add(time.Duration(k.conn.heard.Load()))
-		if heard.Before(begun) {
-			heard = begun
+		lastRead := baseTime.Add(time.Duration(conn.conn.lastRead.Load()))
+		if lastRead.Before(started) {
+			lastRead = started
 		}
-		switch ask, gone := l.turn(now, heard); {
-		case ask:
-			k.client.Go(wordCall, new(bool), new(bool), nil)
+		switch probe, gone := state.check(now, lastRead); {
+		case probe:
+			conn.client.Go(pingMethod, new(bool), new(bool), nil)
 		case gone:
-			k.gone.Store(true)
-			p.drop(k)
+			conn.gone.Store(true)
+			p.drop(conn)
 		}
 	}
 }
