--- a/internal/cdn/usage/meter_test.go
+++ b/internal/cdn/usage/meter_test.go
@@ -26,7 +26,7 @@
 		want  map[int64]Counts
 	}{
 		{"runs", []step{{1, "a"}}, map[int64]Counts{200: {"a": 1}}},
-		{"rejected", []step{{1, "a"}, {}}, map[int64]Counts{}},
+		{"rejected by the server", []step{{1, "a"}, {}}, map[int64]Counts{}},
 		{"rejected, then runs in the next window", []step{{1, "a"}, {}, {6, "a"}}, map[int64]Counts{201: {"a": 1}}},
 		{"a second attempt in parallel", []step{{1, "a"}, {6, "a"}}, map[int64]Counts{200: {"a": 1}}},
 		{"a second attempt in parallel, rejected", []step{{1, "a"}, {6, "a"}, {}}, map[int64]Counts{200: {"a": 1}}},
