--- a/internal/cdn/peerrpc/peerrpc.go
+++ b/internal/cdn/peerrpc/peerrpc.go
@@ -1,6 +1,6 @@
 // Package peerrpc implements the RPCs between the system's own processes: gob over TCP, with many concurrent calls on
-// one connection, each with its own deadline. A connection without any reply until a call's deadline is closed, and
-// the next call dials a new one.
+// one connection, each with its own deadline. If a call times out and the peer has not replied to any call meanwhile,
+// the connection is closed, and the next call dials a new one.
 package peerrpc
 
 import (
--- a/internal/cdn/usage/collector.go
+++ b/internal/cdn/usage/collector.go
@@ -80,10 +80,10 @@
 	for _, node := range roster {
 		inRoster[node] = true
 	}
-	for key, l := range c.reports {
-		maps.DeleteFunc(l.windows, func(round int64, _ Counts) bool { return round <= fixed })
+	for key, report := range c.reports {
+		maps.DeleteFunc(report.windows, func(round int64, _ Counts) bool { return round <= fixed })
 		newest := c.newest[key.node] == key
-		if len(l.windows) > 0 || newest && inRoster[key.node] {
+		if len(report.windows) > 0 || newest && inRoster[key.node] {
 			continue
 		}
 		delete(c.reports, key)
@@ -98,9 +98,9 @@
 // reported as final.
 func (c *Collector) windowRange(fixed int64) (first, last int64) {
 	var counted []int64
-	for _, l := range c.reports {
-		last = max(last, l.final)
-		counted = slices.AppendSeq(counted, maps.Keys(l.windows))
+	for _, report := range c.reports {
+		last = max(last, report.final)
+		counted = slices.AppendSeq(counted, maps.Keys(report.windows))
 	}
 	if len(counted) > 0 {
 		last = max(last, slices.Max(counted))
@@ -118,11 +118,11 @@
 func (c *Collector) finalWindow(roster []string) int64 {
 	var finals []int64
 	for _, node := range roster {
-		l := c.reports[c.newest[node]]
-		if l == nil {
+		report := c.reports[c.newest[node]]
+		if report == nil {
 			return 0
 		}
-		finals = append(finals, l.final)
+		finals = append(finals, report.final)
 	}
 	if len(finals) == 0 {
 		return 0
@@ -133,8 +133,8 @@
 // sumWindow adds up one window over all instances.
 func (c *Collector) sumWindow(round int64) Counts {
 	total := Counts{}
-	for _, l := range c.reports {
-		for tenant, count := range l.windows[round] {
+	for _, report := range c.reports {
+		for tenant, count := range report.windows[round] {
 			total[tenant] += count
 		}
 	}
