--- a/internal/exchange/addresses.go
+++ b/internal/exchange/addresses.go
@@ -2,84 +2,84 @@
 
 import "cedarmast/balance"
 
-// List is a server list or its changes, with what the decisions need not know: where each server is reached.
+// List is a server list, complete or partial, together with the servers' addresses, which the balancer does not need.
 type List struct {
 	balance.List
-	Addresses map[balance.ServerID]string // of the entries
+	Addresses map[balance.ServerID]string // host:port of each entry
 }
 
-// place is where a listed server is reached, and since when it has run there.
-type place struct {
+// endpoint is the address of a listed server and the time at which the server started there.
+type endpoint struct {
 	address string
 	started balance.Time
 }
 
-// addresses are the places of all listed servers. They belong to the loop.
-type addresses map[balance.ServerID]place
+// addresses holds the endpoints of all listed servers. It is owned by the loop.
+type addresses map[balance.ServerID]endpoint
 
-// follow takes a list's addresses and returns the servers that are to have no idle connections any more: they
-// are gone, draining, have moved or have started anew.
-func (a addresses) follow(l List) []balance.ServerID {
-	var leave []balance.ServerID
+// update applies a server list and returns the servers whose idle connections are to be closed, because they are gone, are draining,
+// or have moved or restarted.
+func (a addresses) update(l List) []balance.ServerID {
+	var toClose []balance.ServerID
 	listed := make(map[balance.ServerID]bool, len(l.Entries))
 	for _, e := range l.Entries {
 		listed[e.Server] = true
-		to := place{l.Addresses[e.Server], e.Started}
-		if old, known := a[e.Server]; known && (old != to || e.State != balance.Up) {
-			leave = append(leave, e.Server)
+		current := endpoint{l.Addresses[e.Server], e.Started}
+		if old, known := a[e.Server]; known && (old != current || e.State != balance.Up) {
+			toClose = append(toClose, e.Server)
 		}
 		if e.State == balance.Gone {
 			delete(a, e.Server)
 		} else {
-			a[e.Server] = to
+			a[e.Server] = current
 		}
 	}
 	if l.Kind == balance.Complete || l.Kind == balance.Persisted {
 		for server := range a {
 			if !listed[server] {
-				leave = append(leave, server)
+				toClose = append(toClose, server)
 				delete(a, server)
 			}
 		}
 	}
-	return leave
+	return toClose
 }
 
-// succeeded returns the list with an entry added, as gone, for each server in whose place another one has started
-// since. Lists are seconds late, and tell a new server at an old address before they tell that the old one has gone:
-// what is meant for the old one, which was warm, would reach the new one, which is cold.
-func (a addresses) succeeded(l List) List {
-	now := map[balance.ServerID]place{}
+// markReplaced returns the list with each server marked as gone at whose address another server has started since. Server lists are
+// seconds late and may show a new server at an address before they show that the old server is gone: requests meant for the old server,
+// whose cache was warm, would reach the new one, whose cache is cold.
+func (a addresses) markReplaced(l List) List {
+	endpoints := map[balance.ServerID]endpoint{}
 	if l.Kind == balance.Partial {
-		for server, at := range a {
-			now[server] = at
+		for server, ep := range a {
+			endpoints[server] = ep
 		}
 	}
 	for _, e := range l.Entries {
-		if delete(now, e.Server); e.State != balance.Gone {
-			now[e.Server] = place{l.Addresses[e.Server], e.Started}
+		if delete(endpoints, e.Server); e.State != balance.Gone {
+			endpoints[e.Server] = endpoint{l.Addresses[e.Server], e.Started}
 		}
 	}
-	newest := make(map[string]balance.Time, len(now))
-	for _, at := range now {
-		newest[at.address] = max(newest[at.address], at.started)
+	newest := make(map[string]balance.Time, len(endpoints))
+	for _, ep := range endpoints {
+		newest[ep.address] = max(newest[ep.address], ep.started)
 	}
-	old := map[balance.ServerID]bool{}
-	for server, at := range now {
-		if at.address != "" && at.started < newest[at.address] {
-			old[server] = true
+	replaced := map[balance.ServerID]bool{}
+	for server, ep := range endpoints {
+		if ep.address != "" && ep.started < newest[ep.address] {
+			replaced[server] = true
 		}
 	}
-	if len(old) == 0 {
+	if len(replaced) == 0 {
 		return l
 	}
-	entries := make([]balance.Entry, 0, len(l.Entries)+len(old))
+	entries := make([]balance.Entry, 0, len(l.Entries)+len(replaced))
 	for _, e := range l.Entries {
-		if !old[e.Server] {
+		if !replaced[e.Server] {
 			entries = append(entries, e)
 		}
 	}
-	for server := range old {
+	for server := range replaced {
 		entries = append(entries, balance.Entry{Server: server, State: balance.Gone})
 	}
 	l.Entries = entries
--- a/internal/exchange/budget.go
+++ b/internal/exchange/budget.go
@@ -2,39 +2,39 @@
 
 import "sync/atomic"
 
-// Budget bounds the bytes of long requests that are held at once: connections bound the short ones, but a few hundred
-// long ones would be more than a small machine has.
-type Budget struct{ left, most atomic.Int64 }
+// Budget limits the bytes of long requests that are in memory at once. The connection limit bounds short requests, but a few hundred long
+// ones would exceed the memory of a small machine.
+type Budget struct{ available, size atomic.Int64 }
 
-// NewBudget returns a budget of so many bytes.
+// NewBudget returns a budget of the given size in bytes.
 func NewBudget(bytes int64) *Budget {
 	b := &Budget{}
 	b.Grow(bytes)
 	return b
 }
 
-// Grow changes the budget by so many bytes, which may be under 0.
+// Grow changes the size of the budget by a number of bytes, which may be negative.
 func (b *Budget) Grow(bytes int64) {
-	b.most.Add(bytes)
-	b.left.Add(bytes)
+	b.size.Add(bytes)
+	b.available.Add(bytes)
 }
 
-// Most is all of it: what is longer never finds room.
-func (b *Budget) Most() int64 { return b.most.Load() }
+// Most returns the size of the budget in bytes: a longer request never fits.
+func (b *Budget) Most() int64 { return b.size.Load() }
 
-// Left is how much of it is free.
-func (b *Budget) Left() int64 { return b.left.Load() }
+// Left returns the number of bytes that are free; negative after a reduction below what is in use.
+func (b *Budget) Left() int64 { return b.available.Load() }
 
-// Take takes bytes if they are there; release gives them back, once.
+// Take reserves bytes if that many are free. release returns them; further calls of it have no effect.
 func (b *Budget) Take(bytes int64) (release func(), ok bool) {
-	if b.left.Add(-bytes) < 0 {
-		b.left.Add(bytes)
+	if b.available.Add(-bytes) < 0 {
+		b.available.Add(bytes)
 		return nil, false
 	}
 	var done atomic.Bool
 	return func() {
 		if done.CompareAndSwap(false, true) {
-			b.left.Add(bytes)
+			b.available.Add(bytes)
 		}
 	}, true
 }
--- a/internal/exchange/counters.go
+++ b/internal/exchange/counters.go
@@ -9,7 +9,7 @@
 	"cedarmast/balance"
 )
 
-// Counters count what a router takes in, sends and answers since its start. They may be read at any time.
+// Counters holds a router's counters since its start, and its gauges. It may be read at any time, from any goroutine.
 type Counters struct {
 	ClientsAccepted, ClientsTurnedAway, ClientsOpen atomic.Int64
 	Requests, BadRequests, ClientsGone              atomic.Int64
@@ -19,60 +19,61 @@
 	Dials, ServerConnections, IdleConnections       atomic.Int64
 	ListAnswers, ListFailures                       atomic.Int64
 	PeersTold, PeersHeard, PeersDropped             atomic.Int64
-	FactsHeld, FactsLearned, FactsInStep            atomic.Int64 // of state that routers share; in step 0 or 1
+	FactsHeld, FactsLearned, FactsInStep            atomic.Int64 // state that routers share; FactsInStep is 1 when in sync, else 0
 	FactsTold, FactsHeard, FactsDropped             atomic.Int64 // datagrams
 	Panics                                          atomic.Int64
-	Lag                                             atomic.Int64 // nanoseconds; the decision loop's recent worst
-	Astray                                          atomic.Int64 // attempts that count as in flight and are not booked
-	LagMost                                         atomic.Int64 // nanoseconds; its worst ever
-	Phase                                           atomic.Int64 // of coming back: 0 without a list, 1 serving, 2 at full service
-	FullAfter                                       atomic.Int64 // nanoseconds from the start to full service; 0 before
+	Lag                                             atomic.Int64 // nanoseconds; recent maximum lag of the event loop
+	Astray                                          atomic.Int64 // mismatches of attempts in flight, balancer against loop
+	LagMost                                         atomic.Int64 // nanoseconds; maximum lag since the start
+	Phase                                           atomic.Int64 // recovery after a start: 0 no server list, 1 serving, 2 full service
+	FullAfter                                       atomic.Int64 // nanoseconds from the start to full service; 0 until then
 }
 
+// resultNames holds the name of each balance.Result in metrics and logs.
 var resultNames = [balance.Spoilt + 1]string{"unknown", "ok", "errored", "full", "timed_out", "no_connect", "reset",
 	"cancelled", "moot", "miss", "spoilt"}
 
-// Group is some counters of one subject, in order.
+// Group is an ordered list of counters of one subsystem.
 type Group struct {
 	Name   string
 	Values []Value
 }
 
-// Value is one counter.
+// Value is the name and the current value of one counter.
 type Value struct {
 	Name  string
 	Count int64
 }
 
-// Read returns all counters by subject.
+// Read returns the current values of all counters, grouped by subsystem.
 func (c *Counters) Read() []Group {
-	one := func(name string, v *atomic.Int64) Value { return Value{name, v.Load()} }
+	value := func(name string, v *atomic.Int64) Value { return Value{name, v.Load()} }
 	results := make([]Value, len(resultNames))
 	for i := range resultNames {
-		results[i] = one(resultNames[i], &c.Results[i])
+		results[i] = value(resultNames[i], &c.Results[i])
 	}
-	lag := func(name string, v *atomic.Int64) Value {
+	micros := func(name string, v *atomic.Int64) Value {
 		return Value{name, time.Duration(v.Load()).Microseconds()}
 	}
 	return []Group{
-		{"clients", []Value{one("accepted", &c.ClientsAccepted), one("turned_away", &c.ClientsTurnedAway),
-			one("open", &c.ClientsOpen)}},
-		{"requests", []Value{one("taken", &c.Requests), one("bad", &c.BadRequests), one("gone", &c.ClientsGone)}},
-		{"answers", []Value{one("served", &c.Served), one("refused", &c.Refused), one("failed", &c.Failed),
-			one("overdue", &c.Overdue)}},
-		{"attempts", append([]Value{one("sent", &c.Attempts)}, results...)},
-		{"connections", []Value{one("dialled", &c.Dials), one("open", &c.ServerConnections),
-			one("idle", &c.IdleConnections)}},
-		{"discovery", []Value{one("answers", &c.ListAnswers), one("failures", &c.ListFailures)}},
-		{"peers", []Value{one("told", &c.PeersTold), one("heard", &c.PeersHeard), one("dropped", &c.PeersDropped)}},
-		{"facts", []Value{one("held", &c.FactsHeld), one("learned", &c.FactsLearned), one("in_step", &c.FactsInStep),
-			one("told", &c.FactsTold), one("heard", &c.FactsHeard), one("dropped", &c.FactsDropped)}},
-		{"loop", []Value{one("panics", &c.Panics), one("astray", &c.Astray), lag("lag_us", &c.Lag), lag("lag_most_us", &c.LagMost)}},
-		{"recovery", []Value{one("phase", &c.Phase), {"full_after_ms", time.Duration(c.FullAfter.Load()).Milliseconds()}}},
+		{"clients", []Value{value("accepted", &c.ClientsAccepted), value("turned_away", &c.ClientsTurnedAway),
+			value("open", &c.ClientsOpen)}},
+		{"requests", []Value{value("taken", &c.Requests), value("bad", &c.BadRequests), value("gone", &c.ClientsGone)}},
+		{"answers", []Value{value("served", &c.Served), value("refused", &c.Refused), value("failed", &c.Failed),
+			value("overdue", &c.Overdue)}},
+		{"attempts", append([]Value{value("sent", &c.Attempts)}, results...)},
+		{"connections", []Value{value("dialled", &c.Dials), value("open", &c.ServerConnections),
+			value("idle", &c.IdleConnections)}},
+		{"discovery", []Value{value("answers", &c.ListAnswers), value("failures", &c.ListFailures)}},
+		{"peers", []Value{value("told", &c.PeersTold), value("heard", &c.PeersHeard), value("dropped", &c.PeersDropped)}},
+		{"facts", []Value{value("held", &c.FactsHeld), value("learned", &c.FactsLearned), value("in_step", &c.FactsInStep),
+			value("told", &c.FactsTold), value("heard", &c.FactsHeard), value("dropped", &c.FactsDropped)}},
+		{"loop", []Value{value("panics", &c.Panics), value("astray", &c.Astray), micros("lag_us", &c.Lag), micros("lag_most_us", &c.LagMost)}},
+		{"recovery", []Value{value("phase", &c.Phase), {"full_after_ms", time.Duration(c.FullAfter.Load()).Milliseconds()}}},
 	}
 }
 
-// LogAttrs returns the counters for a log line, one group a subject.
+// LogAttrs returns the counters as attributes of a log line, one group for each subsystem.
 func (c *Counters) LogAttrs() []any {
 	var attrs []any
 	for _, g := range c.Read() {
@@ -85,7 +86,7 @@
 	return attrs
 }
 
-// JSON returns the counters as an object of objects.
+// JSON returns the counters as a JSON object with one nested object for each subsystem.
 func (c *Counters) JSON() []byte {
 	all := map[string]map[string]int64{}
 	for _, g := range c.Read() {
@@ -94,6 +95,6 @@
 			all[g.Name][v.Name] = v.Count
 		}
 	}
-	text, _ := json.MarshalIndent(all, "", "  ") // of maps of numbers: cannot fail
+	text, _ := json.MarshalIndent(all, "", "  ") // cannot fail for maps of integers
 	return append(text, '\n')
 }
--- a/internal/exchange/events.go
+++ b/internal/exchange/events.go
@@ -7,42 +7,43 @@
 	"cedarmast/balance"
 )
 
-// event is something for the loop. take changes the loop's books and returns what the decisions are to hear of
-// it, if anything.
+// event is an input of the loop. apply updates the loop's state and returns the event to pass to the balancer; nil if there is none.
 type event interface {
-	take(l *Loop) balance.Event
+	apply(l *Loop) balance.Event
 }
 
+// The events that the loop's methods post.
 type (
-	submitted struct{ *Exchange }
-	departed  struct{ *Exchange }
-	ended     struct {
+	requestSubmitted   struct{ *Exchange }
+	clientDisconnected struct{ *Exchange }
+	attemptEnded       struct {
 		*Attempt
 		Reply
 	}
-	listed  struct{ List }
-	heard   struct{ content []byte }
-	retuned struct {
+	serverListReceived  struct{ List }
+	peerMessageReceived struct{ content []byte }
+	settingsChanged     struct {
 		settings balance.Settings
 		done     chan<- struct{}
 	}
-	expired struct{}
+	failAllRequested struct{}
 )
 
-// stamped is an event with the time it was brought.
-type stamped struct {
+// queuedEvent is an event with the time at which it was queued.
+type queuedEvent struct {
 	event
-	at time.Time
+	queuedAt time.Time
 }
 
+// post queues an event. It blocks while the queue is full; once the loop has stopped the event is dropped.
 func (l *Loop) post(e event) {
 	select {
-	case l.events <- stamped{e, time.Now()}:
+	case l.events <- queuedEvent{e, time.Now()}:
 	case <-l.stopped:
 	}
 }
 
-// postUrgent brings what goes before all that waits; false if the loop has ended.
+// postUrgent passes an event to the loop ahead of all queued ones; false if the loop has stopped.
 func (l *Loop) postUrgent(e event) bool {
 	select {
 	case l.urgent <- e:
@@ -52,23 +53,24 @@
 	}
 }
 
-// Submit hands over a request. Its exchange gets one Answer, by Due unless the loop hangs.
+// Submit passes a request to the loop. Its exchange gets exactly one answer, by its deadline unless the loop hangs.
 func (l *Loop) Submit(x *Exchange) {
-	left := x.TimeLeft
-	if left <= 0 { // the client said nothing: its class's whole time
-		left = l.deadline(x.Class)
+	timeout := x.TimeLeft
+	if timeout <= 0 { // the client sent no timeout: use the class's deadline
+		timeout = l.classDeadline(x.Class)
 	}
-	x.Due = x.Arrived.Add(left - l.lag.margin(left))
-	l.post(submitted{x})
+	x.Due = x.Arrived.Add(timeout - l.lag.margin(timeout))
+	l.post(requestSubmitted{x})
 }
 
-// Depart says that the exchange's client has gone; nothing more is owed.
-func (l *Loop) Depart(x *Exchange) { l.post(departed{x}) }
+// Depart reports that the exchange's client has disconnected. Its attempts are cancelled and no answer is sent.
+func (l *Loop) Depart(x *Exchange) { l.post(clientDisconnected{x}) }
 
-// Retune brings new settings and returns once the decisions have them, or the loop has ended. Tiers stay as they are.
+// Retune replaces the settings and returns once the balancer has applied them, or the loop has stopped. Tiers and Placement stay
+// unchanged.
 func (l *Loop) Retune(settings balance.Settings) {
 	done := make(chan struct{})
-	if !l.postUrgent(retuned{settings, done}) {
+	if !l.postUrgent(settingsChanged{settings, done}) {
 		return
 	}
 	select {
@@ -77,45 +79,45 @@
 	}
 }
 
-// Listed brings a server list, or with kind Failed the news that there was none.
-func (l *Loop) Listed(list List) { l.post(listed{list}) }
+// Listed passes a server list to the loop, or with kind Failed the information that fetching it failed.
+func (l *Loop) Listed(list List) { l.post(serverListReceived{list}) }
 
-// Heard brings a message of another router.
-func (l *Loop) Heard(content []byte) { l.post(heard{content}) }
+// Heard passes a message from another router to the balancer.
+func (l *Loop) Heard(content []byte) { l.post(peerMessageReceived{content}) }
 
-// Expire ends all that is in hand without waiting for its time: the router is about to be killed.
-func (l *Loop) Expire() { l.post(expired{}) }
+// Expire fails all requests in progress without waiting for their deadlines, because the router is about to be killed.
+func (l *Loop) Expire() { l.post(failAllRequested{}) }
 
-func (e stamped) take(l *Loop) balance.Event {
-	l.lag.note(time.Since(e.at), l.Counts)
-	return e.event.take(l)
+func (e queuedEvent) apply(l *Loop) balance.Event {
+	l.lag.record(time.Since(e.queuedAt), l.Counts)
+	return e.event.apply(l)
 }
 
-func (e submitted) take(l *Loop) balance.Event {
+func (e requestSubmitted) apply(l *Loop) balance.Event {
 	x := e.Exchange
-	l.started++
-	x.id = balance.RequestID(strconv.FormatUint(l.started, 36))
-	l.exchanges[x.id] = x
-	return balance.Request{ID: x.id, Class: x.Class, Tenant: x.Tenant, Key: x.Key, HasKey: x.HasKey, Write: x.Write,
+	l.lastRequestNumber++
+	x.requestID = balance.RequestID(strconv.FormatUint(l.lastRequestNumber, 36))
+	l.exchanges[x.requestID] = x
+	return balance.Request{ID: x.requestID, Class: x.Class, Tenant: x.Tenant, Key: x.Key, HasKey: x.HasKey, Write: x.Write,
 		Due: l.Clock.At(x.Due)}
 }
 
-func (e departed) take(l *Loop) balance.Event {
+func (e clientDisconnected) apply(l *Loop) balance.Event {
 	x := e.Exchange
-	if x.answered || l.exchanges[x.id] != x {
-		x.let()
+	if x.answered || l.exchanges[x.requestID] != x {
+		x.releaseUnreadAnswer()
 		return nil
 	}
 	l.Counts.ClientsGone.Add(1)
-	x.answered = true // nobody is there to take one
+	x.answered = true // there is no client to receive an answer
 	for _, a := range x.attempts {
 		a.cancel(ErrWithdrawn)
 	}
-	l.forget(x)
-	return balance.ClientGone{ID: x.id}
+	l.removeLater(x)
+	return balance.ClientGone{ID: x.requestID}
 }
 
-func (e ended) take(l *Loop) balance.Event {
+func (e attemptEnded) apply(l *Loop) balance.Event {
 	x := e.Attempt.Exchange
 	l.Counts.Results[e.Result].Add(1)
 	if e.Err != nil {
@@ -123,28 +125,28 @@
 			"after", time.Since(e.sent))
 	}
 	answer := Answer{Kind: Served, Header: e.Header, Body: e.Body, Rest: e.Rest, Length: e.Length}
-	if l.exchanges[x.id] != x { // of before a fresh start of the decisions
+	if l.exchanges[x.requestID] != x { // an attempt from before a restart of the balancer
 		answer.Let()
 		return nil
 	}
-	x.out--
-	e.Attempt.taken = true
+	x.inFlight--
+	e.Attempt.outcomeApplied = true
 	if e.Result == balance.OK && x.Settle(answer) {
 		l.Counts.Served.Add(1)
 	} else {
 		answer.Let()
 	}
 	done := x.answered
-	l.forget(x)
-	return balance.Outcome{ID: x.id, Attempt: e.number, Server: e.Server, Result: e.Result, Fetching: e.Fetching,
+	l.removeLater(x)
+	return balance.Outcome{ID: x.requestID, Attempt: e.number, Server: e.Server, Result: e.Result, Fetching: e.Fetching,
 		Done: done, Connect: e.Connect}
 }
 
-func (e listed) take(l *Loop) balance.Event {
+func (e serverListReceived) apply(l *Loop) balance.Event {
 	if e.Kind == balance.Failed {
 		return e.List.List
 	}
-	e.List = l.addresses.succeeded(e.List)
+	e.List = l.addresses.markReplaced(e.List)
 	l.version = e.Version
 	if e.Kind != balance.Partial {
 		clear(l.entries)
@@ -156,31 +158,31 @@
 			l.entries[entry.Server] = entry
 		}
 	}
-	if leave := l.addresses.follow(e.List); len(leave) > 0 {
-		l.helpers.Go(func() { // closing takes locks that others hold while they dial or read
-			for _, server := range leave {
+	if toClose := l.addresses.update(e.List); len(toClose) > 0 {
+		l.goroutines.Go(func() { // asynchronous: closing takes locks that are held during dials and reads
+			for _, server := range toClose {
 				l.Pool.Leave(server)
 			}
 		})
 	}
-	return l.Maintenance.overAll(e.List.List, l.entries)
+	return l.Maintenance.overrideAll(e.List.List, l.entries)
 }
 
-func (e retuned) take(l *Loop) balance.Event {
+func (e settingsChanged) apply(l *Loop) balance.Event {
 	e.settings.Tiers, e.settings.Placement = l.Settings.Tiers, l.Settings.Placement
-	l.tuned.Store(&e.settings)
-	l.confirm = append(l.confirm, func() { close(e.done) })
+	l.updatedSettings.Store(&e.settings)
+	l.afterBatch = append(l.afterBatch, func() { close(e.done) })
 	return balance.Retuned{Settings: e.settings}
 }
 
-func (expired) take(l *Loop) balance.Event {
-	l.Log.Warn("ended before their time", "exchanges", len(l.exchanges))
-	l.endAll()
+func (failAllRequested) apply(l *Loop) balance.Event {
+	l.Log.Warn("failed all requests before their deadlines", "exchanges", len(l.exchanges))
+	l.failAll()
 	return nil
 }
 
-// endAll fails every exchange, which promises nothing and so is always allowed, and withdraws its attempts.
-func (l *Loop) endAll() {
+// failAll fails every exchange and cancels its attempts. Failed is always a permitted answer, because it promises nothing.
+func (l *Loop) failAll() {
 	for _, x := range l.exchanges {
 		l.fail(x, true)
 		for _, a := range x.attempts {
@@ -189,4 +191,4 @@
 	}
 }
 
-func (e heard) take(*Loop) balance.Event { return balance.Heard{Content: e.content} }
+func (e peerMessageReceived) apply(*Loop) balance.Event { return balance.Heard{Content: e.content} }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,4 +1,4 @@
-// Package exchange holds what a router keeps in memory: the exchanges in hand, the loop that owns the decisions,
+// Package exchange holds a router's in-memory state: the requests in progress, the event loop that owns the balancer,
 // the servers' addresses, the pool of connections to them and the counters. It reads and writes no sockets.
 package exchange
 
@@ -13,62 +13,62 @@
 	"cedarmast/balance"
 )
 
-// Request is a client's request as the client side hands it over. It is not changed afterwards.
+// Request is a client's request as the client-facing side hands it over. It is not modified afterwards.
 type Request struct {
-	ID            string // the client's: new with every request
+	ID            string // chosen by the client, unique for every request
 	Class, Tenant string
 	Key           uint64
 	HasKey        bool
 	Write         bool
-	Arrived       time.Time     // when its first byte was seen
-	TimeLeft      time.Duration // how long the client waits from its sending; 0 if it did not say
+	Arrived       time.Time     // when its first byte was received
+	TimeLeft      time.Duration // how long the client waits, counted from sending the request; 0 if it did not say
 
-	Method, Target string      // the request line's, unchanged
-	Header         http.Header // end to end only
+	Method, Target string      // from the request line, unchanged
+	Header         http.Header // end-to-end headers only
 	Body           []byte
 }
 
-// Kind is the kind of a final answer.
+// Kind is the kind of a final answer to the client.
 type Kind int
 
 // The kinds of final answer.
 const (
-	Served  Kind = iota // a server's answer, passed on whole
-	Refused             // trying again is harmless
-	Failed              // nothing is promised
+	Served  Kind = iota // a server's answer, forwarded completely
+	Refused             // a retry by the client is harmless
+	Failed              // no promise: the request may have run, and a retry may run it again
 )
 
-// Answer is the one final answer of an exchange.
+// Answer is the final answer of an exchange; each exchange has exactly one.
 type Answer struct {
 	Kind       Kind
-	Header     http.Header   // end to end only, if served
+	Header     http.Header   // end-to-end headers only, if served
 	Body       []byte        // if served
-	Rest       io.ReadCloser // if served: what follows the body of a long answer; nil if that is all
-	Length     int64         // with Rest: of the body and what follows, in bytes; -1 if nobody tells
-	RetryAfter time.Duration // advice, if refused
-	TimedOut   bool          // if failed: nothing came in time
+	Rest       io.ReadCloser // if served: the remainder of a long answer after Body; nil if Body is complete
+	Length     int64         // with Rest: length of Body and Rest together, in bytes; -1 if unknown
+	RetryAfter time.Duration // if refused: when the client is advised to retry
+	TimedOut   bool          // if failed: no answer arrived before the deadline
 }
 
-// Exchange is one client's request on its way: the one thing that client side and server side share. All but the
-// answer belongs to the loop.
+// Exchange is a client's request in progress. It is the only state that the client-facing and the server-facing side share.
+// Everything except the answer channel is owned by the loop.
 type Exchange struct {
 	Request
-	Due time.Time // the answer is out by then; set by Submit
+	Due time.Time // deadline of the answer; set by Submit
 
-	answer   chan Answer // holds one
-	id       balance.RequestID
-	attempts []*Attempt
-	out      int // attempts without their outcome
-	answered bool
+	answer    chan Answer // buffered, capacity 1
+	requestID balance.RequestID
+	attempts  []*Attempt
+	inFlight  int // number of attempts whose outcome the loop has not processed yet
+	answered  bool
 }
 
-// New returns the exchange of a request.
+// New returns a new exchange for a request.
 func New(r Request) *Exchange { return &Exchange{Request: r, answer: make(chan Answer, 1)} }
 
-// Answer brings the final answer, once.
+// Answer returns the channel that delivers the final answer, once.
 func (x *Exchange) Answer() <-chan Answer { return x.answer }
 
-// Settle gives the final answer unless there is one. Only the one goroutine that decides calls it.
+// Settle sets the final answer and reports whether it was the first; later answers are ignored. Only the loop's goroutine may call it.
 func (x *Exchange) Settle(a Answer) bool {
 	if x.answered {
 		return false
@@ -78,8 +78,8 @@
 	return true
 }
 
-// let gives back what an answer holds that nobody has taken.
-func (x *Exchange) let() {
+// releaseUnreadAnswer releases the resources of an answer that the client side has not received.
+func (x *Exchange) releaseUnreadAnswer() {
 	select {
 	case a := <-x.answer:
 		a.Let()
@@ -87,51 +87,52 @@
 	}
 }
 
-// Let gives back what the answer holds.
+// Let releases the answer's resources: it closes Rest.
 func (a Answer) Let() {
 	if a.Rest != nil {
 		a.Rest.Close()
 	}
 }
 
-// ErrWithdrawn is the cause of an attempt's end when the router has stopped waiting for it.
+// ErrWithdrawn is the cancellation cause of an attempt whose result the router no longer needs.
 var ErrWithdrawn = errors.New("withdrawn")
 
-// Attempt is one send of an exchange to one server. Its context ends when the exchange is due or the attempt is
-// withdrawn.
+// Attempt is one send of an exchange to one server. Its context ends at the exchange's deadline or when the attempt is
+// cancelled.
 type Attempt struct {
 	*Exchange
 	Server  balance.ServerID
 	Address string
 	Context context.Context
-	Connect time.Duration // that opening a connection for it took; set by the Sender before End
-
-	number int
-	sent   time.Time
-	cancel context.CancelCauseFunc
-	ended  atomic.Bool
-	taken  bool // by the loop: its outcome has reached the decisions
-	loop   *Loop
+	Connect time.Duration // time spent opening a connection for it; set by the Sender before End
+
+	number         int
+	sent           time.Time
+	cancel         context.CancelCauseFunc
+	ended          atomic.Bool
+	outcomeApplied bool // the loop has passed its outcome to the balancer
+	loop           *Loop
 }
 
-// Sent is when the attempt was decided on.
+// Sent returns the time at which the loop started the attempt.
 func (a *Attempt) Sent() time.Time { return a.sent }
 
-// Reply is how an attempt ended.
+// Reply is the result of an attempt.
 type Reply struct {
 	Result   balance.Result
-	Fetching bool          // a miss behind another request's fetch of the key
-	Header   http.Header   // with OK: end to end only
+	Fetching bool          // a cache miss while the server waits for another request's fetch of the same key
+	Header   http.Header   // with OK: end-to-end headers only
 	Body     []byte        // with OK
-	Err      error         // without OK: what went wrong, for the log
-	Rest     io.ReadCloser // with OK: what follows, of a long answer; nil if Body is all
-	Length   int64         // with Rest: of all; -1 if nobody tells
+	Err      error         // without OK: the cause, for the log
+	Rest     io.ReadCloser // with OK: the remainder of a long answer after Body; nil if Body is complete
+	Length   int64         // with Rest: length of Body and Rest together, in bytes; -1 if unknown
 }
 
-// End reports how the attempt ended. Only the first call counts: whatever races, an attempt has one outcome.
+// End reports the attempt's result. Only the first call has an effect, so that an attempt has exactly one outcome when an answer,
+// a timeout and a cancellation race.
 func (a *Attempt) End(r Reply) {
 	if a.ended.CompareAndSwap(false, true) {
 		a.cancel(nil)
-		a.loop.post(ended{a, r})
+		a.loop.post(attemptEnded{a, r})
 	}
 }
--- a/internal/exchange/lag.go
+++ b/internal/exchange/lag.go
@@ -5,44 +5,47 @@
 	"time"
 )
 
-// lag measures how late the decision loop gets to its events and timers: its worst of late, which fades. What a
-// client's time runs short by is taken from it.
-type lag struct {
-	worst atomic.Int64 // nanoseconds
-	at    atomic.Int64 // of the last reading, in nanoseconds from the process's start
+// lagTracker measures how late the event loop handles its events and timers, as a recent maximum that decays. The safety margin that is
+// subtracted from a client's deadline is derived from it.
+type lagTracker struct {
+	peak       atomic.Int64 // nanoseconds, at the time of the last measurement
+	measuredAt atomic.Int64 // time of the last measurement, in nanoseconds since processStart
 }
 
 const (
-	leastMargin = 2 * time.Millisecond // for the way from the client and back, which nobody tells
-	mostMargin  = 40 * time.Millisecond
-	lagFades    = 2 * time.Second // to nothing
+	minMargin    = 2 * time.Millisecond // for the unknown network latency from and to the client
+	maxMargin    = 40 * time.Millisecond
+	lagDecayTime = 2 * time.Second // time in which a measured lag decays to zero
 )
 
+// processStart is the reference of the times that lagTracker stores.
 var processStart = time.Now()
 
-// note takes a reading; only the loop's goroutine calls it.
-func (l *lag) note(late time.Duration, counts *Counters) {
+// record adds a measurement; only the loop's goroutine may call it.
+func (l *lagTracker) record(measured time.Duration, counts *Counters) {
 	now := time.Since(processStart)
-	left := l.read(now)
-	if late > left {
-		left = late
+	recent := l.current(now)
+	if measured > recent {
+		recent = measured
 	}
-	l.worst.Store(int64(left))
-	l.at.Store(int64(now))
-	counts.Lag.Store(int64(left))
-	if int64(late) > counts.LagMost.Load() {
-		counts.LagMost.Store(int64(late))
+	l.peak.Store(int64(recent))
+	l.measuredAt.Store(int64(now))
+	counts.Lag.Store(int64(recent))
+	if int64(measured) > counts.LagMost.Load() {
+		counts.LagMost.Store(int64(measured))
 	}
 }
 
-func (l *lag) read(now time.Duration) time.Duration {
-	since := now - time.Duration(l.at.Load())
-	faded := float64(l.worst.Load()) * (1 - float64(since)/float64(lagFades))
-	return time.Duration(max(faded, 0))
+// current returns the lag at a time since processStart, after linear decay.
+func (l *lagTracker) current(now time.Duration) time.Duration {
+	elapsed := now - time.Duration(l.measuredAt.Load())
+	decayed := float64(l.peak.Load()) * (1 - float64(elapsed)/float64(lagDecayTime))
+	return time.Duration(max(decayed, 0))
 }
 
-// margin is what is kept back of a client's time: twice the lag of late, in bounds and never over an eighth.
-func (l *lag) margin(left time.Duration) time.Duration {
-	m := min(leastMargin+2*l.read(time.Since(processStart)), mostMargin)
-	return min(m, left/8)
+// margin returns the time to subtract from a client's timeout: minMargin plus twice the recent lag, at most maxMargin and at most an
+// eighth of the timeout.
+func (l *lagTracker) margin(timeout time.Duration) time.Duration {
+	m := min(minMargin+2*l.current(time.Since(processStart)), maxMargin)
+	return min(m, timeout/8)
 }
--- a/internal/exchange/loop.go
+++ b/internal/exchange/loop.go
@@ -12,22 +12,23 @@
 	"cedarmast/balance"
 )
 
-// Sender carries out attempts. Send returns at once; the attempt's End is called when it has ended.
+// Sender executes attempts. Send must not block; the Sender calls the attempt's End when the attempt has ended.
 type Sender interface{ Send(a *Attempt) }
 
-// Teller sends messages to other routers, which may be lost. Tell returns at once.
+// Teller sends messages to other routers, without a guarantee of delivery. Tell must not block.
 type Teller interface {
 	Tell(to int, content []byte)
 }
 
-// Decider makes the decisions; balance.Balancer is the one in service, others are baselines for rehearsals.
+// Decider is a load balancer: it turns events into actions. balance.Balancer is the production implementation; others are baselines
+// for simulations.
 type Decider interface {
 	Handle(now balance.Time, events []balance.Event) []balance.Action
 	View(now balance.Time) []balance.View
 }
 
-// Loop owns the decisions: one goroutine takes events in batches and carries out what is decided. It never waits
-// on a socket.
+// Loop is the event loop that owns the balancer: one goroutine takes events in batches, passes them to the balancer and
+// executes the resulting actions. It never blocks on a socket.
 type Loop struct {
 	Clock     Clock
 	Counts    *Counters
@@ -35,52 +36,52 @@
 	Pool      *Pool
 	Sender    Sender
 	Teller    Teller
-	Subscribe func() // asks for the list's changes; may be nil
+	Subscribe func() // requests updates of the server list; may be nil
 	Settings  balance.Settings
 	Seed      uint64
-	Decide    func(set balance.Settings, seed uint64) Decider // makes the decisions anew; nil: balance.New
+	Decide    func(set balance.Settings, seed uint64) Decider // creates a balancer; nil: balance.New
 
-	Maintenance Maintenance // the operators' word, as held at the start; the loop's from Run on
+	Maintenance Maintenance // initial maintenance state; owned by the loop once Run is called
 
-	events    chan event
-	urgent    chan event                       // emptied before the others: operators wait for it, whatever the load
-	tuned     atomic.Pointer[balance.Settings] // since the start, in the place of Settings; nil: none
-	confirm   []func()                         // to be called at the end of the turn
-	stopped   chan struct{}                    // closed when nothing is taken any more
-	helpers   sync.WaitGroup                   // goroutines that the loop has started; Run waits for them
-	balancer  Decider
-	exchanges map[balance.RequestID]*Exchange
-	addresses addresses
-	entries   map[balance.ServerID]balance.Entry // as last listed: what a new balancer starts from
-	version   int64
-	timers    timers
-	started   uint64 // exchanges, for their names
-	done      []*Exchange
-	viewAsked bool
-	viewAt    slog.Level
-	lag       lag
+	events            chan event
+	urgent            chan event                       // handled before events: operators wait for these, whatever the load
+	updatedSettings   atomic.Pointer[balance.Settings] // updated settings, which replace Settings; nil: none
+	afterBatch        []func()                         // called at the end of the current batch
+	stopped           chan struct{}                    // closed when the loop accepts no more events
+	goroutines        sync.WaitGroup                   // goroutines started by the loop; Run waits for them
+	balancer          Decider
+	exchanges         map[balance.RequestID]*Exchange
+	addresses         addresses
+	entries           map[balance.ServerID]balance.Entry // the current server list, from which a new balancer starts
+	version           int64
+	timers            timerQueue
+	lastRequestNumber uint64      // number of the last exchange; request IDs are derived from it
+	removable         []*Exchange // candidates for removal at the end of the batch
+	viewRequested     bool
+	viewLevel         slog.Level
+	lag               lagTracker
 }
 
 const (
-	queueLength = 1024 // events that wait for the loop; more hold up those who bring them
-	batchLength = 256
+	eventQueueLength = 1024 // queued events; when the queue is full, posting an event blocks
+	maxBatchEvents   = 256  // events in one batch; with expired timers a batch has at most twice as many
 )
 
-// NewLoop readies a loop; the other fields are to be set before Run.
+// NewLoop returns a loop. The caller must set the other exported fields before Run.
 func NewLoop() *Loop {
-	return &Loop{events: make(chan event, queueLength), urgent: make(chan event), stopped: make(chan struct{}),
+	return &Loop{events: make(chan event, eventQueueLength), urgent: make(chan event), stopped: make(chan struct{}),
 		Maintenance: NewMaintenance(),
 		exchanges:   map[balance.RequestID]*Exchange{}, addresses: addresses{},
 		entries: map[balance.ServerID]balance.Entry{}}
 }
 
-// deadline is the whole time of a class, and a second for one that the settings don't name.
-func (l *Loop) deadline(class string) time.Duration {
-	set := &l.Settings
-	if tuned := l.tuned.Load(); tuned != nil {
-		set = tuned
+// classDeadline returns the deadline of a class, relative to a request's arrival; 1 s for a class that the settings don't name.
+func (l *Loop) classDeadline(class string) time.Duration {
+	settings := &l.Settings
+	if updated := l.updatedSettings.Load(); updated != nil {
+		settings = updated
 	}
-	for _, c := range set.Classes {
+	for _, c := range settings.Classes {
 		if c.Name == class && c.Deadline > 0 {
 			return c.Deadline
 		}
@@ -88,163 +89,167 @@
 	return time.Second
 }
 
-// Run decides until the context ends. When it returns nothing that it started itself is under way; attempts, which the
-// Sender started, may be.
+// Run runs the loop until the context ends. When it returns, every goroutine that the loop started itself has ended; attempts
+// started by the Sender may still be running.
 func (l *Loop) Run(ctx context.Context) {
-	defer l.helpers.Wait()
-	defer close(l.stopped) // first: helpers may be waiting to post
-	l.balancer = l.decider()
-	l.Settings.Answered = 0 // fresh decisions later on have no process before them
-	wake := time.NewTimer(time.Hour)
-	defer wake.Stop()
+	defer l.goroutines.Wait()
+	defer close(l.stopped) // before waiting: these goroutines may be blocked in post
+	l.balancer = l.newBalancer()
+	l.Settings.Answered = 0 // a balancer that is created later does not succeed another process
+	wakeTimer := time.NewTimer(time.Hour)
+	defer wakeTimer.Stop()
 	for ctx.Err() == nil {
-		wake.Reset(l.untilNext())
+		wakeTimer.Reset(l.untilNextTimer())
 		var first event
 		select {
 		case first = <-l.urgent:
 		case first = <-l.events:
-		case <-wake.C:
+		case <-wakeTimer.C:
 		case <-ctx.Done():
 			return
 		}
-		l.guard(func() { l.turn(first) })
+		l.recoverPanics(func() { l.processBatch(first) })
 	}
 }
 
-func (l *Loop) decider() Decider {
-	set := l.Settings
-	if tuned := l.tuned.Load(); tuned != nil {
-		set = *tuned
+// newBalancer creates a balancer with the current settings.
+func (l *Loop) newBalancer() Decider {
+	settings := l.Settings
+	if updated := l.updatedSettings.Load(); updated != nil {
+		settings = *updated
 	}
 	if l.Decide != nil {
-		return l.Decide(set, l.Seed)
+		return l.Decide(settings, l.Seed)
 	}
-	return balance.New(set, l.Seed)
+	return balance.New(settings, l.Seed)
 }
 
-func (l *Loop) untilNext() time.Duration {
-	if len(l.timers.all) == 0 {
+// untilNextTimer returns the time until the next timer expires; an hour if no timer is set.
+func (l *Loop) untilNextTimer() time.Duration {
+	if len(l.timers.entries) == 0 {
 		return time.Hour
 	}
-	return max(l.timers.all[0].at.Sub(l.Clock.Now()), 0)
+	return max(l.timers.entries[0].expiry.Sub(l.Clock.Now()), 0)
 }
 
-// turn hands the decisions one batch and does what they say.
-func (l *Loop) turn(first event) {
+// processBatch passes one batch of events and expired timers to the balancer and executes the resulting actions.
+func (l *Loop) processBatch(first event) {
 	var batch []balance.Event
-	take := func(e event) {
-		if e := e.take(l); e != nil {
+	applyEvent := func(e event) {
+		if e := e.apply(l); e != nil {
 			batch = append(batch, e)
 		}
 	}
 	if first != nil {
-		take(first)
+		applyEvent(first)
 	}
 more:
-	for len(batch) < batchLength {
+	for len(batch) < maxBatchEvents {
 		select {
 		case e := <-l.urgent:
-			take(e)
+			applyEvent(e)
 			continue
 		default:
 		}
 		select {
 		case e := <-l.events:
-			take(e)
+			applyEvent(e)
 		default:
 			break more
 		}
 	}
-	defer l.letGo()
-	defer l.confirmAll()
+	defer l.removeFinished()
+	defer l.runAfterBatch()
 	now := l.Clock.Now()
-	for len(batch) < 2*batchLength {
-		t, ok := l.timers.due(now)
+	for len(batch) < 2*maxBatchEvents {
+		expired, ok := l.timers.popExpired(now)
 		if !ok {
 			break
 		}
-		l.lag.note(now.Sub(t.at), l.Counts)
-		batch = append(batch, balance.Timer{Token: t.token})
+		l.lag.record(now.Sub(expired.expiry), l.Counts)
+		batch = append(batch, balance.Timer{Token: expired.token})
 	}
 	if len(batch) > 0 {
 		for _, a := range l.balancer.Handle(now, batch) {
-			l.do(now, a)
+			l.execute(now, a)
 		}
 	}
-	if l.viewAsked {
-		l.viewAsked = false
-		l.view()
+	if l.viewRequested {
+		l.viewRequested = false
+		l.logView()
 	}
 }
 
-// guard keeps a panic of the decisions from taking the router down: what is in hand is answered and a fresh
-// balancer goes on from the list as last told.
-func (l *Loop) guard(turn func()) {
+// recoverPanics runs f and keeps a panic in the balancer from crashing the router: all requests in progress are answered, and a new
+// balancer continues from the current server list.
+func (l *Loop) recoverPanics(f func()) {
 	defer func() {
 		p := recover()
 		if p == nil {
 			return
 		}
 		l.Counts.Panics.Add(1)
-		l.Log.Error("decisions panicked; starting them anew", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
-		l.startAnew()
+		l.Log.Error("balancer panicked; restarting it", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+		l.restartBalancer()
 	}()
-	turn()
+	f()
 }
 
-func (l *Loop) startAnew() {
-	l.endAll()
-	clear(l.exchanges) // outcomes yet to come find nothing
-	l.timers = timers{}
+// restartBalancer fails all requests in progress and replaces the balancer by a new one, which gets the current server list.
+func (l *Loop) restartBalancer() {
+	l.failAll()
+	clear(l.exchanges) // outcomes that arrive later are ignored
+	l.timers = timerQueue{}
 	l.Seed++
-	l.balancer = l.decider()
+	l.balancer = l.newBalancer()
 	defer func() {
-		if p := recover(); p != nil { // then without the list: requests are refused until the next one comes
-			l.Log.Error("decisions panicked over the list", "panic", fmt.Sprint(p))
-			l.balancer = l.decider()
+		if p := recover(); p != nil { // start without the list: requests are refused until the next one arrives
+			l.Log.Error("balancer panicked on the server list; starting without it", "panic", fmt.Sprint(p))
+			l.balancer = l.newBalancer()
 		}
 	}()
 	list := balance.List{Kind: balance.Persisted, Version: l.version}
 	for _, e := range l.entries {
 		list.Entries = append(list.Entries, e)
 	}
-	for _, a := range l.balancer.Handle(l.Clock.Now(), []balance.Event{l.Maintenance.overAll(list, l.entries)}) {
-		l.do(l.Clock.Now(), a)
+	for _, a := range l.balancer.Handle(l.Clock.Now(), []balance.Event{l.Maintenance.overrideAll(list, l.entries)}) {
+		l.execute(l.Clock.Now(), a)
 	}
 }
 
-// forget notes that an exchange may be done with. It is let go at the end of the turn only: the decisions take a batch
-// whole, and may send for a request whose client's leaving stands behind it in the same batch. That attempt must find
-// its exchange and have its outcome, or the decisions count it as in flight for ever.
-func (l *Loop) forget(x *Exchange) { l.done = append(l.done, x) }
+// removeLater marks an exchange as a candidate for removal at the end of the batch. It must not be removed earlier: the balancer
+// handles a batch as a whole and may send an attempt for a request whose client disconnects later in the same batch. That attempt
+// must find its exchange and get an outcome, or the balancer counts it as in flight forever.
+func (l *Loop) removeLater(x *Exchange) { l.removable = append(l.removable, x) }
 
-// confirmAll tells those who wait for the turn's end.
-func (l *Loop) confirmAll() {
-	for _, f := range l.confirm {
+// runAfterBatch calls the functions that are registered for the end of the batch.
+func (l *Loop) runAfterBatch() {
+	for _, f := range l.afterBatch {
 		f()
 	}
-	l.confirm = nil
+	l.afterBatch = nil
 }
 
-// letGo lets go of the exchanges noted that are answered and have no attempt out.
-func (l *Loop) letGo() {
-	for i, x := range l.done {
-		if x.answered && x.out == 0 {
-			delete(l.exchanges, x.id)
+// removeFinished removes those of the candidates that are answered and have no attempt in flight.
+func (l *Loop) removeFinished() {
+	for i, x := range l.removable {
+		if x.answered && x.inFlight == 0 {
+			delete(l.exchanges, x.requestID)
 		}
-		l.done[i] = nil
+		l.removable[i] = nil
 	}
-	l.done = l.done[:0]
+	l.removable = l.removable[:0]
 }
 
+// fail answers an exchange as failed unless it is answered already.
 func (l *Loop) fail(x *Exchange, timedOut bool) {
 	if x.Settle(Answer{Kind: Failed, TimedOut: timedOut}) {
 		l.Counts.Failed.Add(1)
 	}
 }
 
-// do carries out one action. What names an exchange that has ended is passed over.
-func (l *Loop) do(now balance.Time, a balance.Action) {
+// execute carries out one action of the balancer. Actions for an exchange that has ended are ignored.
+func (l *Loop) execute(now balance.Time, a balance.Action) {
 	switch a := a.(type) {
 	case balance.Send:
 		if x := l.exchanges[a.ID]; x != nil {
@@ -255,19 +260,19 @@
 			if x.Settle(Answer{Kind: Refused, RetryAfter: a.RetryAfter}) {
 				l.Counts.Refused.Add(1)
 			}
-			l.forget(x)
+			l.removeLater(x)
 		}
 	case balance.Fail:
 		if x := l.exchanges[a.ID]; x != nil {
 			l.fail(x, now >= l.Clock.At(x.Due))
-			l.forget(x)
+			l.removeLater(x)
 		}
 	case balance.Cancel:
 		if x := l.exchanges[a.ID]; x != nil && a.Attempt >= 0 && a.Attempt < len(x.attempts) {
 			x.attempts[a.Attempt].cancel(ErrWithdrawn)
 		}
 	case balance.SetTimer:
-		l.timers.set(now.Add(a.After), a.Token)
+		l.timers.add(now.Add(a.After), a.Token)
 	case balance.Tell:
 		l.Teller.Tell(a.To, a.Content)
 	case balance.CloseIdle:
@@ -279,7 +284,8 @@
 	}
 }
 
-// send begins an attempt. One that may not begin any more still gets its outcome, as one that never ran.
+// send starts an attempt. If the exchange is answered or past its deadline, or the server has no address, the attempt is not sent and its
+// result says so: the balancer expects an outcome for every attempt.
 func (l *Loop) send(x *Exchange, server balance.ServerID) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	ctx, stop := context.WithDeadline(ctx, x.Due)
@@ -287,14 +293,14 @@
 		sent: time.Now(), loop: l}
 	a.cancel = func(cause error) { cancel(cause); stop() }
 	x.attempts = append(x.attempts, a)
-	x.out++
+	x.inFlight++
 	l.Counts.Attempts.Add(1)
 	switch {
 	case x.answered || ctx.Err() != nil:
-		l.helpers.Go(func() { a.End(Reply{Result: balance.Moot}) }) // not from here: the queue may be full
+		l.goroutines.Go(func() { a.End(Reply{Result: balance.Moot}) }) // asynchronous: the queue may be full, and only the loop drains it
 	case a.Address == "":
 		err := fmt.Errorf("no address of server %s", server)
-		l.helpers.Go(func() { a.End(Reply{Result: balance.NoConnect, Err: err}) })
+		l.goroutines.Go(func() { a.End(Reply{Result: balance.NoConnect, Err: err}) })
 	default:
 		l.Sender.Send(a)
 	}
--- a/internal/exchange/loop_test.go
+++ b/internal/exchange/loop_test.go
@@ -14,20 +14,21 @@
 	"cedarmast/balance"
 )
 
-// script is a Sender that hands the attempts to the test.
-type script struct{ attempts chan *Attempt }
+// manualSender is a Sender that passes the attempts to the test.
+type manualSender struct{ attempts chan *Attempt }
 
-func (s script) Send(a *Attempt) { s.attempts <- a }
+func (s manualSender) Send(a *Attempt) { s.attempts <- a }
 
-type told struct {
-	mu  sync.Mutex
-	all []int
+// recordingTeller is a Teller that records the receivers of its messages.
+type recordingTeller struct {
+	mu        sync.Mutex
+	receivers []int
 }
 
-func (p *told) Tell(to int, _ []byte) {
+func (p *recordingTeller) Tell(to int, _ []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.all = append(p.all, to)
+	p.receivers = append(p.receivers, to)
 }
 
 var testSettings = balance.Settings{
@@ -39,12 +40,13 @@
 	ColdFrom: 0.2, Ramp: time.Second, OverloadFactor: 4, OverloadFor: time.Second,
 }
 
+// startLoop runs a loop with three servers, after change has adjusted it, and returns it with the attempts that it sends.
 func startLoop(t *testing.T, change func(*Loop)) (*Loop, chan *Attempt) {
 	t.Helper()
 	l := NewLoop()
-	s := script{make(chan *Attempt, 100)}
+	s := manualSender{make(chan *Attempt, 100)}
 	l.Clock, l.Counts, l.Log, l.Settings = NewClock(), &Counters{}, slog.New(slog.DiscardHandler), testSettings
-	l.Pool, l.Sender, l.Teller = NewPool(10, time.Second, l.Counts), s, &told{}
+	l.Pool, l.Sender, l.Teller = NewPool(10, time.Second, l.Counts), s, &recordingTeller{}
 	if change != nil {
 		change(l)
 	}
@@ -56,6 +58,7 @@
 	return l, s.attempts
 }
 
+// testList returns a list of servers that share one address.
 func testList(kind balance.ListKind, version int64, names ...string) List {
 	list := List{List: balance.List{Kind: kind, Version: version}, Addresses: map[balance.ServerID]string{}}
 	for _, name := range names {
@@ -66,10 +69,12 @@
 	return list
 }
 
-func request(class string, left time.Duration) *Exchange {
-	return New(Request{Class: class, Key: 7, HasKey: true, Arrived: time.Now(), TimeLeft: left})
+// request returns a new exchange for a request with the given client timeout; 0 if the client sends none.
+func request(class string, timeout time.Duration) *Exchange {
+	return New(Request{Class: class, Key: 7, HasKey: true, Arrived: time.Now(), TimeLeft: timeout})
 }
 
+// answerOf waits for the exchange's answer.
 func answerOf(t *testing.T, x *Exchange) Answer {
 	t.Helper()
 	select {
@@ -81,6 +86,7 @@
 	}
 }
 
+// attemptOf waits for the next attempt that the loop sends.
 func attemptOf(t *testing.T, attempts chan *Attempt) *Attempt {
 	t.Helper()
 	select {
@@ -92,7 +98,8 @@
 	}
 }
 
-func noMore(t *testing.T, x *Exchange) {
+// noSecondAnswer checks that no further answer arrives.
+func noSecondAnswer(t *testing.T, x *Exchange) {
 	t.Helper()
 	select {
 	case a := <-x.Answer():
@@ -111,7 +118,7 @@
 	}
 }
 
-// An attempt that ends twice, as when an answer and a time-out race, has one outcome.
+// An attempt that is ended more than once, as when an answer and a timeout race, has one outcome.
 func TestAttemptEndsOnce(t *testing.T) {
 	l, attempts := startLoop(t, nil)
 	x := request("once", time.Second)
@@ -123,16 +130,16 @@
 	}
 	wg.Wait()
 	if got := answerOf(t, x); got.Kind != Failed {
-		t.Errorf("a broken attempt of what must not run twice: %+v", got)
+		t.Errorf("reset attempt of a non-idempotent request: %+v", got)
 	}
-	noMore(t, x)
+	noSecondAnswer(t, x)
 	if n := l.Counts.Results[balance.Reset].Load(); n != 1 {
 		t.Errorf("%d outcomes", n)
 	}
 }
 
-// What never ran is sent elsewhere; what may have run and must not run twice is failed, not refused.
-func TestResentOnlyAsTheEffectAllows(t *testing.T) {
+// A request that has not run is retried at another server. A non-idempotent one that may have run is failed, not refused.
+func TestRetryOnlyIfEffectAllows(t *testing.T) {
 	l, attempts := startLoop(t, nil)
 	x := request("once", time.Second)
 	l.Submit(x)
@@ -148,25 +155,25 @@
 	}
 }
 
-func TestAnswerComesByItsTime(t *testing.T) {
+func TestAnswerByDeadline(t *testing.T) {
 	l, attempts := startLoop(t, nil)
 	x := request("once", 100*time.Millisecond)
 	l.Submit(x)
 	a := attemptOf(t, attempts)
-	<-a.Context.Done() // as the server side does
+	<-a.Context.Done() // as the server-facing side does
 	if cause := context.Cause(a.Context); !errors.Is(cause, context.DeadlineExceeded) {
-		t.Errorf("ended by %v", cause)
+		t.Errorf("cause %v, want the deadline", cause)
 	}
 	a.End(Reply{Result: balance.TimedOut, Err: context.DeadlineExceeded})
 	if got := answerOf(t, x); got.Kind != Failed || !got.TimedOut {
 		t.Errorf("got %+v", got)
 	}
 	if late := time.Since(x.Arrived.Add(100 * time.Millisecond)); late > 20*time.Millisecond {
-		t.Errorf("%v after the client's time", late)
+		t.Errorf("answered %v after the client's deadline", late)
 	}
 }
 
-func TestClientGoneWithdrawsItsAttempt(t *testing.T) {
+func TestDisconnectCancelsAttempt(t *testing.T) {
 	l, attempts := startLoop(t, nil)
 	x := request("read", time.Second)
 	l.Submit(x)
@@ -175,16 +182,16 @@
 	select {
 	case <-a.Context.Done():
 	case <-time.After(time.Second):
-		t.Fatal("the attempt goes on")
+		t.Fatal("the attempt was not cancelled")
 	}
 	if cause := context.Cause(a.Context); !errors.Is(cause, ErrWithdrawn) {
-		t.Errorf("ended by %v", cause)
+		t.Errorf("cause %v, want ErrWithdrawn", cause)
 	}
 	a.End(Reply{Result: balance.Cancelled})
-	noMore(t, x)
+	noSecondAnswer(t, x)
 }
 
-// A server without an address gets nothing, and the request an answer all the same.
+// No attempt is sent to a server without an address, and the request is still answered.
 func TestServerWithoutAddress(t *testing.T) {
 	l, attempts := startLoop(t, nil)
 	list := testList(balance.Complete, 2, "a")
@@ -196,11 +203,11 @@
 		t.Errorf("got %+v", a)
 	}
 	if len(attempts) != 0 {
-		t.Error("sent to nowhere")
+		t.Error("an attempt was sent to a server without an address")
 	}
 }
 
-func TestNoServersAtAll(t *testing.T) {
+func TestNoServers(t *testing.T) {
 	l, _ := startLoop(t, nil)
 	l.Listed(testList(balance.Complete, 2))
 	x := request("read", time.Second)
@@ -214,21 +221,21 @@
 	}
 }
 
-// A panic of the decisions: what is in hand is answered, and the next request is served by a fresh balancer from the
-// list as last told.
-func TestPanicOfTheDecisions(t *testing.T) {
+// After a panic of the balancer all requests in progress are answered, and a new balancer with the current server list serves the next
+// request.
+func TestBalancerPanic(t *testing.T) {
 	var once sync.Once
 	l, attempts := startLoop(t, nil)
 	x := request("once", time.Second)
 	l.Submit(x)
 	a := attemptOf(t, attempts)
-	l.post(boom{&once})
+	l.post(panicEvent{&once})
 	if got := answerOf(t, x); got.Kind != Failed {
 		t.Errorf("got %+v", got)
 	}
 	<-a.Context.Done()
 	a.End(Reply{Result: balance.Cancelled})
-	noMore(t, x)
+	noSecondAnswer(t, x)
 	y := request("read", time.Second)
 	l.Submit(y)
 	attemptOf(t, attempts).End(Reply{Result: balance.OK, Body: []byte("v")})
@@ -240,14 +247,15 @@
 	}
 }
 
-type boom struct{ once *sync.Once }
+// panicEvent is an event that panics when it is first applied.
+type panicEvent struct{ once *sync.Once }
 
-func (b boom) take(*Loop) balance.Event {
+func (b panicEvent) apply(*Loop) balance.Event {
 	b.once.Do(func() { panic("boom") })
 	return nil
 }
 
-func TestExpireEndsAllInHand(t *testing.T) {
+func TestExpireFailsAllRequests(t *testing.T) {
 	l, attempts := startLoop(t, nil)
 	x := request("once", time.Second)
 	l.Submit(x)
@@ -258,11 +266,11 @@
 	}
 	<-a.Context.Done()
 	a.End(Reply{Result: balance.Cancelled})
-	noMore(t, x)
+	noSecondAnswer(t, x)
 }
 
-// With many requests at once every one gets its answer, and nothing of them is kept.
-func TestNothingIsKept(t *testing.T) {
+// Each of many concurrent requests is answered, and no exchange is kept afterwards.
+func TestNoExchangeLeaks(t *testing.T) {
 	l, attempts := startLoop(t, nil)
 	results := []balance.Result{balance.OK, balance.Errored, balance.Full, balance.NoConnect, balance.Reset}
 	stop := make(chan struct{})
@@ -284,7 +292,7 @@
 			l.Submit(x)
 			answerOf(t, x)
 			if i%10 == 0 {
-				l.Depart(x) // crosses the answer
+				l.Depart(x) // races with the answer
 			}
 		})
 	}
@@ -292,78 +300,79 @@
 	left := make(chan int)
 	deadline := time.Now().Add(2 * time.Second)
 	for {
-		l.post(probe(func() { left <- len(l.exchanges) }))
+		l.post(callEvent(func() { left <- len(l.exchanges) }))
 		if n := <-left; n == 0 {
 			break
 		} else if time.Now().After(deadline) {
-			t.Fatalf("%d exchanges are kept", n)
+			t.Fatalf("%d exchanges are still kept", n)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-type probe func()
+// callEvent is an event that calls a function on the loop's goroutine.
+type callEvent func()
 
-func (p probe) take(*Loop) balance.Event { p(); return nil }
+func (p callEvent) apply(*Loop) balance.Event { p(); return nil }
 
-func TestTimersKeepTheirOrder(t *testing.T) {
-	var ts timers
+func TestTimerOrder(t *testing.T) {
+	var ts timerQueue
 	for i, at := range []balance.Time{30, 10, 20, 10} {
-		ts.set(at, int64(i))
+		ts.add(at, int64(i))
 	}
 	got := ""
 	for {
-		next, ok := ts.due(20)
+		next, ok := ts.popExpired(20)
 		if !ok {
 			break
 		}
 		got += fmt.Sprint(next.token)
 	}
 	if got != "132" || ts.Len() != 1 {
-		t.Errorf("got %s and %d left", got, ts.Len())
+		t.Errorf("order %s with %d timers left, want 132 and 1", got, ts.Len())
 	}
 }
 
-func TestClockMapsUnixTime(t *testing.T) {
+func TestClockConvertsUnixTime(t *testing.T) {
 	c := NewClock()
 	now := time.Now()
 	if d := c.At(now).Sub(c.Unix(now.UnixMilli())); d < 0 || d > 5*time.Millisecond {
-		t.Errorf("a start now is %v ago", d)
+		t.Errorf("the current time converted from Unix time is off by %v", d)
 	}
 	if got := c.Time(c.At(now)); !got.Equal(now) {
 		t.Errorf("%v became %v", now, got)
 	}
 	if c.Unix(0) != 0 {
-		t.Error("long ago is not long ago")
+		t.Error("Unix time 0 did not stay 0")
 	}
 }
 
-// The margin follows the lag that was measured, fades with it and never eats a short time up.
-func TestMarginFollowsTheLag(t *testing.T) {
-	var l lag
-	if m := l.margin(time.Second); m != leastMargin {
+// The safety margin follows the measured lag, within its bounds, and is at most an eighth of a short timeout.
+func TestMarginFollowsLag(t *testing.T) {
+	var l lagTracker
+	if m := l.margin(time.Second); m != minMargin {
 		t.Errorf("without lag: %v", m)
 	}
-	l.note(10*time.Millisecond, &Counters{})
+	l.record(10*time.Millisecond, &Counters{})
 	if m := l.margin(time.Second); m < 20*time.Millisecond || m > 23*time.Millisecond {
 		t.Errorf("with a lag of 10 ms: %v", m)
 	}
 	if m := l.margin(8 * time.Millisecond); m != time.Millisecond {
-		t.Errorf("of 8 ms: %v", m)
+		t.Errorf("with a timeout of 8 ms: %v", m)
 	}
-	l.note(time.Second, &Counters{})
-	if m := l.margin(10 * time.Second); m != mostMargin {
+	l.record(time.Second, &Counters{})
+	if m := l.margin(10 * time.Second); m != maxMargin {
 		t.Errorf("with a lag of 1 s: %v", m)
 	}
 }
 
-// Where a client does not say how long it waits, its class's whole time counts.
-func TestTimeOfASilentClient(t *testing.T) {
+// Without a timeout from the client, the deadline of its class applies.
+func TestClassDeadlineWithoutClientTimeout(t *testing.T) {
 	l, attempts := startLoop(t, nil)
 	for class, want := range map[string]time.Duration{"read": 800 * time.Millisecond, "unheard of": time.Second} {
 		x := request(class, 0)
 		l.Submit(x)
-		if left := x.Due.Sub(x.Arrived); left > want || left < want-mostMargin {
+		if left := x.Due.Sub(x.Arrived); left > want || left < want-maxMargin {
 			t.Errorf("%s: %v", class, left)
 		}
 		attemptOf(t, attempts).End(Reply{Result: balance.OK})
@@ -371,7 +380,7 @@
 	}
 }
 
-// Each request counts once among the answers or the clients gone, and each attempt among the results.
+// Each request is counted once, as an answer or as a disconnected client, and each attempt once among the results.
 func TestCountersAddUp(t *testing.T) {
 	l, attempts := startLoop(t, nil)
 	var all []*Exchange
@@ -394,11 +403,11 @@
 		case 3:
 			a.End(Reply{Result: balance.OK})
 			answerOf(t, x)
-			l.Depart(x) // too late to count
+			l.Depart(x) // after the answer, so not counted as disconnected
 		}
 	}
 	done := make(chan struct{})
-	l.post(probe(func() { close(done) }))
+	l.post(callEvent(func() { close(done) }))
 	<-done
 	c := l.Counts
 	if c.Served.Load() != 10 || c.Failed.Load() != 5 || c.ClientsGone.Load() != 5 || c.Refused.Load() != 0 {
@@ -413,11 +422,11 @@
 	}
 }
 
-// What other routers say reaches the decisions, and what these tell goes out.
+// Messages from other routers reach the balancer, and the balancer's own messages are sent.
 func TestMessagesBetweenRouters(t *testing.T) {
-	peers := &told{}
+	peers := &recordingTeller{}
 	l, attempts := startLoop(t, func(l *Loop) {
-		l.Settings.Routers, l.Settings.PeerMessages = 8, true // so many that each sees little
+		l.Settings.Routers, l.Settings.PeerMessages = 8, true // with many routers, each sees only a small part of the load and tells the others
 		l.Teller = peers
 	})
 	l.Heard([]byte("too short for anything"))
@@ -427,21 +436,21 @@
 	answerOf(t, x)
 	for until := time.Now().Add(2 * time.Second); ; time.Sleep(time.Millisecond) {
 		peers.mu.Lock()
-		n := len(peers.all)
+		n := len(peers.receivers)
 		peers.mu.Unlock()
 		if n > 0 {
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatal("nothing told")
+			t.Fatal("no message was sent to another router")
 		}
 	}
 }
 
-// A client that leaves before its request has been decided on, both in one batch, leaves no attempt behind that counts
-// as in flight: enough of them would shut every server's limit for good.
-func TestClientsGoneInTheSameBatch(t *testing.T) {
-	l, attempts := startLoop(t, func(l *Loop) { // before the loop runs, so that it takes all at once
+// Guards against leaked in-flight counts: if a client disconnects in the same batch in which its request arrives, the attempt must still
+// get an outcome. Otherwise enough such requests would use up every server's concurrency limit forever.
+func TestDisconnectInSameBatch(t *testing.T) {
+	l, attempts := startLoop(t, func(l *Loop) { // queued before the loop runs, so that it handles all in one batch
 		l.Listed(testList(balance.Complete, 1, "a", "b", "c"))
 		for range 120 {
 			x := request("read", time.Second)
@@ -449,7 +458,7 @@
 			l.Depart(x)
 		}
 	})
-	for until := time.Now().Add(2 * time.Second); ; { // the attempts that were never begun end a moment later
+	for until := time.Now().Add(2 * time.Second); ; { // the attempts that were never sent end asynchronously
 		x := request("read", time.Second)
 		l.Submit(x)
 		select {
@@ -458,15 +467,15 @@
 			return
 		case a := <-x.Answer():
 			if time.Now().After(until) {
-				t.Fatalf("every server counts as full: %+v", a)
+				t.Fatalf("every server is counted as full: %+v", a)
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// The decisions' view of what is in flight is the same as the loop's books, whatever happens; SIGUSR1 prints it.
-func TestViewAgrees(t *testing.T) {
+// The balancer and the loop agree on the attempts in flight after answers and disconnects; SIGUSR1 logs this view.
+func TestViewMatchesLoopState(t *testing.T) {
 	var log bytes.Buffer
 	l, attempts := startLoop(t, func(l *Loop) { l.Log = slog.New(slog.NewTextHandler(&log, nil)) })
 	for i := range 9 {
@@ -482,7 +491,7 @@
 		}
 	}
 	l.View(slog.LevelInfo)
-	for range 2 { // the second is taken in a later turn: the view is written by then
+	for range 2 { // the second one is handled in a later batch, when the view has been logged
 		l.Submit(request("read", time.Second))
 		attemptOf(t, attempts)
 	}
@@ -494,7 +503,7 @@
 			counted += n
 		}
 	}
-	if n := l.Counts.Astray.Load(); n != 0 || counted < 6 || counted > 7 { // the last one may be in the same turn
-		t.Errorf("%d astray, %d counted:\n%s", n, counted, log.String())
+	if n := l.Counts.Astray.Load(); n != 0 || counted < 6 || counted > 7 { // the last request may be in the same batch
+		t.Errorf("%d mismatches, %d attempts counted:\n%s", n, counted, log.String())
 	}
 }
--- a/internal/exchange/maintenance.go
+++ b/internal/exchange/maintenance.go
@@ -9,19 +9,19 @@
 	"cedarmast/balance"
 )
 
-// Maintenance is the operators' word on cache servers, which holds whatever discovery lists. It is what a process keeps and
-// passes on to its successor.
+// Maintenance is the maintenance state of the cache servers as set by operators. It takes precedence over service discovery. A process
+// stores it and passes it on to its successor.
 type Maintenance struct {
-	Out  map[balance.ServerID]bool         `json:"out"`  // left out until called back
-	Back map[balance.ServerID]balance.Time `json:"back"` // called back then; restarted meanwhile, for all that is known
+	Out  map[balance.ServerID]bool         `json:"out"`  // servers taken out of service until they are put back
+	Back map[balance.ServerID]balance.Time `json:"back"` // time at which a server was put back; it may have restarted before
 }
 
-// NewMaintenance is the word of operators that have said nothing.
+// NewMaintenance returns a state in which no server is or was in maintenance.
 func NewMaintenance() Maintenance {
 	return Maintenance{map[balance.ServerID]bool{}, map[balance.ServerID]balance.Time{}}
 }
 
-// Copy returns the same word, in maps of its own.
+// Copy returns a deep copy.
 func (m Maintenance) Copy() Maintenance {
 	c := NewMaintenance()
 	maps.Copy(c.Out, m.Out)
@@ -29,52 +29,54 @@
 	return c
 }
 
-// With returns both words as one: out is what is out in either, and called back when the later of the two says.
-func (m Maintenance) With(o Maintenance) Maintenance {
-	c := m.Copy()
-	maps.Copy(c.Out, o.Out)
-	for server, back := range o.Back {
-		c.Back[server] = max(c.Back[server], back)
+// With merges two states: a server is out if it is out in either, and the later time of being put back counts.
+func (m Maintenance) With(other Maintenance) Maintenance {
+	merged := m.Copy()
+	maps.Copy(merged.Out, other.Out)
+	for server, back := range other.Back {
+		merged.Back[server] = max(merged.Back[server], back)
 	}
-	return c
+	return merged
 }
 
-// Errors of an operator's order.
+// Errors of a maintenance command.
 var (
 	ErrUnknownServer = errors.New("no such cache server")
 	ErrTooManyOut    = errors.New("too many cache servers are out")
-	ErrStopped       = errors.New("the router has ended")
+	ErrStopped       = errors.New("the router has stopped")
 )
 
-// maxOut bounds the servers that are out: of those that are never called back nobody else lets go.
+// maxOut is the maximum number of servers that are out at once. Without it the state would grow without limit by servers that are never
+// put back, because nothing else removes them.
 const maxOut = 4096
 
-// order is an operator's order on its way to the loop.
-type order struct {
-	server balance.ServerID
-	out    bool
-	alike  bool         // the other process of a replacement was told: it may know a server that is new here
-	done   chan<- error // holds one
+// maintenanceCommand is the event that takes a server out of service or puts it back.
+type maintenanceCommand struct {
+	server          balance.ServerID
+	out             bool
+	fromPeerProcess bool         // forwarded by the other process of a replacement, which may know a server that this one does not know yet
+	done            chan<- error // buffered, capacity 1
 }
 
-// Maintain takes a server out, or back, and returns once the decisions know. An order given twice changes nothing.
+// Maintain takes a server out of service or puts it back, and returns once the balancer has applied the change. It is idempotent.
 func (l *Loop) Maintain(server balance.ServerID, out bool) error {
-	return l.give(order{server: server, out: out})
+	return l.runCommand(maintenanceCommand{server: server, out: out})
 }
 
-// MaintainAlike does what the other process of a replacement has been told.
+// MaintainAlike applies a maintenance command that the other process of a replacement received. Unlike Maintain it accepts unknown servers.
 func (l *Loop) MaintainAlike(server balance.ServerID, out bool) error {
-	return l.give(order{server: server, out: out, alike: true})
+	return l.runCommand(maintenanceCommand{server: server, out: out, fromPeerProcess: true})
 }
 
-func (l *Loop) give(o order) error {
+// runCommand passes a maintenance command to the loop and waits for its result.
+func (l *Loop) runCommand(command maintenanceCommand) error {
 	done := make(chan error, 1)
-	o.done = done
-	return l.await(o, done)
+	command.done = done
+	return l.postAndWait(command, done)
 }
 
-// await brings an event that goes before all others, and waits for what became of it.
-func (l *Loop) await(e event, done <-chan error) error {
+// postAndWait passes an urgent event to the loop and waits for its result; ErrStopped if the loop stops first.
+func (l *Loop) postAndWait(e event, done <-chan error) error {
 	if !l.postUrgent(e) {
 		return ErrStopped
 	}
@@ -86,66 +88,67 @@
 	}
 }
 
-// Adopted is an order that other routers have, given so long ago.
+// Adopted is a maintenance command that another router received, with the time since then.
 type Adopted struct {
 	Server balance.ServerID
 	Out    bool
 	Age    time.Duration
 }
 
-// Adopt does what other routers have been told, and returns once the decisions know. A server that is called back counts as cold from
-// when that was, also where this router never knew it to be out.
-func (l *Loop) Adopt(all []Adopted) error {
+// Adopt applies maintenance commands that other routers received, and returns once the balancer has applied them. A server that was put
+// back counts as started, with a cold cache, at the time of that command, even if this router never knew that it was out.
+func (l *Loop) Adopt(commands []Adopted) error {
 	done := make(chan error, 1)
-	return l.await(adoption{all, done}, done)
+	return l.postAndWait(adoptCommands{commands, done}, done)
 }
 
-type adoption struct {
-	all  []Adopted
-	done chan<- error // holds one
+// adoptCommands is the event that applies maintenance commands of other routers.
+type adoptCommands struct {
+	commands []Adopted
+	done     chan<- error // buffered, capacity 1
 }
 
-func (e adoption) take(l *Loop) balance.Event {
+func (e adoptCommands) apply(l *Loop) balance.Event {
 	var err error
-	list := balance.List{Kind: balance.Partial, Version: l.version}
-	for _, a := range e.all {
-		entry, listed := l.entries[a.Server]
-		m, back := &l.Maintenance, l.Clock.Now().Add(-a.Age)
+	changes := balance.List{Kind: balance.Partial, Version: l.version}
+	for _, c := range e.commands {
+		entry, listed := l.entries[c.Server]
+		m, backAt := &l.Maintenance, l.Clock.Now().Add(-c.Age)
 		switch {
-		case a.Out && m.Out[a.Server], !a.Out && !m.Out[a.Server] && (!listed || max(m.Back[a.Server], entry.Started) >= back):
-			continue // it is so already
-		case a.Out && len(m.Out) >= maxOut:
+		case c.Out && m.Out[c.Server], !c.Out && !m.Out[c.Server] && (!listed || max(m.Back[c.Server], entry.Started) >= backAt):
+			continue // already applied
+		case c.Out && len(m.Out) >= maxOut:
 			err = fmt.Errorf("%w: %d", ErrTooManyOut, len(m.Out))
 			continue
-		case a.Out:
-			m.Out[a.Server] = true
-			l.helpers.Go(func() { l.Pool.Leave(a.Server) })
+		case c.Out:
+			m.Out[c.Server] = true
+			l.goroutines.Go(func() { l.Pool.Leave(c.Server) })
 		default:
-			delete(m.Out, a.Server)
+			delete(m.Out, c.Server)
 			if listed {
-				m.Back[a.Server] = max(m.Back[a.Server], back)
+				m.Back[c.Server] = max(m.Back[c.Server], backAt)
 			}
 		}
 		if listed {
-			l.Log.Info("maintenance, as other routers have it", "server", a.Server, "out", a.Out, "servers_out", len(m.Out))
-			list.Entries = append(list.Entries, m.over(entry))
+			l.Log.Info("maintenance state adopted from another router", "server", c.Server, "out", c.Out, "servers_out", len(m.Out))
+			changes.Entries = append(changes.Entries, m.override(entry))
 		}
 	}
-	l.confirm = append(l.confirm, func() { e.done <- err })
-	if len(list.Entries) == 0 {
+	l.afterBatch = append(l.afterBatch, func() { e.done <- err })
+	if len(changes.Entries) == 0 {
 		return nil
 	}
-	return list
+	return changes
 }
 
-// Held returns copies of the list as last told and of the operators' word, and what the caches have answered lately, a
-// second and warm weight of 1.
-func (l *Loop) Held() (list List, word Maintenance, answered float64, err error) {
-	got := make(chan held, 1)
-	if l.postUrgent(asking{got}) {
+// Held returns copies of the current server list and of the maintenance state, and the caches' recent answer rate: answers per second
+// for a weight of 1 of warm caches.
+func (l *Loop) Held() (list List, maintenance Maintenance, answerRate float64, err error) {
+	reply := make(chan loopState, 1)
+	if l.postUrgent(stateRequest{reply}) {
 		select {
-		case h := <-got:
-			return h.list, h.word, h.answered, nil
+		case state := <-reply:
+			return state.list, state.maintenance, state.answerRate, nil
 		case <-l.stopped:
 		}
 	}
@@ -153,64 +156,66 @@
 }
 
 type (
-	held struct {
-		list List
-		word Maintenance
+	// loopState is a copy of the loop's state.
+	loopState struct {
+		list        List
+		maintenance Maintenance
 
-		answered float64
+		answerRate float64
 	}
-	asking struct{ got chan<- held }
+	// stateRequest is the event that asks the loop for its state; the channel has a capacity of 1.
+	stateRequest struct{ reply chan<- loopState }
 )
 
-func (e asking) take(l *Loop) balance.Event {
-	h := held{list: List{balance.List{Kind: balance.Complete, Version: l.version}, map[balance.ServerID]string{}},
-		word: l.Maintenance.Copy()}
-	if d, ok := l.balancer.(overall); ok {
-		h.answered = d.Overall(l.Clock.Now()).Answered
+func (e stateRequest) apply(l *Loop) balance.Event {
+	state := loopState{list: List{balance.List{Kind: balance.Complete, Version: l.version}, map[balance.ServerID]string{}},
+		maintenance: l.Maintenance.Copy()}
+	if d, ok := l.balancer.(overallViewer); ok {
+		state.answerRate = d.Overall(l.Clock.Now()).Answered
 	}
 	for server, entry := range l.entries {
-		h.list.Entries = append(h.list.Entries, entry)
-		h.list.Addresses[server] = l.addresses[server].address
+		state.list.Entries = append(state.list.Entries, entry)
+		state.list.Addresses[server] = l.addresses[server].address
 	}
-	e.got <- h
+	e.reply <- state
 	return nil
 }
 
-func (o order) take(l *Loop) balance.Event {
-	e, err := l.carryOut(o)
-	l.confirm = append(l.confirm, func() { o.done <- err }) // yes means that the decisions have been told
+func (command maintenanceCommand) apply(l *Loop) balance.Event {
+	e, err := l.applyCommand(command)
+	l.afterBatch = append(l.afterBatch, func() { command.done <- err }) // success means that the balancer has applied the command
 	return e
 }
 
-// carryOut does an order and tells the decisions.
-func (l *Loop) carryOut(o order) (balance.Event, error) {
-	entry, listed := l.entries[o.server]
+// applyCommand updates the maintenance state and returns the event that informs the balancer; nil if nothing changes for it.
+func (l *Loop) applyCommand(command maintenanceCommand) (balance.Event, error) {
+	entry, listed := l.entries[command.server]
 	m := &l.Maintenance
 	switch {
-	case !listed && !m.Out[o.server] && !o.alike:
+	case !listed && !m.Out[command.server] && !command.fromPeerProcess:
 		return nil, ErrUnknownServer
-	case o.out == m.Out[o.server]:
+	case command.out == m.Out[command.server]:
 		return nil, nil
-	case o.out && len(m.Out) >= maxOut:
+	case command.out && len(m.Out) >= maxOut:
 		return nil, fmt.Errorf("%w: %d", ErrTooManyOut, len(m.Out))
-	case o.out:
-		m.Out[o.server] = true
-		l.helpers.Go(func() { l.Pool.Leave(o.server) })
+	case command.out:
+		m.Out[command.server] = true
+		l.goroutines.Go(func() { l.Pool.Leave(command.server) })
 	default:
-		delete(m.Out, o.server)
+		delete(m.Out, command.server)
 		if listed {
-			m.Back[o.server] = l.Clock.Now()
+			m.Back[command.server] = l.Clock.Now()
 		}
 	}
 	if !listed {
 		return nil, nil
 	}
-	l.Log.Info("maintenance", "server", o.server, "out", o.out, "servers_out", len(m.Out))
-	return balance.List{Kind: balance.Partial, Version: l.version, Entries: []balance.Entry{m.over(entry)}}, nil
+	l.Log.Info("maintenance", "server", command.server, "out", command.out, "servers_out", len(m.Out))
+	return balance.List{Kind: balance.Partial, Version: l.version, Entries: []balance.Entry{m.override(entry)}}, nil
 }
 
-// over lays the operators' word over an entry of discovery's.
-func (m *Maintenance) over(e balance.Entry) balance.Entry {
+// override returns a discovered entry as changed by the maintenance state.
+func (m *Maintenance) override(e balance.Entry) balance.Entry {
 	if e.State == balance.Up && m.Out[e.Server] {
 		e.State = balance.Draining
 	}
@@ -220,8 +225,8 @@
 	return e
 }
 
-// overAll lays it over a list and lets go of what was held of servers that are no longer listed or have started anew since.
-func (m *Maintenance) overAll(l balance.List, entries map[balance.ServerID]balance.Entry) balance.List {
+// overrideAll applies override to a list, after removing the times in Back of servers that are no longer listed or have restarted since.
+func (m *Maintenance) overrideAll(l balance.List, entries map[balance.ServerID]balance.Entry) balance.List {
 	for server, back := range m.Back {
 		if e, listed := entries[server]; !listed || e.Started > back {
 			delete(m.Back, server)
@@ -230,10 +235,10 @@
 	if len(m.Out) == 0 && len(m.Back) == 0 {
 		return l
 	}
-	laid := make([]balance.Entry, len(l.Entries))
+	overridden := make([]balance.Entry, len(l.Entries))
 	for i, e := range l.Entries {
-		laid[i] = m.over(e)
+		overridden[i] = m.override(e)
 	}
-	l.Entries = laid
+	l.Entries = overridden
 	return l
 }
--- a/internal/exchange/maintenance_test.go
+++ b/internal/exchange/maintenance_test.go
@@ -10,149 +10,152 @@
 	"cedarmast/balance"
 )
 
-// heardLists is decisions that keep what they are told of servers.
-type heardLists struct {
-	now map[balance.ServerID]balance.Entry
+// listRecorder is a Decider that records the server entries that it receives.
+type listRecorder struct {
+	list map[balance.ServerID]balance.Entry
 }
 
-func (h *heardLists) Handle(_ balance.Time, events []balance.Event) []balance.Action {
+func (h *listRecorder) Handle(_ balance.Time, events []balance.Event) []balance.Action {
 	for _, e := range events {
 		if l, ok := e.(balance.List); ok {
 			if l.Kind != balance.Partial {
-				clear(h.now)
+				clear(h.list)
 			}
 			for _, entry := range l.Entries {
-				h.now[entry.Server] = entry
+				h.list[entry.Server] = entry
 			}
 		}
 	}
 	return nil
 }
-func (h *heardLists) View(balance.Time) []balance.View { return nil }
+func (h *listRecorder) View(balance.Time) []balance.View { return nil }
 
-// maintained is a loop whose turns the test makes itself.
-func maintained() (*Loop, *heardLists) {
+// newManualLoop returns a loop whose batches the test runs itself, with a listRecorder as its balancer.
+func newManualLoop() (*Loop, *listRecorder) {
 	l := NewLoop()
 	l.Clock, l.Counts, l.Log, l.Settings = NewClock(), &Counters{}, slog.New(slog.DiscardHandler), testSettings
-	l.Pool, l.Teller = NewPool(10, time.Second, l.Counts), &told{}
-	h := &heardLists{map[balance.ServerID]balance.Entry{}}
+	l.Pool, l.Teller = NewPool(10, time.Second, l.Counts), &recordingTeller{}
+	h := &listRecorder{map[balance.ServerID]balance.Entry{}}
 	l.balancer = h
 	return l, h
 }
 
-func listedTo(l *Loop, kind balance.ListKind, entries ...balance.Entry) {
+// applyList runs a batch with a server list.
+func applyList(l *Loop, kind balance.ListKind, entries ...balance.Entry) {
 	list := List{balance.List{Kind: kind, Entries: entries}, map[balance.ServerID]string{}}
 	for _, e := range entries {
 		list.Addresses[e.Server] = "address of " + string(e.Server)
 	}
-	l.turn(listed{list})
+	l.processBatch(serverListReceived{list})
 }
 
-func ordered(l *Loop, server balance.ServerID, out, alike bool) error {
+// runMaintenance runs a batch with a maintenance command and returns its result.
+func runMaintenance(l *Loop, server balance.ServerID, out, fromPeerProcess bool) error {
 	done := make(chan error, 1)
-	l.turn(order{server: server, out: out, alike: alike, done: done})
+	l.processBatch(maintenanceCommand{server: server, out: out, fromPeerProcess: fromPeerProcess, done: done})
 	return <-done
 }
 
-// A server that is out counts as draining whatever discovery lists, also as new, until one call back, however many were
-// made out; then it is cold from that call on.
-func TestMaintenanceHoldsOverTheList(t *testing.T) {
-	l, h := maintained()
-	listedTo(l, balance.Complete, balance.Entry{Server: "a", Weight: 1}, balance.Entry{Server: "b", Weight: 1})
-	if err := ordered(l, "nobody", true, false); !errors.Is(err, ErrUnknownServer) {
-		t.Errorf("a server that nobody has: %v", err)
+// A server that is taken out counts as draining whatever discovery lists, even after a restart, until a single command puts it back,
+// however many commands took it out. From then on its cache counts as cold.
+func TestMaintenanceOverridesList(t *testing.T) {
+	l, h := newManualLoop()
+	applyList(l, balance.Complete, balance.Entry{Server: "a", Weight: 1}, balance.Entry{Server: "b", Weight: 1})
+	if err := runMaintenance(l, "nobody", true, false); !errors.Is(err, ErrUnknownServer) {
+		t.Errorf("unknown server: %v", err)
 	}
 	for range 2 {
-		if err := ordered(l, "a", true, false); err != nil || h.now["a"].State != balance.Draining || h.now["b"].State != balance.Up {
-			t.Fatalf("out: %v, %+v", err, h.now)
+		if err := runMaintenance(l, "a", true, false); err != nil || h.list["a"].State != balance.Draining || h.list["b"].State != balance.Up {
+			t.Fatalf("out: %v, %+v", err, h.list)
 		}
 	}
 	restarted := l.Clock.Now()
-	listedTo(l, balance.Partial, balance.Entry{Server: "a", Weight: 1, Started: restarted})
-	listedTo(l, balance.Partial, balance.Entry{Server: "a", State: balance.Gone})
-	if h.now["a"].State != balance.Gone {
-		t.Errorf("gone: %+v", h.now["a"])
+	applyList(l, balance.Partial, balance.Entry{Server: "a", Weight: 1, Started: restarted})
+	applyList(l, balance.Partial, balance.Entry{Server: "a", State: balance.Gone})
+	if h.list["a"].State != balance.Gone {
+		t.Errorf("gone: %+v", h.list["a"])
 	}
-	listedTo(l, balance.Complete, balance.Entry{Server: "a", Weight: 1, Started: restarted}, balance.Entry{Server: "b", Weight: 1})
-	if h.now["a"].State != balance.Draining {
-		t.Errorf("listed anew while it is out: %+v", h.now["a"])
+	applyList(l, balance.Complete, balance.Entry{Server: "a", Weight: 1, Started: restarted}, balance.Entry{Server: "b", Weight: 1})
+	if h.list["a"].State != balance.Draining {
+		t.Errorf("listed again while it is out: %+v", h.list["a"])
 	}
 	time.Sleep(2 * time.Millisecond)
 	called := l.Clock.Now()
-	if err := ordered(l, "a", false, false); err != nil || h.now["a"].State != balance.Up || h.now["a"].Started < called {
-		t.Errorf("back: %v, %+v, called at %v", err, h.now["a"], called)
+	if err := runMaintenance(l, "a", false, false); err != nil || h.list["a"].State != balance.Up || h.list["a"].Started < called {
+		t.Errorf("put back: %v, %+v, not before %v", err, h.list["a"], called)
 	}
-	listedTo(l, balance.Partial, balance.Entry{Server: "a", Weight: 1, Started: restarted}) // discovery is late
-	if h.now["a"].Started < called {
-		t.Errorf("a late listing undid the call back: %+v", h.now["a"])
+	applyList(l, balance.Partial, balance.Entry{Server: "a", Weight: 1, Started: restarted}) // an outdated list from discovery
+	if h.list["a"].Started < called {
+		t.Errorf("an outdated list undid the command that put the server back: %+v", h.list["a"])
 	}
-	listedTo(l, balance.Partial, balance.Entry{Server: "a", Weight: 1, Started: l.Clock.Now()})
+	applyList(l, balance.Partial, balance.Entry{Server: "a", Weight: 1, Started: l.Clock.Now()})
 	if len(l.Maintenance.Back) != 0 {
-		t.Error("what was held of a server is not let go when it has started anew")
+		t.Error("the state of a server is kept after its restart")
 	}
-	if err := ordered(l, "b", false, false); err != nil || h.now["b"].Started != 0 {
-		t.Errorf("ready for one that was never out: %v, %+v", err, h.now["b"])
+	if err := runMaintenance(l, "b", false, false); err != nil || h.list["b"].Started != 0 {
+		t.Errorf("putting back a server that was never out: %v, %+v", err, h.list["b"])
 	}
 }
 
-// Servers that go for good leave nothing behind, and fresh decisions after a panic hold to the operators' word.
-func TestMaintenanceIsBoundedAndSurvivesPanics(t *testing.T) {
-	l, _ := maintained()
-	listedTo(l, balance.Complete, balance.Entry{Server: "a", Weight: 1}, balance.Entry{Server: "b", Weight: 1})
-	ordered(l, "a", true, false)
-	ordered(l, "a", false, false)
-	ordered(l, "b", true, false)
-	var h *heardLists
+// Maintenance state of servers that are gone is removed, the number of servers that are out is limited, and a new balancer after a panic
+// gets the maintenance state.
+func TestMaintenanceIsBoundedAndSurvivesPanic(t *testing.T) {
+	l, _ := newManualLoop()
+	applyList(l, balance.Complete, balance.Entry{Server: "a", Weight: 1}, balance.Entry{Server: "b", Weight: 1})
+	runMaintenance(l, "a", true, false)
+	runMaintenance(l, "a", false, false)
+	runMaintenance(l, "b", true, false)
+	var h *listRecorder
 	l.Decide = func(balance.Settings, uint64) Decider {
-		h = &heardLists{map[balance.ServerID]balance.Entry{}}
+		h = &listRecorder{map[balance.ServerID]balance.Entry{}}
 		return h
 	}
-	l.startAnew()
-	if h.now["b"].State != balance.Draining || h.now["a"].Started == 0 {
-		t.Errorf("fresh decisions were told %+v", h.now)
+	l.restartBalancer()
+	if h.list["b"].State != balance.Draining || h.list["a"].Started == 0 {
+		t.Errorf("the new balancer received %+v", h.list)
 	}
-	listedTo(l, balance.Complete, balance.Entry{Server: "b", Weight: 1})
+	applyList(l, balance.Complete, balance.Entry{Server: "b", Weight: 1})
 	if len(l.Maintenance.Back) != 0 {
-		t.Error("a server that has gone is still held as called back")
+		t.Error("the time of putting back a server that is gone is still kept")
 	}
 	for i := range maxOut + 5 { // b is out already
-		err := ordered(l, balance.ServerID(fmt.Sprint("s", i)), true, true)
+		err := runMaintenance(l, balance.ServerID(fmt.Sprint("s", i)), true, true)
 		if full := i >= maxOut-1; errors.Is(err, ErrTooManyOut) != full {
-			t.Fatalf("order %d: %v", i, err)
+			t.Fatalf("command %d: %v", i, err)
 		}
 	}
 	if len(l.Maintenance.Out) != maxOut {
-		t.Errorf("%d are out", len(l.Maintenance.Out))
+		t.Errorf("%d servers are out, want maxOut", len(l.Maintenance.Out))
 	}
 }
 
-// An order goes before all that waits for the loop: operators have a second, whatever the load.
-func TestOrdersGoFirst(t *testing.T) {
-	l, h := maintained()
-	listedTo(l, balance.Complete, balance.Entry{Server: "a", Weight: 1})
-	for range queueLength {
-		l.events <- heard{}
+// Maintenance commands are handled before all queued events: operators must get a result within a second, whatever the load.
+func TestMaintenanceCommandsGoFirst(t *testing.T) {
+	l, h := newManualLoop()
+	applyList(l, balance.Complete, balance.Entry{Server: "a", Weight: 1})
+	for range eventQueueLength {
+		l.events <- peerMessageReceived{}
 	}
 	done := make(chan error, 1)
-	go l.postUrgent(order{server: "a", out: true, done: done})
+	go l.postUrgent(maintenanceCommand{server: "a", out: true, done: done})
 	time.Sleep(20 * time.Millisecond)
-	l.turn(nil)
+	l.processBatch(nil)
 	select {
 	case err := <-done:
-		if err != nil || h.now["a"].State != balance.Draining {
-			t.Errorf("%v, %+v", err, h.now["a"])
+		if err != nil || h.list["a"].State != balance.Draining {
+			t.Errorf("%v, %+v", err, h.list["a"])
 		}
 	default:
-		t.Errorf("the order waits behind %d events", len(l.events))
+		t.Errorf("the command waits behind %d events", len(l.events))
 	}
 }
 
-// Two copies of the operators' word may each lack an order that found its disk full: a server that is out in one is out, and neither copy is
-// written over.
-func TestWordsTakenTogether(t *testing.T) {
+// Merging two stored maintenance states: each may lack a command that could not be stored because the disk was full. A server that is
+// out in either is out, and neither input is modified.
+func TestMergeMaintenance(t *testing.T) {
 	a, b := NewMaintenance(), NewMaintenance()
 	a.Out["x"], b.Out["y"], a.Back["z"], b.Back["z"] = true, true, 5, 7
 	if c := a.With(b); !c.Out["x"] || !c.Out["y"] || c.Back["z"] != 7 || len(a.Out) != 1 || len(b.Out) != 1 {
-		t.Errorf("%v of %v and %v", c, a, b)
+		t.Errorf("merged %v from %v and %v", c, a, b)
 	}
 }
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -10,144 +10,147 @@
 	"cedarmast/balance"
 )
 
-// Conn is a connection to a server as the pool sees it.
+// Conn is a connection to a server, as far as the pool uses it.
 type Conn interface {
-	// Acquire makes an idle connection busy; false if it has closed meanwhile.
+	// Acquire marks an idle connection as in use; false if it has been closed in the meantime.
 	Acquire() bool
 	Close() error
 }
 
-// heardFor is how long it is remembered that a server has answered: longer than any attempt takes.
-const heardFor = time.Minute
+// responseRetention is how long the time of a server's last response is kept. It is longer than any attempt takes.
+const responseRetention = time.Minute
 
-// ErrNoRoom says that all connections to servers that the limits allow are busy.
-var ErrNoRoom = errors.New("no room for another connection")
+// ErrNoRoom is returned when the maximum number of server connections is open and all of them stay in use.
+var ErrNoRoom = errors.New("connection pool exhausted")
 
-// Pool keeps the idle connections to servers, the newest first, and counts the open ones against the limit.
+// Pool keeps idle connections to servers and limits the number of open ones. The connection that was used last is reused first.
 type Pool struct {
-	Most    int           // connections open at once, idle ones included
-	IdleFor time.Duration // after this an idle connection is not used again
+	Most    int           // maximum number of open connections, idle ones included
+	IdleFor time.Duration // idle timeout, after which a connection is not reused
 	Counts  *Counters
 
-	mu    sync.Mutex
-	idle  map[balance.ServerID][]idleConn // oldest first
-	heard map[balance.ServerID]time.Time  // the last answer's time
-	open  int
-	done  bool
+	mu           sync.Mutex
+	idle         map[balance.ServerID][]idleConn // oldest first
+	lastResponse map[balance.ServerID]time.Time  // time of each server's last response
+	open         int
+	closed       bool
 
-	trust trust
+	reuse reuseTracker
 
-	waiting []chan struct{} // for room, the first to come first
+	waiters []chan struct{} // callers of Get that wait for a connection, in order of arrival
 }
 
+// idleConn is an idle connection, the address it leads to and the time at which it became idle.
 type idleConn struct {
 	Conn
-	address string
-	since   time.Time
+	address   string
+	idleSince time.Time
 }
 
-// NewPool returns an empty pool.
-func NewPool(most int, idleFor time.Duration, counts *Counters) *Pool {
-	return &Pool{Most: most, IdleFor: idleFor, Counts: counts,
-		idle: map[balance.ServerID][]idleConn{}, heard: map[balance.ServerID]time.Time{}}
+// NewPool returns an empty pool with a maximum number of open connections and an idle timeout.
+func NewPool(maxOpen int, idleTimeout time.Duration, counts *Counters) *Pool {
+	return &Pool{Most: maxOpen, IdleFor: idleTimeout, Counts: counts,
+		idle: map[balance.ServerID][]idleConn{}, lastResponse: map[balance.ServerID]time.Time{}}
 }
 
-// SetMost changes the limit. What is open over a lower one goes as it comes back.
-func (p *Pool) SetMost(most int) {
+// SetMost changes the maximum number of open connections. If it is lowered, excess connections are closed when they are put back.
+func (p *Pool) SetMost(maxOpen int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.Most = most
-	p.wake()
+	p.Most = maxOpen
+	p.wakeNext()
 }
 
-// SetIdleFor changes the time after which an idle connection is not used again.
-func (p *Pool) SetIdleFor(d time.Duration) {
+// SetIdleFor changes the idle timeout.
+func (p *Pool) SetIdleFor(timeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.IdleFor = d
+	p.IdleFor = timeout
 }
 
-// Take returns the server's newest idle connection, busy now, or nil. What must not run twice, if careful, passes over
-// one that has been idle for longer than is sure, and leaves it to the others.
-func (p *Pool) Take(server balance.ServerID, address string, careful bool, now time.Time) Conn {
+// Take returns the server's most recently used idle connection, marked as in use, or nil if there is none. A non-idempotent request is
+// not given a connection that has been idle so long that it may be reset; that connection stays in the pool for other requests.
+func (p *Pool) Take(server balance.ServerID, address string, nonIdempotent bool, now time.Time) Conn {
 	p.mu.Lock()
-	most := p.IdleFor
+	maxIdle := p.IdleFor
 	p.mu.Unlock()
-	most = p.trust.limit(false, most, now)
-	least := now.Add(-most)
-	if careful {
-		least = now.Add(-p.trust.limit(true, most, now))
+	maxIdle = p.reuse.maxIdle(false, maxIdle, now)
+	minSince := now.Add(-maxIdle)
+	if nonIdempotent {
+		minSince = now.Add(-p.reuse.maxIdle(true, maxIdle, now))
 	}
 	for {
-		c := p.newest(server, careful, least)
+		c := p.takeNewest(server, nonIdempotent, minSince)
 		if c == nil {
 			return nil
 		}
-		if c.address == address && now.Sub(c.since) < most && c.Acquire() {
+		if c.address == address && now.Sub(c.idleSince) < maxIdle && c.Acquire() {
 			return c.Conn
 		}
 		c.Close()
 	}
 }
 
-// Used notes how the first word on a connection came out after it had been idle so long; a new one has not been.
-func (p *Pool) Used(idle time.Duration, good bool) { p.trust.note(idle, good, time.Now()) }
+// Used records whether the first request on a connection succeeded after the given idle time, which is 0 for a new connection.
+func (p *Pool) Used(idle time.Duration, ok bool) { p.reuse.record(idle, ok, time.Now()) }
 
-func (p *Pool) newest(server balance.ServerID, careful bool, least time.Time) *idleConn {
+// takeNewest removes the server's most recently used idle connection from the pool and returns it; nil if there is none, or for a
+// non-idempotent request if it became idle before minSince.
+func (p *Pool) takeNewest(server balance.ServerID, nonIdempotent bool, minSince time.Time) *idleConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := p.idle[server]
-	if len(all) == 0 || careful && all[len(all)-1].since.Before(least) {
+	conns := p.idle[server]
+	if len(conns) == 0 || nonIdempotent && conns[len(conns)-1].idleSince.Before(minSince) {
 		return nil
 	}
-	c := all[len(all)-1]
-	all[len(all)-1] = idleConn{}
-	p.idle[server] = all[:len(all)-1]
+	c := conns[len(conns)-1]
+	conns[len(conns)-1] = idleConn{}
+	p.idle[server] = conns[:len(conns)-1]
 	p.Counts.IdleConnections.Add(-1)
 	return &c
 }
 
-// Put takes back a connection that has brought a whole answer, and notes that the server is heard.
+// Put returns a connection to the pool after a complete response. It is closed if the pool is closed or over its limit.
 func (p *Pool) Put(server balance.ServerID, address string, c Conn, now time.Time) {
 	p.mu.Lock()
-	over := p.done || p.open > p.Most
-	if !over {
+	excess := p.closed || p.open > p.Most
+	if !excess {
 		p.idle[server] = append(p.idle[server], idleConn{c, address, now})
 		p.Counts.IdleConnections.Add(1)
-		p.wake()
+		p.wakeNext()
 	}
 	p.mu.Unlock()
-	if over {
+	if excess {
 		c.Close() // it calls Release, which takes the lock
 	}
 }
 
-// Remove drops a connection that has closed while it was idle.
+// Remove removes a connection that was closed while idle.
 func (p *Pool) Remove(server balance.ServerID, c Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := p.idle[server]
-	for i := range all {
-		if all[i].Conn == c {
-			p.idle[server] = append(all[:i], all[i+1:]...)
+	conns := p.idle[server]
+	for i := range conns {
+		if conns[i].Conn == c {
+			p.idle[server] = append(conns[:i], conns[i+1:]...)
 			p.Counts.IdleConnections.Add(-1)
 			return
 		}
 	}
 }
 
-// Heard notes that a server has answered something.
+// Heard records that a server has sent a response.
 func (p *Pool) Heard(server balance.ServerID, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard[server] = now
+	p.lastResponse[server] = now
 }
 
-// Silent closes a server's idle connections if it has answered nothing since the given time: it may have vanished,
-// which a connection that stands open would hide and a new one shows.
+// Silent closes a server's idle connections if it has sent no response since the given time, and reports whether that is so. The server
+// may have vanished, which open connections would hide and a new connection attempt reveals.
 func (p *Pool) Silent(server balance.ServerID, since time.Time) bool {
 	p.mu.Lock()
-	silent := p.heard[server].Before(since)
+	silent := p.lastResponse[server].Before(since)
 	p.mu.Unlock()
 	if silent {
 		p.Leave(server)
@@ -158,71 +161,71 @@
 // Leave closes a server's idle connections.
 func (p *Pool) Leave(server balance.ServerID) {
 	p.mu.Lock()
-	all := p.idle[server]
+	conns := p.idle[server]
 	delete(p.idle, server)
-	p.Counts.IdleConnections.Add(-int64(len(all)))
+	p.Counts.IdleConnections.Add(-int64(len(conns)))
 	p.mu.Unlock()
-	for _, c := range all {
+	for _, c := range conns {
 		c.Close()
 	}
 }
 
-// Sweep closes the connections that have been idle for too long.
+// Sweep closes the connections that have exceeded the idle timeout, and removes outdated response times.
 func (p *Pool) Sweep(now time.Time) {
-	var old []idleConn
+	var expired []idleConn
 	p.mu.Lock()
-	for server, all := range p.idle {
+	for server, conns := range p.idle {
 		n := 0
-		for n < len(all) && now.Sub(all[n].since) >= p.IdleFor {
+		for n < len(conns) && now.Sub(conns[n].idleSince) >= p.IdleFor {
 			n++
 		}
-		old = append(old, all[:n]...)
-		if p.idle[server] = append(all[:0:0], all[n:]...); len(p.idle[server]) == 0 {
+		expired = append(expired, conns[:n]...)
+		if p.idle[server] = append(conns[:0:0], conns[n:]...); len(p.idle[server]) == 0 {
 			delete(p.idle, server)
 		}
 	}
-	p.Counts.IdleConnections.Add(-int64(len(old)))
-	for server, at := range p.heard { // of servers long gone: there are ever new ones
-		if now.Sub(at) > heardFor {
-			delete(p.heard, server)
+	p.Counts.IdleConnections.Add(-int64(len(expired)))
+	for server, at := range p.lastResponse { // entries of servers that are gone, or the map would grow forever
+		if now.Sub(at) > responseRetention {
+			delete(p.lastResponse, server)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		c.Close()
 	}
 }
 
-// Get returns the server's newest idle connection, busy now, or nil and room for a new one, giving up the connection
-// that has been idle for longest if need be. While all are busy it waits for one, as long as the patience and the
-// context last.
-func (p *Pool) Get(ctx context.Context, server balance.ServerID, address string, careful bool,
-	patience time.Duration) (Conn, error) {
-	get := func() (c Conn, ok bool) {
-		if c = p.Take(server, address, careful, time.Now()); c != nil {
+// Get returns the server's most recently used idle connection, marked as in use, or nil, which permits the caller to open a new one and
+// counts it as open. If the limit is reached, it closes the connection of any server that has been idle for the longest time. While all
+// connections are in use it waits for one, for at most maxWait and until the context ends.
+func (p *Pool) Get(ctx context.Context, server balance.ServerID, address string, nonIdempotent bool,
+	maxWait time.Duration) (Conn, error) {
+	tryGet := func() (c Conn, ok bool) {
+		if c = p.Take(server, address, nonIdempotent, time.Now()); c != nil {
 			return c, true
 		}
 		return nil, p.reserve()
 	}
-	if c, ok := get(); ok {
+	if c, ok := tryGet(); ok {
 		return c, nil
 	}
-	late := time.NewTimer(patience)
-	defer late.Stop()
-	room := make(chan struct{}, 1)
-	defer p.stopWaiting(room)
+	timeout := time.NewTimer(maxWait)
+	defer timeout.Stop()
+	ready := make(chan struct{}, 1)
+	defer p.removeWaiter(ready)
 	for {
 		p.mu.Lock()
-		if !slices.Contains(p.waiting, room) {
-			p.waiting = append(p.waiting, room)
+		if !slices.Contains(p.waiters, ready) {
+			p.waiters = append(p.waiters, ready)
 		}
 		p.mu.Unlock()
-		if c, ok := get(); ok { // it may have come in between
+		if c, ok := tryGet(); ok { // a connection may have become free before this caller was registered
 			return c, nil
 		}
 		select {
-		case <-room:
-		case <-late.C:
+		case <-ready:
+		case <-timeout.C:
 			return nil, ErrNoRoom
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
@@ -230,7 +233,7 @@
 	}
 }
 
-// reserve takes room if there is any, or can be.
+// reserve counts one more connection as open, closing the longest-idle one if the limit is reached; false if all are in use.
 func (p *Pool) reserve() bool {
 	for {
 		p.mu.Lock()
@@ -240,7 +243,7 @@
 			p.mu.Unlock()
 			return true
 		}
-		c := p.oldest()
+		c := p.removeOldest()
 		p.mu.Unlock()
 		if c == nil {
 			return false
@@ -249,62 +252,64 @@
 	}
 }
 
-// oldest takes out the connection that has been idle for longest. The caller holds the lock.
-func (p *Pool) oldest() Conn {
-	victim, at := balance.ServerID(""), time.Time{}
-	for server, all := range p.idle {
-		if len(all) > 0 && (at.IsZero() || all[0].since.Before(at)) {
-			victim, at = server, all[0].since
+// removeOldest removes the connection that has been idle for the longest time and returns it; nil if none is idle. The caller holds the
+// lock.
+func (p *Pool) removeOldest() Conn {
+	longestIdle, since := balance.ServerID(""), time.Time{}
+	for server, conns := range p.idle {
+		if len(conns) > 0 && (since.IsZero() || conns[0].idleSince.Before(since)) {
+			longestIdle, since = server, conns[0].idleSince
 		}
 	}
-	if at.IsZero() {
+	if since.IsZero() {
 		return nil
 	}
-	c := p.idle[victim][0]
-	p.idle[victim] = p.idle[victim][1:]
+	c := p.idle[longestIdle][0]
+	p.idle[longestIdle] = p.idle[longestIdle][1:]
 	p.Counts.IdleConnections.Add(-1)
 	return c.Conn
 }
 
-// wake lets the one that has waited longest for room try again. The caller holds the lock.
-func (p *Pool) wake() {
-	if len(p.waiting) > 0 {
-		p.waiting[0] <- struct{}{} // holds one, and stands here once
-		p.waiting = p.waiting[1:]
+// wakeNext wakes the longest-waiting caller of Get. The caller holds the lock.
+func (p *Pool) wakeNext() {
+	if len(p.waiters) > 0 {
+		p.waiters[0] <- struct{}{} // never blocks: the channel has a capacity of 1 and is listed once
+		p.waiters = p.waiters[1:]
 	}
 }
 
-// stopWaiting takes a waiting one out; a wake that it has not used goes to the next one.
-func (p *Pool) stopWaiting(room chan struct{}) {
+// removeWaiter removes a caller of Get from the waiters; a wake-up that it has not used is passed to the next one.
+func (p *Pool) removeWaiter(ready chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if i := slices.Index(p.waiting, room); i >= 0 {
-		p.waiting = slices.Delete(p.waiting, i, i+1)
+	if i := slices.Index(p.waiters, ready); i >= 0 {
+		p.waiters = slices.Delete(p.waiters, i, i+1)
 	}
 	select {
-	case <-room:
-		p.wake()
+	case <-ready:
+		p.wakeNext()
 	default:
 	}
 }
 
-// Release gives back the room that Get found, once the connection is closed.
+// Release counts one connection less as open. It is called once for each nil that Get returned, when the connection is closed or could
+// not be opened.
 func (p *Pool) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 	p.Counts.ServerConnections.Store(int64(p.open))
-	p.wake()
+	p.wakeNext()
 }
 
-// Close closes the idle connections, and from now on those that come back.
+// Close closes the idle connections, and those put back later.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	p.done = true
-	all := p.idle
+	p.closed = true
+	idle := p.idle
 	p.idle = map[balance.ServerID][]idleConn{}
 	p.mu.Unlock()
-	for _, conns := range all {
+	for _, conns := range idle {
 		p.Counts.IdleConnections.Add(-int64(len(conns)))
 		for _, c := range conns {
 			c.Close()
--- a/internal/exchange/pool_test.go
+++ b/internal/exchange/pool_test.go
@@ -10,6 +10,7 @@
 	"cedarmast/balance"
 )
 
+// testConn is a Conn that counts calls of Close; a broken one can't be acquired.
 type testConn struct {
 	pool   *Pool
 	closed int
@@ -25,6 +26,7 @@
 	return nil
 }
 
+// openConn reserves a connection in the pool and returns it, in use.
 func openConn(t *testing.T, p *Pool) *testConn {
 	t.Helper()
 	if _, err := p.Get(t.Context(), "new", "x", false, time.Second); err != nil {
@@ -35,20 +37,20 @@
 
 var t0 = time.Unix(1000, 0)
 
-func TestPoolGivesTheNewestFirst(t *testing.T) {
+func TestPoolReusesNewestFirst(t *testing.T) {
 	p := NewPool(10, time.Second, &Counters{})
 	a, b := openConn(t, p), openConn(t, p)
 	p.Put("s", "x", a, t0)
 	p.Put("s", "x", b, t0.Add(time.Millisecond))
 	if got := p.Take("s", "x", false, t0.Add(2*time.Millisecond)); got != b {
-		t.Error("not the newest")
+		t.Error("did not return the most recently used connection")
 	}
 	if got := p.Take("other", "x", false, t0); got != nil {
-		t.Error("another server's connection")
+		t.Error("returned another server's connection")
 	}
 }
 
-func TestPoolPassesOverWhatIsStale(t *testing.T) {
+func TestPoolClosesStaleConnections(t *testing.T) {
 	p := NewPool(10, time.Second, &Counters{})
 	old, moved, broken := openConn(t, p), openConn(t, p), openConn(t, p)
 	broken.broken = true
@@ -59,30 +61,30 @@
 		t.Errorf("got %v", got)
 	}
 	if old.closed != 1 || moved.closed != 1 || broken.closed != 1 || p.open != 0 {
-		t.Error("not let go")
+		t.Error("a stale connection was not closed")
 	}
 }
 
-func TestPoolKeepsToItsLimit(t *testing.T) {
+func TestPoolLimit(t *testing.T) {
 	counts := &Counters{}
 	p := NewPool(2, time.Second, counts)
 	a, b := openConn(t, p), openConn(t, p)
 	if _, err := p.Get(t.Context(), "new", "x", false, time.Millisecond); !errors.Is(err, ErrNoRoom) {
-		t.Fatalf("a third of two: %v", err)
+		t.Fatalf("third connection with a limit of 2: %v", err)
 	}
 	p.Put("s", "x", a, t0)
 	p.Put("r", "x", b, t0.Add(time.Millisecond))
 	openConn(t, p)
 	if a.closed != 1 || b.closed != 0 {
-		t.Error("not the one that was idle for longest was given up")
+		t.Error("did not close the connection that was idle for the longest time")
 	}
 	if counts.ServerConnections.Load() != 2 || counts.IdleConnections.Load() != 1 {
-		t.Errorf("counted %d open, %d idle", counts.ServerConnections.Load(), counts.IdleConnections.Load())
+		t.Errorf("counted %d open and %d idle connections, want 2 and 1", counts.ServerConnections.Load(), counts.IdleConnections.Load())
 	}
 }
 
-// With all connections busy the next attempt waits for one to end, first come first served, and not for ever.
-func TestPoolWaitsForRoom(t *testing.T) {
+// While all connections are in use, callers of Get wait in order of arrival, for a limited time.
+func TestPoolGetWaits(t *testing.T) {
 	p := NewPool(1, time.Minute, &Counters{})
 	busy := openConn(t, p)
 	got := make(chan int, 2)
@@ -95,31 +97,31 @@
 		}()
 		for waiting := 0; waiting <= i; time.Sleep(time.Millisecond) {
 			p.mu.Lock()
-			waiting = len(p.waiting)
+			waiting = len(p.waiters)
 			p.mu.Unlock()
 		}
 	}
 	if _, err := p.Get(t.Context(), "new", "x", false, time.Millisecond); !errors.Is(err, ErrNoRoom) {
-		t.Errorf("without patience: %v", err)
+		t.Errorf("with a maximum wait of 1 ms: %v", err)
 	}
 	ctx, cancel := context.WithCancelCause(t.Context())
 	cancel(ErrWithdrawn)
 	if _, err := p.Get(ctx, "new", "x", false, time.Second); !errors.Is(err, ErrWithdrawn) {
-		t.Errorf("withdrawn: %v", err)
+		t.Errorf("cancelled: %v", err)
 	}
 	busy.Close()
 	if i := <-got; i != 0 {
-		t.Error("the second was first")
+		t.Error("the second waiter was served before the first")
 	}
-	p.Put("s", "x", &testConn{pool: p}, t0) // the first one's connection, idle now: it is given up for the second
+	p.Put("s", "x", &testConn{pool: p}, t0) // the first caller's connection, now idle, is closed to make room for the second
 	<-got
-	if p.open != 1 || len(p.waiting) != 0 {
-		t.Errorf("%d open, %d waiting", p.open, len(p.waiting))
+	if p.open != 1 || len(p.waiters) != 0 {
+		t.Errorf("%d connections open and %d waiting, want 1 and 0", p.open, len(p.waiters))
 	}
 }
 
-// One that waits gets the connection that comes back from its own server, and none is closed for it.
-func TestPoolGivesAWaitingOneWhatComesBack(t *testing.T) {
+// A waiting caller gets a connection to its own server that is put back, and no connection is closed for it.
+func TestPoolGivesReturnedConnectionToWaiter(t *testing.T) {
 	p := NewPool(1, time.Minute, &Counters{})
 	c := openConn(t, p)
 	got := make(chan Conn)
@@ -132,7 +134,7 @@
 	}()
 	for waiting := 0; waiting == 0; time.Sleep(time.Millisecond) {
 		p.mu.Lock()
-		waiting = len(p.waiting)
+		waiting = len(p.waiters)
 		p.mu.Unlock()
 	}
 	p.Put("s", "x", c, time.Now())
@@ -141,7 +143,7 @@
 	}
 }
 
-func TestPoolSweepsAndLeaves(t *testing.T) {
+func TestPoolSweepLeaveAndClose(t *testing.T) {
 	counts := &Counters{}
 	p := NewPool(10, time.Second, counts)
 	a, b, c := openConn(t, p), openConn(t, p), openConn(t, p)
@@ -149,52 +151,52 @@
 	p.Put("s", "x", b, t0.Add(time.Second))
 	p.Sweep(t0.Add(time.Second))
 	if a.closed != 1 || b.closed != 0 {
-		t.Error("swept wrongly")
+		t.Error("did not close exactly the expired connection")
 	}
 	p.Leave("s")
 	if b.closed != 1 {
-		t.Error("left open")
+		t.Error("an idle connection of the server is still open")
 	}
 	p.Close()
 	p.Put("s", "x", c, t0)
 	for until := time.Now().Add(time.Second); counts.ServerConnections.Load() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("what came back after the end stays open")
+			t.Fatal("a connection that was put back after Close is still open")
 		}
 	}
 	if counts.IdleConnections.Load() != 0 {
-		t.Errorf("%d idle", counts.IdleConnections.Load())
+		t.Errorf("%d connections are counted as idle, want 0", counts.IdleConnections.Load())
 	}
 }
 
-// A server that has said nothing since an attempt was sent may have vanished: its idle connections would stand open
-// and silent. One that has spoken since is only slow.
-func TestPoolDropsTheIdleOfASilentServer(t *testing.T) {
+// A server that has sent no response since an attempt was sent may have vanished, and its idle connections would stay open without ever
+// answering. A server that has responded since is only slow.
+func TestPoolClosesIdleConnectionsOfSilentServer(t *testing.T) {
 	p := NewPool(10, time.Minute, &Counters{})
 	a := openConn(t, p)
 	p.Put("s", "x", a, t0)
 	p.Heard("s", t0.Add(time.Second))
 	if p.Silent("s", t0) || a.closed != 0 {
-		t.Error("dropped though the server has spoken")
+		t.Error("closed the connection although the server has responded")
 	}
 	if !p.Silent("s", t0.Add(2*time.Second)) || a.closed != 1 {
-		t.Error("kept though the server is silent")
+		t.Error("kept the connection although the server is silent")
 	}
 }
 
-func TestAddressesFollowTheList(t *testing.T) {
+func TestAddressesFollowList(t *testing.T) {
 	a := addresses{}
-	a.follow(testList(balance.Complete, 1, "a", "b", "c"))
+	a.update(testList(balance.Complete, 1, "a", "b", "c"))
 	change := testList(balance.Partial, 2, "a", "b")
 	change.Entries[0].State = balance.Draining
 	change.Addresses["b"] = "127.0.0.1:2"
-	if leave := a.follow(change); !reflect.DeepEqual(leave, []balance.ServerID{"a", "b"}) {
-		t.Errorf("left %v", leave)
+	if leave := a.update(change); !reflect.DeepEqual(leave, []balance.ServerID{"a", "b"}) {
+		t.Errorf("closed %v, want a and b", leave)
 	}
 	if a["a"].address == "" || a["b"].address != "127.0.0.1:2" {
 		t.Errorf("addresses %v", a)
 	}
-	if leave := a.follow(testList(balance.Complete, 3, "b")); len(leave) != 3 || len(a) != 1 {
-		t.Errorf("left %v, addresses %v", leave, a)
+	if leave := a.update(testList(balance.Complete, 3, "b")); len(leave) != 3 || len(a) != 1 {
+		t.Errorf("closed %v, addresses %v", leave, a)
 	}
 }
--- a/internal/exchange/timers.go
+++ b/internal/exchange/timers.go
@@ -6,39 +6,41 @@
 	"cedarmast/balance"
 )
 
-// timers are the decisions' timers, the earliest first; those of one time keep their order.
-type timers struct {
-	all  []timer
-	made uint64
+// timerQueue is a heap of the balancer's timers, ordered by expiry; timers with equal expiry keep the order in which they were added.
+type timerQueue struct {
+	entries      []timer
+	lastSequence uint64
 }
 
+// timer is a pending timer of the balancer; sequence orders timers with equal expiry.
 type timer struct {
-	at    balance.Time
-	order uint64
-	token int64
+	expiry   balance.Time
+	sequence uint64
+	token    int64
 }
 
-func (t *timers) Len() int { return len(t.all) }
-func (t *timers) Less(i, j int) bool {
-	a, b := t.all[i], t.all[j]
-	return a.at < b.at || a.at == b.at && a.order < b.order
+func (t *timerQueue) Len() int { return len(t.entries) }
+func (t *timerQueue) Less(i, j int) bool {
+	a, b := t.entries[i], t.entries[j]
+	return a.expiry < b.expiry || a.expiry == b.expiry && a.sequence < b.sequence
 }
-func (t *timers) Swap(i, j int) { t.all[i], t.all[j] = t.all[j], t.all[i] }
-func (t *timers) Push(x any)    { t.all = append(t.all, x.(timer)) }
-func (t *timers) Pop() any {
-	last := t.all[len(t.all)-1]
-	t.all = t.all[:len(t.all)-1]
+func (t *timerQueue) Swap(i, j int) { t.entries[i], t.entries[j] = t.entries[j], t.entries[i] }
+func (t *timerQueue) Push(x any)    { t.entries = append(t.entries, x.(timer)) }
+func (t *timerQueue) Pop() any {
+	last := t.entries[len(t.entries)-1]
+	t.entries = t.entries[:len(t.entries)-1]
 	return last
 }
 
-func (t *timers) set(at balance.Time, token int64) {
-	t.made++
-	heap.Push(t, timer{at, t.made, token})
+// add adds a timer that expires at the given time.
+func (t *timerQueue) add(expiry balance.Time, token int64) {
+	t.lastSequence++
+	heap.Push(t, timer{expiry, t.lastSequence, token})
 }
 
-// due takes the next timer that is due, if any.
-func (t *timers) due(now balance.Time) (timer, bool) {
-	if len(t.all) == 0 || t.all[0].at > now {
+// popExpired removes and returns the earliest timer if it has expired.
+func (t *timerQueue) popExpired(now balance.Time) (timer, bool) {
+	if len(t.entries) == 0 || t.entries[0].expiry > now {
 		return timer{}, false
 	}
 	return heap.Pop(t).(timer), true
--- a/internal/exchange/generations_test.go
+++ b/internal/exchange/turnover_test.go
@@ -11,10 +11,10 @@
 	"cedarmast/balance"
 )
 
-// served is a Sender whose servers answer at once and keep their connections.
-type served struct{ pool *Pool }
+// instantSender is a Sender whose servers answer immediately and keep their connections open.
+type instantSender struct{ pool *Pool }
 
-func (s served) Send(a *Attempt) {
+func (s instantSender) Send(a *Attempt) {
 	go func() {
 		c, err := s.pool.Get(context.Background(), a.Server, a.Address, false, time.Second)
 		if err != nil {
@@ -30,13 +30,13 @@
 	}()
 }
 
-// Over a day servers are replaced by new ones under new ids, many at the addresses of those that have gone. Nothing that
-// is kept per server or exchange grows with the number that there have been.
-func TestManyGenerationsOfServers(t *testing.T) {
+// Guards against memory leaks by server turnover: over a day servers are replaced by new ones with new IDs, often at the addresses of
+// the old ones. State per server or exchange must not grow with the total number of servers seen.
+func TestServerTurnover(t *testing.T) {
 	l := NewLoop()
 	l.Clock, l.Counts, l.Log, l.Settings = NewClock(), &Counters{}, slog.New(slog.DiscardHandler), testSettings
 	l.Pool = NewPool(50, time.Minute, l.Counts)
-	l.Sender, l.Teller = served{l.Pool}, &told{}
+	l.Sender, l.Teller = instantSender{l.Pool}, &recordingTeller{}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
@@ -46,7 +46,7 @@
 		list := List{List: balance.List{Kind: balance.Partial, Version: int64(g)}, Addresses: map[balance.ServerID]string{
 			id: fmt.Sprint("127.0.0.1:", 9000+g%fleet)}}
 		list.Entries = append(list.Entries, balance.Entry{Server: id, Weight: 1, Started: balance.Time(g + 1)})
-		if g >= fleet && g%2 == 0 { // the list tells of the one gone, or else only of its successor
+		if g >= fleet && g%2 == 0 { // otherwise the list shows only the successor, not that the old server is gone
 			list.Entries = append(list.Entries, balance.Entry{Server: balance.ServerID(fmt.Sprint("s", g-fleet)), State: balance.Gone})
 		}
 		l.Listed(list)
@@ -60,8 +60,8 @@
 	for l.Counts.IdleConnections.Load() > 2*fleet && time.Now().Before(until) {
 		time.Sleep(time.Millisecond)
 	}
-	l.Pool.Sweep(time.Now().Add(heardFor / 2))
-	time.Sleep(400 * time.Millisecond) // timers of what was asked come due
+	l.Pool.Sweep(time.Now().Add(responseRetention / 2))
+	time.Sleep(400 * time.Millisecond) // wait until the timers of the requests have expired
 	l.Listed(List{List: balance.List{Kind: balance.Partial}})
 	time.Sleep(20 * time.Millisecond)
 	stop()
@@ -72,17 +72,17 @@
 			t.Errorf("%d %s after %d generations of %d servers", n, name, generations, fleet)
 		}
 	}
-	if l.Pool.Sweep(time.Now().Add(2 * heardFor)); len(l.Pool.heard) != 0 {
-		t.Errorf("%d servers are remembered as heard", len(l.Pool.heard))
+	if l.Pool.Sweep(time.Now().Add(2 * responseRetention)); len(l.Pool.lastResponse) != 0 {
+		t.Errorf("%d response times are kept after their retention", len(l.Pool.lastResponse))
 	}
-	if n := len(l.timers.all); n > 20 {
-		t.Errorf("%d timers", n)
+	if n := len(l.timers.entries); n > 20 {
+		t.Errorf("%d timers are pending, want at most 20", n)
 	}
 }
 
-// A new server at the address of an old one ends the old one, whether or not the list has told so; a server that has
-// started anew keeps nothing of its connections. A late word of the old one does not bring it back.
-func TestSuccessorAtAnOldAddress(t *testing.T) {
+// A new server at the address of an old one replaces it, even if the list has not shown the old one as gone. A restarted server's idle
+// connections are closed. A late list entry of the old server does not restore it.
+func TestNewServerAtOldAddress(t *testing.T) {
 	a := addresses{}
 	at := func(kind balance.ListKind, state balance.State, names map[string]balance.Time) List {
 		l := List{List: balance.List{Kind: kind}, Addresses: map[balance.ServerID]string{}}
@@ -96,27 +96,27 @@
 		return l
 	}
 	take := func(l List) (gone []balance.ServerID, leave []balance.ServerID) {
-		l = a.succeeded(l)
+		l = a.markReplaced(l)
 		for _, e := range l.Entries {
 			if e.State == balance.Gone {
 				gone = append(gone, e.Server)
 			}
 		}
-		return gone, a.follow(l)
+		return gone, a.update(l)
 	}
 	take(at(balance.Complete, balance.Up, map[string]balance.Time{"old": 1, "other": 1}))
 	gone, leave := take(at(balance.Partial, balance.Up, map[string]balance.Time{"new": 5}))
 	if want := []balance.ServerID{"old"}; !reflect.DeepEqual(gone, want) || !reflect.DeepEqual(leave, want) {
-		t.Errorf("gone %v, connections left %v", gone, leave)
+		t.Errorf("gone %v, connections closed %v", gone, leave)
 	}
 	if gone, _ := take(at(balance.Partial, balance.Up, map[string]balance.Time{"old": 1})); len(gone) != 1 || len(a) != 2 {
-		t.Errorf("a late word of the old one: gone %v, listed %v", gone, a)
+		t.Errorf("late entry of the old server: gone %v, listed %v", gone, a)
 	}
 	if _, leave := take(at(balance.Partial, balance.Up, map[string]balance.Time{"other": 7})); len(leave) != 1 {
-		t.Errorf("started anew, left %v", leave)
+		t.Errorf("after a restart: connections closed %v", leave)
 	}
 	both := at(balance.Complete, balance.Up, map[string]balance.Time{"old": 1, "new": 5, "other": 7})
 	if gone, _ := take(both); len(gone) != 1 || gone[0] != "old" {
-		t.Errorf("both in a whole list: gone %v", gone)
+		t.Errorf("both in a complete list: gone %v", gone)
 	}
 }
