--- a/internal/cdn/truetime/truetime.go
+++ b/internal/cdn/truetime/truetime.go
@@ -1,5 +1,6 @@
-// Package truetime is a process's notion of the time of day that does not follow jumps of its machine's clock: the clock as it was read at the
-// process's start, carried on by the steady clock, and shifted by what other machines tell of theirs. It does no I/O and reads no clock.
+// Package truetime estimates the time of day independently of jumps of the machine's wall clock: the wall clock is read once
+// when the process starts, advanced by the monotonic clock, and corrected by the median offset of other machines' clocks. The
+// package does no I/O and reads no clock.
 package truetime
 
 import (
@@ -9,51 +10,51 @@
 	"time"
 )
 
-// mostSources is how many others are listened to, each with its newest word.
-const mostSources = 16
+// maxSources limits the number of other clocks; only the latest reading of each is kept.
+const maxSources = 16
 
-// Clock is one process's true time. Its methods take moments of the steady clock, as time.Now returns them.
+// Clock is the estimated time of day of one process. Its methods take times with a monotonic reading, as time.Now returns them.
 type Clock struct {
-	started time.Time // of both clocks
-	among   bool      // the own clock counts as one among those heard
+	started    time.Time // reading of the wall clock and the monotonic clock at the start
+	includeOwn bool      // the own clock takes part in the median
 
 	mu      sync.Mutex
-	offsets map[string]time.Duration // of the others' clocks from the own one, by source
+	offsets map[string]time.Duration // of other clocks relative to the own one, by source
 }
 
-// New returns a clock that began at a reading of both clocks. One that counts itself among those that it hears takes the median over all of
-// them; one that does not goes by the others alone as soon as it has heard any.
-func New(started time.Time, among bool) *Clock {
-	return &Clock{started: started, among: among, offsets: map[string]time.Duration{}}
+// New returns a clock that starts at a reading of the wall clock and the monotonic clock. If includeOwn is true the own clock takes
+// part in the median; otherwise only the other clocks do, as soon as there is a reading of one.
+func New(started time.Time, includeOwn bool) *Clock {
+	return &Clock{started: started, includeOwn: includeOwn, offsets: map[string]time.Duration{}}
 }
 
-// Own is the own clock's time, as it would be without jumps since the start. This is what others are told who take a median themselves: what
-// was shifted once must not shift others, or small errors would add up without end.
+// Own returns the time of the own clock without any jumps since the start. It is what to send to machines that compute a
+// median themselves: if a corrected time corrected others, small errors would accumulate without bound.
 func (c *Clock) Own(now time.Time) time.Time {
 	return c.started.Round(0).Add(now.Sub(c.started))
 }
 
-// Now is true time, as far as it is known here.
-func (c *Clock) Now(now time.Time) time.Time { return c.Own(now).Add(c.shift()) }
+// Now returns the estimated time of day.
+func (c *Clock) Now(now time.Time) time.Time { return c.Own(now).Add(c.medianOffset()) }
 
-// Hear takes what a source's clock showed at a moment. Where there is no room for another source it changes nothing.
+// Hear records that the clock of a source showed wall at the time at. A new source beyond the limit is ignored.
 func (c *Clock) Hear(source string, wall, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, known := c.offsets[source]; !known && len(c.offsets) >= mostSources {
+	if _, known := c.offsets[source]; !known && len(c.offsets) >= maxSources {
 		return
 	}
 	c.offsets[source] = wall.Sub(c.Own(at))
 }
 
-// Heard tells whether any other clock has been heard.
+// Heard reports whether there is a reading of any other clock.
 func (c *Clock) Heard() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.offsets) > 0
 }
 
-// Keep forgets the sources that are not named.
+// Keep deletes the readings of all sources that are not listed.
 func (c *Clock) Keep(sources []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,19 +65,19 @@
 	}
 }
 
-// shift is the median of the offsets; of two in the middle the one that is nearer to the own clock.
-func (c *Clock) shift() time.Duration {
+// medianOffset returns the median of the offsets; of two middle values, the one nearer to the own clock.
+func (c *Clock) medianOffset() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := make([]time.Duration, 0, len(c.offsets)+1)
+	offsets := make([]time.Duration, 0, len(c.offsets)+1)
 	for _, offset := range c.offsets {
-		all = append(all, offset)
+		offsets = append(offsets, offset)
 	}
-	if c.among || len(all) == 0 {
-		all = append(all, 0)
+	if c.includeOwn || len(offsets) == 0 {
+		offsets = append(offsets, 0)
 	}
-	slices.SortFunc(all, func(a, b time.Duration) int { return cmp.Compare(a, b) })
-	low, high := all[(len(all)-1)/2], all[len(all)/2]
+	slices.SortFunc(offsets, func(a, b time.Duration) int { return cmp.Compare(a, b) })
+	low, high := offsets[(len(offsets)-1)/2], offsets[len(offsets)/2]
 	if low.Abs() < high.Abs() {
 		return low
 	}
--- a/internal/cdn/truetime/truetime_test.go
+++ b/internal/cdn/truetime/truetime_test.go
@@ -8,45 +8,48 @@
 	"gotest.tools/v3/assert"
 )
 
-// The median of all clocks holds though one of them is off, the own one or another's; nothing heard means the own clock.
-func TestShift(t *testing.T) {
+// The median must not follow a single wrong clock, be it the own one or another. Without readings of other clocks the own clock
+// counts.
+func TestMedianOffset(t *testing.T) {
 	cases := []struct {
-		name   string
-		among  bool
-		others []time.Duration
-		want   time.Duration
+		name       string
+		includeOwn bool
+		others     []time.Duration
+		want       time.Duration
 	}{
-		{"nobody heard", true, nil, 0},
-		{"nobody heard, a follower", false, nil, 0},
-		{"a follower goes by the only one", false, []time.Duration{4 * time.Second}, 4 * time.Second},
-		{"one against one: the own", true, []time.Duration{4 * time.Second}, 0},
-		{"the own clock is off", true, []time.Duration{-5 * time.Second, -5 * time.Second, -5*time.Second + 2*time.Millisecond}, -5*time.Second + 2*time.Millisecond},
-		{"another's clock is off", true, []time.Duration{2 * time.Millisecond, 5 * time.Second, -time.Millisecond}, 0},
-		{"a follower among four, one is off", false, []time.Duration{2 * time.Millisecond, 5 * time.Second, -time.Millisecond, 3 * time.Millisecond}, 2 * time.Millisecond},
+		{"no other clock", true, nil, 0},
+		{"no other clock, own excluded", false, nil, 0},
+		{"one other clock, own excluded", false, []time.Duration{4 * time.Second}, 4 * time.Second},
+		{"one other clock, own included: own wins", true, []time.Duration{4 * time.Second}, 0},
+		{"own clock wrong", true, []time.Duration{-5 * time.Second, -5 * time.Second, -5*time.Second + 2*time.Millisecond},
+			-5*time.Second + 2*time.Millisecond},
+		{"one other clock wrong", true, []time.Duration{2 * time.Millisecond, 5 * time.Second, -time.Millisecond}, 0},
+		{"one of four other clocks wrong, own excluded", false,
+			[]time.Duration{2 * time.Millisecond, 5 * time.Second, -time.Millisecond, 3 * time.Millisecond}, 2 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			start := time.Now()
-			clock := New(start, c.among)
+			clock := New(start, c.includeOwn)
 			for i, offset := range c.others {
-				clock.Hear(fmt.Sprint(i), start.Add(-time.Hour), start)                          // an older word
-				clock.Hear(fmt.Sprint(i), start.Add(time.Minute+offset), start.Add(time.Minute)) // the newest
+				clock.Hear(fmt.Sprint(i), start.Add(-time.Hour), start)                          // an older reading
+				clock.Hear(fmt.Sprint(i), start.Add(time.Minute+offset), start.Add(time.Minute)) // the latest
 			}
 			assert.Equal(t, clock.Now(start.Add(2*time.Minute)).Sub(start.Round(0)), 2*time.Minute+c.want)
 		})
 	}
 }
 
-// The own clock is carried on by the steady one. Sources are bounded, and forgotten.
+// The own clock must advance with the monotonic one. The number of sources is limited, and sources can be removed.
 func TestOwnClockAndBounds(t *testing.T) {
 	start := time.Now()
 	clock := New(start, false)
 	later := start.Add(time.Second)
 	assert.Equal(t, clock.Now(later).UnixNano(), start.UnixNano()+time.Second.Nanoseconds())
-	for i := range mostSources + 4 {
+	for i := range maxSources + 4 {
 		clock.Hear(fmt.Sprint(i), start, start)
 	}
-	assert.Equal(t, len(clock.offsets), mostSources)
+	assert.Equal(t, len(clock.offsets), maxSources)
 	clock.Keep([]string{"3"})
 	assert.Equal(t, len(clock.offsets), 1)
 }
