--- a/internal/cdn/configstore/acknowledgements.go
+++ b/internal/cdn/configstore/acknowledgements.go
@@ -9,22 +9,24 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// slowAcknowledgement is what is logged: callers of the control interface go on to another machine after a second.
+// slowAcknowledgement is the time from which an acknowledgement is logged: clients of the control API try another machine after
+// a second.
 const slowAcknowledgement = time.Second
 
-// The outcomes that acknowledgements are counted under.
+// Values of the metric label "outcome".
 const (
 	outcomeDone    = "done"
 	outcomeRefused = "refused"
-	outcomeUnclear = "unclear" // it may or may not come into force
+	outcomeUnclear = "unclear" // the command may or may not take effect
 )
 
-// acknowledgements measures the time from the receipt of an order at this machine to its answer.
+// acknowledgements records the time from the receipt of a command at this machine to its reply, as a metric and in the log.
 type acknowledgements struct {
 	log     hclog.Logger
 	seconds *prometheus.HistogramVec
 }
 
+// newAcknowledgements returns a recorder that logs slow acknowledgements to log.
 func newAcknowledgements(log hclog.Logger) *acknowledgements {
 	return &acknowledgements{log: log, seconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:    "cedarmast_acknowledgement_seconds",
@@ -33,8 +35,9 @@
 	}, []string{"kind", "outcome", "settled"})}
 }
 
-// observe notes the end of an order.
-func (a *acknowledgements) observe(kind string, r Reply, settled bool, took time.Duration) {
+// observe records the reply to a command of a kind. leaderStable says whether the leader had been the same for the
+// contact time.
+func (a *acknowledgements) observe(kind string, r Reply, leaderStable bool, took time.Duration) {
 	outcome := outcomeRefused
 	switch {
 	case !r.Known:
@@ -42,14 +45,15 @@
 	case r.Status == clusterstate.Done:
 		outcome = outcomeDone
 	}
-	a.seconds.WithLabelValues(kind, outcome, settledLabel(settled)).Observe(took.Seconds())
+	a.seconds.WithLabelValues(kind, outcome, settledLabel(leaderStable)).Observe(took.Seconds())
 	if took >= slowAcknowledgement {
-		a.log.Warn("slow acknowledgement", "kind", kind, "outcome", outcome, "settled", settled, "took", took.Round(time.Millisecond))
+		a.log.Warn("slow acknowledgement", "kind", kind, "outcome", outcome, "settled", leaderStable, "took", took.Round(time.Millisecond))
 	}
 }
 
-func settledLabel(settled bool) string {
-	if settled {
+// settledLabel returns the value of the metric label "settled".
+func settledLabel(leaderStable bool) string {
+	if leaderStable {
 		return "yes"
 	}
 	return "no"
--- a/internal/cdn/configstore/clocks.go
+++ b/internal/cdn/configstore/clocks.go
@@ -8,45 +8,47 @@
 	"cedarmast/internal/cdn/peerrpc"
 )
 
-// This file is how core machines compare their clocks, so that each can tell others a time that no single machine's clock sets.
+// Clock comparison between core machines: each estimates the time of day from the clocks of all members, so that no single
+// wrong clock determines it.
 
 const (
-	clocksFirst  = 300 * time.Millisecond // after the start, until all members are known
-	clocksEvery  = 10 * time.Second
-	clocksWithin = 100 * time.Millisecond // an answer that takes longer says too little of the time
+	firstClockInterval = 300 * time.Millisecond // first wait after the start, until the members are known; then doubled up to maxClockInterval
+	maxClockInterval   = 10 * time.Second
+	maxClockRoundTrip  = 100 * time.Millisecond // replies with a longer round trip are discarded as too imprecise
 )
 
-// compareClocks asks the other core machines for their time, again and again until the context ends.
+// compareClocks periodically reads the clocks of the other core machines until the context is done.
 func (s *Store) compareClocks(ctx context.Context) {
-	wait := clocksFirst
+	wait := firstClockInterval
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
 		}
-		wait = min(2*wait, clocksEvery)
+		wait = min(2*wait, maxClockInterval)
 		members := s.view.Status(time.Now()).Members
 		s.clock.Keep(members)
 		for _, address := range members {
-			if address != s.set.Inner(s.set.IP, bootconfig.ConfigStorePort) {
-				s.askClock(ctx, address)
+			if address != s.settings.Inner(s.settings.IP, bootconfig.ConfigStorePort) {
+				s.queryClock(ctx, address)
 			}
 		}
 	}
 }
 
-// askClock hears one machine. Its answer is of the middle of the time that it took.
-func (s *Store) askClock(ctx context.Context, address string) {
-	call, done := context.WithTimeout(ctx, deliverWithin) // as every call of a core machine: who ends one early ends its connection
-	defer done()
-	begun := time.Now()
-	wallMS, err := peerrpc.Call[bool, int64](call, s.peers.At(address), "ConfigStore.Clock", new(bool))
+// queryClock reads the clock of one machine. The reply is taken as its time in the middle of the round trip.
+func (s *Store) queryClock(ctx context.Context, address string) {
+	// The timeout is that of all calls between core machines: a call that times out earlier closes the connection for all.
+	callCtx, cancel := context.WithTimeout(ctx, deliverTimeout)
+	defer cancel()
+	started := time.Now()
+	wallMS, err := peerrpc.Call[bool, int64](callCtx, s.peers.At(address), "ConfigStore.Clock", new(bool))
 	if err != nil {
-		s.log.Debug("clock not heard", "err", err)
+		s.log.Debug("clock query failed", "err", err)
 		return
 	}
-	if took := time.Since(begun); took < clocksWithin {
-		s.clock.Hear(address, time.UnixMilli(wallMS), begun.Add(took/2))
+	if roundTrip := time.Since(started); roundTrip < maxClockRoundTrip {
+		s.clock.Hear(address, time.UnixMilli(wallMS), started.Add(roundTrip/2))
 	}
 }
--- a/internal/cdn/configstore/configstore_test.go
+++ b/internal/cdn/configstore/configstore_test.go
@@ -21,14 +21,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// start runs so many config stores in this process, each on its own address and folder, until the test ends.
-func start(t *testing.T, n int, at int) (peers []*peerrpc.Peer) {
+// startStores runs n config stores in this process until the test ends, each with its own address 127.0.at.x and directory.
+func startStores(t *testing.T, n int, at int) (peers []*peerrpc.Peer) {
 	t.Helper()
-	return startOn(t, n, at, func(int) func(Journal) Journal { return nil })
+	return startStoresWithDisks(t, n, at, func(int) func(Journal) Journal { return nil })
 }
 
-// startOn does it with each one's way to its disk.
-func startOn(t *testing.T, n int, at int, disk func(i int) func(Journal) Journal) (peers []*peerrpc.Peer) {
+// startStoresWithDisks is startStores with a wrapper for the journal of each config store.
+func startStoresWithDisks(t *testing.T, n int, at int, disk func(i int) func(Journal) Journal) (peers []*peerrpc.Peer) {
 	t.Helper()
 	var seeds []string
 	for i := range n {
@@ -37,8 +37,8 @@
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan error, n)
 	for i := range n {
-		set := bootconfig.Settings{Node: fmt.Sprint("core-", i), IP: fmt.Sprintf("127.0.%d.%d", at, i+1), DataDir: t.TempDir(), FirstStart: true, Seeds: seeds, SparePort: 7660,
-			Heartbeat: time.Second}
+		set := bootconfig.Settings{Node: fmt.Sprint("core-", i), IP: fmt.Sprintf("127.0.%d.%d", at, i+1), DataDir: t.TempDir(),
+			FirstStart: true, Seeds: seeds, SparePort: 7660, Heartbeat: time.Second}
 		go func() { done <- run(ctx, set, hclog.NewNullLogger(), disk(i)) }()
 		peers = append(peers, peerrpc.NewPeer(set.Inner(set.IP, bootconfig.ConfigStorePort)))
 	}
@@ -51,37 +51,41 @@
 	return peers
 }
 
+// call calls a method of a config store with a timeout of 3 s.
 func call[A, R any](t *testing.T, p *peerrpc.Peer, method string, args A) (R, error) {
 	ctx, done := context.WithTimeout(t.Context(), 3*time.Second)
 	defer done()
 	return peerrpc.Call[A, R](ctx, p, method, &args)
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+// waitFor waits for a condition and fails the test if it does not hold within 15 s.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	late, look := time.After(15*time.Second), time.NewTicker(10*time.Millisecond)
-	defer look.Stop()
+	timeout, ticker := time.After(15*time.Second), time.NewTicker(10*time.Millisecond)
+	defer ticker.Stop()
 	for !ok() {
 		select {
-		case <-late:
-			t.Fatal("never: " + what)
-		case <-look.C:
+		case <-timeout:
+			t.Fatal("timed out waiting for " + what)
+		case <-ticker.C:
 		}
 	}
 }
 
-const room = 64 << 10 // bytes of a file, at the limit
+const maxFileBytes = 64 << 10 // maximum size of a file in bytes while the disks are full
 
-func purge(tag string) Proposal {
+// purgeProposal returns a proposal to purge the cached responses with a tag.
+func purgeProposal(tag string) Proposal {
 	return Proposal{Data: clusterstate.Command{Purge: &clusterstate.Purge{Tag: tag}}.Encode(), WaitMS: 700}
 }
 
-// Every disk is full at once, by the limit on files: what is asked for then is not acknowledged, nothing that was is lost, the
-// machines say that their disks fail and that they are not current; when there is room again they go on by themselves.
+// All disks are full at the same time, simulated by a limit on the file size. Commands must not be acknowledged then, machines
+// must report failing disks and must not count as current. Once there is room again they must recover by themselves, without
+// having lost an acknowledged command.
 func TestFullDisks(t *testing.T) {
-	peers := start(t, 3, 74)
+	peers := startStores(t, 3, 74)
 	taken := func(p *peerrpc.Peer, tag string) bool {
-		r, err := call[Proposal, Reply](t, p, "ConfigStore.Propose", purge(tag))
+		r, err := call[Proposal, Reply](t, p, "ConfigStore.Propose", purgeProposal(tag))
 		return err == nil && r.Known && r.Status == clusterstate.Done
 	}
 	purges := func(p *peerrpc.Peer) uint64 {
@@ -91,18 +95,19 @@
 		}
 		return n.State.Purges
 	}
-	until(t, "a leader", func() bool { return taken(peers[0], strings.Repeat("b", 4*room)) }) // past the limit to come, which spares other files
-	until(t, "the same everywhere", func() bool { return purges(peers[1]) > 0 && purges(peers[2]) > 0 })
+	// The journal grows beyond the later limit; other files of the process stay below it.
+	waitFor(t, "a leader", func() bool { return taken(peers[0], strings.Repeat("b", 4*maxFileBytes)) })
+	waitFor(t, "the command on all machines", func() bool { return purges(peers[1]) > 0 && purges(peers[2]) > 0 })
 
 	signal.Ignore(syscall.SIGXFSZ)
-	var usual syscall.Rlimit
-	assert.NilError(t, syscall.Getrlimit(syscall.RLIMIT_FSIZE, &usual))
-	full := usual
-	full.Cur = room
-	assert.NilError(t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &full))
-	defer syscall.Setrlimit(syscall.RLIMIT_FSIZE, &usual)
+	var original syscall.Rlimit
+	assert.NilError(t, syscall.Getrlimit(syscall.RLIMIT_FSIZE, &original))
+	limited := original
+	limited.Cur = maxFileBytes
+	assert.NilError(t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &limited))
+	defer syscall.Setrlimit(syscall.RLIMIT_FSIZE, &original)
 	for i, p := range peers {
-		assert.Assert(t, !taken(p, fmt.Sprint("full", i)), "acknowledged on full disks")
+		assert.Assert(t, !taken(p, fmt.Sprint("full", i)), "acknowledged while the disks were full")
 	}
 	failing := 0
 	for _, p := range peers {
@@ -114,47 +119,48 @@
 		}
 	}
 	assert.Assert(t, failing > 0)
-	assert.NilError(t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &usual))
+	assert.NilError(t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &original))
 
-	until(t, "orders again", func() bool { return taken(peers[0], "after") })
+	waitFor(t, "a command to be acknowledged again", func() bool { return taken(peers[0], "after") })
 	least := uint64(2)
 	for _, p := range peers {
-		until(t, "what was acknowledged", func() bool { return purges(p) >= least })
+		waitFor(t, "the acknowledged commands", func() bool { return purges(p) >= least })
 	}
 }
 
-// hanging is a disk whose writes hang while the test holds it.
-type hanging struct {
+// hangingJournal is a journal whose writes block while the test holds the mutex.
+type hangingJournal struct {
 	Journal
 	mu sync.Mutex
 }
 
-func (h *hanging) Save(hard *consensus.HardState, snap *consensus.Snapshot, entries []consensus.Entry) error {
+func (h *hangingJournal) Save(hard *consensus.HardState, snap *consensus.Snapshot, entries []consensus.Entry) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.Journal.Save(hard, snap, entries)
 }
 
-// The leader's disk hangs: it answers nothing and claims nothing, the others elect and acknowledge, and once its disk goes on it follows,
-// with all that was acknowledged meanwhile.
-func TestALeadersDiskHangs(t *testing.T) {
-	disks := make([]*hanging, 3)
+// A write of the leader hangs. The leader must acknowledge nothing and must not count as current; the others must elect a
+// new leader and acknowledge commands. Once the write completes, the old leader must follow, with all commands acknowledged
+// in the meantime.
+func TestLeaderDiskHangs(t *testing.T) {
+	disks := make([]*hangingJournal, 3)
 	for i := range disks {
-		disks[i] = new(hanging)
+		disks[i] = new(hangingJournal)
 	}
-	peers := startOn(t, 3, 77, func(i int) func(Journal) Journal {
+	peers := startStoresWithDisks(t, 3, 77, func(i int) func(Journal) Journal {
 		return func(j Journal) Journal { disks[i].Journal = j; return disks[i] }
 	})
 	taken := func(p *peerrpc.Peer, tag string) bool {
-		r, err := call[Proposal, Reply](t, p, "ConfigStore.Propose", purge(tag))
+		r, err := call[Proposal, Reply](t, p, "ConfigStore.Propose", purgeProposal(tag))
 		return err == nil && r.Known && r.Status == clusterstate.Done
 	}
 	status := func(i int) Status {
-		s, _ := call[bool, Status](t, peers[i], "ConfigStore.Status", false) // none while it starts
+		s, _ := call[bool, Status](t, peers[i], "ConfigStore.Status", false) // zero while it starts
 		return s
 	}
 	leader := -1
-	until(t, "a leader", func() bool {
+	waitFor(t, "a leader", func() bool {
 		for i := range peers {
 			if status(i).Role == consensus.Leader.String() {
 				leader = i
@@ -164,18 +170,18 @@
 	})
 	other := (leader + 1) % 3
 	disks[leader].mu.Lock()
-	until(t, "an order by the others", func() bool { return taken(peers[other], "meanwhile") })
-	assert.Assert(t, !taken(peers[leader], "at the one that hangs"))
-	until(t, "it claims no more to be current", func() bool { return !status(leader).Fresh })
+	waitFor(t, "a command to be acknowledged by the others", func() bool { return taken(peers[other], "meanwhile") })
+	assert.Assert(t, !taken(peers[leader], "on the hanging machine"))
+	waitFor(t, "the hanging machine to stop reporting itself current", func() bool { return !status(leader).Fresh })
 	least := status(other).Index
 	disks[leader].mu.Unlock()
-	until(t, "it has what was acknowledged", func() bool { s := status(leader); return s.Fresh && s.Index >= least })
-	until(t, "orders at all", func() bool { return taken(peers[leader], "after") })
+	waitFor(t, "the acknowledged commands on the old leader", func() bool { s := status(leader); return s.Fresh && s.Index >= least })
+	waitFor(t, "a command to be acknowledged by the old leader", func() bool { return taken(peers[leader], "after") })
 }
 
-// When a disk counts as slow, by the times of its writes: a single one that hangs does not make it so, and after it was said it is
-// measured anew.
-func TestSlowDisks(t *testing.T) {
+// A disk counts as slow by the mean duration of its writes. A single hanging write must not make it slow, and the measurement
+// must start over after a disk was reported as slow.
+func TestSlowDiskDetection(t *testing.T) {
 	ms := func(all ...int) (d []time.Duration) {
 		for _, x := range all {
 			d = append(d, time.Duration(x)*time.Millisecond)
@@ -185,44 +191,45 @@
 	cases := []struct {
 		name   string
 		writes []time.Duration
-		slow   int // times that it is said
+		slow   int // how often the disk is reported as slow
 	}{
-		{"as usual", ms(2, 2, 3, 2, 2, 4, 2, 2, 2, 2, 2, 2), 0},
-		{"one that hangs", ms(2, 2, 2, 2, 2, 2, 2, 2, 600, 2, 2, 2, 2), 0},
+		{"normal", ms(2, 2, 3, 2, 2, 4, 2, 2, 2, 2, 2, 2), 0},
+		{"one hanging write", ms(2, 2, 2, 2, 2, 2, 2, 2, 600, 2, 2, 2, 2), 0},
 		{"slow from the start", ms(120, 120, 120, 120), 1},
-		{"it turns slow", ms(2, 2, 2, 2, 2, 2, 2, 2, 200, 200, 200, 200, 200, 200), 1},
-		{"for long: each time anew", ms(120, 120, 120, 120, 120, 120, 120, 120), 2},
-		{"not yet known", ms(300, 300, 300), 0},
+		{"becomes slow", ms(2, 2, 2, 2, 2, 2, 2, 2, 200, 200, 200, 200, 200, 200), 1},
+		{"slow for long: reported repeatedly", ms(120, 120, 120, 120, 120, 120, 120, 120), 2},
+		{"too few writes", ms(300, 300, 300), 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var s slowness
-			said := 0
+			var s latencyTracker
+			reports := 0
 			for _, w := range c.writes {
-				if s.turn(w) {
-					said++
+				if s.observe(w) {
+					reports++
 				}
 			}
-			assert.Equal(t, said, c.slow)
+			assert.Equal(t, reports, c.slow)
 		})
 	}
 }
 
-// A question for news waits until there is some, one that asks for a barrier is answered by a machine that holds what was
-// acknowledged before, and who asks as a cache router is put into the roster.
+// A request for news must wait until there are changes. With a barrier, the reply must contain everything acknowledged before
+// the request. A cache router that sends a request must be added to the roster.
 func TestNews(t *testing.T) {
-	peers := start(t, 3, 75)
-	until(t, "a leader", func() bool {
-		r, err := call[Proposal, Reply](t, peers[0], "ConfigStore.Propose", purge("one"))
+	peers := startStores(t, 3, 75)
+	waitFor(t, "a leader", func() bool {
+		r, err := call[Proposal, Reply](t, peers[0], "ConfigStore.Propose", purgeProposal("one"))
 		return err == nil && r.Known
 	})
 	for i, p := range peers {
-		n, err := call[clusterstate.Ask, clusterstate.News](t, p, "ConfigStore.News", clusterstate.Ask{Barrier: true, HoldMS: 2000, Router: clusterstate.Router{Node: fmt.Sprint("edge-", i), Zone: "z"}})
+		n, err := call[clusterstate.Ask, clusterstate.News](t, p, "ConfigStore.News", clusterstate.Ask{Barrier: true, HoldMS: 2000,
+			Router: clusterstate.Router{Node: fmt.Sprint("edge-", i), Zone: "z"}})
 		assert.NilError(t, err)
 		assert.Assert(t, n.Fresh && n.State != nil && n.State.Purges >= 1)
-		assert.Assert(t, n.Proven && n.AgeMS <= 0, "all that was acknowledged before the question came is held: %d ms", n.AgeMS)
+		assert.Assert(t, n.Proven && n.AgeMS <= 0, "the reply does not prove all that was acknowledged before the request: age %d ms", n.AgeMS)
 	}
-	until(t, "a roster of three", func() bool {
+	waitFor(t, "three routers in the roster", func() bool {
 		n, err := call[clusterstate.Ask, clusterstate.News](t, peers[2], "ConfigStore.News", clusterstate.Ask{HoldMS: 1})
 		return err == nil && n.State != nil && len(n.State.Routers) == 3
 	})
@@ -233,24 +240,25 @@
 		news, _ := call[clusterstate.Ask, clusterstate.News](t, peers[1], "ConfigStore.News", clusterstate.Ask{Have: n.State.Index, HoldMS: 2500})
 		got <- news
 	}()
-	_, err = call[Proposal, Reply](t, peers[2], "ConfigStore.Propose", purge("two"))
+	_, err = call[Proposal, Reply](t, peers[2], "ConfigStore.Propose", purgeProposal("two"))
 	assert.NilError(t, err)
 	news := <-got
 	assert.Assert(t, news.State == nil && len(news.Changes) >= 1, "%+v", news)
 }
 
-// After a loss of power a machine knows at once what its disk says is committed, and nothing beyond it: that may be voted away.
-func TestAStartAppliesWhatIsSurelyKept(t *testing.T) {
+// After a loss of power a machine must apply exactly the entries that its disk records as committed: later ones may still be
+// replaced by a new leader.
+func TestReplayAppliesCommittedEntries(t *testing.T) {
 	var held raftlog.Held
 	for i := range uint64(5) {
-		held.Entries = append(held.Entries, consensus.Entry{Index: i + 1, Term: 1, Data: purge(fmt.Sprint(i)).Data})
+		held.Entries = append(held.Entries, consensus.Entry{Index: i + 1, Term: 1, Data: purgeProposal(fmt.Sprint(i)).Data})
 	}
 	for committed := range uint64(7) {
 		held.Committed = committed
 		history, err := replay(held)
 		assert.NilError(t, err)
 		assert.Equal(t, history.State.Purges, min(committed, 5))
-		for _, e := range held.Entries { // the node hands all of them over later
+		for _, e := range held.Entries { // the node delivers all of them again later
 			_, _, err := history.Apply(e.Index, e.Data)
 			assert.NilError(t, err)
 		}
@@ -258,25 +266,26 @@
 	}
 }
 
-// Each life of a server has an id of its own, so that a list of who was heard that nobody looks through fills for good; at its
-// bound, servers that live would pass for silent. A leader's was never looked through.
-func TestWhoIsLongSilentIsForgotten(t *testing.T) {
+// Each start of a server has its own ID, so a list of servers that were heard from grows forever unless it is pruned; once it is
+// full, live servers would seem silent. A leader did not prune its list before.
+func TestSeenHereIsPruned(t *testing.T) {
 	now := time.Now()
 	v := newView(clusterstate.NewHistory(clusterstate.New()), 0)
 	p := &v.presence
-	p.attended = map[string]time.Time{"old": now.Add(-3 * absentFor), "new": now}
-	p.enrolled = map[string]time.Time{"old": now, "new": now}
-	v.letGo(now)
-	assert.Equal(t, len(p.attended)+len(p.enrolled), 2)
-	p.attended["later"] = now.Add(-3 * absentFor)
-	v.letGo(now.Add(absentFor / 2)) // not at every turn of the loop
-	assert.Equal(t, len(p.attended), 2)
-	v.letGo(now.Add(absentFor))
-	assert.Equal(t, len(p.attended), 1)
+	p.seenHere = map[string]time.Time{"old": now.Add(-3 * absentTimeout), "new": now}
+	p.proposedAt = map[string]time.Time{"old": now, "new": now}
+	v.pruneSeenHere(now)
+	assert.Equal(t, len(p.seenHere)+len(p.proposedAt), 2)
+	p.seenHere["later"] = now.Add(-3 * absentTimeout)
+	v.pruneSeenHere(now.Add(absentTimeout / 2)) // not pruned on every turn of the loop
+	assert.Equal(t, len(p.seenHere), 2)
+	v.pruneSeenHere(now.Add(absentTimeout))
+	assert.Equal(t, len(p.seenHere), 1)
 }
 
-// What a router said that it needs counts for a while and is let go then: the rate of one that has gone is cut among the others.
-func TestNeedsAreForgotten(t *testing.T) {
+// The demand of a router must expire and be deleted after a while, so that the rate of a router that is gone is divided among the
+// others.
+func TestDemandExpires(t *testing.T) {
 	s := &service{Store: &Store{view: newView(clusterstate.NewHistory(clusterstate.New()), 0)}}
 	p := &s.view.presence
 	var ok bool
@@ -288,32 +297,33 @@
 		return all
 	}
 	assert.DeepEqual(t, needs(), map[string]map[string]float64{"shop": {"a": 10, "b": 5}, "desk": {"b": 1}})
-	p.needs["b"] = needed{p.needs["b"].per, time.Now().Add(-2 * needFor)}
+	p.demand["b"] = routerDemand{p.demand["b"].perService, time.Now().Add(-2 * demandTTL)}
 	assert.DeepEqual(t, needs(), map[string]map[string]float64{"shop": {"a": 10}})
-	s.view.letGo(time.Now())
-	assert.Equal(t, len(p.needs), 1)
+	s.view.pruneSeenHere(time.Now())
+	assert.Equal(t, len(p.demand), 1)
 }
 
-// What is told of a machine's freshness is until when it holds, not that it holds: a loop that hangs in a write publishes nothing, and the
-// machine is no longer current all the same. (A flag held for as long as the write did; seeds of the simulation were up to 4.6 s behind.)
-func TestFreshnessRunsOutWhileTheLoopHangs(t *testing.T) {
+// Freshness must expire without an update, because a loop that hangs in a write publishes nothing. With a mere flag, the machine
+// would count as current for as long as the write hangs; in some seeds of the simulation the state was up to 4.6 s behind.
+func TestFreshnessExpiresWhileLoopHangs(t *testing.T) {
 	view, now := newView(clusterstate.NewHistory(clusterstate.New()), 0), time.Now()
-	view.publish(now, position{leader: "a", currentAt: now})
-	assert.Assert(t, view.Since(0, now, now.Add(freshFor-time.Millisecond)).Fresh)
-	assert.Assert(t, !view.Since(0, now, now.Add(freshFor+time.Millisecond)).Fresh, "the loop has said nothing since")
-	assert.Assert(t, !view.Status(now.Add(freshFor+time.Millisecond)).Fresh)
+	view.publish(now, position{leader: "a", currentAsOf: now})
+	assert.Assert(t, view.Since(0, now, now.Add(freshnessWindow-time.Millisecond)).Fresh)
+	assert.Assert(t, !view.Since(0, now, now.Add(freshnessWindow+time.Millisecond)).Fresh, "current without an update by the loop")
+	assert.Assert(t, !view.Status(now.Add(freshnessWindow+time.Millisecond)).Fresh)
 }
 
-// News state how long before their question this machine was surely current, rounded up, or after it if the question was held.
-func TestTheAgeOfNews(t *testing.T) {
+// The age in a news reply is the time from when this machine is known to have been current to the request, rounded up to
+// milliseconds; it is negative if that was after the request, as it can be for a held one.
+func TestNewsAge(t *testing.T) {
 	view, now := newView(clusterstate.NewHistory(clusterstate.New()), 0), time.Now()
-	assert.Assert(t, !view.Since(0, now, now).Proven, "nobody was ever heard")
+	assert.Assert(t, !view.Since(0, now, now).Proven, "proven without any contact to a leader")
 	for _, c := range []struct {
 		current, came time.Duration
 		ms            int64
-	}{{0, 200 * time.Millisecond, 200}, {0, 200*time.Millisecond + 1, 201}, {0, 10 * time.Second, 10000}, {300 * time.Millisecond, 100 * time.Millisecond, -200},
-		{300*time.Millisecond + 1, 100 * time.Millisecond, -200}} {
-		view.publish(now, position{leader: "a", currentAt: now.Add(c.current)})
+	}{{0, 200 * time.Millisecond, 200}, {0, 200*time.Millisecond + 1, 201}, {0, 10 * time.Second, 10000},
+		{300 * time.Millisecond, 100 * time.Millisecond, -200}, {300*time.Millisecond + 1, 100 * time.Millisecond, -200}} {
+		view.publish(now, position{leader: "a", currentAsOf: now.Add(c.current)})
 		n := view.Since(0, now.Add(c.came), now.Add(time.Minute))
 		assert.Assert(t, n.Proven && n.AgeMS == c.ms, "%d ms, not %d", n.AgeMS, c.ms)
 		proof := n.ProofOf(now.Add(c.came))
@@ -321,17 +331,17 @@
 	}
 }
 
-// An order is measured where it was received, once, under what became of it and whether the leader had been the same for long.
-func TestAcknowledgementsAreMeasured(t *testing.T) {
+// Acknowledgements must be counted by kind, outcome and whether the leader had been the same for the contact time.
+func TestAcknowledgementMetrics(t *testing.T) {
 	view, now := newView(clusterstate.NewHistory(clusterstate.New()), 0), time.Now()
 	view.publish(now, position{leader: "a"})
-	assert.Assert(t, !view.settled(now.Add(time.Second), 3*time.Second))
+	assert.Assert(t, !view.leaderStableFor(now.Add(time.Second), 3*time.Second))
 	view.publish(now.Add(2*time.Second), position{leader: "a"})
-	assert.Assert(t, view.settled(now.Add(3*time.Second), 3*time.Second), "the same leader for as long as contact")
+	assert.Assert(t, view.leaderStableFor(now.Add(3*time.Second), 3*time.Second), "the leader has been the same for the contact time")
 	view.publish(now.Add(4*time.Second), position{leader: "b"})
-	assert.Assert(t, !view.settled(now.Add(5*time.Second), 3*time.Second), "another leader")
+	assert.Assert(t, !view.leaderStableFor(now.Add(5*time.Second), 3*time.Second), "the leader has changed")
 	view.publish(now.Add(6*time.Second), position{})
-	assert.Assert(t, !view.settled(now.Add(time.Hour), 3*time.Second), "none")
+	assert.Assert(t, !view.leaderStableFor(now.Add(time.Hour), 3*time.Second), "there is no leader")
 
 	a := newAcknowledgements(hclog.NewNullLogger())
 	a.observe("purge", Reply{Known: true, Outcome: clusterstate.Outcome{Status: clusterstate.Done}}, true, time.Millisecond)
--- a/internal/cdn/configstore/forwarding.go
+++ b/internal/cdn/configstore/forwarding.go
@@ -8,29 +8,30 @@
 	"cedarmast/internal/cdn/peerrpc"
 )
 
-// This file brings questions to the leader, from whichever core machine they came to.
+// Requests that any core machine accepts and passes to the leader, and batching of read barriers.
 
-const askLeaderWithin = 800 * time.Millisecond
+const defaultLeaderTimeout = 800 * time.Millisecond
 
-// left is how much of a context's time is left, in milliseconds.
-func left(ctx context.Context) int64 {
-	until, ok := ctx.Deadline()
+// remainingMS returns the time until the deadline of a context in milliseconds, at least 1. Without a
+// deadline it returns defaultLeaderTimeout.
+func remainingMS(ctx context.Context) int64 {
+	deadline, ok := ctx.Deadline()
 	if !ok {
-		return askLeaderWithin.Milliseconds()
+		return defaultLeaderTimeout.Milliseconds()
 	}
-	return max(time.Until(until).Milliseconds(), 1)
+	return max(time.Until(deadline).Milliseconds(), 1)
 }
 
-// askLoop brings a question to the loop and waits for its reply.
-func askLoop[T any](ctx context.Context, s *Store, questions chan<- asked[T], data []byte) (reply T, err error) {
-	answer := make(chan T, 1)
+// callLoop sends a request to the loop goroutine and waits for its reply.
+func callLoop[T any](ctx context.Context, s *Store, queue chan<- loopRequest[T], data []byte) (reply T, err error) {
+	result := make(chan T, 1)
 	select {
-	case questions <- asked[T]{data, func(r T) { answer <- r }}:
+	case queue <- loopRequest[T]{data, func(r T) { result <- r }}:
 	case <-ctx.Done():
 		return reply, ctx.Err()
 	}
 	select {
-	case reply = <-answer:
+	case reply = <-result:
 		return reply, nil
 	case <-s.done:
 		return reply, errNoLeader
@@ -39,27 +40,28 @@
 	}
 }
 
-// askLeader asks the leader, here or there, again and again until one of the two says that it is done or the time is over. An error says that
-// nothing was begun.
-func (s *Store) askLeader(ctx context.Context, forwarded bool, here func() bool, there func(*peerrpc.Peer) bool) (done bool, err error) {
-	due, bounded := ctx.Deadline()
-	if !bounded {
-		due = time.Now().Add(askLeaderWithin)
+// callLeader passes a request to the leader, by calling local if this machine leads and remote if another one does. It retries
+// until one of the two returns true or the deadline is over. An error means that the request was never sent; false
+// without an error means that its outcome is unknown.
+func (s *Store) callLeader(ctx context.Context, forwarded bool, local func() bool, remote func(*peerrpc.Peer) bool) (done bool, err error) {
+	deadline, hasDeadline := ctx.Deadline()
+	if !hasDeadline {
+		deadline = time.Now().Add(defaultLeaderTimeout)
 	}
-	q := NewQuestion(forwarded, due)
+	question := NewQuestion(forwarded, deadline)
 	for {
-		leads, at := s.whereLeader(ctx)
-		move := q.Led(time.Now(), leads, at)
+		isLeader, address := s.waitForLeader(ctx)
+		move := question.Led(time.Now(), isLeader, address)
 		switch move.Kind {
 		case AskHere:
-			clear := here()
-			move = q.Answered(time.Now(), clear)
+			known := local()
+			move = question.Answered(time.Now(), known)
 		case AskThere:
-			clear := there(s.peers.At(move.To))
-			move = q.Answered(time.Now(), clear)
+			known := remote(s.peers.At(move.To))
+			move = question.Answered(time.Now(), known)
 		}
 		if !move.Ends() {
-			move = pauseBefore(ctx, q, move)
+			move = waitBefore(ctx, question, move)
 		}
 		switch move.Kind {
 		case EndAnswered:
@@ -72,68 +74,72 @@
 	}
 }
 
-// pauseBefore waits before a question is asked again; it ends with its context.
-func pauseBefore(ctx context.Context, q *Question, next Move) Move {
+// waitBefore waits for the delay of the next step; it ends the request if the context is done first.
+func waitBefore(ctx context.Context, question *Question, next Move) Move {
 	select {
 	case <-ctx.Done():
-		return q.End()
+		return question.End()
 	case <-time.After(next.After):
 		return next
 	}
 }
 
-// whereLeader waits for a leader: here, or at an address.
-func (s *Store) whereLeader(ctx context.Context) (here bool, at string) {
-	s.view.wait(ctx, func() bool {
-		here, at = s.view.position.leads, s.view.position.leader
-		return here || at != ""
+// waitForLeader waits until a leader is known or the context is done. It returns whether this machine leads, otherwise the
+// address of the leader, empty if none is known.
+func (s *Store) waitForLeader(ctx context.Context) (isLeader bool, address string) {
+	s.view.waitUntil(ctx, func() bool {
+		isLeader, address = s.view.position.isLeader, s.view.position.leader
+		return isLeader || address != ""
 	})
-	return here, at
+	return isLeader, address
 }
 
-// gather runs one barrier for all who have asked since the last one began.
-type gather struct {
+// barrierBatcher runs one barrier for all callers that have arrived since the last one began.
+type barrierBatcher struct {
 	mu      sync.Mutex
 	running bool
-	waiting []chan gathered
+	waiting []chan barrierResult
 }
 
-type gathered struct {
+// barrierResult is the result of a barrier for one caller.
+type barrierResult struct {
 	index uint64
 	err   error
 }
 
-func (g *gather) ask(ctx context.Context, run func() (uint64, error)) (uint64, error) {
-	mine := make(chan gathered, 1)
-	g.mu.Lock()
-	g.waiting = append(g.waiting, mine)
-	first := !g.running
-	g.running = true
-	g.mu.Unlock()
+// wait waits for a barrier that begins after the call, or for the end of the context. runBarrier performs the barrier.
+func (b *barrierBatcher) wait(ctx context.Context, runBarrier func() (uint64, error)) (uint64, error) {
+	result := make(chan barrierResult, 1)
+	b.mu.Lock()
+	b.waiting = append(b.waiting, result)
+	first := !b.running
+	b.running = true
+	b.mu.Unlock()
 	if first {
-		go g.serve(run)
+		go b.serve(runBarrier)
 	}
 	select {
-	case got := <-mine:
+	case got := <-result:
 		return got.index, got.err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 }
 
-func (g *gather) serve(run func() (uint64, error)) {
+// serve runs barriers one after the other as long as callers are waiting.
+func (b *barrierBatcher) serve(runBarrier func() (uint64, error)) {
 	for {
-		g.mu.Lock()
-		all := g.waiting
-		if g.waiting = nil; len(all) == 0 {
-			g.running = false
-			g.mu.Unlock()
+		b.mu.Lock()
+		waiting := b.waiting
+		if b.waiting = nil; len(waiting) == 0 {
+			b.running = false
+			b.mu.Unlock()
 			return
 		}
-		g.mu.Unlock()
-		index, err := run()
-		for _, w := range all {
-			w <- gathered{index, err}
+		b.mu.Unlock()
+		index, err := runBarrier()
+		for _, result := range waiting {
+			result <- barrierResult{index, err}
 		}
 	}
 }
--- a/internal/cdn/configstore/machine.go
+++ b/internal/cdn/configstore/machine.go
@@ -17,140 +17,151 @@
 )
 
 const (
-	freshFor     = 1100 * time.Millisecond // a majority led within this: what is told is current
-	renewBytes   = 4 << 20                 // of journal, then a snapshot begins a new one
-	renewEntries = 4000
-	renewAgain   = time.Second // after a renewal that had no room
-	retryDisk    = 100 * time.Millisecond
-	liveFor      = 2 * time.Second // a core machine heard within this may hold a duty
+	freshnessWindow      = 1100 * time.Millisecond // the state counts as current until this long after position.currentAsOf
+	maxJournalBytes      = 4 << 20                 // size of the journal from which a snapshot begins a new generation
+	defaultMaxLogEntries = 4000                    // the same limit in log entries, if MachineConfig sets none
+	renewRetryInterval   = time.Second             // wait after a new generation did not fit on the disk
+	diskRetryInterval    = 100 * time.Millisecond  // wait between attempts to write to a failing disk
+	livenessWindow       = 2 * time.Second         // a core machine heard from within this time may hold the duty
 )
 
-// ErrNotBegun is the cause where a disk took nothing when the machine was opened: it may later.
-var ErrNotBegun = errors.New("the disk takes nothing")
+// ErrNotBegun is returned if the disk rejects writes while a machine is opened. Opening it may succeed later.
+var ErrNotBegun = errors.New("the disk rejects writes")
 
-// Weaknesses take guards out, one each, beside those of the agreement. They are for tests that show that a guard is needed
-// and that the simulation finds its absence; nothing else sets one, which a test sees to.
+// Weaknesses disable single safeguards, in addition to those of package consensus. Tests use them to show that a safeguard
+// is needed and that the simulation detects its absence. Nothing else may set one; a test enforces this.
 type Weaknesses struct {
 	Consensus               consensus.Weaknesses
 	KeepIdentity            bool // a machine that lost its disk votes under its old identity
-	SendBeforeSave          bool // answers leave before what they promise is on disk
-	AcknowledgeBeforeCommit bool // a leader confirms what is on its own disk alone
-	ForgetTaken             bool // a snapshot leaves out which configurations were taken
-	IgnoreEpoch             bool // commands under an older duty's epoch take effect
+	SendBeforeSave          bool // messages are sent before the state that they promise is on disk
+	AcknowledgeBeforeCommit bool // a leader acknowledges entries that are on its own disk only
+	ForgetTaken             bool // snapshots omit which configurations were accepted
+	IgnoreEpoch             bool // commands with the epoch of an earlier duty holder take effect
 }
 
-// MachineConfig is what a core machine is made from.
+// MachineConfig configures a Machine.
 type MachineConfig struct {
 	IP         string
 	Address    string             // of its config store
 	Founders   []consensus.Member // the members at the first start of the whole system
-	FirstStart bool
-	Contacts   []string // addresses of others that may know a leader
-	Tolerate   int      // machines that may be lost at once
+	FirstStart bool               // this is the first start of the whole system
+	Contacts   []string           // addresses of other machines that may know a leader
+	Tolerate   int                // number of machines whose simultaneous loss must be survived
 	Timing     consensus.Timing
 	Seed       uint64
 	Weak       Weaknesses
 
 	Log      hclog.Logger
-	Send     func(consensus.Message) // must not wait
-	Identity func() string           // draws what tells a new disk from those before it
-	Clock    func() time.Time        // the steady clock, for the time that a write takes
-	Wrap     func(Journal) Journal   // a test's way to the disk; may be nil
-
-	Limits       consensus.Limits        // zero: the usual ones
-	DutyLease    time.Duration           // an appointment to the duty follows the one before it by this at least; 0: at once
-	RenewEntries int                     // of the log, then a snapshot begins a new journal; 0: as usual
-	Committed    func([]consensus.Entry) // hears what is taken, for a simulation; may be nil
+	Send     func(consensus.Message) // must not block
+	Identity func() string           // returns a random suffix that distinguishes a new disk from earlier ones
+	Clock    func() time.Time        // the monotonic clock, to measure the duration of writes
+	Wrap     func(Journal) Journal   // lets tests intercept disk access; may be nil
+
+	Limits       consensus.Limits        // zero: the defaults
+	DutyLease    time.Duration           // minimum time between two appointments to the duty; 0: none
+	RenewEntries int                     // log length from which a snapshot begins a new journal generation; 0: the default
+	Committed    func([]consensus.Entry) // called with applied entries, for the simulation; may be nil
 }
 
-// Journal is the disk's part: *raftlog.Journal.
+// Journal is the persistent log. It is implemented by *raftlog.Journal.
 type Journal interface {
+	// Begin writes the identity of the disk and the data that it starts from to a new generation. It precedes all other writes.
 	Begin(held raftlog.Held) error
+	// Save appends what is not nil and syncs. After an error nothing counts as saved, and Renew must succeed before the next Save.
 	Save(hard *consensus.HardState, snap *consensus.Snapshot, entries []consensus.Entry) error
+	// Note records that the entries up to an index are committed; it is written with the next Save or Renew.
 	Note(committed uint64)
+	// Renew writes the complete state to a new generation that replaces the present one.
 	Renew(hard consensus.HardState, snap consensus.Snapshot, entries []consensus.Entry) error
-	Grown(most int64) bool
+	// Grown reports whether the present generation has grown by more than maxBytes, and by more than its initial size.
+	Grown(maxBytes int64) bool
+	// Size returns the size of the present generation in bytes.
 	Size() int64
+	// Close closes the file.
 	Close()
 }
 
-// Machine is one core machine's part in the log and the common state that it makes: what the process's loop does, without a
-// goroutine or a clock of its own, so that a simulation can do it as well. It belongs to one goroutine; what others may read
-// of it is its View.
+// Machine is one core machine's consensus node together with its journal and the cluster state built from committed entries.
+// It has no goroutine or clock of its own, so that the process and the simulation can both drive it. It must be used from one
+// goroutine; other goroutines read its View.
 type Machine struct {
 	MachineConfig
 	View *View
 
-	node     *consensus.Node
-	journal  Journal
-	slow     slowness
-	unsaved  *consensus.Ready // what the disk has not taken yet
-	failing  bool             // it has refused it
-	retryAt  time.Time        // when it is asked again
-	renewAt  time.Time        // when a renewal that had no room is tried again
-	waiting  map[uint64]proposal
-	barriers map[uint64]func(Barrier)
-	token    uint64
-	led      time.Time // since when this machine has led
-	looked   time.Time // when it last looked who holds the duty
-	duty     tenure    // of the present holder, as far as this leader saw it
+	node          *consensus.Node
+	journal       Journal
+	writeLatency  latencyTracker
+	unsaved       *consensus.Ready           // not on disk yet
+	diskFailing   bool                       // the disk has rejected unsaved
+	diskRetryAt   time.Time                  // time of the next attempt to write unsaved
+	renewRetryAt  time.Time                  // earliest time to retry a journal generation that did not fit on the disk
+	pending       map[uint64]pendingProposal // by log index
+	barriers      map[uint64]func(Barrier)   // by token
+	lastToken     uint64                     // of the last barrier
+	leaderSince   time.Time                  // when this machine became leader; zero if it is not
+	dutyCheckedAt time.Time                  // when the leader last checked who holds the duty
+	dutyTenure    tenure                     // of the present holder, as observed by this leader
 }
 
-// tenure is since when a leader has seen the duty with its present holder, or proposed another one.
+// tenure records since when this leader has observed the duty with its present holder, or when it last proposed another one. The
+// duty is the set of tasks that one core machine performs for all, such as removing silent servers and reporting usage.
 type tenure struct {
 	duty  clusterstate.Duty
 	since time.Time
 }
 
-// follow notes who holds the duty. What a leader saw in an earlier time as leader does not count.
-func (t *tenure) follow(d clusterstate.Duty, now time.Time) {
-	if t.since.IsZero() || t.duty != d {
-		*t = tenure{d, now}
+// observe records the present duty and restarts the tenure if it has changed. The tenure is reset when a leader loses its
+// role, so observations from an earlier term as leader do not count.
+func (t *tenure) observe(duty clusterstate.Duty, now time.Time) {
+	if t.since.IsZero() || t.duty != duty {
+		*t = tenure{duty, now}
 	}
 }
 
-// over tells whether another holder may be appointed. Where nobody has held the duty yet nobody's acts can meet another's.
-func (t *tenure) over(now time.Time, lease time.Duration) bool {
+// leaseExpired reports whether another holder may be appointed: the lease has passed, or there has been no holder whose actions
+// could overlap with those of the next one.
+func (t *tenure) leaseExpired(now time.Time, lease time.Duration) bool {
 	return t.duty.Holder == "" || now.Sub(t.since) >= lease
 }
 
-// proposal is a command in the log whose outcome somebody waits for.
-type proposal struct {
+// pendingProposal is a command in the log whose outcome a caller waits for.
+type pendingProposal struct {
 	term  uint64
 	reply func(Reply)
 }
 
-// Reply is what became of a proposal.
+// Reply is the result of a proposal.
 type Reply struct {
 	clusterstate.Outcome
-	Known bool // else it may or may not come into force
+	Known bool // the outcome is known; otherwise the command may or may not take effect
 }
 
-// Barrier is the end of a read barrier: a state that has applied Index holds all that was acknowledged before.
+// Barrier is the result of a read barrier: if OK, a state that has applied Index contains everything acknowledged before it.
 type Barrier struct {
 	Index uint64
 	OK    bool
 }
 
-// OpenMachine reads the disk. An empty one is a first start or a loss: in the second case this machine counts as a new one.
-// With the cause ErrNotBegun it may be opened again later; any other error is final.
-func OpenMachine(c MachineConfig, files raftlog.Files, now time.Time) (*Machine, error) {
-	opened, held, lost, err := raftlog.Open(files)
+// OpenMachine creates a machine from the journal on disk. An empty disk means a first start or the loss of the disk; in the
+// second case the machine counts as a new one. After an error that wraps ErrNotBegun the call may be repeated; other errors
+// are final.
+func OpenMachine(config MachineConfig, files raftlog.Files, now time.Time) (*Machine, error) {
+	opened, held, corruptedFile, err := raftlog.Open(files)
 	if err != nil {
 		return nil, err
 	}
-	if lost != "" {
-		c.Log.Error("DISK SPOILT: what it had synced can't be read; it counts as lost, and was set aside", "file", lost)
+	if corruptedFile != "" {
+		config.Log.Error("disk corrupted: synced data cannot be read; the file was set aside and its data counts as lost", "file", corruptedFile)
 	}
-	if c.RenewEntries == 0 {
-		c.RenewEntries = renewEntries
+	if config.RenewEntries == 0 {
+		config.RenewEntries = defaultMaxLogEntries
 	}
-	m := &Machine{MachineConfig: c, journal: opened, waiting: map[uint64]proposal{}, barriers: map[uint64]func(Barrier){}}
-	if c.Wrap != nil {
-		m.journal = c.Wrap(opened)
+	m := &Machine{MachineConfig: config, journal: opened, pending: map[uint64]pendingProposal{}, barriers: map[uint64]func(Barrier){}}
+	if config.Wrap != nil {
+		m.journal = config.Wrap(opened)
 	}
 	if held.ID == "" {
-		m.found(&held, lost != "")
+		m.assignIdentity(&held, corruptedFile != "")
 	}
 	history, err := replay(held)
 	if err != nil {
@@ -161,30 +172,33 @@
 		m.journal.Close()
 		return nil, errors.Join(ErrNotBegun, err)
 	}
-	m.node = consensus.New(consensus.Config{Self: consensus.Member{ID: held.ID, Addr: c.Address}, Timing: c.Timing, Tolerate: c.Tolerate,
-		Seed: c.Seed, Contacts: c.Contacts, Weak: c.Weak.Consensus, Limits: c.Limits, Hard: held.Hard, Snapshot: held.Snapshot, Entries: held.Entries}, now)
+	m.node = consensus.New(consensus.Config{Self: consensus.Member{ID: held.ID, Addr: config.Address}, Timing: config.Timing,
+		Tolerate: config.Tolerate, Seed: config.Seed, Contacts: config.Contacts, Weak: config.Weak.Consensus, Limits: config.Limits,
+		Hard: held.Hard, Snapshot: held.Snapshot, Entries: held.Entries}, now)
 	m.View = newView(history, held.Snapshot.Index)
-	m.node.SeenHere = func() []string { return m.View.seenHere(m.node.Role() == consensus.Leader) }
-	m.node.Attended = m.View.heardOf
+	m.node.SeenHere = func() []string { return m.View.recentlySeen(m.node.Role() == consensus.Leader) }
+	m.node.Attended = m.View.noteSeenElsewhere
 	return m, nil
 }
 
-// found gives an empty disk its identity. At the first start of the whole system the founders have those that all know.
-func (m *Machine) found(held *raftlog.Held, lost bool) {
+// assignIdentity assigns an identity to an empty disk. At the first start of the whole system a founder gets its IP, by which the
+// other founders know it. Any other machine, or one that has lost its disk, gets its IP with a random suffix.
+func (m *Machine) assignIdentity(held *raftlog.Held, diskLost bool) {
 	founder := false
 	for _, f := range m.Founders {
 		founder = founder || f.ID == m.IP
 	}
-	if founder && (m.FirstStart && !lost || m.Weak.KeepIdentity) {
+	if founder && (m.FirstStart && !diskLost || m.Weak.KeepIdentity) {
 		held.ID, held.Snapshot.Membership.Voters = m.IP, m.Founders
 		return
 	}
 	held.ID = m.IP + "~" + m.Identity()
 }
 
-// replay makes the state that the disk knows to be committed, before anybody asks: after a loss of power each machine would
-// else do it once a leader is there, first the leader, then the others, an eighth of a second each on a quarter of a core,
-// and all wait for it. The node hands the same entries over once more, and the history passes over what it has.
+// replay builds the state from the entries that the disk records as committed, before any request arrives. Without it, after a
+// loss of power, the machines would apply these entries only once there is a leader, the leader first and then the others, with
+// all requests waiting (an eighth of a second each on a quarter of a core). The node delivers the same entries again later,
+// and the history skips those that it has applied.
 func replay(held raftlog.Held) (*clusterstate.History, error) {
 	state := clusterstate.New()
 	if len(held.Snapshot.Data) > 0 {
@@ -205,82 +219,84 @@
 	return history, nil
 }
 
-// applyEntry takes a committed entry on. One that can't be read is the end of this copy: to pass over it would let it differ
-// from the others without a sign.
+// applyEntry applies a committed entry. An entry that cannot be decoded stops this replica: skipping it would let its state
+// diverge from the others unnoticed.
 func applyEntry(history *clusterstate.History, e consensus.Entry) (clusterstate.Outcome, error) {
 	if len(e.Data) == 0 {
 		return clusterstate.Outcome{Status: clusterstate.Done}, nil
 	}
 	_, out, err := history.Apply(e.Index, e.Data)
 	if err != nil {
-		return out, Error.New("entry %d can't be read; this copy ends here: %w", e.Index, err)
+		return out, Error.New("cannot decode log entry %d, stopping this replica: %w", e.Index, err)
 	}
 	return out, nil
 }
 
+// encodeState returns the state as it is stored in a snapshot.
 func encodeState(s *clusterstate.State) []byte {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(s); err != nil {
-		panic(err) // a plain struct
+		panic(err) // encoding a plain struct to memory does not fail
 	}
 	return b.Bytes()
 }
 
+// decodeState returns the state that is stored in a snapshot.
 func decodeState(data []byte) (*clusterstate.State, error) {
 	s := clusterstate.New()
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(s); err != nil {
-		return nil, Error.New("snapshot: %w", err)
+		return nil, Error.New("decode snapshot: %w", err)
 	}
 	return s, nil
 }
 
-// Close lets the disk go.
+// Close closes the journal.
 func (m *Machine) Close() { m.journal.Close() }
 
-// Self is this machine as a member.
+// Self returns this machine as a member.
 func (m *Machine) Self() consensus.Member { return m.node.Self() }
 
-// Membership is the membership in force, by this machine's log.
+// Membership returns the membership in force according to this machine's log.
 func (m *Machine) Membership() consensus.Membership { return m.node.Membership() }
 
-// Term is the machine's term.
+// Term returns the machine's consensus term.
 func (m *Machine) Term() uint64 { return m.node.Term() }
 
-// Leads tells whether the machine leads.
+// Leads reports whether the machine is the leader.
 func (m *Machine) Leads() bool { return m.node.Role() == consensus.Leader }
 
-// Waiting is how many proposals and barriers have no answer yet.
-func (m *Machine) Waiting() int { return len(m.waiting) + len(m.barriers) }
+// Waiting returns the number of proposals and barriers without a reply.
+func (m *Machine) Waiting() int { return len(m.pending) + len(m.barriers) }
 
-// SetContacts names others that may know a leader, in the place of those named before.
+// SetContacts replaces the addresses of other machines that may know a leader.
 func (m *Machine) SetContacts(addrs []string) { m.node.SetContacts(addrs) }
 
-// Leave begins the machine's leaving for good, or for a while; Left tells when its process may end.
+// Leave makes the machine leave the membership, for good or for a while. The process may end once Left returns true.
 func (m *Machine) Leave() {
 	m.node.Leave()
 }
 
-// Left tells whether a leaving machine may end: nothing hangs on it alone.
+// Left reports whether a machine that called Leave may stop: nothing depends on it alone any more.
 func (m *Machine) Left() bool { return m.node.Left() }
 
-// Deliver brings messages of the agreement. While the disk takes nothing they are passed over, as if they had been lost.
-func (m *Machine) Deliver(now time.Time, all []consensus.Message) {
-	if m.failing {
+// Deliver handles consensus messages. While the disk is failing they are dropped, as if the network had lost them.
+func (m *Machine) Deliver(now time.Time, messages []consensus.Message) {
+	if m.diskFailing {
 		return
 	}
-	for _, message := range all {
+	for _, message := range messages {
 		m.node.Step(now, message)
 	}
 }
 
-// Propose brings a command into the log. One that can't be read never gets there. The reply comes once its outcome is known,
-// or at once when it will not be known here.
+// Propose appends a command to the log. A command that cannot be decoded is rejected. reply is called once the outcome is
+// known, or immediately if it will not be known on this machine.
 func (m *Machine) Propose(data []byte, reply func(Reply)) {
 	if _, err := clusterstate.Decode(data); err != nil {
 		reply(Reply{Outcome: clusterstate.Outcome{Status: clusterstate.Invalid, Text: err.Error()}, Known: true})
 		return
 	}
-	if m.failing {
+	if m.diskFailing {
 		reply(Reply{})
 		return
 	}
@@ -289,44 +305,45 @@
 		reply(Reply{})
 		return
 	}
-	if old, there := m.waiting[index]; there { // of an earlier time as leader: its entry was replaced
-		old.reply(Reply{})
+	if previous, exists := m.pending[index]; exists { // from an earlier term as leader; its entry was replaced
+		previous.reply(Reply{})
 	}
-	m.waiting[index] = proposal{term, reply}
+	m.pending[index] = pendingProposal{term, reply}
 }
 
-// AskBarrier asks for a read barrier.
+// AskBarrier starts a read barrier and calls reply with its result.
 func (m *Machine) AskBarrier(reply func(Barrier)) {
-	if m.failing {
+	if m.diskFailing {
 		reply(Barrier{})
 		return
 	}
-	m.token++
-	m.barriers[m.token] = reply
-	m.node.Barrier(m.token)
+	m.lastToken++
+	m.barriers[m.lastToken] = reply
+	m.node.Barrier(m.lastToken)
 }
 
-// Turn lets the time pass and carries out what is to be done. An error ends this copy.
+// Turn advances the machine to the time now: it runs timers, saves, sends and applies what is ready, and replies to waiting
+// callers. After an error this replica must stop.
 func (m *Machine) Turn(now time.Time) error {
-	if !m.failing {
+	if !m.diskFailing {
 		m.node.Tick(now)
-		m.lead(now)
+		m.runLeaderTasks(now)
 		m.node.Flush()
 	}
-	if err := m.carryOut(now); err != nil {
+	if err := m.processReady(now); err != nil {
 		return err
 	}
-	if !m.Leads() { // who waits asks the new leader, who takes the same command once
-		m.answerWaiting(Reply{})
+	if !m.Leads() { // callers retry with the new leader; the state applies the same command once
+		m.answerProposals(Reply{})
 	}
 	m.publish(now)
-	m.View.letGo(now)
-	m.renew(now)
+	m.View.pruneSeenHere(now)
+	m.renewJournal(now)
 	return nil
 }
 
-// carryOut saves, sends and applies what the node has ready, until there is nothing or the disk refuses.
-func (m *Machine) carryOut(now time.Time) error {
+// processReady saves, sends and applies what the consensus node has ready, until nothing is left or the disk rejects a write.
+func (m *Machine) processReady(now time.Time) error {
 	for {
 		if m.unsaved == nil {
 			ready := m.node.Take()
@@ -339,19 +356,19 @@
 		if err != nil {
 			return err
 		}
-		if m.Weak.SendBeforeSave && m.sendEarly() || !m.save(now) {
+		if m.Weak.SendBeforeSave && m.sendBeforeSave() || !m.save(now) {
 			return nil
 		}
 		ready := *m.unsaved
 		m.unsaved = nil
 		m.node.Saved()
-		if err := m.finish(ready, state); err != nil {
+		if err := m.completeReady(ready, state); err != nil {
 			return err
 		}
 	}
 }
 
-// receivedState reads a snapshot before it takes the place of what is held.
+// receivedState decodes the snapshot in r, if there is one, before it replaces the present state.
 func receivedState(r *consensus.Ready) (*clusterstate.State, error) {
 	if r.Snapshot == nil {
 		return nil, nil
@@ -359,24 +376,26 @@
 	return decodeState(r.Snapshot.Data)
 }
 
-// finish does what may follow a save.
-func (m *Machine) finish(r consensus.Ready, state *clusterstate.State) error {
-	for _, message := range r.Messages {
+// completeReady carries out the parts of ready that had to wait until it was saved: it sends the messages, installs state (the
+// decoded snapshot, if there is one), applies the committed entries and replies to barriers.
+func (m *Machine) completeReady(ready consensus.Ready, state *clusterstate.State) error {
+	for _, message := range ready.Messages {
 		m.Send(message)
 	}
 	if state != nil {
-		m.View.replace(state, r.Snapshot.Index)
+		m.View.replaceState(state, ready.Snapshot.Index)
 	}
-	if err := m.apply(r.Committed); err != nil {
+	if err := m.apply(ready.Committed); err != nil {
 		return err
 	}
-	m.answerBarriers(r.Reads)
+	m.answerBarriers(ready.Reads)
 	if m.Weak.AcknowledgeBeforeCommit {
-		m.answerWaiting(Reply{Outcome: clusterstate.Outcome{Status: clusterstate.Done}, Known: true})
+		m.answerProposals(Reply{Outcome: clusterstate.Outcome{Status: clusterstate.Done}, Known: true})
 	}
 	return nil
 }
 
+// answerBarriers replies to the callers of completed barriers.
 func (m *Machine) answerBarriers(reads []consensus.Read) {
 	for _, read := range reads {
 		if reply := m.barriers[read.Token]; reply != nil {
@@ -386,15 +405,16 @@
 	}
 }
 
-func (m *Machine) answerWaiting(r Reply) {
-	for _, index := range slices.Sorted(maps.Keys(m.waiting)) {
-		p := m.waiting[index]
-		delete(m.waiting, index)
+// answerProposals gives the same reply to all waiting proposals, in the order of their log indexes.
+func (m *Machine) answerProposals(r Reply) {
+	for _, index := range slices.Sorted(maps.Keys(m.pending)) {
+		p := m.pending[index]
+		delete(m.pending, index)
 		p.reply(r)
 	}
 }
 
-// apply takes committed entries on and answers who waits for them.
+// apply applies committed entries and replies to the proposals among them.
 func (m *Machine) apply(entries []consensus.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -407,71 +427,73 @@
 		m.Committed(entries)
 	}
 	for i, e := range entries {
-		if p, there := m.waiting[e.Index]; there {
-			delete(m.waiting, e.Index)
+		if p, waiting := m.pending[e.Index]; waiting {
+			delete(m.pending, e.Index)
 			p.reply(Reply{Outcome: outcomes[i], Known: p.term == e.Term})
 		}
 	}
 	return nil
 }
 
-// publish shows the rest of the process where the machine stands.
+// publish updates the View with the machine's role, leader, membership and status.
 func (m *Machine) publish(now time.Time) {
 	_, leader := m.node.Leader()
-	core := []string{}
+	addresses := []string{}
 	for _, member := range m.node.Membership().All() {
-		core = append(core, member.Addr)
+		addresses = append(addresses, member.Addr)
 	}
 	status := Status{ID: m.node.Self().ID, Role: m.node.Role().String(), Term: m.node.Term(), Commit: m.node.Commit(),
-		Journal: m.journal.Size(), DiskFails: m.failing}
-	if m.failing {
+		Journal: m.journal.Size(), DiskFails: m.diskFailing}
+	if m.diskFailing {
 		leader = ""
 	}
-	m.View.publish(now, position{leader: leader, leads: m.Leads() && !m.failing, since: m.led, currentAt: m.currentAt(),
-		core: core, status: status})
+	m.View.publish(now, position{leader: leader, isLeader: m.Leads() && !m.diskFailing, leaderSince: m.leaderSince,
+		currentAsOf: m.currentAsOf(), coreAddresses: addresses, status: status})
 }
 
-// currentAt is the moment as of which what this machine has applied is surely current; the zero time: none is known. While the disk
-// refuses, what is committed is not applied.
-func (m *Machine) currentAt() time.Time {
-	if m.failing {
+// currentAsOf returns the time as of which the applied state is known to be current; zero if none is known. It is zero while
+// the disk is failing, for committed entries are not applied then.
+func (m *Machine) currentAsOf() time.Time {
+	if m.diskFailing {
 		return time.Time{}
 	}
 	return m.node.CurrentAt()
 }
 
-// lead does what falls to the leader: it appoints the duty's holder, the first live core machine in the order of addresses.
-func (m *Machine) lead(now time.Time) {
+// runLeaderTasks does the periodic work of the leader: if the present duty holder is not live and its lease has passed, it
+// appoints the first live core machine in the order of addresses. A new leader waits for livenessWindow/2 first, to hear from
+// the others.
+func (m *Machine) runLeaderTasks(now time.Time) {
 	if !m.Leads() {
-		m.led, m.duty = time.Time{}, tenure{}
+		m.leaderSince, m.dutyTenure = time.Time{}, tenure{}
 		return
 	}
-	if m.led.IsZero() {
-		m.led, m.looked = now, now
+	if m.leaderSince.IsZero() {
+		m.leaderSince, m.dutyCheckedAt = now, now
 		m.Log.Info("leads", "term", m.node.Term())
 	}
-	if now.Sub(m.looked) < liveFor/4 {
+	if now.Sub(m.dutyCheckedAt) < livenessWindow/4 {
 		return
 	}
-	m.looked = now
-	m.View.forgetAbsent(now)
-	m.duty.follow(m.View.Duty(), now)
-	holder, lives := m.dutyHolder()
-	if !lives && holder != "" && now.Sub(m.led) > liveFor/2 && m.duty.over(now, m.DutyLease) {
+	m.dutyCheckedAt = now
+	m.View.pruneSeenElsewhere(now)
+	m.dutyTenure.observe(m.View.Duty(), now)
+	holder, live := m.dutyHolder()
+	if !live && holder != "" && now.Sub(m.leaderSince) > livenessWindow/2 && m.dutyTenure.leaseExpired(now, m.DutyLease) {
 		m.node.Propose(clusterstate.Command{Appoint: holder}.Encode())
-		m.duty.since = now
+		m.dutyTenure.since = now
 	}
 }
 
-// dutyHolder is who should hold the duty, and whether the present holder lives.
-func (m *Machine) dutyHolder() (first string, lives bool) {
+// dutyHolder returns the machine that should hold the duty, empty if none is live, and whether the present holder is live.
+func (m *Machine) dutyHolder() (candidate string, live bool) {
 	present := m.View.Duty().Holder
-	for _, member := range m.node.Live(liveFor) {
+	for _, member := range m.node.Live(livenessWindow) {
 		ip := bootconfig.HostOf(member.Addr)
-		if first == "" || ip < first {
-			first = ip
+		if candidate == "" || ip < candidate {
+			candidate = ip
 		}
-		lives = lives || ip == present
+		live = live || ip == present
 	}
-	return first, lives
+	return candidate, live
 }
--- a/internal/cdn/configstore/presence.go
+++ b/internal/cdn/configstore/presence.go
@@ -7,107 +7,112 @@
 	"cedarmast/internal/cdn/usage"
 )
 
-// This file is who was heard, here and at the other core machines: cache routers by their questions, servers by their beats.
+// Tracking of cache routers and servers that were heard from, by this and the other core machines: cache routers by their
+// requests for news, servers by their heartbeats.
 
 const (
-	absentFor     = 12 * time.Second // who has not been heard for twice as long is forgotten
-	needFor       = 2 * time.Second  // what a cache router needs counts for so long after it said so
-	toldEvery     = time.Second      // the leader hears who has asked, or beaten, at the other config stores
-	enrolAgain    = time.Second
-	enrolTogether = 150 * time.Millisecond // newcomers of so long are one change of every table
-	serverMark    = "server "              // before a server's id, where cache routers stand beside
-	mostAttended  = 1 << 17
-	usageHeardFor = 2 * time.Second // before that a process that has just started has not heard all proxies' reports
+	absentTimeout      = 12 * time.Second       // entries not heard from for twice this time are deleted
+	demandTTL          = 2 * time.Second        // how long the reported demand of a cache router counts
+	reportInterval     = time.Second            // interval at which the other config stores report to the leader whom they heard from
+	enrolRetryInterval = time.Second            // wait before a cache router is proposed again
+	enrolBatchDelay    = 150 * time.Millisecond // cache routers that arrive within this time are one change of every routing table
+	serverKeyPrefix    = "server "              // prefix of server IDs in maps that also hold cache routers
+	maxTracked         = 1 << 17                // limit of seenHere when servers are added, and of demand
+	usageWarmup        = 2 * time.Second        // a process that started more recently may lack the reports of some proxies
 )
 
-// ServerKey is a server's name beside those of cache routers.
-func ServerKey(id string) string { return serverMark + id }
+// ServerKey returns the name of a server in lists that also contain cache routers.
+func ServerKey(id string) string { return serverKeyPrefix + id }
 
-// presence is who was heard when. It is under the view's lock.
+// presence records when cache routers and servers were last heard from. It is guarded by the mutex of the View.
 type presence struct {
-	attended  map[string]time.Time  // cache routers that asked here, and servers that were heard here
-	present   map[string]time.Time  // at the leader: anywhere
-	enrolled  map[string]time.Time  // when their entry was last proposed
-	newcomers []clusterstate.Router // who asked and is not in the roster; proposed together
-	told      time.Time             // when the leader was last told who asked here
-	looked    time.Time             // when the lists of who was heard were last looked through
-	needs     map[string]needed     // by cache router, while this machine holds the duty
-	usage     *usage.Collector      // of what proxies have counted, while this machine holds the duty
-	usageFrom time.Time             // when usage was first told or asked for here
+	seenHere      map[string]time.Time    // last contact with this machine, by cache router or ServerKey
+	seenElsewhere map[string]time.Time    // on the leader: last contact reported by other machines
+	proposedAt    map[string]time.Time    // when a cache router was last proposed for the roster
+	newRouters    []clusterstate.Router   // not in the roster with these data; proposed together
+	reportedAt    time.Time               // when seenHere was last reported to the leader
+	prunedAt      time.Time               // when stale entries were last deleted
+	demand        map[string]routerDemand // by cache router, while this machine holds the duty
+	usage         *usage.Collector        // reports of the proxies, while this machine holds the duty
+	usageSince    time.Time               // when usage was first reported or requested here
 }
 
-// needed is what a cache router would ask of the servers, and when it said so.
-type needed struct {
-	per map[string]float64
-	at  time.Time
+// routerDemand is the demand that a cache router has reported, and when.
+type routerDemand struct {
+	perService map[string]float64 // requests per second by service
+	reportedAt time.Time
 }
 
+// newPresence returns a record without entries.
 func newPresence() presence {
-	return presence{attended: map[string]time.Time{}, present: map[string]time.Time{}, enrolled: map[string]time.Time{},
-		needs: map[string]needed{}, usage: usage.NewCollector()}
+	return presence{seenHere: map[string]time.Time{}, seenElsewhere: map[string]time.Time{}, proposedAt: map[string]time.Time{},
+		demand: map[string]routerDemand{}, usage: usage.NewCollector()}
 }
 
-// seenHere is who has asked this machine for news, for the leader, at times.
-func (v *View) seenHere(leads bool) (seen []string) {
+// recentlySeen returns the cache routers and servers that were recently heard from on this machine, to be reported to the leader.
+// It returns nil on the leader itself, and between two reports.
+func (v *View) recentlySeen(isLeader bool) (seen []string) {
 	now := time.Now()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if leads || now.Sub(v.presence.told) < toldEvery {
+	if isLeader || now.Sub(v.presence.reportedAt) < reportInterval {
 		return nil
 	}
-	v.presence.told = now
-	for node, at := range v.presence.attended {
-		if now.Sub(at) < 2*toldEvery {
+	v.presence.reportedAt = now
+	for node, at := range v.presence.seenHere {
+		if now.Sub(at) < 2*reportInterval {
 			seen = append(seen, node)
 		}
 	}
 	return seen
 }
 
-func (v *View) heardOf(seen []string) {
+// noteSeenElsewhere records, on the leader, the cache routers and servers that another machine reports as heard from.
+func (v *View) noteSeenElsewhere(seen []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, node := range seen {
-		v.presence.present[node] = time.Now()
+		v.presence.seenElsewhere[node] = time.Now()
 	}
 }
 
-// forgetAbsent forgets, at the leader, who has long been heard nowhere.
-func (v *View) forgetAbsent(now time.Time) {
+// pruneSeenElsewhere deletes, on the leader, the entries of those that no other machine has reported for a long time.
+func (v *View) pruneSeenElsewhere(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for node, at := range v.presence.present {
-		if now.Sub(at) > 2*absentFor {
-			delete(v.presence.present, node)
+	for node, at := range v.presence.seenElsewhere {
+		if now.Sub(at) > 2*absentTimeout {
+			delete(v.presence.seenElsewhere, node)
 		}
 	}
 }
 
-// letGo forgets who has not been heard here for long, whatever this machine's role: a leader is told by nobody's question to
-// look through its own list.
-func (v *View) letGo(now time.Time) {
+// pruneSeenHere deletes the entries of those that have not contacted this machine for a long time. It runs in every role: the
+// leader does not report its own list, so nothing else would make it prune the list.
+func (v *View) pruneSeenHere(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	p := &v.presence
-	if now.Sub(p.looked) < absentFor {
+	if now.Sub(p.prunedAt) < absentTimeout {
 		return
 	}
-	p.looked = now
-	for node, at := range p.attended {
-		if now.Sub(at) > 2*absentFor {
-			delete(p.attended, node)
-			delete(p.enrolled, node)
+	p.prunedAt = now
+	for node, at := range p.seenHere {
+		if now.Sub(at) > 2*absentTimeout {
+			delete(p.seenHere, node)
+			delete(p.proposedAt, node)
 		}
 	}
-	for node, n := range p.needs {
-		if now.Sub(n.at) > needFor {
-			delete(p.needs, node)
+	for node, n := range p.demand {
+		if now.Sub(n.reportedAt) > demandTTL {
+			delete(p.demand, node)
 		}
 	}
 }
 
-// attend notes a cache router that asks. It tells whether it is the first of some who are to be put into the roster.
-func (v *View) attend(r clusterstate.Router) (first bool) {
+// noteRouter records a request from a cache router and queues the router if it is missing in the roster. It returns true for
+// the first queued one: the caller must then have the queue proposed.
+func (v *View) noteRouter(r clusterstate.Router) (first bool) {
 	if r.Node == "" {
 		return false
 	}
@@ -115,80 +120,83 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	p := &v.presence
-	p.attended[r.Node] = now
-	if v.history.State.Routers[r.Node] == r || now.Sub(p.enrolled[r.Node]) <= enrolAgain || v.position.leader == "" {
+	p.seenHere[r.Node] = now
+	if v.history.State.Routers[r.Node] == r || now.Sub(p.proposedAt[r.Node]) <= enrolRetryInterval || v.position.leader == "" {
 		return false
 	}
-	p.enrolled[r.Node] = now
-	p.newcomers = append(p.newcomers, r)
-	return len(p.newcomers) == 1
+	p.proposedAt[r.Node] = now
+	p.newRouters = append(p.newRouters, r)
+	return len(p.newRouters) == 1
 }
 
-// takeNewcomers returns who is to be put into the roster, all in one command: each command is a change of every table.
-func (v *View) takeNewcomers() []clusterstate.Router {
+// takeNewRouters returns and clears the cache routers to be added to the roster. They belong into one command, for each command
+// changes every routing table.
+func (v *View) takeNewRouters() []clusterstate.Router {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	all := v.presence.newcomers
-	v.presence.newcomers = nil
-	return all
+	routers := v.presence.newRouters
+	v.presence.newRouters = nil
+	return routers
 }
 
-// serversHeard notes servers whose beats this machine's registry has acknowledged. The leader is told with the followers' answers.
-func (v *View) serversHeard(ids []string, now time.Time) {
+// noteServers records servers whose heartbeats the registry on this machine has acknowledged. Followers report them to the
+// leader in their replies.
+func (v *View) noteServers(ids []string, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, id := range ids {
-		if len(v.presence.attended) < mostAttended {
-			v.presence.attended[serverMark+id] = now
+		if len(v.presence.seenHere) < maxTracked {
+			v.presence.seenHere[serverKeyPrefix+id] = now
 		}
 	}
 }
 
-// noteNeed notes what a cache router would ask of the servers of services, for the machine that holds the duty.
-func (v *View) noteNeed(n *clusterstate.Needs, now time.Time) bool {
+// noteDemand records the demand of a cache router for the duty holder. It returns false if there is no room for another router.
+func (v *View) noteDemand(n *clusterstate.Needs, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if _, known := v.presence.needs[n.Node]; !known && len(v.presence.needs) >= mostAttended {
+	if _, known := v.presence.demand[n.Node]; !known && len(v.presence.demand) >= maxTracked {
 		return false
 	}
-	v.presence.needs[n.Node] = needed{n.Per, now}
+	v.presence.demand[n.Node] = routerDemand{n.Per, now}
 	return true
 }
 
-// needsNow tells, by service and cache router, what was noted of late.
-func (v *View) needsNow(now time.Time) map[string]map[string]float64 {
+// currentDemand returns the demand that is not older than demandTTL, in requests per second, by service and cache router.
+func (v *View) currentDemand(now time.Time) map[string]map[string]float64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	all := map[string]map[string]float64{}
-	for node, n := range v.presence.needs {
-		if now.Sub(n.at) > needFor {
+	demand := map[string]map[string]float64{}
+	for node, n := range v.presence.demand {
+		if now.Sub(n.reportedAt) > demandTTL {
 			continue
 		}
-		for service, need := range n.per {
-			if all[service] == nil {
-				all[service] = map[string]float64{}
+		for service, rate := range n.perService {
+			if demand[service] == nil {
+				demand[service] = map[string]float64{}
 			}
-			all[service][node] = need
+			demand[service][node] = rate
 		}
 	}
-	return all
+	return demand
 }
 
-// noteUsage keeps what a proxy has counted, for the machine that holds the duty.
+// noteUsage records a usage report of a proxy for the duty holder. It returns false if the report is not accepted.
 func (v *View) noteUsage(r *usage.Report, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.presence.usageBegins(now)
+	v.presence.startUsage(now)
 	return v.presence.usage.Take(*r, v.history.State.Usage.Fixed)
 }
 
-// usageSums tells what proxies have counted in windows that are not fixed yet. It is an error until they have had the time to report here.
+// usageSums returns the summed counts of the proxies in report windows that are not fixed yet. It returns
+// errUsageIncomplete until the proxies have had enough time to report here.
 func (v *View) usageSums(now time.Time) ([]usage.Sum, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.presence.usageBegins(now)
-	if now.Sub(v.presence.usageFrom) < usageHeardFor {
-		return nil, errUsageUnheard
+	v.presence.startUsage(now)
+	if now.Sub(v.presence.usageSince) < usageWarmup {
+		return nil, errUsageIncomplete
 	}
 	var proxies []string
 	for node, r := range v.history.State.Routers {
@@ -199,28 +207,29 @@
 	return v.presence.usage.Sums(v.history.State.Usage.Fixed, proxies), nil
 }
 
-func (p *presence) usageBegins(now time.Time) {
-	if p.usageFrom.IsZero() {
-		p.usageFrom = now
+// startUsage records the time of the first usage report or request.
+func (p *presence) startUsage(now time.Time) {
+	if p.usageSince.IsZero() {
+		p.usageSince = now
 	}
 }
 
-// silentFor is for how long each of the names has been silent, in milliseconds; nobody is told to be silent for longer than
-// this leader has led. It says nothing where this machine does not lead.
-func (v *View) silentFor(names []string, now time.Time) (ages []int64, leads bool, leader string) {
+// timeSinceSeen returns the time since each of the names was last heard from, in milliseconds, but never more than the time for
+// which this machine has been leader. If it is not the leader it returns the leader's address instead.
+func (v *View) timeSinceSeen(names []string, now time.Time) (ages []int64, isLeader bool, leader string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.position.leads {
+	if !v.position.isLeader {
 		return nil, false, v.position.leader
 	}
 	for _, name := range names {
-		last := v.position.since
-		for _, t := range [...]time.Time{v.presence.attended[name], v.presence.present[name]} {
-			if t.After(last) {
-				last = t
+		lastSeen := v.position.leaderSince
+		for _, t := range [...]time.Time{v.presence.seenHere[name], v.presence.seenElsewhere[name]} {
+			if t.After(lastSeen) {
+				lastSeen = t
 			}
 		}
-		ages = append(ages, now.Sub(last).Milliseconds())
+		ages = append(ages, now.Sub(lastSeen).Milliseconds())
 	}
 	return ages, true, ""
 }
--- a/internal/cdn/configstore/service.go
+++ b/internal/cdn/configstore/service.go
@@ -12,110 +12,115 @@
 	"cedarmast/internal/cdn/usage"
 )
 
-// errNoLeader is the cause where no leader that has a majority could be asked.
-var errNoLeader = errors.New("no leader that has a majority")
+// errNoLeader is returned if no leader with a majority could be reached.
+var errNoLeader = errors.New("no leader with a majority")
 
-// errUsageUnheard is the cause where proxies have not had the time to report what they counted.
-var errUsageUnheard = errors.New("proxies have not reported their usage yet")
+// errUsageIncomplete is returned while the proxies have not had enough time to report their counts to this process.
+var errUsageIncomplete = errors.New("proxies have not reported their usage yet")
 
-// service is what other processes may call. Its methods have net/rpc's form.
+// service is the RPC service "ConfigStore" of one connection. Its exported methods have the signature that net/rpc requires.
 type service struct {
 	*Store
-	session *peerrpc.Session // nil for the process's own calls
+	session *peerrpc.Session // nil for calls from within the process
 }
 
-// Proposal is a command on its way to the leader.
+// Proposal is a request to append a command to the log.
 type Proposal struct {
 	Data      []byte
-	Kind      string // of the command, for the figures: clusterstate.Command.Kind
-	WaitMS    int64  // how long its outcome is waited for
-	Forwarded bool   // by another config store: it is not passed on again
+	Kind      string // clusterstate.Command.Kind of the command, for metrics
+	WaitMS    int64  // how long the caller waits for the outcome, in milliseconds
+	Forwarded bool   // set by a config store that forwards the request; it is not forwarded again
 	Ticket    peerrpc.Ticket
 }
 
-// Asked is a question for what is surely committed.
+// Asked is a request for a linearizable read.
 type Asked struct {
-	WaitMS    int64
-	Forwarded bool
+	WaitMS    int64 // how long the caller waits, in milliseconds
+	Forwarded bool  // set by a config store that forwards the request; it is not forwarded again
 	Ticket    peerrpc.Ticket
 }
 
-// Silence is a question for how long servers (by ServerKey) and cache routers have been silent, wherever they were heard.
+// Silence is a request for the time since servers (named by ServerKey) and cache routers were last heard from by any core
+// machine.
 type Silence struct {
 	Names     []string
 	Forwarded bool
 }
 
-// begin returns the context of a call, which ends when its caller gives it up. Calls that can be given up are accounted by their name.
-func (s *service) begin(t peerrpc.Ticket, name string, ms int64) (context.Context, func()) {
-	ctx, done := s.session.Begin(t, time.Duration(ms)*time.Millisecond)
-	if t == 0 {
+// beginCall returns the context of a call, which ends after timeoutMS or when the caller cancels the call. Calls that can
+// be cancelled, i.e. those with a ticket, are accounted for under their name.
+func (s *service) beginCall(ticket peerrpc.Ticket, name string, timeoutMS int64) (context.Context, func()) {
+	ctx, done := s.session.Begin(ticket, time.Duration(timeoutMS)*time.Millisecond)
+	if ticket == 0 {
 		return ctx, done
 	}
 	caller := s.callers.Open(ctx, departure.Neighbour, name)
 	return ctx, func() { caller.Close(); done() }
 }
 
-// Deliver takes messages of the agreement.
-func (s *service) Deliver(all *[]consensus.Message, ok *bool) error {
-	if len(*all) > 0 && (*all)[0].Addr != "" && (*all)[0].Join == nil { // a join may be handed on by another one
-		s.peers.At((*all)[0].Addr).Awake()
+// Deliver passes consensus messages to the loop. It reports false if the loop is too busy to accept them.
+func (s *service) Deliver(messages *[]consensus.Message, ok *bool) error {
+	// A join may be relayed, so its Addr need not be the sender's.
+	if len(*messages) > 0 && (*messages)[0].Addr != "" && (*messages)[0].Join == nil {
+		s.peers.At((*messages)[0].Addr).Awake()
 	}
 	select {
-	case s.in <- *all:
+	case s.inbox <- *messages:
 		*ok = true
-	default: // the loop is held up: the sender says it again
+	default: // the loop is busy; the sender retries
 	}
 	return nil
 }
 
-// Propose brings a command into the log, by way of the leader. Commands may be brought twice: the state takes the same one
-// once, so an attempt without a clear end is made again while there is time.
+// Propose appends a command to the log through the leader and returns its outcome. An attempt with an unknown outcome is
+// retried until the deadline: commands are idempotent, the state applies the same one once.
 func (s *service) Propose(p *Proposal, r *Reply) error {
-	ctx, cancel := s.begin(p.Ticket, "propose", p.WaitMS)
+	ctx, cancel := s.beginCall(p.Ticket, "propose", p.WaitMS)
 	defer cancel()
-	if !p.Forwarded { // where it was received, and once
-		received, settled := time.Now(), s.view.settled(time.Now(), s.set.Bounds.Contact)
-		defer func() { s.acknowledgements.observe(p.Kind, *r, settled, time.Since(received)) }()
+	if !p.Forwarded { // measured once, by the config store that received it first
+		received, leaderStable := time.Now(), s.view.leaderStableFor(time.Now(), s.settings.Bounds.Contact)
+		defer func() { s.acknowledgements.observe(p.Kind, *r, leaderStable, time.Since(received)) }()
 	}
-	_, err := s.askLeader(ctx, p.Forwarded, func() bool {
-		reply, err := askLoop(ctx, s.Store, s.proposals, p.Data)
+	_, err := s.callLeader(ctx, p.Forwarded, func() bool {
+		reply, err := callLoop(ctx, s.Store, s.proposals, p.Data)
 		*r = reply
 		return err == nil && reply.Known
 	}, func(leader *peerrpc.Peer) bool {
-		on := Proposal{Data: p.Data, WaitMS: left(ctx), Forwarded: true, Ticket: peerrpc.NewTicket()}
-		reply, err := peerrpc.CallWatched[Proposal, Reply](ctx, leader, "ConfigStore.Propose", &on, on.Ticket)
+		request := Proposal{Data: p.Data, WaitMS: remainingMS(ctx), Forwarded: true, Ticket: peerrpc.NewTicket()}
+		reply, err := peerrpc.CallWatched[Proposal, Reply](ctx, leader, "ConfigStore.Propose", &request, request.Ticket)
 		*r = reply
 		return err == nil && reply.Known
 	})
 	return err
 }
 
-// Barrier returns an index: a state that has it holds all that was acknowledged before the call.
+// Barrier returns a log index: a state that has applied it contains everything acknowledged before the call.
 func (s *service) Barrier(a *Asked, index *uint64) (err error) {
-	ctx, cancel := s.begin(a.Ticket, "barrier", a.WaitMS)
+	ctx, cancel := s.beginCall(a.Ticket, "barrier", a.WaitMS)
 	defer cancel()
-	*index, err = s.barrierFor(ctx, a)
+	*index, err = s.sharedBarrier(ctx, a)
 	return err
 }
 
-// barrierFor waits for a barrier that it shares with all who ask at the same time; the context ends the waiting alone.
-func (s *service) barrierFor(ctx context.Context, a *Asked) (uint64, error) {
-	shared := Asked{WaitMS: a.WaitMS, Forwarded: a.Forwarded}
-	return s.gather.ask(ctx, func() (uint64, error) { return s.barrier(shared) })
+// sharedBarrier waits for a barrier that is shared between concurrent callers. If the context ends, only this caller stops
+// waiting.
+func (s *service) sharedBarrier(ctx context.Context, ask *Asked) (uint64, error) {
+	shared := Asked{WaitMS: ask.WaitMS, Forwarded: ask.Forwarded}
+	return s.barrierBatcher.wait(ctx, func() (uint64, error) { return s.runBarrier(shared) })
 }
 
-func (s *service) barrier(a Asked) (index uint64, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.WaitMS)*time.Millisecond)
+// runBarrier runs one read barrier on the leader, here or on another machine.
+func (s *service) runBarrier(ask Asked) (index uint64, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(ask.WaitMS)*time.Millisecond)
 	defer cancel()
-	done, err := s.askLeader(ctx, a.Forwarded, func() bool {
-		end, err := askLoop(ctx, s.Store, s.barriers, nil)
-		index = end.Index
-		return err == nil && end.OK
+	done, err := s.callLeader(ctx, ask.Forwarded, func() bool {
+		result, err := callLoop(ctx, s.Store, s.barriers, nil)
+		index = result.Index
+		return err == nil && result.OK
 	}, func(leader *peerrpc.Peer) bool {
-		on := Asked{WaitMS: left(ctx), Forwarded: true}
+		request := Asked{WaitMS: remainingMS(ctx), Forwarded: true}
 		var err error
-		index, err = peerrpc.CallWatched[Asked, uint64](ctx, leader, "ConfigStore.Barrier", &on, 0)
+		index, err = peerrpc.CallWatched[Asked, uint64](ctx, leader, "ConfigStore.Barrier", &request, 0)
 		return err == nil
 	})
 	if err == nil && !done {
@@ -124,116 +129,120 @@
 	return index, err
 }
 
-// Manifest returns the newest configuration as it was put.
+// Manifest returns the newest configuration in the form in which it was submitted.
 func (s *service) Manifest(a *Asked, body *[]byte) error {
-	ctx, cancel := s.begin(a.Ticket, "manifest", a.WaitMS)
+	ctx, cancel := s.beginCall(a.Ticket, "manifest", a.WaitMS)
 	defer cancel()
-	index, err := s.barrierFor(ctx, a)
+	index, err := s.sharedBarrier(ctx, a)
 	if err != nil {
 		return err
 	}
-	if !s.caughtUp(ctx, index) {
+	if !s.waitApplied(ctx, index) {
 		return errNoLeader
 	}
 	s.view.Read(func(state *clusterstate.State) { *body = state.Body })
 	return nil
 }
 
-func (s *service) caughtUp(ctx context.Context, index uint64) bool {
-	return s.view.wait(ctx, func() bool { return s.view.applied >= index })
+// waitApplied waits until the entry at index is applied here; it returns false if the context ends first.
+func (s *service) waitApplied(ctx context.Context, index uint64) bool {
+	return s.view.waitUntil(ctx, func() bool { return s.view.applied >= index })
 }
 
-// News answers one who asks what is new, at once if there is any or if this machine can't tell, else when there is.
+// News returns the changes since the state that the caller has. It answers immediately if there are any or if this machine
+// is not current; otherwise it holds the call until there are changes or the hold time is over.
 func (s *service) News(a *clusterstate.Ask, n *clusterstate.News) error {
-	came := time.Now()
-	ctx, cancel := s.begin(0, "news", a.HoldMS)
+	received := time.Now()
+	ctx, cancel := s.beginCall(0, "news", a.HoldMS)
 	defer cancel()
-	if s.view.attend(a.Router) {
-		time.AfterFunc(enrolTogether, s.enrol)
+	if s.view.noteRouter(a.Router) {
+		time.AfterFunc(enrolBatchDelay, s.proposeNewRouters)
 	}
 	if a.Barrier {
-		index, err := s.barrierFor(ctx, &Asked{WaitMS: a.HoldMS})
+		index, err := s.sharedBarrier(ctx, &Asked{WaitMS: a.HoldMS})
 		if err != nil {
 			return err
 		}
-		if !s.caughtUp(ctx, index) {
+		if !s.waitApplied(ctx, index) {
 			return errNoLeader
 		}
 	} else {
-		s.view.wait(ctx, func() bool {
-			return s.view.history.State.Index > a.Have || !s.view.current(time.Now())
+		s.view.waitUntil(ctx, func() bool {
+			return s.view.history.State.Index > a.Have || !s.view.isCurrent(time.Now())
 		})
 	}
-	*n = s.view.Since(a.Have, came, time.Now())
-	if a.Barrier { // a majority was heard after the question came
+	*n = s.view.Since(a.Have, received, time.Now())
+	if a.Barrier { // the barrier heard from a majority after the request arrived
 		n.Fresh = true
-		n.Prove(came, came)
+		n.Prove(received, received)
 	}
 	n.WallMS = s.clock.Now(time.Now()).UnixMilli()
 	return nil
 }
 
-// enrol proposes the cache routers that have come.
-func (s *service) enrol() {
-	command := clusterstate.Command{Enrol: s.view.takeNewcomers()}
+// proposeNewRouters proposes to add the new cache routers to the roster, in one command.
+func (s *service) proposeNewRouters() {
+	command := clusterstate.Command{Enrol: s.view.takeNewRouters()}
 	s.Propose(&Proposal{Data: command.Encode(), Kind: command.Kind(), WaitMS: time.Second.Milliseconds()}, &Reply{})
 }
 
-// Heard notes servers whose beats this machine's registry has acknowledged.
+// Heard records servers whose heartbeats the registry on this machine has acknowledged.
 func (s *service) Heard(ids *[]string, ok *bool) error {
-	s.view.serversHeard(*ids, time.Now())
+	s.view.noteServers(*ids, time.Now())
 	*ok = true
 	return nil
 }
 
-// Need notes what a cache router would ask of the servers of services, for the machine that holds the duty.
+// Need records the demand of a cache router, in requests per second by service, for the duty holder.
 func (s *service) Need(n *clusterstate.Needs, ok *bool) error {
-	*ok = s.view.noteNeed(n, time.Now())
+	*ok = s.view.noteDemand(n, time.Now())
 	return nil
 }
 
-// Needs tells, by service and cache router, what was noted of late.
-func (s *service) Needs(_ *bool, all *map[string]map[string]float64) error {
-	*all = s.view.needsNow(time.Now())
+// Needs returns the recently recorded demand in requests per second, by service and cache router.
+func (s *service) Needs(_ *bool, demand *map[string]map[string]float64) error {
+	*demand = s.view.currentDemand(time.Now())
 	return nil
 }
 
-// Usage notes what a proxy has counted, for the machine that holds the duty.
+// Usage records the request counts that a proxy reports, for the duty holder.
 func (s *service) Usage(r *usage.Report, ok *bool) error {
 	*ok = s.view.noteUsage(r, time.Now())
 	return nil
 }
 
-// UsageSums tells what proxies have counted in windows that are not fixed yet.
+// UsageSums returns the summed counts of the proxies in report windows that are not fixed yet.
 func (s *service) UsageSums(_ *bool, sums *[]usage.Sum) (err error) {
 	*sums, err = s.view.usageSums(time.Now())
 	return err
 }
 
-// Clock tells what this process's own clock shows, in milliseconds since the start of 1970, not shifted by what it heard of others.
+// Clock returns the time of this process's own clock in milliseconds since the start of 1970, not corrected by the clocks
+// of other machines.
 func (s *service) Clock(_ *bool, wallMS *int64) error {
 	*wallMS = s.clock.Own(time.Now()).UnixMilli()
 	return nil
 }
 
-// Silent tells for how long those named have been silent, in milliseconds, by way of the leader.
+// Silent returns the time since each of the named servers and cache routers was last heard from, in milliseconds. Other
+// machines forward the request to the leader, which has the reports of all core machines.
 func (s *service) Silent(q *Silence, ages *[]int64) error {
-	here, leads, leader := s.view.silentFor(q.Names, time.Now())
-	if leads {
-		*ages = here
+	localAges, isLeader, leader := s.view.timeSinceSeen(q.Names, time.Now())
+	if isLeader {
+		*ages = localAges
 		return nil
 	}
 	if q.Forwarded || leader == "" {
 		return errNoLeader
 	}
-	ctx, done := context.WithTimeout(context.Background(), askLeaderWithin)
+	ctx, done := context.WithTimeout(context.Background(), defaultLeaderTimeout)
 	defer done()
-	got, err := peerrpc.CallWatched[Silence, []int64](ctx, s.peers.At(leader), "ConfigStore.Silent", &Silence{q.Names, true}, 0)
-	*ages = got
+	leaderAges, err := peerrpc.CallWatched[Silence, []int64](ctx, s.peers.At(leader), "ConfigStore.Silent", &Silence{q.Names, true}, 0)
+	*ages = leaderAges
 	return err
 }
 
-// Status tells where this machine stands.
+// Status returns the status of this machine.
 func (s *service) Status(_ *bool, out *Status) error {
 	*out = s.view.Status(time.Now())
 	return nil
--- a/internal/cdn/configstore/store.go
+++ b/internal/cdn/configstore/store.go
@@ -1,5 +1,6 @@
-// Package configstore is the store of configuration's process: a core machine's part in the log, the common state that it
-// makes, and the answers to those who ask what is new.
+// Package configstore implements the config store process of a core machine: its replica of the consensus log, the cluster
+// state built from committed entries, and the RPC service through which registries and cache routers propose commands and
+// fetch changes.
 package configstore
 
 import (
@@ -24,79 +25,81 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of this package's errors.
+// Error is the error class of this package.
 var Error = errs.Class("configstore")
 
 const (
-	tick          = 30 * time.Millisecond
-	batch         = 256
-	dialPatience  = 200 * time.Millisecond // among core machines: one that has no power yet is asked again soon, and may vote
-	deliverWithin = 600 * time.Millisecond
-	leaveWithin   = 2 * time.Second // after SIGTERM, until the machine is out of the membership
-	leavePart     = 3               // of grace that this may take
-	leaveAtLeast  = 300 * time.Millisecond
+	tickInterval       = 30 * time.Millisecond
+	maxRequestsPerTurn = 256
+	dialTimeout        = 200 * time.Millisecond // between core machines: one that is still powering up is dialled again soon and can vote
+	deliverTimeout     = 600 * time.Millisecond
+	maxLeaveTimeout    = 2 * time.Second // from SIGTERM until the machine is out of the membership
+	leaveGraceDivisor  = 3               // leaving may take at most 1/3 of the grace period
+	minLeaveTimeout    = 300 * time.Millisecond
 )
 
-// Store is the process. Run starts it.
+// Store is the config store process. Run creates and runs it.
 type Store struct {
-	set     bootconfig.Settings
-	log     hclog.Logger
-	peers   *peerrpc.Peers
-	machine *Machine // the loop's
-	view    *View
-	clock   *truetime.Clock
-	callers *departure.Ledger // registries and other config stores whose calls can be given up
+	settings bootconfig.Settings
+	log      hclog.Logger
+	peers    *peerrpc.Peers
+	machine  *Machine // owned by the loop goroutine
+	view     *View
+	clock    *truetime.Clock
+	callers  *departure.Ledger // registries and other config stores whose calls can be cancelled
 
 	acknowledgements *acknowledgements
 
-	in        chan []consensus.Message
-	proposals chan asked[Reply]
-	barriers  chan asked[Barrier]
+	inbox     chan []consensus.Message
+	proposals chan loopRequest[Reply]
+	barriers  chan loopRequest[Barrier]
 	quit      chan struct{}
 	done      chan struct{}
-	failed    error // why the loop ended; read once done is closed
+	loopErr   error // the error that ended the loop; valid once done is closed
 
-	senders map[string]chan consensus.Message // the loop's
-	seeds   []string                          // as the machine was last told
-	gather  gather
+	sendQueues     map[string]chan consensus.Message // outgoing messages by address; owned by the loop goroutine
+	lastSeeds      []string                          // the seeds that were last passed to the machine
+	barrierBatcher barrierBatcher
 }
 
-// asked is a question to the loop.
-type asked[T any] struct {
+// loopRequest is a request to the loop goroutine, which calls reply with the result.
+type loopRequest[T any] struct {
 	data  []byte
 	reply func(T)
 }
 
-// Run opens the disk, serves the other processes and takes part in the log until the context ends.
-func Run(ctx context.Context, set bootconfig.Settings, log hclog.Logger) error {
-	return run(ctx, set, log, nil)
+// Run opens the log on disk, serves RPCs and takes part in consensus until the context is done. It then leaves the membership.
+func Run(ctx context.Context, settings bootconfig.Settings, log hclog.Logger) error {
+	return run(ctx, settings, log, nil)
 }
 
-func run(ctx context.Context, set bootconfig.Settings, log hclog.Logger, wrap func(Journal) Journal) error {
-	if set.DataDir == "" {
-		return Error.New("self.data_dir: missing: the log needs a disk")
+// run is Run with an optional wrapper around the journal, for tests.
+func run(ctx context.Context, settings bootconfig.Settings, log hclog.Logger, wrap func(Journal) Journal) error {
+	if settings.DataDir == "" {
+		return Error.New("self.data_dir: missing: the consensus log needs a directory")
 	}
-	s := &Store{set: set, log: log, peers: peerrpc.NewPeers(), in: make(chan []consensus.Message, 256),
-		proposals: make(chan asked[Reply], 1024), barriers: make(chan asked[Barrier], 256), quit: make(chan struct{}),
-		done: make(chan struct{}), senders: map[string]chan consensus.Message{}, callers: departure.NewLedger(),
+	s := &Store{settings: settings, log: log, peers: peerrpc.NewPeers(), inbox: make(chan []consensus.Message, 256),
+		proposals: make(chan loopRequest[Reply], 1024), barriers: make(chan loopRequest[Barrier], 256), quit: make(chan struct{}),
+		done: make(chan struct{}), sendQueues: map[string]chan consensus.Message{}, callers: departure.NewLedger(),
 		clock: truetime.New(time.Now(), true), acknowledgements: newAcknowledgements(log)}
 	s.callers.LogBreaches(log)
-	s.peers.DialPatience = dialPatience
+	s.peers.DialPatience = dialTimeout
 	if err := s.open(ctx, wrap); err != nil || s.machine == nil {
 		return err
 	}
-	listener, err := net.Listen("tcp", set.Inner(set.IP, bootconfig.ConfigStorePort))
+	listener, err := net.Listen("tcp", settings.Inner(settings.IP, bootconfig.ConfigStorePort))
 	if err != nil {
 		s.machine.Close()
 		return Error.Wrap(err)
 	}
-	log.Info("started", "id", s.machine.Self().ID, "address", s.machine.Address, "voters", len(s.machine.Membership().Voters)) // the machine is the loop's from here on
+	// Last use of the machine outside the loop goroutine until the loop has ended.
+	log.Info("started", "id", s.machine.Self().ID, "address", s.machine.Address, "voters", len(s.machine.Membership().Voters))
 	go peerrpc.Serve(listener, "ConfigStore", func(session *peerrpc.Session) any { return &service{s, session} })
 	go s.loop()
-	if set.Platform.ReportsUsage() {
+	if settings.Platform.ReportsUsage() {
 		go s.compareClocks(ctx)
 	}
-	metrics.Serve(ctx, set, log, s.callers, s.acknowledgements.seconds)
+	metrics.Serve(ctx, settings, log, s.callers, s.acknowledgements.seconds)
 	select {
 	case <-ctx.Done():
 		close(s.quit)
@@ -105,15 +108,16 @@
 	}
 	listener.Close()
 	s.machine.Close()
-	if s.failed == nil {
-		log.Info("ended in order")
+	if s.loopErr == nil {
+		log.Info("shut down cleanly")
 	}
-	return s.failed
+	return s.loopErr
 }
 
-// open reads the disk, and waits for one that is full or slow. The machine stays nil if the context ends before.
+// open reads the log from disk and creates the machine. It retries while the disk is full or slow; if the context ends
+// first, the machine stays nil.
 func (s *Store) open(ctx context.Context, wrap func(Journal) Journal) error {
-	files, err := raftlog.OpenFolder(s.set.DataDir)
+	files, err := raftlog.OpenFolder(s.settings.DataDir)
 	if err != nil {
 		return err
 	}
@@ -127,81 +131,84 @@
 		if !errors.Is(err, ErrNotBegun) {
 			return err
 		}
-		s.log.Error("disk not ready", "err", err)
+		s.log.Error("cannot write to the data directory, retrying", "err", err)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(retryDisk):
+		case <-time.After(diskRetryInterval):
 		}
 	}
 }
 
+// machineConfig returns the configuration of the machine according to the settings.
 func (s *Store) machineConfig(wrap func(Journal) Journal) MachineConfig {
-	c := MachineConfig{IP: s.set.IP, Address: s.set.Inner(s.set.IP, bootconfig.ConfigStorePort), FirstStart: s.set.FirstStart,
-		Contacts: s.contacts(), Tolerate: s.set.Bounds.Tolerate, Timing: consensus.Usual, Seed: drawSeed(), Log: s.log, Send: s.send,
-		Identity: drawIdentity, Clock: time.Now, Wrap: wrap}
-	if s.set.Platform.ReportsUsage() {
-		c.DutyLease = s.set.Platform.Lease
+	config := MachineConfig{IP: s.settings.IP, Address: s.settings.Inner(s.settings.IP, bootconfig.ConfigStorePort),
+		FirstStart: s.settings.FirstStart, Contacts: s.seedAddresses(), Tolerate: s.settings.Bounds.Tolerate, Timing: consensus.Usual,
+		Seed: randomSeed(), Log: s.log, Send: s.send, Identity: randomIdentity, Clock: time.Now, Wrap: wrap}
+	if s.settings.Platform.ReportsUsage() {
+		config.DutyLease = s.settings.Platform.Lease
 	}
-	for _, seed := range s.set.Seeds {
+	for _, seed := range s.settings.Seeds {
 		ip := bootconfig.HostOf(seed)
-		c.Founders = append(c.Founders, consensus.Member{ID: ip, Addr: s.set.Inner(ip, bootconfig.ConfigStorePort)})
+		config.Founders = append(config.Founders, consensus.Member{ID: ip, Addr: s.settings.Inner(ip, bootconfig.ConfigStorePort)})
 	}
-	return c
+	return config
 }
 
-func drawSeed() uint64 {
-	var lot [8]byte
-	rand.Read(lot[:])
-	return binary.LittleEndian.Uint64(lot[:])
+// randomSeed returns a random seed for the consensus node.
+func randomSeed() uint64 {
+	var seed [8]byte
+	rand.Read(seed[:])
+	return binary.LittleEndian.Uint64(seed[:])
 }
 
-func drawIdentity() string {
-	var lot [6]byte
-	rand.Read(lot[:])
-	return hex.EncodeToString(lot[:])
+// randomIdentity returns a random suffix that distinguishes the identity of a new disk from those of earlier ones.
+func randomIdentity() string {
+	var suffix [6]byte
+	rand.Read(suffix[:])
+	return hex.EncodeToString(suffix[:])
 }
 
-// contacts are the seeds' config stores, as the settings file names them by now.
-func (s *Store) contacts() (all []string) {
-	for _, seed := range s.set.SeedsNow() {
-		all = append(all, s.set.Inner(bootconfig.HostOf(seed), bootconfig.ConfigStorePort))
+// seedAddresses returns the addresses of the seeds' config stores, as the settings file lists them at the moment.
+func (s *Store) seedAddresses() (addresses []string) {
+	for _, seed := range s.settings.SeedsNow() {
+		addresses = append(addresses, s.settings.Inner(bootconfig.HostOf(seed), bootconfig.ConfigStorePort))
 	}
-	return all
+	return addresses
 }
 
-// loop is the one goroutine that owns the machine.
+// loop runs the goroutine that owns the machine: it delivers messages, proposals and barriers until the machine has left.
 func (s *Store) loop() {
 	defer close(s.done)
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	quit := s.quit
-	var leave <-chan time.Time
+	var leaveDeadline <-chan time.Time
 	for {
 		select {
-		case m := <-s.in:
-			s.machine.Deliver(time.Now(), m)
-		case p := <-s.proposals:
-			s.machine.Propose(p.data, p.reply)
-		case b := <-s.barriers:
-			s.machine.AskBarrier(b.reply)
+		case messages := <-s.inbox:
+			s.machine.Deliver(time.Now(), messages)
+		case proposal := <-s.proposals:
+			s.machine.Propose(proposal.data, proposal.reply)
+		case barrier := <-s.barriers:
+			s.machine.AskBarrier(barrier.reply)
 		case <-ticker.C:
 		case <-quit:
 			quit = nil
 			s.machine.Leave()
-			leave = time.After(s.leaveTime())
-		case <-leave:
-			s.log.Warn("ends without having left the membership")
+			leaveDeadline = time.After(s.leaveTimeout())
+		case <-leaveDeadline:
+			s.log.Warn("leave timed out, stopping while still a member")
 			return
 		}
-		s.takeMore()
-		if named := s.set.SeedsNow(); !slices.Equal(named, s.seeds) {
-			s.seeds = named
-			s.machine.SetContacts(s.contacts())
+		s.drainRequests()
+		if seeds := s.settings.SeedsNow(); !slices.Equal(seeds, s.lastSeeds) {
+			s.lastSeeds = seeds
+			s.machine.SetContacts(s.seedAddresses())
 		}
 		if err := s.machine.Turn(time.Now()); err != nil {
-			s.log.Error("ENDS: this copy of the state would differ from the others", "err", err)
-			s.failed = err
+			s.log.Error("stopping: the state of this replica would diverge from the others", "err", err)
+			s.loopErr = err
 			return
 		}
 		if s.machine.Left() {
@@ -210,52 +217,55 @@
 	}
 }
 
-// takeMore takes what else has come, so that one turn is for many.
-func (s *Store) takeMore() {
-	for range batch {
+// drainRequests handles the requests that are already queued, so that one turn of the machine serves many of them.
+func (s *Store) drainRequests() {
+	for range maxRequestsPerTurn {
 		select {
-		case m := <-s.in:
-			s.machine.Deliver(time.Now(), m)
-		case p := <-s.proposals:
-			s.machine.Propose(p.data, p.reply)
-		case b := <-s.barriers:
-			s.machine.AskBarrier(b.reply)
+		case messages := <-s.inbox:
+			s.machine.Deliver(time.Now(), messages)
+		case proposal := <-s.proposals:
+			s.machine.Propose(proposal.data, proposal.reply)
+		case barrier := <-s.barriers:
+			s.machine.AskBarrier(barrier.reply)
 		default:
 			return
 		}
 	}
 }
 
-// leaveTime is how long the leaving may take: a part of grace, for the platform ends the process then.
-func (s *Store) leaveTime() time.Duration {
-	return max(min(s.set.Bounds.Grace/leavePart, leaveWithin), leaveAtLeast)
+// leaveTimeout returns how long leaving the membership may take. It is a fraction of the grace period, after which the
+// platform ends the process.
+func (s *Store) leaveTimeout() time.Duration {
+	return max(min(s.settings.Bounds.Grace/leaveGraceDivisor, maxLeaveTimeout), minLeaveTimeout)
 }
 
-// send hands a message to its address's sender; what can't go out in time is dropped, for the node says it again.
+// send queues a message for the sender goroutine of its address. If the queue is full the message is dropped: the consensus
+// node sends it again.
 func (s *Store) send(m consensus.Message) {
-	to := s.senders[m.ToAddr]
-	if to == nil {
-		to = make(chan consensus.Message, 64)
-		s.senders[m.ToAddr] = to
-		go s.sender(m.ToAddr, to)
+	queue := s.sendQueues[m.ToAddr]
+	if queue == nil {
+		queue = make(chan consensus.Message, 64)
+		s.sendQueues[m.ToAddr] = queue
+		go s.runSender(m.ToAddr, queue)
 	}
 	select {
-	case to <- m:
+	case queue <- m:
 	default:
 	}
 }
 
-func (s *Store) sender(address string, in <-chan consensus.Message) {
+// runSender delivers the queued messages of one address in batches until the loop ends.
+func (s *Store) runSender(address string, queue <-chan consensus.Message) {
 	peer := s.peers.At(address)
 	for {
 		select {
-		case m := <-in:
-			all := append([]consensus.Message{m}, waitingIn(in)...)
-			ctx, cancel := context.WithTimeout(context.Background(), deliverWithin)
-			_, err := peerrpc.Call[[]consensus.Message, bool](ctx, peer, "ConfigStore.Deliver", &all)
+		case m := <-queue:
+			messages := append([]consensus.Message{m}, drainMessages(queue)...)
+			ctx, cancel := context.WithTimeout(context.Background(), deliverTimeout)
+			_, err := peerrpc.Call[[]consensus.Message, bool](ctx, peer, "ConfigStore.Deliver", &messages)
 			cancel()
 			if err != nil {
-				s.log.Debug("not delivered", "err", err)
+				s.log.Debug("message delivery failed", "err", err)
 			}
 		case <-s.done:
 			return
@@ -263,14 +273,15 @@
 	}
 }
 
-func waitingIn(in <-chan consensus.Message) (all []consensus.Message) {
-	for len(all) < cap(in) {
+// drainMessages returns the queued messages without blocking, at most the capacity of the channel.
+func drainMessages(queue <-chan consensus.Message) (messages []consensus.Message) {
+	for len(messages) < cap(queue) {
 		select {
-		case m := <-in:
-			all = append(all, m)
+		case m := <-queue:
+			messages = append(messages, m)
 		default:
-			return all
+			return messages
 		}
 	}
-	return all
+	return messages
 }
--- a/internal/cdn/configstore/view.go
+++ b/internal/cdn/configstore/view.go
@@ -10,34 +10,35 @@
 	"cedarmast/internal/cdn/consensus"
 )
 
-// View is what the rest of a core machine's process may read of the Machine, under a lock of its own, and who was heard.
+// View is the part of a Machine that other goroutines may read, guarded by its own mutex, and the record of cache routers and
+// servers that were heard from.
 type View struct {
-	mu       sync.Mutex
-	history  *clusterstate.History
-	changed  chan struct{} // closed and made anew with every change
-	position position
-	followed time.Time // since when the leader has been the same; zero without one
-	applied  uint64    // the last entry of the log that the state has
-	syncs    uint64
-	presence presence
+	mu              sync.Mutex
+	history         *clusterstate.History
+	changed         chan struct{} // closed and replaced on every change
+	position        position
+	sameLeaderSince time.Time // when the present leader became known; zero if none is known
+	applied         uint64    // index of the last log entry that the state contains
+	syncs           uint64    // writes to disk so far
+	presence        presence
 }
 
-// position is where a machine stands in the agreement.
+// position is the role of a machine in consensus and what it knows of the others.
 type position struct {
-	leader    string // address
-	leads     bool
-	since     time.Time // when it began to lead
-	currentAt time.Time // as of when what is applied is surely current; zero: not known
-	core      []string
-	status    Status
+	leader        string // address; empty if none is known
+	isLeader      bool
+	leaderSince   time.Time // when it became leader
+	currentAsOf   time.Time // time as of which the applied state is known to be current; zero if unknown
+	coreAddresses []string  // addresses of all core machines
+	status        Status
 }
 
-// fresh tells whether a machine that stands there may call itself current.
+// fresh reports whether the state of a machine in this position counts as current at the time now.
 func (p position) fresh(now time.Time) bool {
-	return !p.currentAt.IsZero() && now.Before(p.currentAt.Add(freshFor))
+	return !p.currentAsOf.IsZero() && now.Before(p.currentAsOf.Add(freshnessWindow))
 }
 
-// Status is what a config store tells of itself.
+// Status is the self-reported status of a config store.
 type Status struct {
 	ID, Role, Leader    string
 	Term, Commit, Index uint64
@@ -45,28 +46,30 @@
 	Journal             int64 // bytes
 	Version             string
 	Servers, Routers    int
-	Duty                clusterstate.Duty // its epoch is the fence of calls to the platform
-	UsageFixed          int64             // the newest report window whose counts are fixed
-	UsageBacklog        int               // windows that are fixed and not known to be taken by the platform
+	Duty                clusterstate.Duty // its epoch is the fencing token of calls to the platform
+	UsageFixed          int64             // the latest report window whose counts are fixed
+	UsageBacklog        int               // fixed report windows that the platform is not known to have accepted
 	Fresh, DiskFails    bool
 	Syncs               uint64
 }
 
+// newView returns the view of a state that contains the log up to the index applied.
 func newView(history *clusterstate.History, applied uint64) *View {
 	return &View{history: history, applied: applied, changed: make(chan struct{}), presence: newPresence()}
 }
 
-// wake lets those look again who wait. The caller holds the lock.
+// wake makes all callers of waitUntil check their condition again. The caller must hold the mutex.
 func (v *View) wake() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-// wait waits until the view passes the test, or the context ends.
-func (v *View) wait(ctx context.Context, test func() bool) bool {
+// waitUntil blocks until condition, which is called with the mutex held, returns true or the context is done. It returns whether
+// the condition holds.
+func (v *View) waitUntil(ctx context.Context, condition func() bool) bool {
 	for {
 		v.mu.Lock()
-		ok, changed := test(), v.changed
+		ok, changed := condition(), v.changed
 		v.mu.Unlock()
 		if ok {
 			return true
@@ -79,27 +82,27 @@
 	}
 }
 
-// apply takes committed entries on; all of them, or none after the first that can't be read.
+// apply applies committed entries and returns their outcomes. It stops with an error at the first that cannot be decoded.
 func (v *View) apply(entries []consensus.Entry, ignoreEpoch bool) (outcomes []clusterstate.Outcome, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, e := range entries {
 		if ignoreEpoch {
-			e.Data = withoutEpoch(e.Data)
+			e.Data = withMaxEpoch(e.Data)
 		}
-		out, err := applyEntry(v.history, e)
+		outcome, err := applyEntry(v.history, e)
 		if err != nil {
 			return nil, err
 		}
-		outcomes = append(outcomes, out)
+		outcomes = append(outcomes, outcome)
 	}
 	v.applied = max(v.applied, entries[len(entries)-1].Index)
 	v.wake()
 	return outcomes, nil
 }
 
-// withoutEpoch makes a command hold under every epoch. It is a weakness, for tests alone.
-func withoutEpoch(data []byte) []byte {
+// withMaxEpoch makes a command valid under every epoch. It implements the disabled safeguard IgnoreEpoch, for tests only.
+func withMaxEpoch(data []byte) []byte {
 	c, err := clusterstate.Decode(data)
 	if err != nil || c.Epoch == 0 {
 		return data
@@ -108,15 +111,15 @@
 	return c.Encode()
 }
 
-// replace puts a received state in the place of the one that is held.
-func (v *View) replace(s *clusterstate.State, index uint64) {
+// replaceState replaces the state by one received from the leader, which contains the log up to index.
+func (v *View) replaceState(s *clusterstate.State, index uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.history, v.applied = clusterstate.NewHistory(s), index
 	v.wake()
 }
 
-// snapshot is the state as it is written down, and the entry up to which it goes.
+// snapshot returns the encoded state and the index of the last log entry that it contains.
 func (v *View) snapshot(forgetTaken bool) (index uint64, data []byte) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -128,88 +131,90 @@
 	return v.applied, encodeState(state)
 }
 
+// publish stores the present position and wakes waiting callers if the leader or the freshness has changed.
 func (v *View) publish(now time.Time, p position) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	was := v.position
+	previous := v.position
 	switch {
-	case p.leader == "" && !p.leads:
-		v.followed = time.Time{}
-	case p.leader != was.leader || p.leads != was.leads || v.followed.IsZero():
-		v.followed = now
+	case p.leader == "" && !p.isLeader:
+		v.sameLeaderSince = time.Time{}
+	case p.leader != previous.leader || p.isLeader != previous.isLeader || v.sameLeaderSince.IsZero():
+		v.sameLeaderSince = now
 	}
-	moved := p.leader != was.leader || p.leads != was.leads || p.fresh(now) != was.fresh(now)
+	notify := p.leader != previous.leader || p.isLeader != previous.isLeader || p.fresh(now) != previous.fresh(now)
 	v.position = p
-	if moved {
+	if notify {
 		v.wake()
 	}
 }
 
+// countSync counts a write to disk.
 func (v *View) countSync() {
 	v.mu.Lock()
 	v.syncs++
 	v.mu.Unlock()
 }
 
-// settled tells whether the same leader has been known for so long.
-func (v *View) settled(now time.Time, span time.Duration) bool {
+// leaderStableFor reports whether the leader has been the same for at least span.
+func (v *View) leaderStableFor(now time.Time, span time.Duration) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return !v.followed.IsZero() && now.Sub(v.followed) >= span
+	return !v.sameLeaderSince.IsZero() && now.Sub(v.sameLeaderSince) >= span
 }
 
-// Applied is the last entry that the state has.
+// Applied returns the index of the last applied log entry.
 func (v *View) Applied() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.applied
 }
 
-// Duty is who holds the duty by this machine's state.
+// Duty returns the duty holder and epoch according to the state of this machine.
 func (v *View) Duty() clusterstate.Duty {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.history.State.Duty
 }
 
-// Read shows the state under its lock.
-func (v *View) Read(look func(*clusterstate.State)) {
+// Read calls read with the state while holding the mutex.
+func (v *View) Read(read func(*clusterstate.State)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	look(v.history.State)
+	read(v.history.State)
 }
 
-// Leader tells whether this machine leads, or at which address the leader is; empty if none is known.
-func (v *View) Leader() (here bool, at string) {
+// Leader returns whether this machine is the leader, otherwise the leader's address, empty if none is known.
+func (v *View) Leader() (isLeader bool, address string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.position.leads, v.position.leader
+	return v.position.isLeader, v.position.leader
 }
 
-// current tells whether this machine follows a leader with a majority. The caller holds the lock.
-func (v *View) current(now time.Time) bool {
+// isCurrent reports whether the state of this machine counts as current. The caller must hold the mutex.
+func (v *View) isCurrent(now time.Time) bool {
 	return v.position.fresh(now)
 }
 
-// Since answers one who holds a version of the state and whose question came at that time, and states as of when this machine was surely
-// current.
-func (v *View) Since(have uint64, came, now time.Time) clusterstate.News {
+// Since returns the changes after the index have, for a request that arrived at the time received. The reply also states the time
+// as of which this machine is known to have been current.
+func (v *View) Since(have uint64, received, now time.Time) clusterstate.News {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	n := v.history.Since(have)
-	n.Core, n.Fresh = v.position.core, v.current(now)
-	if at := v.position.currentAt; !at.IsZero() {
-		n.Prove(at, came)
+	n.Core, n.Fresh = v.position.coreAddresses, v.isCurrent(now)
+	if at := v.position.currentAsOf; !at.IsZero() {
+		n.Prove(at, received)
 	}
 	return n
 }
 
-// Status tells where this machine stands.
+// Status returns the status of this machine.
 func (v *View) Status(now time.Time) Status {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	s, state := v.position.status, v.history.State
-	s.Leader, s.Fresh, s.Members, s.Index, s.Syncs = v.position.leader, v.current(now), v.position.core, state.Index, v.syncs
+	s.Leader, s.Fresh, s.Members, s.Index, s.Syncs = v.position.leader, v.isCurrent(now), v.position.coreAddresses, state.Index, v.syncs
 	s.Version, s.Servers, s.Routers, s.Duty = state.Version.String(), len(state.Servers), len(state.Routers), state.Duty
 	s.UsageFixed, s.UsageBacklog = state.Usage.Fixed, len(state.Usage.Pending)
 	return s
