--- /dev/null
+++ b/internal/cdn/edge/cachetier.go
@@ -0,0 +1,326 @@
+package edge
+
+import (
+	"context"
+	"errors"
+	"maps"
+	"net/http"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"cedarmast/balance"
+	"cedarmast/internal/cdn/clusterstate"
+	"cedarmast/internal/cdn/departure"
+	"cedarmast/internal/cdn/objectcache"
+	"cedarmast/internal/cdn/peerrpc"
+	"cedarmast/internal/cdn/peersampling"
+	"cedarmast/internal/cdn/upstream"
+	"cedarmast/internal/exchange"
+)
+
+// cacheTier sends fetches to the cache router that owns a key: by the balancer's interval table, or by its second hash if that router is
+// overloaded.
+type cacheTier struct {
+	edge        *Edge
+	toShield    bool // sends to a key's shield, else to its cache router
+	loop        *exchange.Loop
+	rosterBase  uint64 // the State.RosterBase that the interval table was built from
+	rosterSteps int    // number of roster steps applied
+
+	callers sync.Map // *exchange.Exchange to the *departure.Caller that it is sent for
+
+	roster map[string]clusterstate.Router // routers after those steps
+	listed map[string]clusterstate.Router // the routers in the balancer's list: lenders, or shields
+}
+
+const (
+	copyClass      = "copy"
+	tierDeadline   = 30 * time.Second
+	tierTarget     = 4 * time.Second        // far longer than a call takes: a slow origin must not look like a slow cache router
+	tierReserve    = 60 * time.Millisecond  // of a request's time, kept back for asking the servers directly
+	maxCatchUpWait = 150 * time.Millisecond // for a change that the caller has seen already, such as a purge
+)
+
+// newCacheTier returns a tier that sends to shields if toShield is set, else to cache routers. With zoneFirst it prefers the own zone.
+func newCacheTier(e *Edge, toShield, zoneFirst bool) *cacheTier {
+	t := &cacheTier{edge: e, toShield: toShield, roster: map[string]clusterstate.Router{}, listed: map[string]clusterstate.Router{}}
+	settings := balance.Settings{Classes: []balance.Class{{Name: copyClass, Aim: tierTarget, Deadline: tierDeadline, Worth: 1,
+		Effect: balance.Safe}}, Routers: 1, Zone: e.config.Zone, OverShareWorth: 1, MaxAttempts: 2, ConnectTimeout: time.Second,
+		ColdFrom: 1, Ramp: time.Second, OverloadFactor: 2, OverloadFor: time.Second}
+	if zoneFirst {
+		settings.Tiers = func() balance.Tiers { return &zoneFirstTiers{zone: e.config.Zone} }
+	}
+	t.loop = e.newLoop(settings, t, e.sender.Pool)
+	return t
+}
+
+// applyRoster applies the roster steps that are new, one index at a time: every router must apply them in the same order to build the same
+// interval table. If the roster has been compacted, the table is rebuilt from its new base.
+func (h *cacheTier) applyRoster(s *clusterstate.State) {
+	if h.rosterBase != s.RosterBase || h.rosterSteps > len(s.Roster) {
+		empty := exchange.List{Addresses: map[balance.ServerID]string{}}
+		empty.Kind, empty.Version = balance.Complete, int64(s.Index)
+		h.enqueueList(empty)
+		h.rosterBase, h.rosterSteps = s.RosterBase, 0
+		clear(h.roster)
+		clear(h.listed)
+	}
+	for h.rosterSteps < len(s.Roster) {
+		for index := s.Roster[h.rosterSteps].Index; h.rosterSteps < len(s.Roster) && s.Roster[h.rosterSteps].Index == index; h.rosterSteps++ {
+			if step := s.Roster[h.rosterSteps]; step.Gone {
+				delete(h.roster, step.Node)
+			} else {
+				h.roster[step.Node] = step.Router
+			}
+		}
+		h.pushChanges(int64(s.Index))
+	}
+}
+
+// pushChanges sends the balancer the difference between the routers that it should list and those that it lists.
+func (h *cacheTier) pushChanges(version int64) {
+	chosen, want := clusterstate.Lenders(h.roster), map[string]clusterstate.Router{}
+	if h.toShield {
+		chosen = clusterstate.Shields(h.roster)
+	}
+	for node := range chosen {
+		want[node] = h.roster[node]
+	}
+	list := exchange.List{Addresses: map[balance.ServerID]string{}}
+	list.Kind, list.Version = balance.Partial, version
+	for _, node := range slices.Sorted(maps.Keys(h.listed)) {
+		if _, ok := want[node]; !ok {
+			list.Entries = append(list.Entries, balance.Entry{Server: balance.ServerID(node), Zone: h.listed[node].Zone, Weight: 1, State: balance.Gone})
+		}
+	}
+	for _, node := range slices.Sorted(maps.Keys(want)) {
+		if r := want[node]; h.listed[node] != r {
+			list.Addresses[balance.ServerID(node)] = r.Address
+			list.Entries = append(list.Entries, balance.Entry{Server: balance.ServerID(node), Zone: r.Zone, Weight: max(r.Weight, 1)})
+		}
+	}
+	h.listed = want
+	if len(list.Entries) > 0 {
+		h.enqueueList(list)
+	}
+}
+
+// enqueueList sends a list to the balancer, in order with other changes.
+func (h *cacheTier) enqueueList(list exchange.List) { h.edge.enqueue(func() { h.loop.Listed(list) }) }
+
+// Fetch is a request for an object from one cache router to another.
+type Fetch struct {
+	Key       objectcache.Key
+	Target    string // request target, as in the request line
+	ID        string // the client's Try-Id
+	ClientKey string // belongs to ID; the router that sends to a server names the tenant that holds the key at that time
+	LeftMS    int64  // time left for the answer
+	Route     string // route name
+	Index     uint64 // the caller's state index: the callee must have reached it
+	Own       bool   // sent by a router to itself: not a client's demand for the object, which was counted already
+	Home      bool   // the callee is asked as the key's shield: on a miss it asks the servers
+	AgeMS     int64  // maximum age of a cached copy; 0: any that may be served
+	ETag      string // of the caller's copy: if it still matches, the body is left out
+	Ticket    peerrpc.Ticket
+	Most      int // maximum bytes of the body in the response, the rest is fetched with Piece; 0: all
+}
+
+// Fetched is the response to a Fetch.
+type Fetched struct {
+	Status int
+	Header http.Header
+	Body   []byte
+	Total  int    // bytes of the whole body if Body is only its beginning; 0: Body is complete
+	Whole  bool   // a complete object, of which ranges may be served; else another response of a server
+	Same   bool   // the caller's copy still matches: there is no body
+	AgeMS  int64  // with Whole: time since a server was asked
+	Index  uint64 // with Whole: state index at that time
+	Denied Denial // why the object was not fetched with the caller's client key
+	Refuse int64  // milliseconds after which to retry if the object was not fetched; 0: it was
+}
+
+// asker returns the client request that the fetch is made for.
+func (q Fetch) asker() objectcache.Asker { return objectcache.Asker{ID: q.ID, ClientKey: q.ClientKey} }
+
+// do submits a fetch on behalf of a caller and waits for the answer.
+func (h *cacheTier) do(x *exchange.Exchange, caller *departure.Caller) exchange.Answer {
+	h.callers.Store(x, caller)
+	defer h.callers.Delete(x)
+	return submitAndWait(h.loop, x, caller)
+}
+
+// Send implements exchange.Sender: it sends the fetch to the chosen cache router. A fetch for this router itself needs no call.
+func (h *cacheTier) Send(a *exchange.Attempt) {
+	caller, ok := h.callers.Load(a.Exchange)
+	go func() {
+		if !ok { // answered meanwhile
+			a.End(exchange.Reply{Result: balance.Moot})
+			return
+		}
+		a.End(h.runAttempt(a, caller.(*departure.Caller)))
+	}()
+}
+
+// runAttempt makes one attempt and returns its result for the balancer.
+func (h *cacheTier) runAttempt(a *exchange.Attempt, caller *departure.Caller) exchange.Reply {
+	q := Fetch{}
+	if err := decodeFetch(a.Exchange, &q); err != nil {
+		return exchange.Reply{Result: balance.Moot, Err: err}
+	}
+	q.LeftMS = max(time.Until(a.Due).Milliseconds(), 1)
+	q.Home = h.toShield
+	ctx, release := upstream.Bind(a.Context, caller)
+	defer release()
+	if !caller.Begin(departure.BreakOff, a.Due) {
+		return exchange.Reply{Result: balance.Moot, Err: departure.ErrLeft}
+	}
+	defer caller.End(departure.BreakOff)
+	var got Fetched
+	var err error
+	if string(a.Server) == h.edge.config.Node {
+		q.Own = true
+		got = h.edge.getObject(ctx, q)
+	} else {
+		got, err = h.edge.fetchFromPeer(ctx, h.edge.peers.At(a.Address), q)
+	}
+	switch cause := upstream.Withdrawal(ctx); {
+	case cause != nil: // withdrawn by this router: not the cache router's fault
+		return exchange.Reply{Result: balance.Cancelled, Err: cause}
+	case errors.Is(err, peerrpc.ErrNotBegun):
+		return exchange.Reply{Result: balance.NoConnect, Err: err}
+	case errors.Is(err, context.DeadlineExceeded):
+		return exchange.Reply{Result: balance.TimedOut, Err: err}
+	case err != nil:
+		return exchange.Reply{Result: balance.Reset, Err: err}
+	}
+	return exchange.Reply{Result: balance.OK, Header: got.encodeHeader(), Body: got.Body}
+}
+
+// A Fetch and its response pass through package exchange in these header fields, which nothing in between reads.
+const (
+	headerFetch      = ":ask"
+	headerWhole      = ":whole"
+	headerRetryAfter = ":later"
+	headerSame       = ":same"
+	headerAge        = ":age"
+	headerIndex      = ":index"
+	headerDenied     = ":denied"
+)
+
+const fetchValues = 11 // number of values of the fetch field
+
+// encodeFetch encodes the parts of a Fetch that the sender does not set.
+func encodeFetch(q Fetch) http.Header {
+	return http.Header{headerFetch: {q.Key.Service, q.Key.Host, q.Key.Path, q.Key.Query, q.Target, q.ID, q.Route, itoa(int64(q.Index)),
+		itoa(q.AgeMS), q.ETag, q.ClientKey}}
+}
+
+// decodeFetch reverses encodeFetch.
+func decodeFetch(x *exchange.Exchange, q *Fetch) error {
+	v := x.Header[headerFetch]
+	if len(v) != fetchValues {
+		return Error.New("cache tier: malformed fetch header with %d values", len(v))
+	}
+	*q = Fetch{Key: objectcache.Key{Service: v[0], Host: v[1], Path: v[2], Query: v[3]}, Target: v[4], ID: v[5], Route: v[6],
+		Index: uint64(atoi(v[7])), AgeMS: atoi(v[8]), ETag: v[9], ClientKey: v[10]}
+	return nil
+}
+
+// encodeHeader adds the response's fields to its header; decodeFetched reverses it.
+func (g Fetched) encodeHeader() http.Header {
+	h := g.Header.Clone()
+	if h == nil {
+		h = http.Header{}
+	}
+	h[upstream.StatusKey] = []string{itoa(int64(g.Status))}
+	if g.Whole {
+		h[headerWhole], h[headerAge], h[headerIndex] = []string{"1"}, []string{itoa(g.AgeMS)}, []string{itoa(int64(g.Index))}
+	}
+	if g.Same {
+		h[headerSame] = []string{"1"}
+	}
+	if g.Refuse > 0 {
+		h[headerRetryAfter] = []string{itoa(g.Refuse)}
+	}
+	if g.Denied != notDenied {
+		h[headerDenied] = []string{itoa(int64(g.Denied))}
+	}
+	return h
+}
+
+// decodeFetched reads a response that encodeHeader encoded, and removes its fields from the header.
+func decodeFetched(h http.Header, body []byte) Fetched {
+	g := Fetched{Status: int(atoi(firstValue(h, upstream.StatusKey))), Body: body, Whole: firstValue(h, headerWhole) != "", Refuse: atoi(firstValue(h, headerRetryAfter)),
+		Same: firstValue(h, headerSame) != "", AgeMS: atoi(firstValue(h, headerAge)), Index: uint64(atoi(firstValue(h, headerIndex))),
+		Denied: Denial(atoi(firstValue(h, headerDenied)))}
+	for _, name := range [...]string{upstream.StatusKey, headerWhole, headerRetryAfter, headerSame, headerAge, headerIndex, headerDenied} {
+		delete(h, name)
+	}
+	g.Header = h
+	return g
+}
+
+// peerHandler implements the RPCs that other processes may call, as net/rpc methods.
+type peerHandler struct {
+	edge    *Edge
+	session *peerrpc.Session
+}
+
+// Fetch returns an object to another cache router. A panic fails only this call; net/rpc would let it end the process.
+func (p *peerHandler) Fetch(q *Fetch, g *Fetched) (err error) {
+	defer func() {
+		if panicked := recover(); panicked != nil {
+			p.edge.counters.Panics.Add(1)
+			err = Error.New("fetch: panic: %v", panicked)
+		}
+	}()
+	ctx, done := p.session.Begin(q.Ticket, time.Duration(q.LeftMS)*time.Millisecond)
+	defer done()
+	caller := p.edge.callers.Open(ctx, departure.Neighbour, q.Route)
+	defer caller.Close()
+	p.edge.inboundCalls.begin()
+	defer p.edge.inboundCalls.done()
+	if p.edge.shuttingDown.Load() {
+		return errors.New("ending")
+	}
+	if p.edge.replica.Index() < q.Index {
+		wait, cancel := context.WithTimeout(ctx, maxCatchUpWait)
+		ok := p.edge.replica.Await(wait, q.Index)
+		cancel()
+		if !ok {
+			return errors.New("replica is behind the caller and may hold purged objects")
+		}
+	}
+	*g = p.edge.getObject(ctx, *q)
+	if q.Most > 0 && g.Whole && len(g.Body) > q.Most && p.edge.cachedBody(q.Key, firstValue(g.Header, "Etag"), len(g.Body)) != nil {
+		g.Total, g.Body = len(g.Body), g.Body[:q.Most]
+	}
+	return nil
+}
+
+// callCounter counts calls in flight, so that a shutdown can wait for them.
+type callCounter struct{ n atomic.Int64 }
+
+func (c *callCounter) begin() { c.n.Add(1) }
+func (c *callCounter) done()  { c.n.Add(-1) }
+
+// waitIdle waits until no call is in flight, or the deadline.
+func (c *callCounter) waitIdle(deadline time.Time) {
+	for c.n.Load() > 0 && time.Now().Before(deadline) {
+		time.Sleep(20 * time.Millisecond)
+	}
+}
+
+// News returns state changes and the age of this replica's proof to a router that no core machine answers.
+func (p *peerHandler) News(a *clusterstate.Ask, n *clusterstate.News) error {
+	*n = p.edge.replica.News(*a, time.Now())
+	return nil
+}
+
+// Mingle exchanges parts of the partial views of the peer sampling.
+func (p *peerHandler) Mingle(offer *[]peersampling.Neighbour, answer *[]peersampling.Neighbour) error {
+	*answer = p.edge.peerView.Answer(*offer, p.edge.replica.Index())
+	return nil
+}
--- a/internal/cdn/edge/capacity_test.go
+++ b/internal/cdn/edge/capacity_test.go
@@ -10,15 +10,15 @@
 	"cedarmast/internal/cdn/objectcache"
 )
 
-// BenchmarkRoster is what cutting the interval table costs as a fleet of so many cache routers comes in ten
-// batches, and ten of them go and come back.
+// BenchmarkRoster measures rebuilding the interval table while a fleet of cache routers joins in ten batches, and ten of them leave and
+// return one by one.
 func BenchmarkRoster(b *testing.B) {
 	for _, routers := range []int{105, 210, 420} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
 			for b.Loop() {
-				l := balance.New(balance.Settings{Classes: []balance.Class{{Name: copyClass, Aim: tierAim, Deadline: tierDeadline, Worth: 1}}, Routers: 1,
+				l := balance.New(balance.Settings{Classes: []balance.Class{{Name: copyClass, Aim: tierTarget, Deadline: tierDeadline, Worth: 1}}, Routers: 1,
 					Ramp: time.Second, OverloadFor: time.Second, ColdFrom: 1}, 1)
-				for batch := range 10 { // as config stores enrol newcomers, and then a few one by one
+				for batch := range 10 { // config stores enrol new routers in batches, and then a few one by one
 					news := balance.List{Kind: balance.Partial, Version: int64(batch)}
 					for i := batch; i < routers; i += 10 {
 						news.Entries = append(news.Entries, balance.Entry{Server: balance.ServerID(fmt.Sprint("edge-", i)), Zone: fmt.Sprint(i % 31), Weight: 1})
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkCopies is what a copy of a small object takes in memory beside its bytes.
+// BenchmarkCopies measures the memory overhead of a small cached object.
 func BenchmarkCopies(b *testing.B) {
 	for _, copies := range []int{50_000, 100_000, 200_000} {
 		b.Run(fmt.Sprint(copies), func(b *testing.B) {
--- a/internal/cdn/edge/classes.go
+++ b/internal/cdn/edge/classes.go
@@ -8,53 +8,57 @@
 	"cedarmast/internal/cdn/clusterstate"
 )
 
-// Routes that are judged alike share one class of the decisions: classes are searched and compared one by one, so that a change among thousands
-// of routes would cost by their square.
+// Routes with the same targets share one load balancer class: classes are searched and compared linearly, so that with a class for each of
+// thousands of routes a change would cost the square of their number.
 
 const (
-	fetchAim  = 4 // the part of its deadline within which a fetch is usual
-	lateShare = 0.3
+	fetchTargetDivisor = 4   // a fetch's target is at least deadline/fetchTargetDivisor
+	lateShare          = 0.3 // share of a class's requests that may miss the target
 )
 
-// classKey is what tells classes apart.
+// classKey holds the properties by which classes differ. target and deadline are those of the route; rank 0 is the highest.
 type classKey struct {
-	aim, deadline time.Duration
-	rank          int
-	kind          string
+	target, deadline time.Duration
+	rank             int
+	kind             string
 }
 
-func classKeyOf(r *clusterstate.Route, rank int) classKey {
-	key := classKey{aim: r.Target, deadline: r.Timeout, rank: rank, kind: r.Kind}
-	if key.aim <= 0 {
-		key.aim = key.deadline / 2
+// newClassKey returns the class key of a route's requests at a rank.
+func newClassKey(r *clusterstate.Route, rank int) classKey {
+	key := classKey{target: r.Target, deadline: r.Timeout, rank: rank, kind: r.Kind}
+	if key.target <= 0 {
+		key.target = key.deadline / 2
 	}
-	if r.Kind == clusterstate.Shelved { // a fetch serves all who come after it: what is late for one is no sign of overload
-		key.aim = max(key.aim, key.deadline/fetchAim)
+	// A fetch serves all later requests from the cache: one that misses a request's target is no sign of overload.
+	if r.Kind == clusterstate.Shelved {
+		key.target = max(key.target, key.deadline/fetchTargetDivisor)
 	}
 	return key
 }
 
+// String returns the class name.
 func (k classKey) String() string {
-	return fmt.Sprintf("%v %v rank %d %s", k.aim, k.deadline, k.rank, k.kind)
+	return fmt.Sprintf("%v %v rank %d %s", k.target, k.deadline, k.rank, k.kind)
 }
 
-// class is the decisions' class of that key.
-func (k classKey) class() balance.Class {
-	c := balance.Class{Name: k.String(), Aim: k.aim, Deadline: k.deadline, Worth: 1 / float64(1+k.rank), LateShare: lateShare}
+// balanceClass returns the load balancer class of the key.
+func (k classKey) balanceClass() balance.Class {
+	c := balance.Class{Name: k.String(), Aim: k.target, Deadline: k.deadline, Worth: 1 / float64(1+k.rank), LateShare: lateShare}
 	if k.kind != clusterstate.OnceOnly {
 		c.Effect = balance.Safe
 	}
 	return c
 }
 
-// classNames makes the names of classes, each once.
+// classNames caches the class names.
 type classNames map[classKey]string
 
-func (n classNames) of(key classKey) string {
-	name, known := n[key]
+// name returns the class name of a key, and adds it if it is new.
+func (n classNames) name(key classKey) string {
+	className, known := n[key]
 	if !known {
-		name = key.String()
-		n[key] = name
+		className = key.String()
+		n[key] = className
 	}
-	return name
+	return className
 }
--- a/internal/cdn/edge/configure_bench_test.go
+++ b/internal/cdn/edge/configure_bench_test.go
@@ -13,7 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// manyRoutes is a configuration of so many routes of two services, the first with a time of its own, and of so many tenants of two keys each.
+// manyRoutes returns a configuration with that many routes over two services and that many tenants with two keys each. The first route has
+// its own timeout.
 func manyRoutes(b testing.TB, routes, tenants, firstTimeoutMS int) *clusterstate.Manifest {
 	b.Helper()
 	var text strings.Builder
@@ -28,7 +29,7 @@
 			`"target":"%dms","precedence":2,"carrier":"s-%d","tries":2,"shelf":"20s"}},`, i, i%7, i, kinds[i%3], timeout, 120+10*(i%3), i%2)
 	}
 	for i := range tenants {
-		text.WriteString(tenant(fmt.Sprint("t-", i), i%3, fmt.Sprint("k-", i), fmt.Sprint("l-", i)))
+		text.WriteString(tenantJSON(fmt.Sprint("t-", i), i%3, fmt.Sprint("k-", i), fmt.Sprint("l-", i)))
 	}
 	text.WriteString(`{"parcel_kind":"carriers","label":{"name":"s-0"},"manifest":{"line_cap":130,"rate_per_s":380}},{"parcel_kind":"carriers","label":{"name":"s-1"},"manifest":{"line_cap":130}}]}`)
 	m, err := clusterstate.ParseManifest([]byte(text.String()))
@@ -36,15 +37,16 @@
 	return m
 }
 
-// What a change of one route costs an edge beside the reading of the configuration, by how many routes and tenants there are, until the decisions have it.
+// BenchmarkConfigurationInForce measures a change of one route, without parsing the configuration, until the load balancers have it, by the
+// number of routes and tenants.
 // `go test -run XXX -bench ConfigurationInForce ./internal/cdn/edge`
 func BenchmarkConfigurationInForce(b *testing.B) {
 	for _, size := range []struct{ routes, tenants int }{{14, 0}, {300, 0}, {1400, 0}, {5000, 0}, {14, 87}, {1400, 87}, {1400, 2000}} {
 		b.Run(fmt.Sprintf("%d/%d tenants", size.routes, size.tenants), func(b *testing.B) {
 			life, end := context.WithCancel(b.Context())
 			defer end()
-			f := &Edge{log: hclog.NewNullLogger(), replica: statesync.New(), changes: make(chan func(), 4096), life: life}
-			f.set.MemoryMB, f.set.FileHandles = 256, 4096
+			f := &Edge{log: hclog.NewNullLogger(), replica: statesync.New(), changes: make(chan func(), 4096), lifetime: life}
+			f.config.MemoryMB, f.config.FileHandles = 256, 4096
 			f.init()
 			s := clusterstate.New()
 			s.Body = clusterstate.Text("{}")
@@ -58,7 +60,7 @@
 				version++
 				m := *versions[version%2]
 				m.Version, s.Version = version, version
-				f.configure(s, &m)
+				f.applyConfig(s, &m)
 				for len(f.changes) > 0 {
 					(<-f.changes)()
 				}
--- a/internal/cdn/edge/edge.go
+++ b/internal/cdn/edge/edge.go
@@ -1,6 +1,6 @@
-// Package edge is the proxy's process: it takes clients' requests on a counter machine, finds their route in the common
-// configuration, and sends them on, shelved ones by way of the cache router that the interval table names. All decisions
-// about servers and cache routers are balance's, hosted by exchange as in the router in service.
+// Package edge is the proxy process (router). It accepts client requests, finds their route in the replicated configuration and forwards
+// them to servers; requests for cacheable (shelved) objects go through the cache router that the balancer's interval table names. Package
+// balance chooses servers and cache routers; package exchange runs it, as in the existing router.
 package edge
 
 import (
@@ -37,198 +37,204 @@
 var Error = errs.Class("edge")
 
 const (
-	maxLent      = 64 << 20                // bytes of a body that is taken from another cache router
-	cachePart    = 4                       // of the memory, for copies
-	bodiesPart   = 5                       // and for requests over the usual length
-	notReadyFor  = 2600 * time.Millisecond // after SIGTERM, until the platform has seen it twice
-	endMargin    = 700 * time.Millisecond  // of grace, kept back at most
-	endPart      = 8                       // and so much of it: what is in hand has longer than five sixths of grace
-	fdsReserved  = 400
-	viewMost     = 10
-	mingleEvery  = 3 * time.Second
-	mbpsPerCore  = 800 // that a core bears, with small bodies among them; an estimate, for weights alone
-	memoryTarget = 0.8 // of the memory, past which garbage is collected at once
+	maxPeerBodyBytes      = 64 << 20                // upper bound of a body's bytes from another cache router
+	cacheMemoryDivisor    = 4                       // of the memory, for cached objects
+	bodyMemoryDivisor     = 5                       // of the memory, for buffered bodies of long requests
+	notReadyPeriod        = 2600 * time.Millisecond // after SIGTERM, until the platform has polled the readiness endpoint twice
+	maxShutdownMargin     = 700 * time.Millisecond  // upper bound of the part of grace that is kept back
+	shutdownMarginDivisor = 8                       // of grace, that is kept back: requests in flight have more than five sixths of grace
+	reservedFDs           = 400                     // file handles that are not for server connections
+	maxViewPeers          = 10                      // neighbours in the partial view
+	peerSamplingInterval  = 3 * time.Second
+	mbpsPerCore           = 800 // estimate of what a core can carry, small bodies included; used only for weights
+	memoryLimitFraction   = 0.8 // soft memory limit of the Go runtime, as a fraction of the memory
 )
 
-// Edge is the process. Run starts it.
+// Edge is the proxy process. Run starts it.
 type Edge struct {
-	set         bootconfig.Settings
+	config      bootconfig.Settings
 	log         hclog.Logger
-	decisions   *slog.Logger // of the decisions' hosts
+	balanceLog  *slog.Logger // for the load balancer loops
 	peers       *peerrpc.Peers
 	replica     *statesync.Replica
-	view        *peersampling.View
+	peerView    *peersampling.View
 	cache       *objectcache.Cache
-	bodies      *exchange.Budget // of long requests
+	bodyBudget  *exchange.Budget // bytes of long request bodies that may be buffered at once
 	clock       exchange.Clock
-	counts      exchange.Counters
-	lists       atomic.Int64      // of servers, that the decisions of services were told
-	callers     *departure.Ledger // who waits for answers, and who has left
-	link        *link             // the machine's, to clients and others
-	from        *link             // and from others
+	counters    exchange.Counters
+	serverLists atomic.Int64      // number of server lists that were sent to load balancers
+	callers     *departure.Ledger // clients and peers that wait for a response, and those that have left
+	outbound    *link             // bandwidth to clients and other routers
+	inbound     *link             // bandwidth from other routers
 	sender      *upstream.Sender
-	zoneCaches  *cacheTier // to a key's cache router in the own zone
-	shields     *cacheTier // to its shield
-	zoneShields *cacheTier // to a shield in the own zone, if there is one
+	zoneCaches  *cacheTier // to a key's cache router, own zone first
+	shields     *cacheTier // to a key's shield
+	zoneShields *cacheTier // to a key's shield, own zone first
 
-	plan     atomic.Pointer[plan] // what requests are served by
-	changes  chan func()          // what follows from news and may wait, in order
-	ready    atomic.Bool
-	ending   atomic.Bool
-	lastWord atomic.Bool // every answer is the last of its connection
+	plan         atomic.Pointer[plan] // the configuration in force; nil until it is known
+	changes      chan func()          // deferred work of state changes, run in order by runChanges
+	ready        atomic.Bool
+	shuttingDown atomic.Bool
+	closeConns   atomic.Bool // every response closes its connection
 
-	// Under the replica's lock:
-	services map[string]*service
-	started  map[string]balance.Time
-	relisted map[string]bool // services whose decisions have not heard of the last changes of their servers
+	// Guarded by the replica's lock:
+	services        map[string]*service
+	warmupStarts    map[string]balance.Time // by server: start of its warm-up
+	changedServices map[string]bool         // services whose server list is out of date at the load balancers
 
-	listPause time.Duration // listTogether; 0: each change is told by itself
+	listDelay time.Duration // listDebounce; 0: each change is sent at once
 
-	meter *usage.Meter    // of the tenants' requests; nil where none are reported
-	truth *truetime.Clock // the time of day, for report windows
+	meter     *usage.Meter    // counts the tenants' requests; nil if usage is not reported
+	wallClock *truetime.Clock // wall clock time for report windows
 
-	fetches fetches
-	lent    calls // by others, in hand
-	life    context.Context
-	running sync.WaitGroup
+	fetches      fetches
+	inboundCalls callCounter // calls from other routers in flight
+	lifetime     context.Context
+	tasks        sync.WaitGroup
 }
 
-// Run serves until the context ends, then ends in order.
-func Run(ctx context.Context, set bootconfig.Settings, log hclog.Logger) error {
-	clients := slices.Contains(set.Serves, "counter") || set.Counter != ""
+// Run serves until the context ends, then shuts down gracefully within the grace period.
+func Run(ctx context.Context, config bootconfig.Settings, log hclog.Logger) error {
+	clients := slices.Contains(config.Serves, "counter") || config.Counter != ""
 	switch {
-	case clients && set.Counter == "":
+	case clients && config.Counter == "":
 		return Error.New("network.listen_on.counter: missing")
-	case clients && set.Readiness == "":
+	case clients && config.Readiness == "":
 		return Error.New("network.listen_on.readiness: missing")
 	}
-	debug.SetMemoryLimit(int64(float64(set.MemoryMB<<20) * memoryTarget))
-	life, end := context.WithCancel(context.Background())
-	defer end()
-	e := &Edge{set: set, log: log, peers: peerrpc.NewPeers(), replica: statesync.New(),
-		cache: objectcache.New(int64(set.MemoryMB<<20) / cachePart), clock: exchange.NewClock(), changes: make(chan func(), 4096),
-		life: life, listPause: listTogether}
+	debug.SetMemoryLimit(int64(float64(config.MemoryMB<<20) * memoryLimitFraction))
+	life, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	e := &Edge{config: config, log: log, peers: peerrpc.NewPeers(), replica: statesync.New(),
+		cache: objectcache.New(int64(config.MemoryMB<<20) / cacheMemoryDivisor), clock: exchange.NewClock(), changes: make(chan func(), 4096),
+		lifetime: life, listDelay: listDebounce}
 	e.init()
-	own := set.Inner(set.IP, bootconfig.EdgePort)
-	e.view = peersampling.New(own, viewMost, mrand.Uint64())
-	e.replica.Set, e.replica.Peers, e.replica.Log = set, e.peers, log.Named("statesync")
-	e.replica.Router = clusterstate.Router{Node: set.Node, Zone: set.Zone, Address: own, Weight: weight(set), Inner: !clients}
-	e.replica.Took, e.replica.Neighbours = e.took, e.view.Neighbours
-	if e.truth != nil {
-		e.replica.Heard = func(_ string, wall, _, answered time.Time) { e.truth.Hear(coreClock, wall, answered) }
+	own := config.Inner(config.IP, bootconfig.EdgePort)
+	e.peerView = peersampling.New(own, maxViewPeers, mrand.Uint64())
+	e.replica.Set, e.replica.Peers, e.replica.Log = config, e.peers, log.Named("statesync")
+	e.replica.Router = clusterstate.Router{Node: config.Node, Zone: config.Zone, Address: own, Weight: machineWeight(config), Inner: !clients}
+	e.replica.Took, e.replica.Neighbours = e.applyChange, e.peerView.Neighbours
+	if e.wallClock != nil {
+		e.replica.Heard = func(_ string, wall, _, answered time.Time) { e.wallClock.Hear(coreClockSource, wall, answered) }
 	}
 
 	inner, err := net.Listen("tcp", own)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	var front *front
+	var front *clientFrontend
 	if clients {
-		if front, err = e.open(); err != nil {
+		if front, err = e.openFrontend(); err != nil {
 			return err
 		}
 	}
-	e.running.Go(func() { e.zoneCaches.loop.Run(life) })
-	e.running.Go(func() { e.shields.loop.Run(life) })
-	e.running.Go(func() { e.zoneShields.loop.Run(life) })
-	e.running.Go(func() { e.follow(life) })
-	e.running.Go(func() { e.sweep(life) })
-	e.running.Go(func() { e.mingle(life) })
-	e.running.Go(func() { e.tell(life) })
+	e.tasks.Go(func() { e.zoneCaches.loop.Run(life) })
+	e.tasks.Go(func() { e.shields.loop.Run(life) })
+	e.tasks.Go(func() { e.zoneShields.loop.Run(life) })
+	e.tasks.Go(func() { e.runChanges(life) })
+	e.tasks.Go(func() { e.runMaintenance(life) })
+	e.tasks.Go(func() { e.runPeerSampling(life) })
+	e.tasks.Go(func() { e.reportDemand(life) })
 	if e.meter != nil {
-		e.running.Go(func() { e.reportUsage(life) })
+		e.tasks.Go(func() { e.reportUsage(life) })
 	}
-	e.running.Go(func() { e.showOnSignal(life) })
+	e.tasks.Go(func() { e.logStateOnSignal(life) })
 	go e.replica.Run(life)
-	go peerrpc.Serve(inner, "Edge", func(s *peerrpc.Session) any { return &peerCalls{e, s} })
-	metrics.Serve(life, set, log, e.figures()...)
+	go peerrpc.Serve(inner, "Edge", func(s *peerrpc.Session) any { return &peerHandler{e, s} })
+	metrics.Serve(life, config, log, e.collectors()...)
 	if front != nil {
 		front.serve()
 	}
-	log.Info("started", "address", set.Counter, "zone", set.Zone, "weight", e.replica.Router.Weight)
+	log.Info("started", "address", config.Counter, "zone", config.Zone, "weight", e.replica.Router.Weight)
 
 	<-ctx.Done()
-	e.ending.Store(true)
-	begun := time.Now()
+	e.shuttingDown.Store(true)
+	started := time.Now()
 	if front != nil {
-		front.end(begun)
-		e.reportLast()
+		front.shutdown(started)
+		e.reportFinalUsage()
 	} else {
-		e.lent.end(lastMoment(begun, set.Bounds.Grace))
+		e.inboundCalls.waitIdle(shutdownDeadline(started, config.Bounds.Grace))
 	}
-	log.Info("ended in order", "after", time.Since(begun).Round(time.Millisecond))
+	log.Info("shutdown complete", "after", time.Since(started).Round(time.Millisecond))
 	return nil
 }
 
-// weight is what a machine can carry beside others, in Mbit/s: its link, or what its part of a core bears.
-func weight(set bootconfig.Settings) float64 { return max(min(set.LinkMbps, set.Cores*mbpsPerCore), 1) }
+// machineWeight returns a machine's capacity in Mbit/s, relative to other machines: the lower of its link and its share of a core.
+func machineWeight(config bootconfig.Settings) float64 {
+	return max(min(config.LinkMbps, config.Cores*mbpsPerCore), 1)
+}
 
-// front is where clients and the platform come in. A machine that serves no clients has none, and only lends copies.
-type front struct {
+// clientFrontend holds the listeners for clients and for the platform's readiness probe. A machine that serves no clients has none and only
+// serves cached objects to other routers.
+type clientFrontend struct {
 	edge               *Edge
-	readiness, counter net.Listener
+	readiness, clients net.Listener
 	listener           *clientListener
 	server             *http.Server
 }
 
-func (e *Edge) open() (*front, error) {
-	readiness, err := net.Listen("tcp", e.set.Readiness)
+// openFrontend opens the listeners.
+func (e *Edge) openFrontend() (*clientFrontend, error) {
+	readiness, err := net.Listen("tcp", e.config.Readiness)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	counter, err := net.Listen("tcp", e.set.Counter)
+	clients, err := net.Listen("tcp", e.config.Counter)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return &front{edge: e, readiness: readiness, counter: counter}, nil
+	return &clientFrontend{edge: e, readiness: readiness, clients: clients}, nil
 }
 
-func (t *front) serve() {
-	t.listener = newClientListener(t.counter)
-	t.server = &http.Server{Handler: http.HandlerFunc(t.edge.serve), ConnState: t.listener.state, ConnContext: withConnection, ReadHeaderTimeout: longestHeader, IdleTimeout: longestIdle,
+// serve starts accepting clients and readiness probes.
+func (t *clientFrontend) serve() {
+	t.listener = newClientListener(t.clients)
+	t.server = &http.Server{Handler: http.HandlerFunc(t.edge.serve), ConnState: t.listener.state, ConnContext: withConnection, ReadHeaderTimeout: maxHeaderTimeout, IdleTimeout: maxIdleTimeout,
 		MaxHeaderBytes: 64 << 10, ErrorLog: t.edge.log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})}
 	go t.server.Serve(t.listener)
-	t.edge.running.Go(func() { t.listener.limit(t.edge.life, t.edge.limits) })
-	gate := &http.Server{Handler: http.HandlerFunc(t.edge.serveReady), ReadHeaderTimeout: 2 * time.Second}
-	go gate.Serve(t.readiness)
+	t.edge.tasks.Go(func() { t.listener.enforceLimits(t.edge.lifetime, t.edge.clientLimits) })
+	readyServer := &http.Server{Handler: http.HandlerFunc(t.edge.serveReady), ReadHeaderTimeout: 2 * time.Second}
+	go readyServer.Serve(t.readiness)
 }
 
-// limits are what clients may do by the configuration in force.
-func (e *Edge) limits() clusterstate.Limits {
+// clientLimits returns the client limits of the configuration in force, or the defaults.
+func (e *Edge) clientLimits() clusterstate.Limits {
 	if p := e.plan.Load(); p != nil {
 		return p.Limits
 	}
 	return clusterstate.UsualLimits
 }
 
-// end is the end in order: not ready, then no new connections, then what is in hand.
-func (t *front) end(begun time.Time) {
-	t.edge.log.Info("ending: takes what still comes until the platform sends no more")
-	time.Sleep(min(notReadyFor, t.edge.set.Bounds.Grace/2))
-	t.edge.lastWord.Store(true)
-	if left := t.listener.drain(lastMoment(begun, t.edge.set.Bounds.Grace)); left > 0 {
-		t.edge.log.Warn("ended with requests in hand", "connections", left)
+// shutdown ends gracefully: it reports not ready, then accepts no new connections, then waits for the requests in flight.
+func (t *clientFrontend) shutdown(started time.Time) {
+	t.edge.log.Info("shutting down: accepting requests until the platform stops sending them")
+	time.Sleep(min(notReadyPeriod, t.edge.config.Bounds.Grace/2))
+	t.edge.closeConns.Store(true)
+	if left := t.listener.drain(shutdownDeadline(started, t.edge.config.Bounds.Grace)); left > 0 {
+		t.edge.log.Warn("shutdown timed out with requests in flight", "connections", left)
 	}
 	t.server.Close()
 }
 
-// lastMoment is until when an end in order waits for what is in hand.
-func lastMoment(begun time.Time, grace time.Duration) time.Time {
-	return begun.Add(grace - min(endMargin, grace/endPart))
+// shutdownDeadline returns until when a shutdown that began at started waits for requests in flight.
+func shutdownDeadline(started time.Time, grace time.Duration) time.Time {
+	return started.Add(grace - min(maxShutdownMargin, grace/shutdownMarginDivisor))
 }
 
+// serveReady answers the platform's readiness probe.
 func (e *Edge) serveReady(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/ready" {
 		http.NotFound(w, r)
 		return
 	}
-	if !e.ready.Load() || e.ending.Load() {
+	if !e.ready.Load() || e.shuttingDown.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// follow carries out, in order, what follows from news.
-func (e *Edge) follow(ctx context.Context) {
+// runChanges runs the deferred work of state changes, in order, until the context ends.
+func (e *Edge) runChanges(ctx context.Context) {
 	for {
 		select {
 		case do := <-e.changes:
@@ -239,15 +245,16 @@
 	}
 }
 
-func (e *Edge) sweep(ctx context.Context) {
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+// runMaintenance refreshes cached copies and, less often, reweighs servers and closes idle connections, until the context ends.
+func (e *Edge) runMaintenance(ctx context.Context) {
+	ticker := time.NewTicker(refreshInterval)
+	defer ticker.Stop()
 	for turn := 1; ; turn++ {
 		select {
-		case now := <-look.C:
+		case now := <-ticker.C:
 			e.refreshDue(now)
 			if turn%10 == 0 {
-				e.weigh()
+				e.reweighServers()
 			}
 			if turn%20 == 0 {
 				e.sender.Pool.Sweep(now)
@@ -258,67 +265,67 @@
 	}
 }
 
-// init makes what hangs on the settings alone.
+// init creates what depends only on the settings.
 func (e *Edge) init() {
-	e.link, e.from = newLink(e.set.LinkMbps), newLink(e.set.LinkMbps)
+	e.outbound, e.inbound = newLink(e.config.LinkMbps), newLink(e.config.LinkMbps)
 	e.callers = departure.NewLedger()
 	e.callers.LogBreaches(e.log)
 	if e.log == nil {
 		e.log = hclog.NewNullLogger()
 	}
-	e.decisions = slog.New(decisionLog{log: e.log.Named("decisions")})
-	e.services, e.started, e.relisted = map[string]*service{}, map[string]balance.Time{}, map[string]bool{}
-	e.bodies = exchange.NewBudget(int64(e.set.MemoryMB<<20) / bodiesPart)
-	e.fetches.all = map[level]*fetch{}
-	if e.set.Platform.ReportsUsage() {
-		e.meter, e.truth = usage.NewMeter(e.set.Node, newLife(), e.set.Platform.ReportWindow), truetime.New(time.Now(), false)
+	e.balanceLog = slog.New(balanceLogHandler{log: e.log.Named("decisions")})
+	e.services, e.warmupStarts, e.changedServices = map[string]*service{}, map[string]balance.Time{}, map[string]bool{}
+	e.bodyBudget = exchange.NewBudget(int64(e.config.MemoryMB<<20) / bodyMemoryDivisor)
+	e.fetches.inFlight = map[fetchKey]*fetch{}
+	if e.config.Platform.ReportsUsage() {
+		e.meter, e.wallClock = usage.NewMeter(e.config.Node, newProcessID(), e.config.Platform.ReportWindow), truetime.New(time.Now(), false)
 	}
-	e.sender = upstream.NewSender(max(e.set.FileHandles/2-fdsReserved, 64), &e.counts)
+	e.sender = upstream.NewSender(max(e.config.FileHandles/2-reservedFDs, 64), &e.counters)
 	e.zoneShields = newCacheTier(e, true, true)
 	e.zoneCaches, e.shields = newCacheTier(e, false, true), newCacheTier(e, true, false)
 }
 
-// mingle keeps this router's partial view of the others: now and then it is exchanged in part with one of them. The roster is
-// only asked for somebody to begin with, or when nobody in the view answers any more.
-func (e *Edge) mingle(ctx context.Context) {
+// runPeerSampling maintains this router's partial view of the other routers, by periodically exchanging part of it with one of them. The
+// roster is used only to bootstrap the view, or when too few of its routers answer.
+func (e *Edge) runPeerSampling(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(mingleEvery/2 + mrand.N(mingleEvery)):
+		case <-time.After(peerSamplingInterval/2 + mrand.N(peerSamplingInterval)):
 		}
-		if len(e.view.Neighbours()) < viewMost/2 {
+		if len(e.peerView.Neighbours()) < maxViewPeers/2 {
 			e.replica.Read(func(s *clusterstate.State) {
-				for _, r := range s.Routers { // in no order, and until the view is full
-					if r.Node != e.set.Node {
-						e.view.Meet(r.Address)
+				for _, r := range s.Routers { // in random order, until the view is full
+					if r.Node != e.config.Node {
+						e.peerView.Meet(r.Address)
 					}
 				}
 			})
 		}
-		ask, offer := e.view.Begin(e.replica.Index())
-		if ask == "" {
+		peer, offer := e.peerView.Begin(e.replica.Index())
+		if peer == "" {
 			continue
 		}
-		call, done := context.WithTimeout(ctx, time.Second)
-		answer, err := peerrpc.Call[[]peersampling.Neighbour, []peersampling.Neighbour](call, e.peers.At(ask), "Edge.Mingle", &offer)
-		if done(); err != nil {
-			e.log.Debug("a neighbour is gone", "err", err)
+		callCtx, cancel := context.WithTimeout(ctx, time.Second)
+		answer, err := peerrpc.Call[[]peersampling.Neighbour, []peersampling.Neighbour](callCtx, e.peers.At(peer), "Edge.Mingle", &offer)
+		if cancel(); err != nil {
+			e.log.Debug("neighbour does not answer", "err", err)
 			continue
 		}
-		e.view.End(answer, offer)
+		e.peerView.End(answer, offer)
 	}
 }
 
-// newLoop returns a host for decisions, with this process's clock and counters.
-func (e *Edge) newLoop(set balance.Settings, sender exchange.Sender, pool *exchange.Pool) *exchange.Loop {
+// newLoop returns a load balancer loop with this process's clock and counters.
+func (e *Edge) newLoop(settings balance.Settings, sender exchange.Sender, pool *exchange.Pool) *exchange.Loop {
 	l := exchange.NewLoop()
-	l.Clock, l.Counts, l.Log, l.Pool, l.Sender, l.Teller = e.clock, &e.counts, e.decisions, pool, sender, nobody{}
-	l.Settings, l.Seed = set, mrand.Uint64()
+	l.Clock, l.Counts, l.Log, l.Pool, l.Sender, l.Teller = e.clock, &e.counters, e.balanceLog, pool, sender, noTeller{}
+	l.Settings, l.Seed = settings, mrand.Uint64()
 	return l
 }
 
-// nobody is told nothing: the system's routers learn of one another by the common state.
-type nobody struct{}
+// noTeller implements the balancer's peer messages by dropping them: routers learn of one another from the replicated state.
+type noTeller struct{}
 
-func (nobody) Tell(int, []byte) {}
+func (noTeller) Tell(int, []byte) {}
--- a/internal/cdn/edge/fetches.go
+++ b/internal/cdn/edge/fetches.go
@@ -7,75 +7,76 @@
 	"cedarmast/internal/cdn/objectcache"
 )
 
-// fetch is one question to the servers that several requests wait for. It goes on while one of them waits.
+// fetch is one request to the servers that several client requests may wait for. It continues while one of them waits.
 type fetch struct {
 	done   chan struct{}
-	got    Fetched
-	caller *departure.Caller // all who wait, taken together
+	result Fetched
+	caller *departure.Caller // stands for all waiters together
 
-	clientKey string // of the one who began it: servers are shown his tenant
+	clientKey string // key of the request that started it: servers see that key's tenant
 
-	abandoned bool // it ended after the last who waited had left; set before done is closed
+	abandoned bool // it ended after the last waiter had left; set before done is closed
 
-	// Under the lock of all fetches:
-	waiting int
-	kept    bool // for the router's own account: nobody need wait
-	left    bool // nobody waits any more
-	settled bool // it has ended
+	// Guarded by fetches.mu:
+	waiters    int  // number of waiters
+	background bool // started by the router itself: continues without waiters
+	allLeft    bool // the last waiter has left
+	ended      bool // the fetch has ended
 }
 
+// fetches holds the fetches in flight, so that requests for the same object share one.
 type fetches struct {
-	mu  sync.Mutex
-	all map[level]*fetch
+	mu       sync.Mutex
+	inFlight map[fetchKey]*fetch
 }
 
-// join counts one more who waits, or with waits false keeps the fetch. The caller holds the lock.
+// join adds a waiter or, if waits is false, lets the fetch continue without waiters. The caller holds fetches.mu.
 func (w *fetch) join(waits bool) {
 	if waits {
-		w.waiting++
+		w.waiters++
 	} else {
-		w.kept = true
+		w.background = true
 	}
 }
 
-// leave counts one who waits no longer. With the last one the fetch ends, but for what was sent and becomes a copy: whoever asks for
-// the object meanwhile waits for that.
-func (f *fetches) leave(at level, w *fetch) {
+// leave removes a waiter. When the last one leaves the fetch is cancelled, except for an attempt that was sent and whose response will be
+// cached: requests for the object that arrive meanwhile join it.
+func (f *fetches) leave(key fetchKey, w *fetch) {
 	f.mu.Lock()
-	w.waiting--
-	ends := w.waiting == 0 && !w.kept && !w.left && !w.settled
-	if ends {
-		w.left = true
-		if !w.caller.Finishing() && f.all[at] == w {
-			delete(f.all, at)
+	w.waiters--
+	last := w.waiters == 0 && !w.background && !w.allLeft && !w.ended
+	if last {
+		w.allLeft = true
+		if !w.caller.Finishing() && f.inFlight[key] == w {
+			delete(f.inFlight, key)
 		}
 	}
 	f.mu.Unlock()
-	if ends {
+	if last {
 		w.caller.Leave()
 	}
 }
 
-// settled takes a fetch that has ended out.
-func (f *fetches) settled(at level, w *fetch) {
+// remove marks a fetch as ended and removes it.
+func (f *fetches) remove(key fetchKey, w *fetch) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w.settled, w.abandoned = true, w.left
-	if f.all[at] == w {
-		delete(f.all, at)
+	w.ended, w.abandoned = true, w.allLeft
+	if f.inFlight[key] == w {
+		delete(f.inFlight, key)
 	}
 }
 
-// level keeps what a router asks as a zone's cache router apart from what it asks as a shield: neither waits for the other
-// in a circle.
-type level struct {
+// fetchKey identifies a fetch. A router's fetches as a zone's cache router are separate from its fetches as a shield, so that they can't
+// wait for each other in a cycle.
+type fetchKey struct {
 	objectcache.Key
-	home bool
+	toShield bool
 }
 
-// count is how many are under way.
+// count returns the number of fetches in flight.
 func (f *fetches) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.all)
+	return len(f.inFlight)
 }
--- a/internal/cdn/edge/fleet_bench_test.go
+++ b/internal/cdn/edge/fleet_bench_test.go
@@ -7,7 +7,7 @@
 	"cedarmast/internal/cdn/clusterstate"
 )
 
-// What one change costs a proxy of a large fleet, until its decisions have it.
+// BenchmarkFleetChange measures one state change at a router of a large fleet, until the load balancers have it.
 // `go test -run XXX -bench FleetChange ./internal/cdn/edge`
 func BenchmarkFleetChange(b *testing.B) {
 	changes := map[string]func(i int) clusterstate.Command{
@@ -30,8 +30,8 @@
 		b.Run(name, func(b *testing.B) {
 			f, s := largeFleet(b)
 			for i := 0; b.Loop(); i++ {
-				f.give(b, s, change(i))
-				f.settle()
+				f.apply(b, s, change(i))
+				f.flush()
 			}
 		})
 	}
--- a/internal/cdn/edge/fleet_test.go
+++ b/internal/cdn/edge/fleet_test.go
@@ -23,13 +23,13 @@
 	fleetServers = 178
 )
 
-// largeFleet is an edge of a large fleet whose decisions run, and the state that it was told.
+// largeFleet returns a router of a large fleet with running load balancers, and the state that it was given.
 func largeFleet(t testing.TB) (*Edge, *clusterstate.State) {
 	t.Helper()
 	life, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
-	f := &Edge{log: hclog.NewNullLogger(), replica: statesync.New(), changes: make(chan func(), 4096), life: life, cache: objectcache.New(64 << 20)}
-	f.set.MemoryMB, f.set.FileHandles, f.set.Node, f.set.Zone = 184, 4100, "n-0", "z-0"
+	f := &Edge{log: hclog.NewNullLogger(), replica: statesync.New(), changes: make(chan func(), 4096), lifetime: life, cache: objectcache.New(64 << 20)}
+	f.config.MemoryMB, f.config.FileHandles, f.config.Node, f.config.Zone = 184, 4100, "n-0", "z-0"
 	f.init()
 	s := clusterstate.New()
 	s.Index, s.Version, s.Body = 1, 2, clusterstate.Text("{}")
@@ -48,14 +48,15 @@
 	m := manyRoutes(t, 22, 0, 1500)
 	m.Version = s.Version
 	for _, tier := range []*cacheTier{f.zoneCaches, f.shields, f.zoneShields} {
-		f.running.Go(func() { tier.loop.Run(life) })
+		f.tasks.Go(func() { tier.loop.Run(life) })
 	}
-	f.took(s, clusterstate.Command{Taken: m}, s.Index, true)
-	f.settle()
+	f.applyChange(s, clusterstate.Command{Taken: m}, s.Index, true)
+	f.flush()
 	assert.Equal(t, f.plan.Load().Version, m.Version)
 	return f, s
 }
 
+// fleetServer returns server i of the fleet.
 func fleetServer(i int) clusterstate.Server {
 	service := "s-1"
 	if i < 2 {
@@ -64,30 +65,31 @@
 	return clusterstate.Server{ID: fmt.Sprint("i-", i), Service: service, Address: fmt.Sprintf("10.1.0.%d:9", i), Zone: fmt.Sprint("z-", i%6), Slots: 2, State: clusterstate.Open}
 }
 
-// settle returns once the decisions have all that they were told.
-func (e *Edge) settle() {
+// flush runs all deferred changes and returns once the load balancers have them.
+func (e *Edge) flush() {
 	for len(e.changes) > 0 {
 		(<-e.changes)()
 	}
 	for _, sv := range e.services {
 		for _, l := range sv.loops() {
-			l.Retune(sv.tuned)
+			l.Retune(sv.applied)
 		}
 	}
 }
 
-// give has the edge hear of a command as the next change of the state.
-func (e *Edge) give(t testing.TB, s *clusterstate.State, c clusterstate.Command) {
+// apply applies a command as the next change of the state.
+func (e *Edge) apply(t testing.TB, s *clusterstate.State, c clusterstate.Command) {
 	assert.Equal(t, s.Apply(s.Index+1, c).Status, clusterstate.Done)
-	e.took(s, c, s.Index, false)
+	e.applyChange(s, c, s.Index, false)
 }
 
-// On a large deployment the release of a third of the servers took more of the processors than all requests: each change of one server cut two
-// interval tables anew that nobody looks a key up in, and each cut left every server's part in more pieces.
-func TestWorkOfAServerChange(t *testing.T) {
+// A server change must not rebuild interval tables. On a large deployment the release of a third of the servers took more CPU time than all
+// requests: each change of one server rebuilt two interval tables in which no key is ever looked up, and each rebuild split every server's
+// part into more pieces.
+func TestServerChangeAllocations(t *testing.T) {
 	const (
-		changes     = 300
-		mostPerKilo = 3 << 20 // bytes that a change may allocate for each thousand servers
+		changes        = 300
+		maxPerThousand = 3 << 20 // bytes that a change may allocate per thousand servers
 	)
 	f, s := largeFleet(t)
 	var before, after runtime.MemStats
@@ -97,37 +99,37 @@
 		if sv.Beat = uint64(i + 1); i/100%2 == 0 {
 			sv.State = clusterstate.Closing
 		}
-		if sv.State == clusterstate.Open { // another one in the same place
+		if sv.State == clusterstate.Open { // another server in its place
 			sv.ID += "-next"
 		}
-		f.give(t, s, clusterstate.Command{Server: &sv})
-		f.settle()
+		f.apply(t, s, clusterstate.Command{Server: &sv})
+		f.flush()
 	}
 	runtime.ReadMemStats(&after)
-	each := (after.TotalAlloc - before.TotalAlloc) / changes
-	assert.Assert(t, each < mostPerKilo*fleetServers/1000, "%d bytes a change", each)
+	perChange := (after.TotalAlloc - before.TotalAlloc) / changes
+	assert.Assert(t, perChange < maxPerThousand*fleetServers/1000, "%d bytes per change", perChange)
 }
 
-// Servers that leave together are one list.
-func TestServersThatLeaveTogether(t *testing.T) {
+// Server changes within listDelay are sent as one list.
+func TestServerChangesAreBatched(t *testing.T) {
 	f, s := largeFleet(t)
-	f.listPause = time.Hour // the test tells when it is over
-	told := f.lists.Load()
+	f.listDelay = time.Hour // the test ends the delay itself
+	sent := f.serverLists.Load()
 	for i := range 28 {
 		sv := fleetServer(2 + i)
 		sv.Beat, sv.State = 1, clusterstate.Closing
-		f.give(t, s, clusterstate.Command{Server: &sv})
+		f.apply(t, s, clusterstate.Command{Server: &sv})
 	}
-	assert.Equal(t, f.lists.Load(), told)
-	f.tellServers(s)
-	assert.Equal(t, f.lists.Load(), told+1)
-	f.tellServers(s)
-	assert.Equal(t, f.lists.Load(), told+1, "nothing has changed since")
+	assert.Equal(t, f.serverLists.Load(), sent)
+	f.pushServerLists(s)
+	assert.Equal(t, f.serverLists.Load(), sent+1)
+	f.pushServerLists(s)
+	assert.Equal(t, f.serverLists.Load(), sent+1, "list sent without a change")
 }
 
-// A server is drawn as often as its weight says, and one that has gone is not.
-func TestWeightedDraw(t *testing.T) {
-	d := newWeightedDraw()
+// Servers are selected in proportion to their weights, and removed servers are not selected.
+func TestWeightedPlacement(t *testing.T) {
+	d := newWeightedPlacement()
 	assert.Equal(t, d.Owner(7), balance.ServerID(""))
 	d.Follow(map[balance.ServerID]float64{"gone": 5})
 	weights := map[balance.ServerID]float64{"a": 1, "b": 2, "c": 0.5, "d": 4}
--- a/internal/cdn/edge/frames_test.go
+++ b/internal/cdn/edge/fuzz_test.go
@@ -14,16 +14,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// wire is a connection on which somebody has written something and hung up.
-type wire struct {
+// fakeConn is a connection whose peer has sent some bytes and closed it.
+type fakeConn struct {
 	io.Reader
 	io.Writer
 }
 
-func (wire) Close() error { return nil }
+// Close does nothing.
+func (fakeConn) Close() error { return nil }
 
-// FuzzFrames is what anybody may send to the port between routers: it ends in an error or an answer, nothing is stored and the
-// state stays as it is.
+// FuzzFrames sends arbitrary bytes to the port between routers: they must end in an error or a response, nothing may be cached, and the
+// state must not change.
 func FuzzFrames(f *testing.F) {
 	frame := func(method string, args any) []byte {
 		var b bytes.Buffer
@@ -40,15 +41,15 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		p := &Edge{}
 		p.init()
-		p.view = peersampling.New("me", 4, 1)
+		p.peerView = peersampling.New("me", 4, 1)
 		s := newReplicaForTest()
 		p.replica, p.cache = s, objectcache.New(1<<20)
 		server := rpc.NewServer()
-		assert.NilError(t, server.RegisterName("Edge", &peerCalls{edge: p}))
-		server.ServeConn(wire{bytes.NewReader(text), io.Discard})
+		assert.NilError(t, server.RegisterName("Edge", &peerHandler{edge: p}))
+		server.ServeConn(fakeConn{bytes.NewReader(text), io.Discard})
 		assert.Equal(t, s.Index(), uint64(0))
 		n, _ := p.cache.Size()
 		assert.Equal(t, n, 0)
-		assert.Assert(t, len(p.view.Neighbours()) <= 4)
+		assert.Assert(t, len(p.peerView.Neighbours()) <= 4)
 	})
 }
--- a/internal/cdn/edge/keys.go
+++ b/internal/cdn/edge/keys.go
@@ -10,49 +10,49 @@
 	"cedarmast/internal/cdn/upstream"
 )
 
-// This file is what becomes of clients' keys: who may ask at all, for which tenant a request runs, and by which rank.
+// This file checks client keys: whether a request may run, for which tenant it runs, and at which rank.
 
-// errKeyGone is the cause where a request's key is held by no tenant.
-var errKeyGone = errors.New("no tenant holds the key")
+// errUnknownKey is the error of a request whose key is held by no tenant.
+var errUnknownKey = errors.New("no tenant holds the key")
 
-// Denial is why a request does not run for its client's key, as one router tells it to another.
+// Denial is the reason why a request must not run with its client's key. Routers send it to each other.
 type Denial int
 
 // The denials.
 const (
-	notDenied Denial = iota
-	keyGone          // no tenant holds the key
-	notProven        // the router can't prove whether one does
+	notDenied   Denial = iota
+	keyUnknown         // no tenant holds the key
+	keyUnproven        // the router can't prove whether a tenant holds it
 )
 
-// denialOf is the denial that an order's error stands for. An error without a denial of its own says no more than that it has not run.
+// denialOf maps an order's error to a denial. Any other error maps to keyUnproven: it says only that the request has not run.
 func denialOf(err error) Denial {
 	switch {
 	case err == nil:
 		return notDenied
-	case errors.Is(err, errKeyGone):
-		return keyGone
+	case errors.Is(err, errUnknownKey):
+		return keyUnknown
 	}
-	return notProven
+	return keyUnproven
 }
 
-// denied is the answer to a question whose client's key was refused.
-func denied(err error) Fetched {
-	return Fetched{Refuse: comeAgain.Milliseconds(), Denied: denialOf(err)}
+// deniedFetch returns the response to a peer's fetch whose client key was refused.
+func deniedFetch(err error) Fetched {
+	return Fetched{Refuse: defaultRetryAfter.Milliseconds(), Denied: denialOf(err)}
 }
 
-// deny answers a request that has not run for its key.
+// deny answers a request that was not run because of its key: 401 for an unknown key, else 503.
 func (q *request) deny(why Denial) {
-	if why == keyGone {
+	if why == keyUnknown {
 		q.final(http.StatusUnauthorized, nil, nil)
 		return
 	}
-	q.refuse(comeAgain)
+	q.refuse(defaultRetryAfter)
 }
 
-// admit looks at a client's key by the plan, before anything else is done for the request. It is false once that is answered. Where there are
-// tenants, servers are shown neither the key nor what the client calls itself.
-func (e *Edge) admit(q *request) bool {
+// authenticate checks the client's key against the plan, before any other work is done for the request, and sets q.tenant. It returns false
+// if it has answered the request. If tenants are configured, servers see neither the key nor the sender name that the client sent.
+func (e *Edge) authenticate(q *request) bool {
 	if values := q.Header[upstream.HeaderKey]; len(values) == 1 {
 		q.clientKey = values[0]
 	}
@@ -65,69 +65,72 @@
 		return true
 	}
 	if q.tenant = q.plan.keys.Find(q.clientKey); q.tenant == nil {
-		q.deny(denialOf(e.unknownKey(q.clientKey)))
+		q.deny(denialOf(e.unknownKeyError(q.clientKey)))
 	}
 	return q.tenant != nil
 }
 
-// unknownKey is why a request does not run whose key was not found in a plan: the key may be newer than what this router holds, or than the plan
-// that was looked at. The proof is read before the plan.
-func (e *Edge) unknownKey(clientKey string) error {
+// unknownKeyError returns why a request whose key was not found in a plan must not run: errNotProven if the key may be newer than this
+// router's state or than the plan that was checked, else errUnknownKey. The proof is read before the plan.
+func (e *Edge) unknownKeyError(clientKey string) error {
 	if !e.current() {
 		return errNotProven
 	}
 	if keys := e.plan.Load().keys; keys == nil || keys.Find(clientKey) != nil {
 		return errNotProven
 	}
-	return errKeyGone
+	return errUnknownKey
 }
 
-// permit returns what an order asks right before an attempt: the tenant's name by the plan that is in force then, not by that of the arrival.
-func (e *Edge) permit(route, clientKey string) func() (sender string, err error) {
+// permitFunc returns the check that an order runs right before each attempt. It returns the tenant's name according to the plan in force at
+// that time, not at the request's arrival, or the reason why the request must not run.
+func (e *Edge) permitFunc(route, clientKey string) func() (sender string, err error) {
 	return func() (string, error) {
-		if !e.plan.Load().asks(route, clientKey) {
+		if !e.plan.Load().requiresKey(route, clientKey) {
 			return "", nil
 		}
-		if err := e.mayRun(time.Now()); err != nil { // before the look: the plan that is looked at then lacks no removal that the proof covers
+		if err := e.checkProof(time.Now()); err != nil { // before the plan is loaded, so that the plan lacks no removal that the proof covers
 			return "", err
 		}
 		p := e.plan.Load()
-		if !p.asks(route, clientKey) {
+		if !p.requiresKey(route, clientKey) {
 			return "", nil
 		}
 		if t := p.keys.Find(clientKey); t != nil {
 			return t.Name, nil
 		}
-		return "", e.unknownKey(clientKey)
+		return "", e.unknownKeyError(clientKey)
 	}
 }
 
-// tenantTable finds and ranks a plan's tenants. The zero value is that of a configuration without any.
+// tenantTable looks up and ranks a plan's tenants. The zero value is that of a configuration without tenants.
 type tenantTable struct {
-	keys           *clusterstate.KeyTable // nil without tenants
-	onePerPriority []*clusterstate.Tenant // one of each priority, the highest first
-	routeRanks     int                    // how many priorities the routes have
+	keys            *clusterstate.KeyTable // nil without tenants
+	onePerPriority  []*clusterstate.Tenant // one tenant of each priority, the highest priority (lowest number) first
+	routePriorities int                    // number of priorities that routes may have
 }
 
-func tenantTableOf(m *clusterstate.Manifest) (h tenantTable) {
+// newTenantTable builds the tenant table of a configuration.
+func newTenantTable(m *clusterstate.Manifest) (table tenantTable) {
 	if len(m.Tenants) == 0 {
-		return h
+		return table
 	}
-	h.keys, h.routeRanks = clusterstate.NewKeyTable(m), 1
+	table.keys, table.routePriorities = clusterstate.NewKeyTable(m), 1
 	for i := range m.Tenants {
-		h.onePerPriority = append(h.onePerPriority, &m.Tenants[i])
+		table.onePerPriority = append(table.onePerPriority, &m.Tenants[i])
 	}
 	byPriority := func(a, b *clusterstate.Tenant) int { return a.Priority - b.Priority }
-	slices.SortStableFunc(h.onePerPriority, byPriority)
-	h.onePerPriority = slices.CompactFunc(h.onePerPriority, func(a, b *clusterstate.Tenant) bool { return byPriority(a, b) == 0 })
+	slices.SortStableFunc(table.onePerPriority, byPriority)
+	table.onePerPriority = slices.CompactFunc(table.onePerPriority, func(a, b *clusterstate.Tenant) bool { return byPriority(a, b) == 0 })
 	for i := range m.Routes {
-		h.routeRanks = max(h.routeRanks, m.Routes[i].Priority+1)
+		table.routePriorities = max(table.routePriorities, m.Routes[i].Priority+1)
 	}
-	return h
+	return table
 }
 
-// asks tells whether requests on a route need a key. One of a route that is gone meanwhile runs for the key that it came with.
-func (p *plan) asks(route, clientKey string) bool {
+// requiresKey reports whether requests on a route need a key. For a route that has been removed meanwhile, a request that came with a key
+// needs it.
+func (p *plan) requiresKey(route, clientKey string) bool {
 	if p.keys == nil {
 		return false
 	}
@@ -137,25 +140,26 @@
 	return clientKey != ""
 }
 
-// tenant is who holds a key on a route; nil if nobody does or the route asks for none.
-func (p *plan) tenant(r *clusterstate.Route, clientKey string) *clusterstate.Tenant {
+// tenantFor returns the tenant that holds a key on a route; nil if there is none or the route requires no key.
+func (p *plan) tenantFor(r *clusterstate.Route, clientKey string) *clusterstate.Tenant {
 	if p.keys == nil || r.Unsealed {
 		return nil
 	}
 	return p.keys.Find(clientKey)
 }
 
-// rank orders requests, 0 the highest: by their tenant's priority, then by their route's. Without a tenant they rank with the highest.
+// rank returns a request's rank, 0 being the highest: ordered by the tenant's priority, then by the route's. Requests without a tenant rank
+// with the highest tenant's.
 func (p *plan) rank(r *clusterstate.Route, t *clusterstate.Tenant) int {
 	rank := max(r.Priority, 0)
 	if t != nil {
-		rank += (t.Priority - p.onePerPriority[0].Priority) * p.routeRanks
+		rank += (t.Priority - p.onePerPriority[0].Priority) * p.routePriorities
 	}
 	return rank
 }
 
-// eachPriority is one tenant of each priority whose requests may come on a route; a lone nil where none is asked for.
-func (p *plan) eachPriority(r *clusterstate.Route) []*clusterstate.Tenant {
+// tenantPerPriority returns one tenant of each priority whose requests may come on a route; a single nil if the route requires no key.
+func (p *plan) tenantPerPriority(r *clusterstate.Route) []*clusterstate.Tenant {
 	if p.keys == nil || r.Unsealed {
 		return []*clusterstate.Tenant{nil}
 	}
--- a/internal/cdn/edge/keys_test.go
+++ b/internal/cdn/edge/keys_test.go
@@ -15,33 +15,34 @@
 	"gotest.tools/v3/assert"
 )
 
-func tenant(name string, priority int, keys ...string) string {
+// tenantJSON returns a tenant's entry in a configuration.
+func tenantJSON(name string, priority int, keys ...string) string {
 	return fmt.Sprintf(`{"parcel_kind":"senders","label":{"name":%q},"manifest":{"stamps":["%s"],"precedence":%d}},`, name, strings.Join(keys, `","`), priority)
 }
 
 var (
-	keyedRoutes = threeRoutes + strings.Replace(parcel("u", "resendable", "/u/"), `"tries"`, `"unsealed":true,"tries"`, 1)
-	twoTenants  = tenant("wax", 0, "k-1") + tenant("ink", 0, "k-2", "k-3")
+	keyedRoutesJSON = threeRoutesJSON + strings.Replace(routeJSON("u", "resendable", "/u/"), `"tries"`, `"unsealed":true,"tries"`, 1)
+	twoTenantsJSON  = tenantJSON("wax", 0, "k-1") + tenantJSON("ink", 0, "k-2", "k-3")
 )
 
-// configured is a further version of the keyed routes with such tenants.
-func configured(version int, tenants string) clusterstate.Command {
-	return clusterstate.Command{Put: fmt.Appendf(nil, `{"edition":"r%d","based_on":"r%d","parcels":[%s{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{}}]}`, version, version-1, keyedRoutes+tenants)}
+// keyedConfig returns the command that puts a further version of the keyed routes with these tenants.
+func keyedConfig(version int, tenants string) clusterstate.Command {
+	return clusterstate.Command{Put: fmt.Appendf(nil, `{"edition":"r%d","based_on":"r%d","parcels":[%s{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{}}]}`, version, version-1, keyedRoutesJSON+tenants)}
 }
 
-// secondServer adds a server of the service, at the same address.
+// secondServer returns the command that adds a second server at the same address.
 func secondServer(o *origin) clusterstate.Command {
 	return clusterstate.Command{Server: &clusterstate.Server{ID: "i-2", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.Open, Beat: 1}}
 }
 
-// settle waits until the decisions have what was given.
-func settle(f *Edge) {
+// waitForChanges waits until the load balancers have all changes applied so far.
+func waitForChanges(f *Edge) {
 	done := make(chan struct{})
-	f.later(func() { close(done) })
+	f.enqueue(func() { close(done) })
 	<-done
 }
 
-// tenants are those that the server was told, in order.
+// tenants returns the tenant names that the server was sent, in order.
 func (o *origin) tenants() (all []string) {
 	for _, i := range o.identities() {
 		all = append(all, i.tenant)
@@ -49,33 +50,33 @@
 	return all
 }
 
-// Servers are told the tenant that holds the client's key and never the key; who has none is answered before anything is done for him.
-func TestServersAreToldTheTenant(t *testing.T) {
-	const nothing = "nothing reaches a server"
+// Servers see the tenant that holds the client's key and never the key. A request without a valid key is answered before any work is done.
+func TestServersSeeTenantNotKey(t *testing.T) {
+	const nothing = "no request reaches a server"
 	cases := []struct {
 		name, tenants, target string
 		head                  []string
 		status                int
 		shown                 string // tenant and key
 	}{
-		{"a key", twoTenants, "/r/1", []string{"Key", "k-1"}, 200, "wax "},
-		{"another tenant's", twoTenants, "/r/1", []string{"Key", "k-3"}, 200, "ink "},
-		{"a client that calls itself another", twoTenants, "/r/1", []string{"Key", "k-1", "Sender", "ink"}, 200, "wax "},
-		{"what runs once", twoTenants, "/o/1", []string{"Key", "k-1", "Sender", "ink"}, 200, "wax "},
-		{"an object", twoTenants, "/s/1", []string{"Key", "k-1"}, 200, "wax "},
-		{"no key", twoTenants, "/r/1", []string{"Sender", "wax"}, 401, nothing},
-		{"an unknown key", twoTenants, "/o/1", []string{"Key", "k-4"}, 401, nothing},
-		{"an unknown key for an object", twoTenants, "/s/1", []string{"Key", "k-4"}, 401, nothing},
-		{"a tenant's name for a key", twoTenants, "/r/1", []string{"Key", "wax"}, 401, nothing},
-		{"an unknown key where none is needed", twoTenants, "/u/1", []string{"Key", "k-4", "Sender", "wax"}, 200, " "},
-		{"a key where none is needed", twoTenants, "/u/1", []string{"Key", "k-1"}, 200, " "},
-		{"no route", twoTenants, "/none/1", nil, 404, nothing},
+		{"valid key", twoTenantsJSON, "/r/1", []string{"Key", "k-1"}, 200, "wax "},
+		{"key of another tenant", twoTenantsJSON, "/r/1", []string{"Key", "k-3"}, 200, "ink "},
+		{"forged sender", twoTenantsJSON, "/r/1", []string{"Key", "k-1", "Sender", "ink"}, 200, "wax "},
+		{"once-only route", twoTenantsJSON, "/o/1", []string{"Key", "k-1", "Sender", "ink"}, 200, "wax "},
+		{"cacheable route", twoTenantsJSON, "/s/1", []string{"Key", "k-1"}, 200, "wax "},
+		{"no key", twoTenantsJSON, "/r/1", []string{"Sender", "wax"}, 401, nothing},
+		{"unknown key", twoTenantsJSON, "/o/1", []string{"Key", "k-4"}, 401, nothing},
+		{"unknown key on a cacheable route", twoTenantsJSON, "/s/1", []string{"Key", "k-4"}, 401, nothing},
+		{"tenant name as key", twoTenantsJSON, "/r/1", []string{"Key", "wax"}, 401, nothing},
+		{"unknown key on an open route", twoTenantsJSON, "/u/1", []string{"Key", "k-4", "Sender", "wax"}, 200, " "},
+		{"valid key on an open route", twoTenantsJSON, "/u/1", []string{"Key", "k-1"}, 200, " "},
+		{"no route", twoTenantsJSON, "/none/1", nil, 404, nothing},
 		{"no tenants", "", "/r/1", []string{"Key", "k-4", "Sender", "me"}, 200, "me k-4"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			o := newOrigin(t)
-			f, _ := lone(t, o, keyedRoutes+c.tenants)
+			f, _ := newTestEdge(t, o, keyedRoutesJSON+c.tenants)
 			a := f.get(t, http.DefaultClient, listen(t, f), "GET", c.target, "", c.head...)
 			shown := nothing
 			for _, i := range o.identities() {
@@ -84,83 +85,84 @@
 			assert.Equal(t, fmt.Sprint(a.status, ", ", shown), fmt.Sprint(c.status, ", ", c.shown))
 			if c.status == 401 {
 				assert.Equal(t, a.body, "")
-				assert.Equal(t, f.counts.Attempts.Load(), int64(0), "something was begun for it")
+				assert.Equal(t, f.counters.Attempts.Load(), int64(0), "attempts for a request without a valid key")
 			}
 		})
 	}
 }
 
-// A copy answers every tenant's clients, and nobody else. Whoever does not know a key and can't prove that it knows the newest ones says so.
-func TestCopiesAreForHoldersOfKeys(t *testing.T) {
+// A cached copy is served to clients of every tenant, and to nobody else. A router that does not know a key, and can't prove that it knows
+// the newest ones, answers 503 instead of 401.
+func TestCachedCopiesRequireKey(t *testing.T) {
 	o := newOrigin(t)
-	f, _ := lone(t, o, keyedRoutes+twoTenants)
+	f, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
 	url := listen(t, f)
 	status := func(key string) int {
 		return f.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", key).status
 	}
 	assert.Equal(t, status("k-1"), 200)
 	assert.Equal(t, status("k-2"), 200)
-	assert.Equal(t, status("k-4"), 401, "a copy is handed to anybody")
+	assert.Equal(t, status("k-4"), 401, "a cached copy is served without a valid key")
 	assert.Equal(t, len(o.seen()), 1)
-	f.set.Bounds.Contact, f.replica.Set.Bounds.Contact = 0, 0 // and nothing has been heard since
+	f.config.Bounds.Contact, f.replica.Set.Bounds.Contact = 0, 0 // the proof is too old
 	assert.Equal(t, status("k-1"), 200)
 	a := f.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-4")
 	assert.Equal(t, a.status, 503, "the key may be newer")
 	assert.Assert(t, a.header.Get("Retry-After") != "")
 }
 
-// A key that goes while its request still comes is refused at once, and not after the request has waited for a server.
-func TestAKeyThatGoesWhileItsRequestComes(t *testing.T) {
+// A request whose key is removed while its body is being received is refused at once, before it waits for a server.
+func TestKeyRemovedDuringRequest(t *testing.T) {
 	o := newOrigin(t)
-	f, give := lone(t, o, keyedRoutes+twoTenants)
+	f, give := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
 	c, err := net.Dial("tcp", strings.TrimPrefix(listen(t, f), "http://"))
 	assert.NilError(t, err)
 	defer c.Close()
 	fmt.Fprint(c, "POST /o/1 HTTP/1.1\r\nHost: a.example\r\nTry-Id: slow\r\nKey: k-1\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n")
 	r := bufio.NewReader(c)
-	line, err := r.ReadString('\n') // its key was good, and its body is wanted
+	line, err := r.ReadString('\n') // the key was valid, and the body is requested
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(line, "100 Continue"), line)
-	give(configured(2, tenant("ink", 0, "k-2")))
+	give(keyedConfig(2, tenantJSON("ink", 0, "k-2")))
 	fmt.Fprint(c, "claim")
 	_, err = r.Discard(len("\r\n"))
 	assert.NilError(t, err)
 	resp, err := http.ReadResponse(r, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, http.StatusUnauthorized)
-	assert.Equal(t, f.counts.Attempts.Load(), int64(0))
+	assert.Equal(t, f.counters.Attempts.Load(), int64(0))
 }
 
-// Whatever is sent next where one server has failed is sent for the tenant that holds the key by then, or not at all. What has run is answered
-// as if its key were good.
-func TestKeysBetweenAttempts(t *testing.T) {
+// A retry after a failed attempt is sent for the tenant that holds the key at that time, or not at all. A request that has run is answered
+// with its result even if its key is gone.
+func TestKeyChangesBetweenAttempts(t *testing.T) {
 	cases := []struct {
-		name, then string // the tenants once the first server has the request
-		ran        bool   // it fails there, else it is turned away
+		name, then string // the tenants after the first server has received the request
+		ran        bool   // the first server runs it and fails, else it rejects it
 		status     int
-		shown      []string // tenants, at one server after the other
+		shown      []string // tenants in the order of attempts
 	}{
-		{"it stays", twoTenants, false, 200, []string{"wax", "wax"}},
-		{"it goes", tenant("ink", 0, "k-2"), false, 401, []string{"wax"}},
-		{"it goes, and the request has run", tenant("ink", 0, "k-2"), true, 500, []string{"wax"}},
-		{"it moves", tenant("wax", 0, "k-9") + tenant("ink", 0, "k-1", "k-2"), false, 200, []string{"wax", "ink"}},
-		{"all tenants go", "", false, 200, []string{"wax", ""}},
+		{"key stays", twoTenantsJSON, false, 200, []string{"wax", "wax"}},
+		{"key removed", tenantJSON("ink", 0, "k-2"), false, 401, []string{"wax"}},
+		{"key removed after the request has run", tenantJSON("ink", 0, "k-2"), true, 500, []string{"wax"}},
+		{"key moves to another tenant", tenantJSON("wax", 0, "k-9") + tenantJSON("ink", 0, "k-1", "k-2"), false, 200, []string{"wax", "ink"}},
+		{"all tenants removed", "", false, 200, []string{"wax", ""}},
 	}
 	for _, c := range cases {
 		for _, target := range []string{"/r/1", "/o/1", "/s/1"} {
 			t.Run(c.name+" "+target, func(t *testing.T) {
 				o := newOrigin(t)
-				f, give := lone(t, o, keyedRoutes+twoTenants)
+				f, give := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
 				give(secondServer(o))
-				settle(f)
+				waitForChanges(f)
 				gate := make(chan struct{})
-				if o.wait, o.notRun = gate, 1; c.ran {
+				if o.gate, o.notRun = gate, 1; c.ran {
 					o.notRun, o.status = 0, 500
 				}
 				url, got := listen(t, f), make(chan answer, 1)
 				go func() { got <- f.get(t, http.DefaultClient, url, "GET", target, "", "Key", "k-1") }()
-				eventually(t, "the first server has it", func() bool { return len(o.seen()) == 1 })
-				give(configured(2, c.then))
+				eventually(t, "the first server has the request", func() bool { return len(o.seen()) == 1 })
+				give(keyedConfig(2, c.then))
 				close(gate)
 				a := <-got
 				assert.DeepEqual(t, o.tenants(), c.shown)
@@ -170,31 +172,32 @@
 	}
 }
 
-// A fetch that several wait for runs for the one who began it. When his key goes he alone is refused: the others begin anew.
-func TestAGatheredFetchRunsForTheOneWhoBeganIt(t *testing.T) {
+// A shared fetch runs with the key of the request that started it. If that key is removed only that request is refused; the others start a
+// new fetch.
+func TestSharedFetchUsesStarterKey(t *testing.T) {
 	for _, goes := range []bool{false, true} {
-		t.Run(fmt.Sprint("his key goes: ", goes), func(t *testing.T) {
+		t.Run(fmt.Sprint("key removed: ", goes), func(t *testing.T) {
 			o := newOrigin(t)
-			f, give := lone(t, o, keyedRoutes+twoTenants)
+			f, give := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
 			give(secondServer(o))
-			settle(f)
+			waitForChanges(f)
 			gate := make(chan struct{})
-			o.set(func() { o.wait = gate })
+			o.set(func() { o.gate = gate })
 			url, first, second := listen(t, f), make(chan answer, 1), make(chan answer, 1)
 			go func() { first <- f.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-1") }()
-			eventually(t, "a server has it", func() bool { return len(o.seen()) == 1 })
+			eventually(t, "a server has the request", func() bool { return len(o.seen()) == 1 })
 			go func() { second <- f.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-2") }()
 			eventually(t, "both wait", func() bool {
 				f.fetches.mu.Lock()
 				defer f.fetches.mu.Unlock()
-				for _, w := range f.fetches.all {
-					return w.waiting == 2
+				for _, w := range f.fetches.inFlight {
+					return w.waiters == 2
 				}
 				return false
 			})
 			want, shown := 200, []string{"wax"}
 			if goes {
-				give(configured(2, tenant("ink", 0, "k-2")))
+				give(keyedConfig(2, tenantJSON("ink", 0, "k-2")))
 				o.set(func() { o.notRun = 1 })
 				want, shown = 401, []string{"wax", "ink"}
 			}
@@ -206,34 +209,35 @@
 	}
 }
 
-// A cache router that asks a server for another one's client names the tenant by its own configuration, which is the same or a later one.
-func TestTheMachineThatSendsNamesTheTenant(t *testing.T) {
+// A cache router that sends a request to a server for another router's client names the tenant according to its own configuration, which is
+// the same or newer.
+func TestSendingRouterNamesTenant(t *testing.T) {
 	cases := []struct {
-		name, lender string // the lender's tenants
-		outOfTouch   bool   // the lender
+		name, lender string // lender: the tenants at the other cache router
+		outOfTouch   bool   // whether that router's proof is too old
 		status       int
 		shown        []string
 	}{
-		{"the same", twoTenants, false, 200, []string{"wax"}},
-		{"the key is gone there", tenant("ink", 0, "k-2"), false, 401, nil},
-		{"the key is not known there, where nothing is proven", tenant("ink", 0, "k-2"), true, 200, []string{"wax"}},
-		{"the key has moved there", tenant("ink", 0, "k-1"), false, 200, []string{"ink"}},
+		{"same configuration", twoTenantsJSON, false, 200, []string{"wax"}},
+		{"key removed there", tenantJSON("ink", 0, "k-2"), false, 401, nil},
+		{"key unknown there without a proof", tenantJSON("ink", 0, "k-2"), true, 200, []string{"wax"}},
+		{"key moved there", tenantJSON("ink", 0, "k-1"), false, 200, []string{"ink"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			o := newOrigin(t)
-			lender, toLender := lone(t, o, keyedRoutes+twoTenants)
-			if toLender(configured(2, c.lender)); c.outOfTouch {
-				lender.set.Bounds.Contact = 0
+			lender, toLender := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+			if toLender(keyedConfig(2, c.lender)); c.outOfTouch {
+				lender.config.Bounds.Contact = 0
 			}
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			assert.NilError(t, err)
 			t.Cleanup(func() { l.Close() })
-			go peerrpc.Serve(l, "Edge", func(s *peerrpc.Session) any { return &peerCalls{lender, s} })
-			asker, give := lone(t, o, keyedRoutes+twoTenants)
+			go peerrpc.Serve(l, "Edge", func(s *peerrpc.Session) any { return &peerHandler{lender, s} })
+			asker, give := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
 			give(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "lender", Zone: "a", Address: l.Addr().String()}}})
 			give(clusterstate.Command{Absent: "me"})
-			settle(asker)
+			waitForChanges(asker)
 			a := asker.get(t, http.DefaultClient, listen(t, asker), "GET", "/s/1", "", "Key", "k-1")
 			assert.Equal(t, a.status, c.status)
 			assert.DeepEqual(t, o.tenants(), c.shown)
@@ -241,11 +245,11 @@
 	}
 }
 
-// A copy is asked about under the id and the key of the last one who wanted it, which belong together; once the key is gone it is not.
-func TestRefreshesRunForTheLastOneWhoWantedTheCopy(t *testing.T) {
+// A refresh uses the id and the key of the last request for the copy, which belong together. After the key is removed there is no refresh.
+func TestRefreshUsesLastRequestersKey(t *testing.T) {
 	o := newOrigin(t)
-	f, give := lone(t, o, keyedRoutes+twoTenants)
-	url, ripe := listen(t, f), func() time.Time { return time.Now().Add(16 * time.Second) } // of twenty
+	f, give := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+	url, ripe := listen(t, f), func() time.Time { return time.Now().Add(16 * time.Second) } // of a shelf life of 20 s
 	refreshed := func(n int) {
 		t.Helper()
 		f.refreshDue(ripe())
@@ -260,21 +264,22 @@
 	all := o.identities()
 	assert.Equal(t, fmt.Sprint(all[1:]), fmt.Sprint([]identity{{"", "wax", ""}, {b.header.Get("Try-Id"), "ink", ""}, {"", "ink", ""}}))
 	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-2").status, 200)
-	give(configured(2, tenant("wax", 0, "k-1")))
+	give(keyedConfig(2, tenantJSON("wax", 0, "k-1")))
 	f.refreshDue(ripe())
-	assert.Equal(t, f.fetches.count(), 0, "asked about for a key that is gone")
+	assert.Equal(t, f.fetches.count(), 0, "refresh with a removed key")
 	assert.Equal(t, len(o.seen()), 4)
 }
 
-// A tenant's rank goes before the route's; where all tenants rank alike, or there are none, the routes' ranks are as they were.
-func TestRanksOfTenants(t *testing.T) {
+// Requests rank by the tenant's priority first, then by the route's. If all tenants have the same priority, or there are none, only the
+// route's priority counts.
+func TestTenantRanks(t *testing.T) {
 	shop := []clusterstate.Share{{Service: "shop", Weight: 1}}
 	high, low := clusterstate.Route{Name: "h", Priority: 0, Split: shop}, clusterstate.Route{Name: "l", Priority: 2, Split: shop}
 	open := clusterstate.Route{Name: "o", Priority: 1, Split: shop, Unsealed: true}
 	cases := []struct {
 		name    string
 		tenants []clusterstate.Tenant
-		want    []int // high and low route of the first tenant, then of the second
+		want    []int // ranks on the high and low route of the first tenant, then of the second
 		classes int
 	}{
 		{"none", nil, []int{0, 2}, 3},
@@ -284,7 +289,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			m := &clusterstate.Manifest{Routes: []clusterstate.Route{high, low, open}, Tenants: c.tenants}
-			p := &plan{Manifest: m, tenantTable: tenantTableOf(m), ranks: ranks(m)}
+			p := &plan{Manifest: m, tenantTable: newTenantTable(m), topRanks: topRanks(m)}
 			of := []*clusterstate.Tenant{nil}
 			if len(c.tenants) > 0 {
 				of = []*clusterstate.Tenant{&m.Tenants[0], &m.Tenants[1]}
@@ -296,9 +301,9 @@
 			assert.DeepEqual(t, got, c.want)
 			assert.Equal(t, p.rank(&m.Routes[2], nil), 1)
 			sv := &service{name: "shop"}
-			assert.Assert(t, !p.low(&m.Routes[0], of[0], sv) && p.low(&m.Routes[1], of[0], sv))
-			assert.Equal(t, p.low(&m.Routes[0], of[len(of)-1], sv), c.want[len(c.want)-2] > 0)
-			assert.Equal(t, len((&Edge{}).settings(clusterstate.New(), p, "shop").Classes), c.classes)
+			assert.Assert(t, !p.ranksLow(&m.Routes[0], of[0], sv) && p.ranksLow(&m.Routes[1], of[0], sv))
+			assert.Equal(t, p.ranksLow(&m.Routes[0], of[len(of)-1], sv), c.want[len(c.want)-2] > 0)
+			assert.Equal(t, len((&Edge{}).loopSettings(clusterstate.New(), p, "shop").Classes), c.classes)
 		})
 	}
 }
--- a/internal/cdn/edge/link.go
+++ b/internal/cdn/edge/link.go
@@ -7,139 +7,144 @@
 	"time"
 )
 
-// link shares one direction of a thin link among the bodies that go over it. A long one goes piece by piece, each when the pieces before it are
-// about to have gone, and the one that has the least left goes first: what is short never waits behind more than a moment of what is long.
-// A wide link is not shared out.
+// link schedules one direction of a slow network link among the bodies that are sent over it. A long body is sent in chunks, each when the
+// chunks before it are almost out, and the body with the fewest bytes left goes first (shortest remaining first, with aging): a short body
+// never waits for more than a moment behind a long one. A fast link is not scheduled.
 type link struct {
-	mu    sync.Mutex
-	rate  float64   // bytes a second; 0: wide
-	free  time.Time // when all that was let out will have gone
-	queue turns
-	timer bool
+	mu        sync.Mutex
+	bytesPerS float64   // bytes per second; 0: a fast link that is not scheduled
+	freeAt    time.Time // when all that was sent so far will have left the link
+	queue     chunkQueue
+	timerSet  bool
 }
 
-// turn is a piece of a body that waits.
-type turn struct {
-	bytes, left int
-	begun       time.Time
-	let         chan struct{}
-	at          int // in the queue; -1: no more
+// chunk is part of a body that waits to be sent.
+type chunk struct {
+	bytes, remaining int
+	started          time.Time
+	granted          chan struct{}
+	index            int // index in the queue; -1: not in it
 }
 
 const (
-	thinMbps  = 100                   // below which a link is shared out
-	linkPart  = 0.95                  // of a link, for headers and what else goes over it
-	lead      = 15 * time.Millisecond // of what was let out that may still be on its way
-	piece     = 8 << 10
-	agingHalf = 400 * time.Millisecond // a body that has waited so long counts for half of what it has left
+	slowLinkMbps  = 100                    // slower links are scheduled
+	linkFraction  = 0.95                   // of the link's rate; the rest is for headers and other traffic
+	maxBacklog    = 15 * time.Millisecond  // of sent data that may still be queued at the link when the next chunk is sent
+	chunkBytes    = 8 << 10                // bytes
+	agingHalfTime = 400 * time.Millisecond // after this time a body counts as having half of its bytes left
 )
 
+// newLink returns the scheduler for a link of mbps Mbit/s.
 func newLink(mbps float64) *link {
 	l := &link{}
-	if mbps < thinMbps {
-		l.rate = mbps * 1e6 / 8 * linkPart
+	if mbps < slowLinkMbps {
+		l.bytesPerS = mbps * 1e6 / 8 * linkFraction
 	}
 	return l
 }
 
-// turns is a heap by what counts as left.
-type turns []*turn
+// chunkQueue is a heap ordered by the aged number of bytes left.
+type chunkQueue []*chunk
 
-func (q turns) Len() int { return len(q) }
-func (q turns) Less(i, j int) bool {
+func (q chunkQueue) Len() int { return len(q) }
+func (q chunkQueue) Less(i, j int) bool {
 	now := time.Now()
-	return q[i].weight(now) < q[j].weight(now)
+	return q[i].priority(now) < q[j].priority(now)
 }
-func (q turns) Swap(i, j int) { q[i], q[j] = q[j], q[i]; q[i].at, q[j].at = i, j }
-func (q *turns) Push(x any)   { t := x.(*turn); t.at = len(*q); *q = append(*q, t) }
-func (q *turns) Pop() any {
+func (q chunkQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i]; q[i].index, q[j].index = i, j }
+func (q *chunkQueue) Push(x any)   { t := x.(*chunk); t.index = len(*q); *q = append(*q, t) }
+func (q *chunkQueue) Pop() any {
 	old := *q
 	t := old[len(old)-1]
 	*q = old[:len(old)-1]
-	t.at = -1
+	t.index = -1
 	return t
 }
 
-func (t *turn) weight(now time.Time) float64 {
-	return float64(t.left) / (1 + float64(now.Sub(t.begun))/float64(agingHalf))
+// priority returns the body's bytes left, reduced by its age; the lowest is sent first.
+func (t *chunk) priority(now time.Time) float64 {
+	return float64(t.remaining) / (1 + float64(now.Sub(t.started))/float64(agingHalfTime))
 }
 
-// out notes bytes that go out without waiting.
-func (l *link) out(n int, now time.Time) {
+// record accounts for bytes that are sent without waiting.
+func (l *link) record(n int, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.spend(n, now)
+	l.reserve(n, now)
 }
 
-func (l *link) spend(n int, now time.Time) {
-	if l.rate <= 0 {
+// reserve accounts for bytes that are sent now. The caller holds the lock.
+func (l *link) reserve(n int, now time.Time) {
+	if l.bytesPerS <= 0 {
 		return
 	}
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
+	l.freeAt = l.freeAt.Add(time.Duration(float64(n) / l.bytesPerS * float64(time.Second)))
 }
 
-// wait returns when a piece of a body may go that has so much left and was begun then; an error when the context has ended before.
-func (l *link) wait(ctx context.Context, n, left int, begun time.Time) error {
+// wait blocks until n bytes may be sent of a body that has remaining bytes left and was started at that time. It fails if the context ends
+// first.
+func (l *link) wait(ctx context.Context, n, remaining int, started time.Time) error {
 	l.mu.Lock()
 	now := time.Now()
-	if l.rate <= 0 || len(l.queue) == 0 && l.free.Sub(now) < lead {
-		l.spend(n, now)
+	if l.bytesPerS <= 0 || len(l.queue) == 0 && l.freeAt.Sub(now) < maxBacklog {
+		l.reserve(n, now)
 		l.mu.Unlock()
 		return nil
 	}
-	t := &turn{bytes: n, left: left, begun: begun, let: make(chan struct{})}
+	t := &chunk{bytes: n, remaining: remaining, started: started, granted: make(chan struct{})}
 	heap.Push(&l.queue, t)
-	l.arm(now)
+	l.armTimer(now)
 	l.mu.Unlock()
 	select {
-	case <-t.let:
+	case <-t.granted:
 		return nil
 	case <-ctx.Done():
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t.at >= 0 {
-		heap.Remove(&l.queue, t.at)
+	if t.index >= 0 {
+		heap.Remove(&l.queue, t.index)
 	}
 	return ctx.Err()
 }
 
-// arm has the next turn looked at once it may be let. The caller holds the lock.
-func (l *link) arm(now time.Time) {
-	if !l.timer && len(l.queue) > 0 {
-		l.timer = true
-		time.AfterFunc(max(l.free.Sub(now)-lead, 0)+time.Millisecond, l.next)
+// armTimer schedules dispatch for when the next chunk may be sent. The caller holds the lock.
+func (l *link) armTimer(now time.Time) {
+	if !l.timerSet && len(l.queue) > 0 {
+		l.timerSet = true
+		time.AfterFunc(max(l.freeAt.Sub(now)-maxBacklog, 0)+time.Millisecond, l.dispatch)
 	}
 }
 
-func (l *link) next() {
+// dispatch lets the chunks go that may be sent now.
+func (l *link) dispatch() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.timer = false
+	l.timerSet = false
 	now := time.Now()
-	for len(l.queue) > 0 && l.free.Sub(now) < lead {
-		heap.Init(&l.queue) // waiting has changed what counts
-		t := heap.Pop(&l.queue).(*turn)
-		l.spend(t.bytes, now)
-		close(t.let)
+	for len(l.queue) > 0 && l.freeAt.Sub(now) < maxBacklog {
+		heap.Init(&l.queue) // priorities change with time
+		t := heap.Pop(&l.queue).(*chunk)
+		l.reserve(t.bytes, now)
+		close(t.granted)
 	}
-	l.arm(now)
+	l.armTimer(now)
 }
 
-// write writes a body, until the context ends.
+// write writes a body, in scheduled chunks if it is long, until the context ends.
 func (l *link) write(ctx context.Context, to func([]byte) (int, error), body []byte) {
-	if l.rate <= 0 || len(body) <= longBody {
-		l.out(len(body), time.Now())
+	if l.bytesPerS <= 0 || len(body) <= longBodyBytes {
+		l.record(len(body), time.Now())
 		to(body)
 		return
 	}
-	for begun := time.Now(); len(body) > 0; {
-		n := min(piece, len(body))
-		if l.wait(ctx, n, len(body), begun) != nil {
-			return // the client has gone
+	for started := time.Now(); len(body) > 0; {
+		n := min(chunkBytes, len(body))
+		if l.wait(ctx, n, len(body), started) != nil {
+			return // the client has disconnected
 		}
 		if _, err := to(body[:n]); err != nil {
 			return
--- a/internal/cdn/edge/listener.go
+++ b/internal/cdn/edge/listener.go
@@ -15,61 +15,62 @@
 )
 
 const (
-	limitEvery    = time.Second      // connections are held against the configuration's limits
-	longestIdle   = 10 * time.Minute // http.Server's own bounds, whatever the configuration says
-	longestHeader = time.Minute
+	limitInterval    = time.Second      // interval at which connections are checked against the configuration's limits
+	maxIdleTimeout   = 10 * time.Minute // http.Server's own timeouts, whatever the configuration says
+	maxHeaderTimeout = time.Minute
 )
 
-// clientListener keeps the clients' connections, so that the end closes those that have no request in hand and no other. http.Server's
-// own Shutdown goes by a state that it sets after a request has been read: one that came in that moment was passed on to a
-// server and lost its answer.
+// clientListener tracks the client connections, so that a shutdown closes exactly those without a request in progress. http.Server.Shutdown
+// relies on a state that is set only after a request has been read: a request that arrived in between was forwarded to a server and its
+// response was lost.
 type clientListener struct {
 	net.Listener
-	mu    sync.Mutex
-	all   map[*clientConn]struct{}
-	over  chan struct{} // closed once no connection can come any more
-	ended sync.Once
+	mu              sync.Mutex
+	conns           map[*clientConn]struct{}
+	acceptEnded     chan struct{} // closed once no further connection can be accepted
+	acceptEndedOnce sync.Once
 
-	looked time.Time // when connections were last held against the limits
+	checkedAt time.Time // when the connections were last checked against the limits
 }
 
-// clientConn is one client's connection.
+// clientConn is a client connection.
 type clientConn struct {
 	*halfclose.Conn
-	listener *clientListener
-	mu       sync.Mutex
-	busy     bool      // a byte of a request has been read, and its answer is not out
-	whole    bool      // with busy: the request's head has been read
-	since    time.Time // when it was accepted, its answer was out, or the first byte of a request was read
-	shut     bool
+	listener   *clientListener
+	mu         sync.Mutex
+	busy       bool      // a byte of a request has been read, and its response is not yet written
+	headerRead bool      // with busy: the request's header has been read
+	since      time.Time // when it was accepted, the last response was written, or the first byte of a request was read
+	closing    bool
 }
 
+// newClientListener wraps a listener.
 func newClientListener(l net.Listener) *clientListener {
-	return &clientListener{Listener: l, all: map[*clientConn]struct{}{}, over: make(chan struct{})}
+	return &clientListener{Listener: l, conns: map[*clientConn]struct{}{}, acceptEnded: make(chan struct{})}
 }
 
-// Accept takes the next connection.
+// Accept returns the next connection.
 func (l *clientListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		if errors.Is(err, net.ErrClosed) {
-			l.ended.Do(func() { close(l.over) })
+			l.acceptEndedOnce.Do(func() { close(l.acceptEnded) })
 		}
 		return nil, err
 	}
 	k := &clientConn{Conn: halfclose.New(c), listener: l, since: time.Now()}
 	l.mu.Lock()
-	l.all[k] = struct{}{}
+	l.conns[k] = struct{}{}
 	l.mu.Unlock()
 	return k, nil
 }
 
-// Read reads, and begins a request with its first byte. What comes to a connection that is shut is read by nobody.
+// Read reads; the first byte of a request marks the connection busy. Data that arrives on a connection that is being closed is dropped.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut {
+	if c.closing {
 		return 0, net.ErrClosed
 	}
 	if n > 0 && !c.busy {
@@ -78,30 +79,30 @@
 	return n, err
 }
 
-// Close closes it and lets it go.
+// Close closes the connection and removes it from the listener.
 func (c *clientConn) Close() error {
 	c.listener.mu.Lock()
-	delete(c.listener.all, c)
+	delete(c.listener.conns, c)
 	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// connectionKey is where a request's context has its connection.
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-// withConnection is http.Server's ConnContext.
+// withConnection adds the connection to a context, as http.Server's ConnContext.
 func withConnection(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, c)
 }
 
-// onLeave names what is called when the client of a request leaves after it has sent more on its connection.
-func onLeave(r *http.Request, f func()) {
+// onDisconnect sets the function that is called when the request's client disconnects after it has sent more data on its connection.
+func onDisconnect(r *http.Request, f func()) {
 	if c, ok := r.Context().Value(connectionKey{}).(*clientConn); ok {
 		c.OnLeave(f)
 	}
 }
 
-// state is http.Server's word on a connection: active means that a request's head has been read, idle that its answer is out.
+// state is http.Server's ConnState hook: active means that a request's header has been read, idle that its response is written.
 func (l *clientListener) state(c net.Conn, s http.ConnState) {
 	k, ok := c.(*clientConn)
 	if !ok {
@@ -111,62 +112,65 @@
 	defer k.mu.Unlock()
 	switch s {
 	case http.StateActive:
-		k.busy, k.whole = true, true
+		k.busy, k.headerRead = true, true
 	case http.StateIdle:
-		k.busy, k.whole, k.since = false, false, time.Now()
+		k.busy, k.headerRead, k.since = false, false, time.Now()
 	}
 }
 
-// limit closes the connections that rest for longer than the configuration in force allows, or whose request's head takes longer, until the
-// context ends. http.Server has such bounds as well, but can't change them while it runs.
-func (l *clientListener) limit(ctx context.Context, limits func() clusterstate.Limits) {
-	turn := time.NewTicker(limitEvery)
-	defer turn.Stop()
+// enforceLimits closes connections that are idle for longer than the configuration in force allows, or whose request header takes longer,
+// until the context ends. http.Server has such timeouts as well, but can't change them while it runs.
+func (l *clientListener) enforceLimits(ctx context.Context, limits func() clusterstate.Limits) {
+	ticker := time.NewTicker(limitInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-turn.C:
-			l.look(time.Now(), limits())
+		case <-ticker.C:
+			l.checkLimits(time.Now(), limits())
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// look holds the connections against the limits, but for the first time after the process stood still: what clients sent meanwhile has yet to be read.
-func (l *clientListener) look(now time.Time, limits clusterstate.Limits) {
-	stood := !l.looked.IsZero() && now.Sub(l.looked) > 2*limitEvery
-	l.looked = now
-	if !stood {
-		l.closeLate(now, limits)
+// checkLimits checks the connections against the limits. It skips the first check after the process was stalled: data that clients sent
+// meanwhile has not been read yet.
+func (l *clientListener) checkLimits(now time.Time, limits clusterstate.Limits) {
+	stalled := !l.checkedAt.IsZero() && now.Sub(l.checkedAt) > 2*limitInterval
+	l.checkedAt = now
+	if !stalled {
+		l.closeExpired(now, limits)
 	}
 }
 
-func (l *clientListener) closeLate(now time.Time, limits clusterstate.Limits) {
+// closeExpired closes the connections that exceed the limits.
+func (l *clientListener) closeExpired(now time.Time, limits clusterstate.Limits) {
 	for _, c := range l.connections() {
 		c.mu.Lock()
-		rests := now.Sub(c.since)
-		late := !c.busy && rests > limits.Idle || c.busy && !c.whole && rests > limits.Header
-		c.shut = c.shut || late
+		elapsed := now.Sub(c.since)
+		expired := !c.busy && elapsed > limits.Idle || c.busy && !c.headerRead && elapsed > limits.Header
+		c.closing = c.closing || expired
 		c.mu.Unlock()
-		if late {
+		if expired {
 			c.Close()
 		}
 	}
 }
 
+// connections returns the open connections.
 func (l *clientListener) connections() []*clientConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Collect(maps.Keys(l.all))
+	return slices.Collect(maps.Keys(l.conns))
 }
 
-// closeIdle closes the connections that have no request in hand and returns how many are left.
+// closeIdle closes the connections without a request in progress and returns how many are left.
 func (l *clientListener) closeIdle() int {
 	left := 0
 	for _, c := range l.connections() {
 		c.mu.Lock()
 		idle := !c.busy
-		c.shut = c.shut || idle
+		c.closing = c.closing || idle
 		c.mu.Unlock()
 		if idle {
 			c.Close()
@@ -177,18 +181,19 @@
 	return left
 }
 
-// drain takes no more connections, closes the idle ones as they fall idle, and returns how many have requests in hand at the end. One
-// that was accepted as the listener closed may not be among all yet: none is the last word only once the accepting has ended.
-func (l *clientListener) drain(until time.Time) (left int) {
+// drain accepts no more connections, closes each connection when it becomes idle, and returns how many still have a request in progress at
+// the deadline. A connection that was accepted just as the listener closed may not be in the set yet, so zero is final only once Accept has
+// failed.
+func (l *clientListener) drain(deadline time.Time) (left int) {
 	l.Listener.Close()
-	late := time.NewTimer(time.Until(until))
-	defer late.Stop()
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
 	select {
-	case <-l.over:
-	case <-late.C:
+	case <-l.acceptEnded:
+	case <-timer.C:
 	}
 	for {
-		if left = l.closeIdle(); left == 0 || !time.Now().Before(until) {
+		if left = l.closeIdle(); left == 0 || !time.Now().Before(deadline) {
 			return left
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/internal/cdn/edge/listener_test.go
+++ b/internal/cdn/edge/listener_test.go
@@ -18,13 +18,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// scripted is a connection whose reads come when the test says so.
-type scripted struct {
+// scriptedConn is a connection whose reads return bytes that the test supplies.
+type scriptedConn struct {
 	net.Conn
 	bytes chan byte
 }
 
-func (s *scripted) Read(b []byte) (int, error) {
+// Read returns the next byte.
+func (s *scriptedConn) Read(b []byte) (int, error) {
 	one, ok := <-s.bytes
 	if !ok {
 		return 0, io.EOF
@@ -33,54 +34,55 @@
 	return 1, nil
 }
 
-func (s *scripted) Close() error { return nil }
+// Close does nothing.
+func (s *scriptedConn) Close() error { return nil }
 
-// A hunt lost a request that came in the moment in which idle connections were closed: it had been read and was passed on, and its
-// connection went. Bytes that come first keep a connection open; those that come after are read by nobody.
-func TestIdleConnectionsAndTheFirstByte(t *testing.T) {
+// A byte that is read before idle connections are closed keeps its connection open; a byte that arrives later is dropped. Without this a
+// request was lost that arrived while idle connections were being closed: it was read and forwarded, and its connection was closed.
+func TestFirstByteKeepsConnectionOpen(t *testing.T) {
 	for _, byteFirst := range []bool{true, false} {
 		d := newClientListener(nil)
-		s := &scripted{bytes: make(chan byte, 1)}
+		s := &scriptedConn{bytes: make(chan byte, 1)}
 		c := &clientConn{Conn: halfclose.New(s), listener: d}
-		d.all[c] = struct{}{}
+		d.conns[c] = struct{}{}
 		buf := make([]byte, 1)
 		if byteFirst {
 			s.bytes <- 'G'
 			_, err := c.Read(buf)
 			assert.NilError(t, err)
 			assert.Equal(t, d.closeIdle(), 1)
-			d.state(c, http.StateIdle) // its answer is out
+			d.state(c, http.StateIdle) // the response is written
 		}
 		assert.Equal(t, d.closeIdle(), 0)
 		s.bytes <- 'G'
 		_, err := c.Read(buf)
 		assert.Assert(t, errors.Is(err, net.ErrClosed))
-		assert.Equal(t, len(d.all), 0)
+		assert.Equal(t, len(d.conns), 0)
 	}
 }
 
-// Connections rest, and heads of requests take, as long as the configuration in force allows and no longer: fixed bounds of 15 and 5 s closed
-// those of clients that were told of longer ones.
-func TestConnectionsAreHeldAgainstTheConfiguration(t *testing.T) {
+// Idle connections and request headers time out by the configuration in force. Fixed timeouts of 15 and 5 s closed connections of clients
+// that had been promised longer ones.
+func TestConnectionTimeouts(t *testing.T) {
 	limits := clusterstate.Limits{Header: 8 * time.Second, Idle: 30 * time.Second}
 	cases := []struct {
 		name  string
 		read  bool // the first byte of a request
-		whole bool // and its head
+		whole bool // and the whole header
 		after time.Duration
 		stays bool
 	}{
 		{"rests", false, false, 24 * time.Second, true},
-		{"rests too long", false, false, 31 * time.Second, false},
-		{"sends its head", true, false, 7 * time.Second, true},
-		{"sends its head too slowly", true, false, 9 * time.Second, false},
-		{"waits for its answer", true, true, time.Hour, true},
+		{"idle too long", false, false, 31 * time.Second, false},
+		{"sends its header", true, false, 7 * time.Second, true},
+		{"sends its header too slowly", true, false, 9 * time.Second, false},
+		{"waits for its response", true, true, time.Hour, true},
 	}
 	for _, c := range cases {
 		d := newClientListener(nil)
-		s := &scripted{bytes: make(chan byte, 1)}
+		s := &scriptedConn{bytes: make(chan byte, 1)}
 		k := &clientConn{Conn: halfclose.New(s), listener: d, since: time.Now()}
-		d.all[k] = struct{}{}
+		d.conns[k] = struct{}{}
 		if c.read {
 			s.bytes <- 'G'
 			_, err := k.Read(make([]byte, 1))
@@ -89,30 +91,31 @@
 		if c.whole {
 			d.state(k, http.StateActive)
 		}
-		d.closeLate(time.Now().Add(c.after), limits)
-		assert.Equal(t, len(d.all) == 1, c.stays, c.name)
+		d.closeExpired(time.Now().Add(c.after), limits)
+		assert.Equal(t, len(d.conns) == 1, c.stays, c.name)
 	}
 }
 
-// A process that stood still reads first what its clients sent meanwhile, and looks at their times after that.
-func TestAStandstillIsNoFaultOfClients(t *testing.T) {
+// After a stall the process first reads the data that clients sent meanwhile, and checks their timeouts only then.
+func TestTimeoutsAfterStall(t *testing.T) {
 	limits := clusterstate.Limits{Header: 3 * time.Second, Idle: 15 * time.Second}
 	d, at := newClientListener(nil), time.Now()
-	d.all[&clientConn{Conn: halfclose.New(&scripted{}), listener: d, since: at}] = struct{}{}
-	d.look(at, limits)
-	d.look(at.Add(20*time.Second), limits)
-	assert.Equal(t, len(d.all), 1, "closed before its bytes could be read")
-	d.look(at.Add(21*time.Second), limits)
-	assert.Equal(t, len(d.all), 0)
+	d.conns[&clientConn{Conn: halfclose.New(&scriptedConn{}), listener: d, since: at}] = struct{}{}
+	d.checkLimits(at, limits)
+	d.checkLimits(at.Add(20*time.Second), limits)
+	assert.Equal(t, len(d.conns), 1, "closed before its bytes could be read")
+	d.checkLimits(at.Add(21*time.Second), limits)
+	assert.Equal(t, len(d.conns), 0)
 }
 
-// lateListener has one more connection as it is closed, as a kernel may.
+// lateListener accepts one more connection while it is being closed, as a kernel may.
 type lateListener struct {
 	net.Listener
 	closed chan struct{}
 	last   chan net.Conn
 }
 
+// Accept waits for Close, then returns the last connection, then fails.
 func (l *lateListener) Accept() (net.Conn, error) {
 	<-l.closed
 	if c, ok := <-l.last; ok {
@@ -121,15 +124,16 @@
 	return nil, &net.OpError{Op: "accept", Err: net.ErrClosed}
 }
 
+// Close lets Accept go on.
 func (l *lateListener) Close() error { close(l.closed); return nil }
 
-// A connection that was accepted in the moment in which the listener closed was in no list yet: the end took it for none, and closed it
-// later with its request in hand. (It hung the test below, once in some thousand plays on a busy machine.)
-func TestAConnectionAcceptedAsTheEndComes(t *testing.T) {
+// drain must close a connection that is accepted just as the listener closes. It was not in the set yet, so drain returned zero, and the
+// connection was closed later with a request in progress. (It made the test below hang about once in a thousand runs on a busy machine.)
+func TestDrainClosesLastAcceptedConnection(t *testing.T) {
 	l := &lateListener{closed: make(chan struct{}), last: make(chan net.Conn)}
 	d := newClientListener(l)
 	ours, theirs := net.Pipe()
-	go func() { // http.Server's loop
+	go func() { // like http.Server
 		for {
 			if _, err := d.Accept(); err != nil {
 				return
@@ -138,13 +142,13 @@
 	}()
 	go func() { <-l.closed; l.last <- ours; close(l.last) }()
 	assert.Equal(t, d.drain(time.Now().Add(5*time.Second)), 0)
-	theirs.SetReadDeadline(time.Now().Add(5 * time.Second)) // it fails on one that is closed already
+	theirs.SetReadDeadline(time.Now().Add(5 * time.Second)) // fails if the connection is closed already
 	_, err := theirs.Read(make([]byte, 1))
 	assert.Assert(t, errors.Is(err, io.EOF), "left open: %v", err)
 }
 
-// Clients ask on kept connections while the end comes: each request that reaches the handler gets its whole answer.
-func TestTheEndLosesNoRequest(t *testing.T) {
+// Clients send requests on persistent connections during drain: each request that reaches the handler gets its whole response.
+func TestDrainLosesNoRequest(t *testing.T) {
 	for range 20 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
@@ -183,11 +187,11 @@
 	}
 }
 
-// What is in hand at SIGTERM has longer than five sixths of grace, whatever grace is: a server that answers before then is not cut off.
-func TestTheEndWaitsLongEnough(t *testing.T) {
+// Requests in flight at SIGTERM have more than five sixths of grace, whatever grace is: a server that answers by then is not cut off.
+func TestShutdownDeadline(t *testing.T) {
 	begun := time.Now()
 	for _, grace := range []time.Duration{time.Second, 3 * time.Second, 6 * time.Second, time.Minute} {
-		waits := lastMoment(begun, grace).Sub(begun)
+		waits := shutdownDeadline(begun, grace).Sub(begun)
 		assert.Assert(t, waits > grace*5/6 && waits < grace, "%s of %s", waits, grace)
 	}
 }
--- a/internal/cdn/edge/figures.go
+++ b/internal/cdn/edge/metrics.go
@@ -6,8 +6,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// figures are what the process tells of itself beside its callers: see package departure for those.
-func (e *Edge) figures() []prometheus.Collector {
+// collectors returns the process's Prometheus metrics, including those of package departure.
+func (e *Edge) collectors() []prometheus.Collector {
 	gauge := func(name, help string, read func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "cedarmast_" + name, Help: help}, read)
 	}
@@ -17,14 +17,14 @@
 	return []prometheus.Collector{
 		e.callers,
 		gauge("server_connections_busy", "Connections to servers that an attempt uses or opens.", func() float64 {
-			return float64(e.counts.ServerConnections.Load() - e.counts.IdleConnections.Load())
+			return float64(e.counters.ServerConnections.Load() - e.counters.IdleConnections.Load())
 		}),
-		gauge("server_connections_idle", "Connections to servers that nobody uses.", func() float64 { return float64(e.counts.IdleConnections.Load()) }),
+		gauge("server_connections_idle", "Connections to servers that nobody uses.", func() float64 { return float64(e.counters.IdleConnections.Load()) }),
 		gauge("fetches_under_way", "Fetches of objects that somebody or the cache waits for.", func() float64 { return float64(e.fetches.count()) }),
-		counter("requests_total", "Requests that clients have sent.", &e.counts.Requests),
-		counter("attempts_total", "Attempts that were decided on.", &e.counts.Attempts),
-		counter("dials_total", "Connections to servers that were opened.", &e.counts.Dials),
-		counter("server_lists_total", "Server lists that the decisions of services were told.", &e.lists),
-		counter("panics_total", "Panics that were survived.", &e.counts.Panics),
+		counter("requests_total", "Requests that clients have sent.", &e.counters.Requests),
+		counter("attempts_total", "Attempts that were decided on.", &e.counters.Attempts),
+		counter("dials_total", "Connections to servers that were opened.", &e.counters.Dials),
+		counter("server_lists_total", "Server lists that the decisions of services were told.", &e.serverLists),
+		counter("panics_total", "Panics that were survived.", &e.counters.Panics),
 	}
 }
--- a/internal/cdn/edge/objects.go
+++ b/internal/cdn/edge/objects.go
@@ -13,128 +13,130 @@
 	"cedarmast/internal/exchange"
 )
 
-// This file is the cache router's side of a shelved request: its copy, or one fetch for all who wait for it.
+// This file serves cacheable (shelved) objects on a cache router: from its copy, or by one fetch for all requests that wait for the object.
 
 const (
-	slackPart     = 0.6 // of the slack past a copy's shelf time that is used while the server is asked
-	fetchPatient  = 8 * time.Second
-	leastPatience = 50 * time.Millisecond
-	refreshTime   = 2 * time.Second
-	comeAgain     = 120 * time.Millisecond
-	rateWait      = 250 * time.Millisecond // for a place under the rate, if it is sure to come by then
-	lookEvery     = 100 * time.Millisecond // for copies that are about to end
-	mostDue       = 64
+	staleSlackFraction = 0.6                    // of Bounds.StaleSlack, that is used while the server is asked
+	maxFetchTime       = 8 * time.Second        // upper bound of a fetch's time
+	minFetchTime       = 50 * time.Millisecond  // and lower bound
+	refreshTimeout     = 2 * time.Second        // for a background refresh
+	defaultRetryAfter  = 120 * time.Millisecond // Retry-After if no better estimate is known
+	maxRateWait        = 250 * time.Millisecond // for a token of the rate limit, if one is due by then
+	refreshInterval    = 100 * time.Millisecond // between looks for copies that are about to expire
+	maxRefreshes       = 64                     // copies that are refreshed at each look
 )
 
-// slack is how long past its shelf time a copy may still go out while the server is asked.
-func (e *Edge) slack() time.Duration {
-	return time.Duration(float64(e.set.Bounds.StaleSlack) * slackPart)
+// staleSlack returns how long past its shelf life a copy may still be served while the server is asked (stale-while-revalidate).
+func (e *Edge) staleSlack() time.Duration {
+	return time.Duration(float64(e.config.Bounds.StaleSlack) * staleSlackFraction)
 }
 
-// vouched tells whether copies may be handed on: all purges that had been acknowledged before the last span of contact are known. One that
-// was out of touch for longer, and whom no neighbour has told, may lack purges. It is asked before a copy is looked up; see proof.go.
-func (e *Edge) vouched() bool {
-	return time.Since(e.replica.Proof()) < e.set.Bounds.Contact
+// purgesKnown reports whether cached copies may be served: every purge acknowledged longer than contact ago is known. A router that was
+// disconnected for longer, and got no proof from a neighbour, may lack purges. Callers check it before they look up a copy; see proof.go.
+func (e *Edge) purgesKnown() bool {
+	return time.Since(e.replica.Proof()) < e.config.Bounds.Contact
 }
 
-// refreshDue asks the servers about copies that are wanted and about to end, while the service's rate has room to spare.
+// refreshDue starts background refreshes of copies that are in demand and about to expire, while the service's rate limit has spare tokens.
 func (e *Edge) refreshDue(now time.Time) {
 	p := e.plan.Load()
-	if p == nil || !e.vouched() {
+	if p == nil || !e.purgesKnown() {
 		return
 	}
-	for _, due := range e.cache.Due(now, mostDue) {
-		sv := p.services[due.Key.Service]
-		if sv == nil || !sv.rate.spare() {
+	for _, due := range e.cache.Due(now, maxRefreshes) {
+		svc := p.services[due.Key.Service]
+		if svc == nil || !svc.limiter.hasSpare() {
 			continue
 		}
 		route := p.table.Find(due.Key.Host, due.Key.Path)
 		if route == nil {
 			continue
 		}
-		if _, err := e.permit(route.Name, due.By.ClientKey)(); err != nil {
+		if _, err := e.permitFunc(route.Name, due.By.ClientKey)(); err != nil {
 			continue
 		}
-		e.start(Fetch{Key: due.Key, Target: due.Key.Target(), Route: route.Name, ID: due.By.ID, ClientKey: due.By.ClientKey}, due.Copy, refreshTime, false)
+		e.startFetch(Fetch{Key: due.Key, Target: due.Key.Target(), Route: route.Name, ID: due.By.ID, ClientKey: due.By.ClientKey}, due.Copy, refreshTimeout, false)
 	}
 }
 
-// held returns this router's copy, if it is good. With wanted false it does not count as wanted by that.
-func (e *Edge) held(k objectcache.Key, by objectcache.Asker, wanted bool) (*objectcache.Copy, objectcache.Grade) {
-	vouched := e.vouched() // before the look: a copy that a purge takes meanwhile is not vouched for by the news that brought the purge
-	x, grade := e.cache.Peek(k, time.Now(), e.slack())
+// lookup returns this router's copy and its grade. It counts as a request for the object only if wanted is set.
+func (e *Edge) lookup(k objectcache.Key, asker objectcache.Asker, wanted bool) (*objectcache.Copy, objectcache.Grade) {
+	// Checked before the lookup: news that brings a purge must not also prove a copy that was looked up before the purge.
+	purgesKnown := e.purgesKnown()
+	cached, grade := e.cache.Peek(k, time.Now(), e.staleSlack())
 	if wanted {
-		x, grade = e.cache.Get(k, time.Now(), e.slack(), by)
+		cached, grade = e.cache.Get(k, time.Now(), e.staleSlack(), asker)
 	}
-	if grade != objectcache.NotThere && !vouched {
+	if grade != objectcache.NotThere && !purgesKnown {
 		grade = objectcache.Stale
 	}
-	return x, grade
+	return cached, grade
 }
 
-// obtain brings an object: the copy, or what a server says.
-func (e *Edge) obtain(ctx context.Context, q Fetch) Fetched {
-	x, grade := e.held(q.Key, q.asker(), !q.Own)
-	if q.AgeMS > 0 && grade != objectcache.NotThere && time.Since(x.At) > time.Duration(q.AgeMS)*time.Millisecond {
-		grade = objectcache.Stale // the asker has as good a one
+// getObject returns an object: the cached copy, or a server's response.
+func (e *Edge) getObject(ctx context.Context, q Fetch) Fetched {
+	cached, grade := e.lookup(q.Key, q.asker(), !q.Own)
+	if q.AgeMS > 0 && grade != objectcache.NotThere && time.Since(cached.At) > time.Duration(q.AgeMS)*time.Millisecond {
+		grade = objectcache.Stale // the caller's copy is as recent
 	}
 	switch grade {
 	case objectcache.Fresh:
-		return e.answer(q, x)
+		return e.cachedResponse(q, cached)
 	case objectcache.Ageing:
-		e.start(q, x, refreshTime, false)
-		return e.answer(q, x)
+		e.startFetch(q, cached, refreshTimeout, false)
+		return e.cachedResponse(q, cached)
 	}
 	for ctx.Err() == nil {
-		w := e.start(q, x, patienceOf(ctx, q), true)
+		w := e.startFetch(q, cached, fetchTimeout(ctx, q), true)
 		if w == nil {
 			break
 		}
-		got, ended := e.await(ctx, level{q.Key, q.Home}, w)
+		fetched, ended := e.waitFor(ctx, fetchKey{q.Key, q.Home}, w)
 		if !ended {
 			break
 		}
-		if w.abandoned && got.Refuse > 0 { // it came to nothing because those who had begun it left: this one still waits
+		if w.abandoned && fetched.Refuse > 0 { // it failed because the waiters that started it left: this caller still waits
 			continue
 		}
-		if got.Denied != notDenied && w.clientKey != q.ClientKey { // the key of the one who had begun it was refused: this one has his own
+		if fetched.Denied != notDenied && w.clientKey != q.ClientKey { // refused for another request's key: try again with this one's
 			continue
 		}
-		if got.Whole && q.ETag != "" && q.ETag == first(got.Header, "Etag") {
-			return Fetched{Status: http.StatusOK, Whole: true, Same: true, AgeMS: got.AgeMS, Index: got.Index}
+		if fetched.Whole && q.ETag != "" && q.ETag == firstValue(fetched.Header, "Etag") {
+			return Fetched{Status: http.StatusOK, Whole: true, Same: true, AgeMS: fetched.AgeMS, Index: fetched.Index}
 		}
-		return got
+		return fetched
 	}
-	return Fetched{Refuse: comeAgain.Milliseconds()}
+	return Fetched{Refuse: defaultRetryAfter.Milliseconds()}
 }
 
-// patienceOf is how long a fetch that is begun for a question may take.
-func patienceOf(ctx context.Context, q Fetch) time.Duration {
-	left := time.Duration(q.LeftMS) * time.Millisecond
+// fetchTimeout returns how long a fetch that is started for q may take.
+func fetchTimeout(ctx context.Context, q Fetch) time.Duration {
+	timeout := time.Duration(q.LeftMS) * time.Millisecond
 	if due, ok := ctx.Deadline(); ok {
-		left = min(left, time.Until(due))
+		timeout = min(timeout, time.Until(due))
 	}
-	return max(left, leastPatience)
+	return max(timeout, minFetchTime)
 }
 
-// await waits for a fetch that was joined; it is not ended if the context ends before.
-func (e *Edge) await(ctx context.Context, at level, w *fetch) (got Fetched, ended bool) {
-	defer e.fetches.leave(at, w)
+// waitFor waits for a fetch that was joined. ended is false if the context ends first.
+func (e *Edge) waitFor(ctx context.Context, key fetchKey, w *fetch) (got Fetched, ended bool) {
+	defer e.fetches.leave(key, w)
 	select {
 	case <-w.done:
-		return w.got, true
+		return w.result, true
 	case <-ctx.Done():
 		return Fetched{}, false
 	}
 }
 
+// fetchedFrom returns a cached copy as a response.
 func fetchedFrom(x *objectcache.Copy) Fetched {
 	return Fetched{Status: http.StatusOK, Header: x.Header, Body: x.Body, Whole: true, Index: x.Index,
 		AgeMS: time.Since(x.At).Milliseconds() + 1}
 }
 
-// answer hands a copy on, without its body to one who has the same.
-func (e *Edge) answer(q Fetch, x *objectcache.Copy) Fetched {
+// cachedResponse returns a cached copy as the response to q, without the body if the caller has the same copy.
+func (e *Edge) cachedResponse(q Fetch, x *objectcache.Copy) Fetched {
 	got := fetchedFrom(x)
 	if q.ETag != "" && q.ETag == x.ETag {
 		got.Same, got.Header, got.Body = true, nil, nil
@@ -142,73 +144,73 @@
 	return got
 }
 
-// start begins a fetch unless one is under way, and joins it; nil if the configuration has no such service any more. Whoever waits is to call
-// await; what nobody waits for is kept.
-func (e *Edge) start(q Fetch, old *objectcache.Copy, patience time.Duration, waits bool) *fetch {
+// startFetch joins the object's fetch in flight, or starts one. It returns nil if the configuration no longer has the service. A caller
+// with waits set must call waitFor; without waits the fetch continues even if nobody waits for it.
+func (e *Edge) startFetch(q Fetch, old *objectcache.Copy, timeout time.Duration, waits bool) *fetch {
 	p := e.plan.Load()
-	var sv *service
+	var svc *service
 	if p != nil {
-		sv = p.services[q.Key.Service]
+		svc = p.services[q.Key.Service]
 	}
-	if sv == nil {
+	if svc == nil {
 		return nil
 	}
-	at := level{q.Key, q.Home}
+	key := fetchKey{q.Key, q.Home}
 	e.fetches.mu.Lock()
-	if w := e.fetches.all[at]; w != nil {
+	if w := e.fetches.inFlight[key]; w != nil {
 		w.join(waits)
 		e.fetches.mu.Unlock()
 		return w
 	}
-	w := &fetch{done: make(chan struct{}), clientKey: q.ClientKey, caller: e.callers.Open(e.life, departure.Waiters, q.Route)}
+	w := &fetch{done: make(chan struct{}), clientKey: q.ClientKey, caller: e.callers.Open(e.lifetime, departure.Waiters, q.Route)}
 	w.join(waits)
-	e.fetches.all[at] = w
+	e.fetches.inFlight[key] = w
 	e.fetches.mu.Unlock()
 	go func() {
 		defer func() {
-			if panicked := recover(); panicked != nil { // nobody waits for ever, and the process goes on
-				e.counts.Panics.Add(1)
-				e.log.Error("fetch panicked", "panic", panicked)
-				w.got = Fetched{Refuse: comeAgain.Milliseconds()}
+			if panicked := recover(); panicked != nil { // the waiters get an answer, and the process goes on
+				e.counters.Panics.Add(1)
+				e.log.Error("panic in fetch", "panic", panicked)
+				w.result = Fetched{Refuse: defaultRetryAfter.Milliseconds()}
 			}
 			w.caller.Close()
-			e.fetches.settled(at, w)
+			e.fetches.remove(key, w)
 			close(w.done)
 		}()
-		w.got = e.fetch(w.caller, p, sv, q, old, min(patience, fetchPatient))
+		w.result = e.fetchObject(w.caller, p, svc, q, old, min(timeout, maxFetchTime))
 	}()
 	return w
 }
 
-// fetch asks the servers for a whole object, or whether a copy of it is still good, and stores what may be handed on.
-func (e *Edge) fetch(caller *departure.Caller, p *plan, sv *service, q Fetch, old *objectcache.Copy, patience time.Duration) Fetched {
+// fetchObject gets an object from its shield or from the servers, or has the old copy revalidated, and caches a cacheable response.
+func (e *Edge) fetchObject(caller *departure.Caller, p *plan, svc *service, q Fetch, old *objectcache.Copy, timeout time.Duration) Fetched {
 	route := p.routes[q.Route]
 	if route == nil {
-		route = &clusterstate.Route{Timeout: patience}
+		route = &clusterstate.Route{Timeout: timeout}
 	}
-	if near := sv.here.Load() && sv.speeds.long(route.Name); !q.Home { // a long body of the own zone's servers stays in the zone
-		way := e.shields
-		if near {
-			way = e.zoneShields
+	if inZone := svc.hasLocalServers.Load() && svc.speeds.hasLongBodies(route.Name); !q.Home { // a long body from the own zone's servers stays in the zone
+		tier := e.shields
+		if inZone {
+			tier = e.zoneShields
 		}
-		if got, ok := e.askHome(caller, way, q, old, route, patience); ok {
+		if got, ok := e.fetchFromShield(caller, tier, q, old, route, timeout); ok {
 			return got
 		}
 	}
-	permit := e.permit(q.Route, q.ClientKey)
+	permit := e.permitFunc(q.Route, q.ClientKey)
 	if _, err := permit(); err != nil {
-		return denied(err)
-	}
-	tenant := p.tenant(route, q.ClientKey)
-	sv.rate.want()
-	low := p.low(route, tenant, sv)
-	for late := time.Now().Add(min(patience/3, rateWait)); !sv.rate.take(low); {
-		wait := sv.rate.wait(low)
-		if time.Now().Add(wait).After(late) {
-			return Fetched{Refuse: max(wait, comeAgain).Milliseconds()}
+		return deniedFetch(err)
+	}
+	tenant := p.tenantFor(route, q.ClientKey)
+	svc.limiter.countDemand()
+	ranksLow := p.ranksLow(route, tenant, svc)
+	for deadline := time.Now().Add(min(timeout/3, maxRateWait)); !svc.limiter.take(ranksLow); {
+		wait := svc.limiter.waitTime(ranksLow)
+		if time.Now().Add(wait).After(deadline) {
+			return Fetched{Refuse: max(wait, defaultRetryAfter).Milliseconds()}
 		}
-		if !pause(caller.Context(), wait) {
-			return Fetched{Refuse: comeAgain.Milliseconds()}
+		if !sleep(caller.Context(), wait) {
+			return Fetched{Refuse: defaultRetryAfter.Milliseconds()}
 		}
 	}
 	header := http.Header{"Host": {q.Key.Host}}
@@ -216,112 +218,112 @@
 		header["If-None-Match"] = []string{old.ETag}
 	}
 	order := &upstream.Order{ID: q.ID, Stamped: true, Keep: route.Shelf > 0, Caller: caller, Permit: permit}
-	index, begun := e.replica.Index(), time.Now()
-	a := e.ask(sv, route.Name, order, exchange.Request{Class: p.class(route, tenant), Arrived: begun, TimeLeft: min(patience, route.Timeout),
+	index, started := e.replica.Index(), time.Now()
+	answer := e.sendToService(svc, route.Name, order, exchange.Request{Class: p.className(route, tenant), Arrived: started, TimeLeft: min(timeout, route.Timeout),
 		Method: http.MethodGet, Target: q.Target, Header: header})
-	if a.Kind != exchange.Served {
+	if answer.Kind != exchange.Served {
 		if last := order.Failure(); last != nil {
-			return Fetched{Status: int(atoi(first(last.Header, upstream.StatusKey))), Header: without(last.Header, upstream.StatusKey), Body: last.Body}
+			return Fetched{Status: int(atoi(firstValue(last.Header, upstream.StatusKey))), Header: withoutHeader(last.Header, upstream.StatusKey), Body: last.Body}
 		}
 		if err := order.Denied(); err != nil {
-			return denied(err)
+			return deniedFetch(err)
 		}
-		return Fetched{Refuse: max(a.RetryAfter, comeAgain).Milliseconds()}
+		return Fetched{Refuse: max(answer.RetryAfter, defaultRetryAfter).Milliseconds()}
 	}
-	status := int(atoi(first(a.Header, upstream.StatusKey)))
-	head := without(a.Header, upstream.StatusKey)
+	status := int(atoi(firstValue(answer.Header, upstream.StatusKey)))
+	respHeader := withoutHeader(answer.Header, upstream.StatusKey)
 	switch {
 	case status == http.StatusNotModified && old != nil:
-		x := old.Renewed(begun, index, route.Shelf)
+		x := old.Renewed(started, index, route.Shelf)
 		x.For = q.asker()
 		e.cache.Put(q.Key, x)
 		return fetchedFrom(x)
-	case status == http.StatusOK && first(head, upstream.HeaderStamp) != "":
-		x := e.store(q, route, without(head, upstream.HeaderLoad), a.Body, begun, index)
+	case status == http.StatusOK && firstValue(respHeader, upstream.HeaderStamp) != "":
+		x := e.storeObject(q, route, withoutHeader(respHeader, upstream.HeaderLoad), answer.Body, started, index)
 		return fetchedFrom(x)
 	}
-	return Fetched{Status: status, Header: head, Body: a.Body}
+	return Fetched{Status: status, Header: respHeader, Body: answer.Body}
 }
 
-// askHome asks the key's shield. It is not ok if there is none but this router, or it does not answer: then the servers are
-// asked from here.
-func (e *Edge) askHome(caller *departure.Caller, way *cacheTier, q Fetch, old *objectcache.Copy, route *clusterstate.Route, patience time.Duration) (Fetched, bool) {
+// fetchFromShield asks the key's shield. The result is false if there is no shield but this router, or it does not answer: the caller then
+// asks the servers itself.
+func (e *Edge) fetchFromShield(caller *departure.Caller, tier *cacheTier, q Fetch, old *objectcache.Copy, route *clusterstate.Route, timeout time.Duration) (Fetched, bool) {
 	q.Index, q.AgeMS, q.ETag = e.replica.Index(), 0, ""
 	if old != nil {
 		q.ETag, q.AgeMS = old.ETag, max(int64(route.Shelf/4/time.Millisecond), 1)
 	}
-	begun := time.Now()
-	x := exchange.New(exchange.Request{ID: q.ID, Class: copyClass, Key: q.Key.Hash(), HasKey: true, Arrived: begun,
-		TimeLeft: patience, Method: http.MethodGet, Target: q.Target, Header: encodeAsk(q)})
-	a := way.ask(x, caller)
+	started := time.Now()
+	x := exchange.New(exchange.Request{ID: q.ID, Class: copyClass, Key: q.Key.Hash(), HasKey: true, Arrived: started,
+		TimeLeft: timeout, Method: http.MethodGet, Target: q.Target, Header: encodeFetch(q)})
+	answer := tier.do(x, caller)
 	if caller.Left() {
-		return Fetched{Refuse: comeAgain.Milliseconds()}, true
+		return Fetched{Refuse: defaultRetryAfter.Milliseconds()}, true
 	}
-	if a.Kind != exchange.Served {
+	if answer.Kind != exchange.Served {
 		return Fetched{}, false
 	}
-	got := unpack(a.Header, a.Body)
+	got := decodeFetched(answer.Header, answer.Body)
 	if !got.Whole {
-		return got, got.Denied != notProven // there; this router may know more
+		return got, got.Denied != keyUnproven // unproven on the shield; this router may have a more recent proof
 	}
-	at := begun.Add(-time.Duration(got.AgeMS) * time.Millisecond)
+	askedAt := started.Add(-time.Duration(got.AgeMS) * time.Millisecond)
 	if got.Same {
 		if old == nil || old.ETag != q.ETag {
 			return Fetched{}, false
 		}
-		same := old.Renewed(at, got.Index, route.Shelf)
-		same.For = q.asker()
-		e.cache.Put(q.Key, same)
-		return fetchedFrom(same), true
+		renewed := old.Renewed(askedAt, got.Index, route.Shelf)
+		renewed.For = q.asker()
+		e.cache.Put(q.Key, renewed)
+		return fetchedFrom(renewed), true
 	}
-	e.store(q, route, got.Header, got.Body, at, got.Index)
+	e.storeObject(q, route, got.Header, got.Body, askedAt, got.Index)
 	return got, true
 }
 
-// borrow keeps what the key's cache router has handed over, unless this one is it: while it is fresh it costs no call, and
-// afterwards none of its bytes as long as it is the same.
-func (e *Edge) borrow(k objectcache.Key, route *clusterstate.Route, got Fetched, old *objectcache.Copy, begun time.Time) Fetched {
-	x := &objectcache.Copy{Header: got.Header, Body: got.Body, ETag: first(got.Header, "Etag"),
+// storeFromPeer caches an object that the key's cache router has returned, unless this router owns the key. While the copy is fresh it
+// saves the call; afterwards it saves the transfer of the body while the object is unchanged.
+func (e *Edge) storeFromPeer(k objectcache.Key, route *clusterstate.Route, got Fetched, old *objectcache.Copy, started time.Time) Fetched {
+	x := &objectcache.Copy{Header: got.Header, Body: got.Body, ETag: firstValue(got.Header, "Etag"),
 		Labels: strings.Fields(strings.Join(got.Header[upstream.HeaderLabels], " "))}
 	if got.Same {
 		if old == nil {
-			return Fetched{Refuse: comeAgain.Milliseconds()}
+			return Fetched{Refuse: defaultRetryAfter.Milliseconds()}
 		}
 		x = old.Renewed(old.At, old.Index, old.Shelf)
 	}
-	x.Lent, x.Shelf, x.Index, x.At = true, route.Shelf, got.Index, begun.Add(-time.Duration(got.AgeMS)*time.Millisecond)
-	if now, grade := e.cache.Get(k, begun, 0, objectcache.Asker{}); route.Shelf > 0 && (grade == objectcache.NotThere || now.Lent) {
+	x.Lent, x.Shelf, x.Index, x.At = true, route.Shelf, got.Index, started.Add(-time.Duration(got.AgeMS)*time.Millisecond)
+	if current, grade := e.cache.Get(k, started, 0, objectcache.Asker{}); route.Shelf > 0 && (grade == objectcache.NotThere || current.Lent) {
 		e.cache.Put(k, x)
 	}
 	return fetchedFrom(x)
 }
 
-// store keeps an object, if the route lets copies be kept.
-func (e *Edge) store(q Fetch, route *clusterstate.Route, head http.Header, body []byte, at time.Time, index uint64) *objectcache.Copy {
-	x := &objectcache.Copy{Header: head, Body: body, ETag: first(head, "Etag"), Shelf: route.Shelf, At: at, Index: index, For: q.asker(),
-		Labels: strings.Fields(strings.Join(head[upstream.HeaderLabels], " "))}
+// storeObject caches an object if its route allows that, and returns it as a copy.
+func (e *Edge) storeObject(q Fetch, route *clusterstate.Route, header http.Header, body []byte, at time.Time, index uint64) *objectcache.Copy {
+	x := &objectcache.Copy{Header: header, Body: body, ETag: firstValue(header, "Etag"), Shelf: route.Shelf, At: at, Index: index, For: q.asker(),
+		Labels: strings.Fields(strings.Join(header[upstream.HeaderLabels], " "))}
 	if route.Shelf > 0 {
 		e.cache.Put(q.Key, x)
 	}
 	return x
 }
 
-// ask submits a request to a service's decisions and waits for the one answer.
-func (e *Edge) ask(sv *service, route string, order *upstream.Order, r exchange.Request) exchange.Answer {
+// sendToService submits a request to a service's load balancer and waits for the answer.
+func (e *Edge) sendToService(svc *service, route string, order *upstream.Order, r exchange.Request) exchange.Answer {
 	x := exchange.New(r)
 	e.sender.Begin(x, order)
 	defer e.sender.End(x)
-	a := await(sv.loop(route), x, order.Caller)
-	sv.rate.spend(order.Sent() - 1) // one place was taken; where servers fail, what is sent again counts as well
-	if a.Kind == exchange.Served {
-		sv.speeds.note(route, order.Server(), order.Took(), len(a.Body))
+	answer := submitAndWait(svc.loopFor(route), x, order.Caller)
+	svc.limiter.charge(order.Sent() - 1) // one token was taken; retries after failed attempts count as well
+	if answer.Kind == exchange.Served {
+		svc.speeds.record(route, order.Server(), order.Took(), len(answer.Body))
 	}
-	return a
+	return answer
 }
 
-// await submits an exchange and waits for its answer. When its caller leaves the decisions are told, and nothing more is owed; what is
-// finished all the same has its answer waited for, and no further attempt is sent (departure.Caller.Begin).
-func await(l *exchange.Loop, x *exchange.Exchange, caller *departure.Caller) exchange.Answer {
+// submitAndWait submits an exchange and waits for its answer. If the caller leaves, the load balancer is told and the answer is a failure.
+// If an attempt must be finished all the same, its answer is awaited; no further attempt is sent (departure.Caller.Begin).
+func submitAndWait(l *exchange.Loop, x *exchange.Exchange, caller *departure.Caller) exchange.Answer {
 	if caller.Left() {
 		return exchange.Answer{Kind: exchange.Failed}
 	}
@@ -338,20 +340,20 @@
 	return exchange.Answer{Kind: exchange.Failed}
 }
 
-// pause waits for a span; false if the context has ended before.
-func pause(ctx context.Context, span time.Duration) bool {
-	late := time.NewTimer(span)
-	defer late.Stop()
+// sleep waits for a duration. It returns false if the context ends first.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
-	case <-late.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// without copies a head and leaves one name out.
-func without(h http.Header, name string) http.Header {
+// withoutHeader returns a copy of a header without one name.
+func withoutHeader(h http.Header, name string) http.Header {
 	out := make(http.Header, len(h))
 	for k, v := range h {
 		if k != name {
@@ -361,7 +363,8 @@
 	return out
 }
 
-func first(h http.Header, name string) string {
+// firstValue returns the first value of a header; name must be in canonical form.
+func firstValue(h http.Header, name string) string {
 	if v := h[name]; len(v) > 0 {
 		return v[0]
 	}
--- a/internal/cdn/edge/pieces.go
+++ b/internal/cdn/edge/pieces.go
@@ -9,13 +9,14 @@
 	"cedarmast/internal/cdn/peerrpc"
 )
 
-// This file brings long bodies over a thin link by pieces. Whoever has the thin link asks for each piece when the ones before it have about
-// come, what has least left first: a board of 6 KB never waits behind the tiles of 120 that others lend at the same moment.
+// This file transfers long bodies between cache routers piece by piece over a slow link. The receiver with the slow link requests each
+// piece when the previous ones have almost arrived, and the body with the fewest bytes left goes first: a small object of 6 KB never waits
+// behind objects of 120 KB that other routers send at the same time.
 
-// lentPiece is longer than what is written at once: the way to ask for the next one is waited for each time.
-const lentPiece = 3 * piece
+// peerPieceBytes is larger than chunkBytes, because each piece costs a round trip.
+const peerPieceBytes = 3 * chunkBytes
 
-// Piece is a question for part of a body that is being lent.
+// Piece is a request for part of a body, of which a Fetch returned the beginning.
 type Piece struct {
 	Key     objectcache.Key
 	ETag    string
@@ -23,51 +24,51 @@
 	From, N int
 }
 
-var errOther = errors.New("the copy is another one by now")
+var errCopyChanged = errors.New("the cached copy has changed")
 
-// holds returns the copy's body, if it is still this one.
-func (e *Edge) holds(k objectcache.Key, etag string, total int) []byte {
-	x, grade := e.cache.Get(k, time.Now(), e.slack(), objectcache.Asker{})
+// cachedBody returns the body of the cached copy if its ETag and length still match, else nil.
+func (e *Edge) cachedBody(k objectcache.Key, etag string, total int) []byte {
+	x, grade := e.cache.Get(k, time.Now(), e.staleSlack(), objectcache.Asker{})
 	if grade == objectcache.NotThere || etag == "" || x.ETag != etag || len(x.Body) != total {
 		return nil
 	}
 	return x.Body
 }
 
-// Piece answers with part of a body.
-func (p *peerCalls) Piece(q *Piece, part *[]byte) error {
-	p.edge.lent.begin()
-	defer p.edge.lent.done()
-	body := p.edge.holds(q.Key, q.ETag, q.Total)
+// Piece returns part of a body.
+func (p *peerHandler) Piece(q *Piece, part *[]byte) error {
+	p.edge.inboundCalls.begin()
+	defer p.edge.inboundCalls.done()
+	body := p.edge.cachedBody(q.Key, q.ETag, q.Total)
 	if body == nil {
-		return errOther
+		return errCopyChanged
 	}
 	if q.From < 0 || q.N <= 0 || q.From > len(body)-q.N {
-		return errors.New("a piece past the end")
+		return errors.New("piece out of range")
 	}
 	*part = body[q.From : q.From+q.N]
 	return nil
 }
 
-// lentBy asks another cache router for an object; over a thin link the rest of a long body comes by pieces.
-func (e *Edge) lentBy(ctx context.Context, peer *peerrpc.Peer, q Fetch) (Fetched, error) {
-	if e.from.rate > 0 {
-		q.Most = lentPiece
+// fetchFromPeer requests an object from another cache router. Over a slow link the rest of a long body is requested piece by piece.
+func (e *Edge) fetchFromPeer(ctx context.Context, peer *peerrpc.Peer, q Fetch) (Fetched, error) {
+	if e.inbound.bytesPerS > 0 {
+		q.Most = peerPieceBytes
 	}
-	begun := time.Now()
+	started := time.Now()
 	q.Ticket = peerrpc.NewTicket()
 	got, err := peerrpc.CallWatched[Fetch, Fetched](ctx, peer, "Edge.Fetch", &q, q.Ticket)
-	e.from.out(len(got.Body), time.Now())
+	e.inbound.record(len(got.Body), time.Now())
 	if err != nil || got.Total == 0 {
 		return got, err
 	}
-	if got.Total < len(got.Body) || got.Total > maxLent {
-		return Fetched{}, Error.New("a body of %d bytes from %s", got.Total, peer.Address)
+	if got.Total < len(got.Body) || got.Total > maxPeerBodyBytes {
+		return Fetched{}, Error.New("invalid body length of %d bytes from %s", got.Total, peer.Address)
 	}
 	body := append(make([]byte, 0, got.Total), got.Body...)
-	for etag := first(got.Header, "Etag"); len(body) < got.Total; {
-		n := min(lentPiece, got.Total-len(body))
-		if err := e.from.wait(ctx, n, got.Total-len(body), begun); err != nil {
+	for etag := firstValue(got.Header, "Etag"); len(body) < got.Total; {
+		n := min(peerPieceBytes, got.Total-len(body))
+		if err := e.inbound.wait(ctx, n, got.Total-len(body), started); err != nil {
 			return Fetched{}, err
 		}
 		part, err := peerrpc.CallWatched[Piece, []byte](ctx, peer, "Edge.Piece", &Piece{q.Key, etag, got.Total, len(body), n}, 0)
@@ -75,7 +76,7 @@
 			return Fetched{}, err
 		}
 		if len(part) != n {
-			return Fetched{}, Error.New("a piece of %d bytes for %d from %s", len(part), n, peer.Address)
+			return Fetched{}, Error.New("received a piece of %d bytes instead of %d from %s", len(part), n, peer.Address)
 		}
 		body = append(body, part...)
 	}
--- a/internal/cdn/edge/plan.go
+++ b/internal/cdn/edge/plan.go
@@ -12,246 +12,252 @@
 	"cedarmast/internal/exchange"
 )
 
-// plan is what requests are served by: one configuration. It is not changed once it is in force.
+// plan is one configuration, compiled for serving requests. It is immutable once it is in force.
 type plan struct {
 	*clusterstate.Manifest
 	table    *clusterstate.Table
 	routes   map[string]*clusterstate.Route // by name
-	classes  classNames                     // names of the decisions' classes of all routes
-	ranks    map[string]int                 // the highest of each service's routes, which is the least number
+	classes  classNames                     // load balancer class names of all routes
+	topRanks map[string]int                 // by service: the highest rank of its routes, which is the lowest number
 	services map[string]*service
 	tenantTable
 }
 
-// service is the decisions about one service's servers, and its share of the origin's rate.
+// service is the load balancing of one service's servers, and this router's share of the service's rate limit.
 type service struct {
-	name   string
-	near   *exchange.Loop // own zone first: for long bodies
-	any    *exchange.Loop // wherever there is room
-	end    context.CancelFunc
-	rate   rate
-	tuned  balance.Settings // as last told; the follower's
-	speeds serverSpeeds
-	here   atomic.Bool // it has servers in this router's zone
+	name            string
+	zoneFirst       *exchange.Loop // prefers servers of the own zone: for long bodies
+	allZones        *exchange.Loop // uses servers of all zones alike
+	cancel          context.CancelFunc
+	limiter         rateLimiter
+	applied         balance.Settings // settings that the loops were last given; accessed by Edge.runChanges only
+	speeds          serverSpeeds
+	hasLocalServers atomic.Bool // whether the service has servers in this router's zone
 }
 
-// loop is the decisions that send a route's requests.
-func (sv *service) loop(route string) *exchange.Loop {
-	if sv.speeds.long(route) {
-		return sv.near
+// loopFor returns the load balancer loop for a route's requests.
+func (sv *service) loopFor(route string) *exchange.Loop {
+	if sv.speeds.hasLongBodies(route) {
+		return sv.zoneFirst
 	}
-	return sv.any
+	return sv.allZones
 }
 
-func (sv *service) loops() [2]*exchange.Loop { return [2]*exchange.Loop{sv.near, sv.any} }
+// loops returns both load balancer loops of the service.
+func (sv *service) loops() [2]*exchange.Loop { return [2]*exchange.Loop{sv.zoneFirst, sv.allZones} }
 
 const (
-	slotsPart   = 1.5 // of a server's slots that all routers together may fill before anything was seen
-	firstLimit  = 12  // what balance allows a lone router
-	cold        = 3 * time.Second
-	coldPart    = 0.5
-	mostAdvice  = time.Second
-	usualSlots  = 8
-	noSuchClass = 2 * time.Second
-	capPart     = 0.5 // of a server's connections that routers may hold without using them
+	initialSlotShare    = 1.5             // of a server's slots that all routers together may fill before any response was seen
+	loneRouterLimit     = 12              // concurrency limit per server that package balance gives a lone router at first
+	warmUpTime          = 3 * time.Second // warm-up time of a server
+	warmUpStartFraction = 0.5             // of a warm server's capacity, at which a server starts its warm-up
+	maxRetryAfter       = time.Second     // upper bound of the Retry-After that clients are sent
+	defaultSlots        = 8               // per server, if there are none to average over
+	placeholderDeadline = 2 * time.Second // deadline of the placeholder class of a service that no route uses
+	idleConnFraction    = 0.5             // of a server's connection limit that all routers together may hold idle
 )
 
-// took hears of every change, in order, under the replica's lock.
-func (e *Edge) took(s *clusterstate.State, c clusterstate.Command, index uint64, whole bool) {
-	if whole {
+// applyChange applies one change of the replicated state; snapshot means that the whole state was replaced. The replica calls it for every
+// change, in order, with its lock held.
+func (e *Edge) applyChange(s *clusterstate.State, c clusterstate.Command, index uint64, snapshot bool) {
+	if snapshot {
 		e.cache.Forget(index)
 	}
-	if whole || c.Configures() {
-		e.configure(s, c.Taken)
+	if snapshot || c.Configures() {
+		e.applyConfig(s, c.Taken)
 	}
 	switch {
-	case whole:
-		e.relisted[everyService] = true
-		e.tellServers(s)
+	case snapshot:
+		e.changedServices[allServices] = true
+		e.pushServerLists(s)
 	case c.Server != nil:
 		e.serversChanged(s, c.Server.Service)
 	case c.Leave != "" || c.Lost != "":
-		e.serversChanged(s, everyService)
+		e.serversChanged(s, allServices)
 	}
-	if whole || c.Enrol != nil || c.Absent != "" {
-		e.zoneCaches.follow(s)
-		e.shields.follow(s)
-		e.zoneShields.follow(s)
-		e.retune(s)
+	if snapshot || c.Enrol != nil || c.Absent != "" {
+		e.zoneCaches.applyRoster(s)
+		e.shields.applyRoster(s)
+		e.zoneShields.applyRoster(s)
+		e.updateSettings(s)
 	}
 	if c.Cut != nil {
-		e.retune(s)
+		e.updateSettings(s)
 	}
 	if p := c.Purge; p != nil {
 		e.cache.Purge(index, p.Host, p.Path, p.Tag)
 	}
 }
 
-// configure takes the state's configuration on, with its reading if that was made already. It is the one place where the version in force
-// changes, and it only rises.
-func (e *Edge) configure(s *clusterstate.State, m *clusterstate.Manifest) {
+// applyConfig puts the state's configuration into force. m is the parsed configuration if the caller has it, else nil. This is the only
+// place where the version in force changes, and it only increases.
+func (e *Edge) applyConfig(s *clusterstate.State, m *clusterstate.Manifest) {
 	old := e.plan.Load()
 	if len(s.Body) == 0 || old != nil && s.Version <= old.Version {
 		return
 	}
 	if m == nil || m.Version != s.Version {
 		var err error
-		if m, err = clusterstate.ParseManifest(s.Body); err != nil { // the log takes no invalid ones
-			e.log.Error("configuration not readable", "version", s.Version, "err", err)
+		if m, err = clusterstate.ParseManifest(s.Body); err != nil { // unexpected: only valid configurations enter the log
+			e.log.Error("cannot parse configuration", "version", s.Version, "err", err)
 			return
 		}
 	}
-	p := &plan{Manifest: m, table: clusterstate.NewTable(m), tenantTable: tenantTableOf(m), services: map[string]*service{}, classes: classNames{}, routes: make(map[string]*clusterstate.Route, len(m.Routes))}
+	p := &plan{Manifest: m, table: clusterstate.NewTable(m), tenantTable: newTenantTable(m), services: map[string]*service{}, classes: classNames{}, routes: make(map[string]*clusterstate.Route, len(m.Routes))}
 	for i := range m.Routes {
 		p.routes[m.Routes[i].Name] = &m.Routes[i]
-		for _, t := range p.eachPriority(&m.Routes[i]) {
-			p.classes.of(classKeyOf(&m.Routes[i], p.rank(&m.Routes[i], t)))
+		for _, t := range p.tenantPerPriority(&m.Routes[i]) {
+			p.classes.name(newClassKey(&m.Routes[i], p.rank(&m.Routes[i], t)))
 		}
 	}
-	p.ranks = ranks(m)
+	p.topRanks = topRanks(m)
 	for _, def := range m.Services {
-		sv := e.services[def.Name]
-		if sv == nil {
-			sv = &service{name: def.Name, speeds: newServerSpeeds()}
-			ctx, end := context.WithCancel(e.life)
-			sv.end = end
-			set := e.settings(s, p, def.Name)
-			set.Placement = newWeightedDraw
-			sv.any = e.newLoop(set, e.sender, e.sender.Pool)
-			set.Tiers = func() balance.Tiers { return &nearFirst{zone: e.set.Zone} }
-			sv.near = e.newLoop(set, e.sender, e.sender.Pool)
-			e.services[def.Name] = sv
-			for _, l := range sv.loops() {
-				e.running.Go(func() { l.Run(ctx) })
+		svc := e.services[def.Name]
+		if svc == nil {
+			svc = &service{name: def.Name, speeds: newServerSpeeds()}
+			ctx, cancel := context.WithCancel(e.lifetime)
+			svc.cancel = cancel
+			settings := e.loopSettings(s, p, def.Name)
+			settings.Placement = newWeightedPlacement
+			svc.allZones = e.newLoop(settings, e.sender, e.sender.Pool)
+			settings.Tiers = func() balance.Tiers { return &zoneFirstTiers{zone: e.config.Zone} }
+			svc.zoneFirst = e.newLoop(settings, e.sender, e.sender.Pool)
+			e.services[def.Name] = svc
+			for _, l := range svc.loops() {
+				e.tasks.Go(func() { l.Run(ctx) })
 			}
 		}
-		sv.rate.set(def.RatePerS*s.Share(def.Name, e.set.Node), e.set.Bounds)
-		p.services[def.Name] = sv
+		svc.limiter.setRate(def.RatePerS*s.Share(def.Name, e.config.Node), e.config.Bounds)
+		p.services[def.Name] = svc
 	}
 	e.plan.Store(p)
 	e.ready.Store(true)
-	for name, sv := range e.services {
-		if p.services[name] == nil { // let go once what is in hand has ended
+	for name, svc := range e.services {
+		if p.services[name] == nil { // stopped after a minute, when its requests in flight have ended
 			delete(e.services, name)
-			time.AfterFunc(time.Minute, sv.end)
+			time.AfterFunc(time.Minute, svc.cancel)
 		}
 	}
-	e.list(s, everyService)
-	e.retune(s)
+	e.pushServerList(s, allServices)
+	e.updateSettings(s)
 	e.log.Info("configuration in force", "version", m.Version, "routes", len(m.Routes), "index", s.Index)
 }
 
-// ranks are the highest ranks among each service's routes, which are those of the highest tenants' requests on them.
-func ranks(m *clusterstate.Manifest) map[string]int {
-	all := map[string]int{}
+// topRanks returns the highest rank (lowest number) of each service's routes: the rank of the highest-priority tenant's requests on them.
+func topRanks(m *clusterstate.Manifest) map[string]int {
+	top := map[string]int{}
 	for _, r := range m.Routes {
 		for _, s := range r.Split {
-			if best, ok := all[s.Service]; s.Weight > 0 && (!ok || r.Priority < best) {
-				all[s.Service] = max(r.Priority, 0)
+			if best, ok := top[s.Service]; s.Weight > 0 && (!ok || r.Priority < best) {
+				top[s.Service] = max(r.Priority, 0)
 			}
 		}
 	}
-	return all
+	return top
 }
 
-// class is the name of the class of a tenant's requests on a route.
-func (p *plan) class(r *clusterstate.Route, t *clusterstate.Tenant) string {
-	return p.classes[classKeyOf(r, p.rank(r, t))]
+// className returns the load balancer class of a tenant's requests on a route.
+func (p *plan) className(r *clusterstate.Route, t *clusterstate.Tenant) string {
+	return p.classes[newClassKey(r, p.rank(r, t))]
 }
 
-// low tells whether a tenant's requests on a route rank below others of the service.
-func (p *plan) low(r *clusterstate.Route, t *clusterstate.Tenant, sv *service) bool {
-	return p.rank(r, t) > p.ranks[sv.name]
+// ranksLow reports whether a tenant's requests on a route rank below the highest rank of the service.
+func (p *plan) ranksLow(r *clusterstate.Route, t *clusterstate.Tenant, sv *service) bool {
+	return p.rank(r, t) > p.topRanks[sv.name]
 }
 
-// idleFor is how long a connection is kept that nobody uses: less where a server takes fewer of them than there are routers.
-func idleFor(services []clusterstate.Service, routers int) time.Duration {
-	least := 1.0
+// idleTimeout returns how long an unused server connection is kept. It is shorter where a server accepts fewer connections than there are
+// routers.
+func idleTimeout(services []clusterstate.Service, routers int) time.Duration {
+	fraction := 1.0
 	for _, def := range services {
 		if def.ConnCap > 0 {
-			least = min(least, capPart*float64(def.ConnCap)/float64(max(routers, 1)))
+			fraction = min(fraction, idleConnFraction*float64(def.ConnCap)/float64(max(routers, 1)))
 		}
 	}
-	return time.Duration(least * float64(upstream.IdleFor))
+	return time.Duration(fraction * float64(upstream.IdleFor))
 }
 
-// retune tells the decisions of the configuration's classes and of how many share the work.
-func (e *Edge) retune(s *clusterstate.State) {
+// updateSettings updates the load balancers' settings, the rate limits and the idle timeout from the configuration and the number of
+// routers.
+func (e *Edge) updateSettings(s *clusterstate.State) {
 	p := e.plan.Load()
 	if p == nil {
 		return
 	}
-	e.sender.Pool.SetIdleFor(idleFor(p.Services, len(s.Routers)))
-	for name, sv := range p.services {
-		set := e.settings(s, p, name)
+	e.sender.Pool.SetIdleFor(idleTimeout(p.Services, len(s.Routers)))
+	for name, svc := range p.services {
+		settings := e.loopSettings(s, p, name)
 		for _, def := range p.Services {
 			if def.Name == name {
-				sv.rate.set(def.RatePerS*s.Share(def.Name, e.set.Node), e.set.Bounds)
+				svc.limiter.setRate(def.RatePerS*s.Share(def.Name, e.config.Node), e.config.Bounds)
 			}
 		}
-		e.later(func() {
-			if !sameSettings(sv.tuned, set) {
-				sv.tuned = set
-				for _, l := range sv.loops() {
-					l.Retune(set)
+		e.enqueue(func() {
+			if !sameSettings(svc.applied, settings) {
+				svc.applied = settings
+				for _, l := range svc.loops() {
+					l.Retune(settings)
 				}
 			}
 		})
 	}
 }
 
-func (e *Edge) later(do func()) {
+// enqueue queues work for runChanges and blocks while the queue is full.
+func (e *Edge) enqueue(do func()) {
 	select {
 	case e.changes <- do:
-	default: // the follower is thousands of changes behind: it is waited for
+	default: // runChanges is thousands of changes behind: wait for it
 		e.changes <- do
 	}
 }
 
+// sameSettings compares the fields that updateSettings may change.
 func sameSettings(a, b balance.Settings) bool {
 	return a.Routers == b.Routers && a.MaxAttempts == b.MaxAttempts && slices.Equal(a.Classes, b.Classes)
 }
 
-// settings are what the decisions about a service are told. A lone router may fill its part of the servers' slots before it
-// has seen anything.
-func (e *Edge) settings(s *clusterstate.State, p *plan, name string) balance.Settings {
-	set := balance.Settings{Number: 0, Zone: e.set.Zone, OverShareWorth: 1, Parallel: true, MaxRetryAfter: mostAdvice,
-		ConnectTimeout: time.Second, ColdFrom: coldPart, Ramp: cold, OverloadFactor: 2, OverloadFor: 2 * time.Second}
+// loopSettings returns the load balancer settings of a service. Routers is chosen so that all routers together fill at most
+// initialSlotShare of a server's slots before they have seen any response; a lone router may fill that share by itself.
+func (e *Edge) loopSettings(s *clusterstate.State, p *plan, name string) balance.Settings {
+	settings := balance.Settings{Number: 0, Zone: e.config.Zone, OverShareWorth: 1, Parallel: true, MaxRetryAfter: maxRetryAfter,
+		ConnectTimeout: time.Second, ColdFrom: warmUpStartFraction, Ramp: warmUpTime, OverloadFactor: 2, OverloadFor: 2 * time.Second}
 	known := map[classKey]bool{}
 	for i := range p.Routes {
 		r := &p.Routes[i]
 		if !slices.ContainsFunc(r.Split, func(x clusterstate.Share) bool { return x.Service == name && x.Weight > 0 }) {
 			continue
 		}
-		for _, t := range p.eachPriority(r) {
-			if key := classKeyOf(r, p.rank(r, t)); !known[key] {
+		for _, t := range p.tenantPerPriority(r) {
+			if key := newClassKey(r, p.rank(r, t)); !known[key] {
 				known[key] = true
-				set.Classes = append(set.Classes, key.class())
+				settings.Classes = append(settings.Classes, key.balanceClass())
 			}
 		}
-		if set.MaxAttempts == 0 || r.Tries < set.MaxAttempts {
-			set.MaxAttempts = r.Tries
+		if settings.MaxAttempts == 0 || r.Tries < settings.MaxAttempts {
+			settings.MaxAttempts = r.Tries
 		}
 	}
-	if len(set.Classes) == 0 {
-		set.Classes = []balance.Class{{Name: "none", Aim: noSuchClass / 2, Deadline: noSuchClass, Worth: 1}}
+	if len(settings.Classes) == 0 {
+		settings.Classes = []balance.Class{{Name: "none", Aim: placeholderDeadline / 2, Deadline: placeholderDeadline, Worth: 1}}
 	}
 	slots, servers := 0, 0
-	for _, sv := range s.Servers {
-		if sv.Service == name {
-			slots, servers = slots+sv.Slots, servers+1
+	for _, server := range s.Servers {
+		if server.Service == name {
+			slots, servers = slots+server.Slots, servers+1
 		}
 	}
-	askers := len(s.Routers)
+	requesters := len(s.Routers)
 	for _, def := range p.Services {
-		if def.Name == name && def.RatePerS > 0 { // objects: shields ask for them
-			askers = len(clusterstate.Shields(s.Routers))
+		if def.Name == name && def.RatePerS > 0 { // only shields send requests to a rate-limited service
+			requesters = len(clusterstate.Shields(s.Routers))
 		}
 	}
-	each := float64(usualSlots)
+	slotsPerServer := float64(defaultSlots)
 	if servers > 0 {
-		each = float64(slots) / float64(servers)
+		slotsPerServer = float64(slots) / float64(servers)
 	}
-	set.Routers = max(int(firstLimit*float64(max(askers, 1))/max(slotsPart*each, 1)), 1)
-	return set
+	settings.Routers = max(int(loneRouterLimit*float64(max(requesters, 1))/max(initialSlotShare*slotsPerServer, 1)), 1)
+	return settings
 }
--- a/internal/cdn/edge/plan_test.go
+++ b/internal/cdn/edge/plan_test.go
@@ -14,95 +14,96 @@
 	"gotest.tools/v3/assert"
 )
 
-// A mix of the operators had a tenth of its requests refused: the aim of a board is 120 ms and a fetch takes 60 of them, which passed
-// for overload; and limits were set before the servers' slots were known.
-func TestSettingsOfDecisions(t *testing.T) {
-	f := &Edge{set: bootconfig.Settings{Zone: "a"}}
+// A fetch's class must have a longer target than the route, and the number of routers must follow the servers' slots. Otherwise a tenth of
+// the requests of an operators' mix was refused: the target was 120 ms of which a fetch takes 60, which looked like overload, and limits
+// were set before the servers' slots were known.
+func TestLoopSettings(t *testing.T) {
+	f := &Edge{config: bootconfig.Settings{Zone: "a"}}
 	s := clusterstate.New()
 	p := &plan{Manifest: &clusterstate.Manifest{Routes: []clusterstate.Route{
 		{Name: "board", Kind: clusterstate.Shelved, Target: 120 * time.Millisecond, Timeout: 1500 * time.Millisecond, Priority: 2, Tries: 3, Split: []clusterstate.Share{{Service: "vault", Weight: 1}}},
 		{Name: "claim", Kind: clusterstate.OnceOnly, Target: 500 * time.Millisecond, Timeout: 2 * time.Second, Priority: 1, Tries: 2, Split: []clusterstate.Share{{Service: "vault", Weight: 1}}},
 		{Name: "other", Kind: clusterstate.Resendable, Timeout: time.Second, Tries: 1, Split: []clusterstate.Share{{Service: "desk", Weight: 1}, {Service: "vault", Weight: 0}}},
 	}}}
-	set := f.settings(s, p, "vault")
+	set := f.loopSettings(s, p, "vault")
 	assert.Equal(t, len(set.Classes), 2)
 	assert.Equal(t, set.Classes[0].Aim, 375*time.Millisecond)
 	assert.Equal(t, set.Classes[0].Effect, balance.Safe)
 	assert.Equal(t, set.Classes[1].Aim, 500*time.Millisecond)
 	assert.Equal(t, set.Classes[1].Effect, balance.Unsafe)
 	assert.Equal(t, set.MaxAttempts, 2)
-	assert.Equal(t, f.settings(s, p, "desk").Classes[0].Aim, 500*time.Millisecond)
-	assert.Equal(t, f.settings(s, p, "none").Classes[0].Name, "none")
+	assert.Equal(t, f.loopSettings(s, p, "desk").Classes[0].Aim, 500*time.Millisecond)
+	assert.Equal(t, f.loopSettings(s, p, "none").Classes[0].Name, "none")
 
 	for i := range 11 {
 		s.Routers[string(rune('a'+i))] = clusterstate.Router{}
 	}
-	few := f.settings(s, p, "vault").Routers
+	few := f.loopSettings(s, p, "vault").Routers
 	s.Servers["i-1"] = clusterstate.Server{Service: "vault", Slots: 32}
-	many := f.settings(s, p, "vault").Routers
+	many := f.loopSettings(s, p, "vault").Routers
 	assert.Assert(t, many < few, "%d %d", many, few)
 	s.Servers["i-1"] = clusterstate.Server{Service: "vault", Slots: 2}
-	assert.Assert(t, f.settings(s, p, "vault").Routers > few)
+	assert.Assert(t, f.loopSettings(s, p, "vault").Routers > few)
 }
 
-// Shares of an origin's rate add up to no more than its ceiling in any window, however many routers there are and however idle
-// they were before.
-func TestSharesOfARate(t *testing.T) {
+// The routers' shares of a service's rate add up to no more than its ceiling in any window, for any number of routers, also after they were
+// idle.
+func TestRateLimiterShares(t *testing.T) {
 	b := bootconfig.Bounds{CeilingWindow: 5 * time.Second, CeilingExcess: 1.1}
 	for _, routers := range []int{1, 11, 82, 420} {
-		var r rate
-		r.set(410/float64(routers), b)
-		r.at = time.Now().Add(-time.Hour) // idle for long
+		var r rateLimiter
+		r.setRate(410/float64(routers), b)
+		r.refilledAt = time.Now().Add(-time.Hour) // idle for a long time
 		taken := 0
-		for range 3000 { // at one moment
+		for range 3000 { // at once
 			if r.take(false) {
 				taken++
 			}
 		}
-		window := float64(taken) + r.per*b.CeilingWindow.Seconds()
+		window := float64(taken) + r.perSecond*b.CeilingWindow.Seconds()
 		assert.Assert(t, window*float64(routers) <= 410*5*1.1+float64(routers), "%d: %v", routers, window*float64(routers))
-		assert.Assert(t, r.wait(false) > 0 && !r.spare())
+		assert.Assert(t, r.waitTime(false) > 0 && !r.hasSpare())
 	}
-	// What was sent to a second server counts as well, before anything else is let; what was let and not sent is given back.
-	var r rate
-	r.set(20, b)
+	// Retries are charged before any other request is let through; unused tokens are returned.
+	var r rateLimiter
+	r.setRate(20, b)
 	for r.take(false) {
 	}
-	r.spend(-1)
+	r.charge(-1)
 	assert.Assert(t, r.take(false) && !r.take(false))
-	r.spend(3)
-	assert.Assert(t, r.wait(false) > 100*time.Millisecond && r.wait(false) <= 207*time.Millisecond, r.wait(false).String())
-	r.spend(1 << 20) // no debt for ever
-	assert.Assert(t, r.wait(false) < 5*time.Second, r.wait(false).String())
-	r.spend(-1 << 20) // and no more than may be saved
+	r.charge(3)
+	assert.Assert(t, r.waitTime(false) > 100*time.Millisecond && r.waitTime(false) <= 207*time.Millisecond, r.waitTime(false).String())
+	r.charge(1 << 20) // the debt is bounded
+	assert.Assert(t, r.waitTime(false) < 5*time.Second, r.waitTime(false).String())
+	r.charge(-1 << 20) // and so is the balance
 	assert.Assert(t, r.tokens <= r.burst)
 
-	// A share of a few requests a second is a sliver that lower ranks get as well: what must be saved for them is never more than can be.
-	var sliver rate
-	sliver.set(1, b)
-	sliver.at = time.Now().Add(-time.Minute)
-	assert.Assert(t, sliver.take(true), "nothing of a low rank is ever let through")
+	// A very small share still lets low ranks through: the tokens that they need are never more than the burst.
+	var sliver rateLimiter
+	sliver.setRate(1, b)
+	sliver.refilledAt = time.Now().Add(-time.Minute)
+	assert.Assert(t, sliver.take(true), "no request of a low rank is ever let through")
 
-	var none rate
-	none.set(0, b)
-	assert.Assert(t, none.take(true) && none.spare() && none.wait(true) == 0)
+	var none rateLimiter
+	none.setRate(0, b)
+	assert.Assert(t, none.take(true) && none.hasSpare() && none.waitTime(true) == 0)
 }
 
-// Under an origin's rate that is used up boards took what tiles, of twice the worth, needed: what ranks below others of its service leaves a
-// part of what is saved to those, and gets all the rest; a service whose routes rank alike knows no low ones.
-func TestRanksUnderARate(t *testing.T) {
+// When a rate limit is used up, low ranks leave a part of the burst to the service's highest rank and get all the rest. A service whose
+// routes have equal ranks has no low ones. Without this, boards took the tokens that tiles, of twice the worth, needed.
+func TestRateLimiterRanks(t *testing.T) {
 	m := &clusterstate.Manifest{Routes: []clusterstate.Route{
 		{Name: "board", Priority: 2, Split: []clusterstate.Share{{Service: "vault", Weight: 1}}},
 		{Name: "tile", Priority: 1, Split: []clusterstate.Share{{Service: "vault", Weight: 1}}},
 		{Name: "gone", Priority: 0, Split: []clusterstate.Share{{Service: "vault"}, {Service: "desk", Weight: 1}}},
 		{Name: "seat", Priority: 0, Split: []clusterstate.Share{{Service: "desk", Weight: 1}}},
 	}}
-	p, vault, desk := &plan{Manifest: m, ranks: ranks(m)}, &service{name: "vault"}, &service{name: "desk"}
-	assert.Assert(t, p.low(&m.Routes[0], nil, vault) && !p.low(&m.Routes[1], nil, vault) && !p.low(&m.Routes[3], nil, desk))
+	p, vault, desk := &plan{Manifest: m, topRanks: topRanks(m)}, &service{name: "vault"}, &service{name: "desk"}
+	assert.Assert(t, p.ranksLow(&m.Routes[0], nil, vault) && !p.ranksLow(&m.Routes[1], nil, vault) && !p.ranksLow(&m.Routes[3], nil, desk))
 
-	var r rate
-	r.set(100, bootconfig.Bounds{CeilingWindow: 5 * time.Second, CeilingExcess: 1.1})
-	r.per = 1e-9 // nothing comes back while the test looks
+	var r rateLimiter
+	r.setRate(100, bootconfig.Bounds{CeilingWindow: 5 * time.Second, CeilingExcess: 1.1})
+	r.perSecond = 1e-9 // no refill during the test
 	boards, tiles := 0, 0
 	for r.take(true) {
 		boards++
@@ -113,8 +114,7 @@
 	assert.Assert(t, tiles >= 8 && boards > 3*tiles, "%d %d", boards, tiles)
 }
 
-// Of a large fleet a part talks to the servers of objects, and one router that comes or goes changes one of them at most; the
-// shares of all add up to the whole.
+// In a large fleet only some routers are shields, and a router that joins changes at most one of them. All shares add up to one.
 func TestShields(t *testing.T) {
 	s := clusterstate.New()
 	var nodes []string
@@ -147,9 +147,10 @@
 	assert.Assert(t, total > 0.999 && total < 1.001 && asking == 20, "%v %d", total, asking)
 }
 
-// Among routers of thin links the few strong machines are the shields and the lenders, for what goes by way of a thin link is sent twice over it;
-// when they are gone the others do it all, and in a fleet whose machines differ by less all lend. Whoever shields, shares add up to the whole.
-func TestStrongMachinesShieldAndLend(t *testing.T) {
+// Among routers with slow links the few strong machines are the shields and the lenders, because an object that goes through a router with
+// a slow link is sent twice over that link. When they are gone the others do both, and in a fleet whose machines differ by less all
+// routers lend. All shares add up to one in each case.
+func TestShieldsAndLenders(t *testing.T) {
 	roster := func(edge, store float64, edges, stores int) map[string]clusterstate.Router {
 		all := map[string]clusterstate.Router{}
 		for i := range edges {
@@ -165,12 +166,12 @@
 		routers         map[string]clusterstate.Router
 		shields, lender int
 	}{
-		{"thin links beside stores", roster(12, 640, 82, 4), 4, 4},
-		{"one store left", roster(12, 640, 82, 1), 1, 1},
-		{"none left", roster(12, 640, 82, 0), 20, 82},
-		{"wide links beside stores", roster(256, 640, 11, 2), 2, 13},
-		{"wide links alone", roster(256, 640, 11, 0), 11, 11},
-		{"before weights were told", roster(0, 0, 11, 2), 13, 13},
+		{"slow links and stores", roster(12, 640, 82, 4), 4, 4},
+		{"slow links and one store", roster(12, 640, 82, 1), 1, 1},
+		{"slow links alone", roster(12, 640, 82, 0), 20, 82},
+		{"fast links and stores", roster(256, 640, 11, 2), 2, 13},
+		{"fast links alone", roster(256, 640, 11, 0), 11, 11},
+		{"weights not known yet", roster(0, 0, 11, 2), 13, 13},
 		{"nobody", nil, 0, 0},
 	}
 	for _, c := range cases {
@@ -187,29 +188,29 @@
 	}
 }
 
-// A machine that is said to serve clients does not start as one that only lends copies because its address was left out.
-func TestAMachineForClientsNeedsTheirAddress(t *testing.T) {
+// A machine that is configured to serve clients must not start without a client address, as a machine that only serves other routers would.
+func TestClientAddressIsRequired(t *testing.T) {
 	err := Run(t.Context(), bootconfig.Settings{Serves: []string{"counter"}}, nil)
 	assert.ErrorContains(t, err, "network.listen_on.counter")
 	err = Run(t.Context(), bootconfig.Settings{Serves: []string{"counter"}, Counter: "127.0.0.1:1"}, nil)
 	assert.ErrorContains(t, err, "network.listen_on.readiness")
 }
 
-// A machine's weight is what its link and its part of a core bear, whichever is less.
-func TestWeightOfAMachine(t *testing.T) {
-	assert.Equal(t, weight(bootconfig.Settings{LinkMbps: 12, Cores: 0.16}), 12.0)
-	assert.Equal(t, weight(bootconfig.Settings{LinkMbps: 1000, Cores: 0.8}), 0.8*mbpsPerCore)
-	assert.Equal(t, weight(bootconfig.Settings{}), 1.0)
+// A machine's weight is the capacity of its link or of its share of a core, whichever is less.
+func TestMachineWeight(t *testing.T) {
+	assert.Equal(t, machineWeight(bootconfig.Settings{LinkMbps: 12, Cores: 0.16}), 12.0)
+	assert.Equal(t, machineWeight(bootconfig.Settings{LinkMbps: 1000, Cores: 0.8}), 0.8*mbpsPerCore)
+	assert.Equal(t, machineWeight(bootconfig.Settings{}), 1.0)
 }
 
-// Eighty-two routers that each keep a connection would fill a server that takes 63.
-func TestIdleConnections(t *testing.T) {
-	assert.Equal(t, idleFor([]clusterstate.Service{{ConnCap: 130}, {}}, 11), upstream.IdleFor)
-	few := idleFor([]clusterstate.Service{{ConnCap: 130}, {ConnCap: 63}}, 82)
+// Eighty-two routers that each keep a connection would fill a server that accepts 63.
+func TestIdleTimeout(t *testing.T) {
+	assert.Equal(t, idleTimeout([]clusterstate.Service{{ConnCap: 130}, {}}, 11), upstream.IdleFor)
+	few := idleTimeout([]clusterstate.Service{{ConnCap: 130}, {ConnCap: 63}}, 82)
 	assert.Assert(t, few < upstream.IdleFor/2 && few > time.Second, few.String())
 }
 
-func TestRanges(t *testing.T) {
+func TestParseRange(t *testing.T) {
 	cases := []struct {
 		text       string
 		from, to   int64
@@ -229,11 +230,11 @@
 	}
 }
 
-// Bytes between zones are dear: the own zone first, and routers of a zone without servers do not all go to the same other one.
-func TestNearFirst(t *testing.T) {
+// The own zone comes first, and routers of zones without servers don't all prefer the same other zone.
+func TestZoneFirstTiers(t *testing.T) {
 	seen := map[string]bool{}
 	for _, zone := range []string{"a", "b", "c", "d", "e"} {
-		n := &nearFirst{zone: zone}
+		n := &zoneFirstTiers{zone: zone}
 		n.Listed(0, map[string]int{"a": 2, "b": 2, "c": 0, "x": 1})
 		order := n.Order(0, balance.Visit{})
 		assert.Equal(t, len(order), 3)
@@ -246,31 +247,31 @@
 	assert.Assert(t, len(seen) > 1)
 }
 
-// A server that takes twice as long as the mean is drawn a quarter as often, and is forgotten once it is gone.
-func TestPace(t *testing.T) {
+// A server that takes twice as long as the mean gets a quarter of the requests, and is dropped once it is removed.
+func TestServerSpeeds(t *testing.T) {
 	p := newServerSpeeds()
-	assert.Assert(t, p.long("r"), "of what is not known it is assumed")
-	p.part("slow")
+	assert.Assert(t, p.hasLongBodies("r"), "an unknown route is assumed to have long bodies")
+	p.weightFactor("slow")
 	for range 200 {
-		p.note("r", "quick", 50*time.Millisecond, 6000)
-		p.note("r", "slow", 150*time.Millisecond, 0)
+		p.record("r", "quick", 50*time.Millisecond, 6000)
+		p.record("r", "slow", 150*time.Millisecond, 0)
 	}
-	assert.Assert(t, !p.long("r"))
-	assert.Assert(t, p.now("quick") > 1.5 && p.now("slow") < 0.6, "%v %v", p.now("quick"), p.now("slow"))
-	assert.Assert(t, p.moved(map[string]bool{"quick": true, "slow": true}))
-	p.moved(nil)
-	assert.Equal(t, len(p.quick)+len(p.told), 0)
+	assert.Assert(t, !p.hasLongBodies("r"))
+	assert.Assert(t, p.factor("quick") > 1.5 && p.factor("slow") < 0.6, "%v %v", p.factor("quick"), p.factor("slow"))
+	assert.Assert(t, p.changed(map[string]bool{"quick": true, "slow": true}))
+	p.changed(nil)
+	assert.Equal(t, len(p.relativeTime)+len(p.reported), 0)
 }
 
-// What one cache router asks another comes back as it was asked, through the exchange that carries it.
-func TestQuestionsAndAnswersSurviveTheWay(t *testing.T) {
+// A Fetch and its response are unchanged after they were encoded for package exchange and decoded.
+func TestFetchHeaderRoundTrip(t *testing.T) {
 	q := Fetch{Target: "/x?y", ID: "try", Route: "r", Index: 7, AgeMS: 5000, ETag: `"1"`, ClientKey: "k-1"}
 	q.Key.Service, q.Key.Host, q.Key.Path, q.Key.Query = "s", "h", "/x", "y"
 	var got Fetch
-	assert.NilError(t, decodeAsk(exchange.New(exchange.Request{Header: encodeAsk(q)}), &got))
+	assert.NilError(t, decodeFetch(exchange.New(exchange.Request{Header: encodeFetch(q)}), &got))
 	assert.DeepEqual(t, got, q)
-	for _, a := range []Fetched{{Status: 200, Whole: true, AgeMS: 3, Index: 9}, {Status: 200, Whole: true, Same: true, AgeMS: 1}, {Refuse: 120}, {Status: 404}, denied(errKeyGone), denied(errNotProven)} {
-		back := unpack(a.pack(), nil)
+	for _, a := range []Fetched{{Status: 200, Whole: true, AgeMS: 3, Index: 9}, {Status: 200, Whole: true, Same: true, AgeMS: 1}, {Refuse: 120}, {Status: 404}, deniedFetch(errUnknownKey), deniedFetch(errNotProven)} {
+		back := decodeFetched(a.encodeHeader(), nil)
 		back.Header = nil
 		assert.DeepEqual(t, back, a)
 	}
--- a/internal/cdn/edge/proof.go
+++ b/internal/cdn/edge/proof.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// This file is how long this router may rely on what it holds, by the proof of its copy (statesync.Replica.Proof). Whoever asks here does so
-// BEFORE it loads the plan: the copy puts a configuration into force before it moves its proof on, so the plan that is loaded afterwards
-// lacks nothing that the proof is of. The other way round, a plan might be older than the proof. All times are of the steady clock.
+// This file decides how long this router may rely on its replica of the cluster state, by the replica's freshness proof
+// (statesync.Replica.Proof): the time up to which it provably holds every acknowledged change. Callers must check BEFORE they load the
+// plan: the replica puts a configuration into force before it advances the proof, so a plan that is loaded afterwards lacks nothing that
+// the proof covers. In the other order the plan might be older than the proof. All times are of the monotonic clock.
 
 const (
-	revokeMarginPart  = 20                     // of revoke, by which a proof is given up earlier: clocks that drift, and the way to a server
-	leastRevokeMargin = 100 * time.Millisecond // of that margin
-	currentPart       = 2                      // of contact: a router with a younger proof knows all but the newest
-	editionMarginPart = 20                     // of edition_time, by which a router that says that a key does not exist must know better
+	revokeMarginDivisor  = 20                     // of revoke: how much earlier a proof expires, for clock drift and the way to a server
+	minRevokeMargin      = 100 * time.Millisecond // lower bound of that margin
+	contactDivisor       = 2                      // of contact: a router with a younger proof is current, it knows all but the newest changes
+	editionMarginDivisor = 20                     // of edition_time: how much earlier a proof is too old to say that a key does not exist
 )
 
-// errNotProven is the cause where a keyed request is refused because this router can't prove that it knows which keys were taken away.
-var errNotProven = errors.New("it is not proven that all removed keys are known")
+// errNotProven is the error of a keyed request that is refused because this router can't prove that it knows all removed keys.
+var errNotProven = errors.New("cannot prove that all removed keys are known")
 
-// mayRun tells whether keyed requests that were sent until now may run by the plan that is loaded after this call; else errNotProven. The
-// plan lacks no removal that was acknowledged more than revoke ago.
-func (e *Edge) mayRun(now time.Time) error {
-	revoke := e.set.Bounds.Revoke
+// checkProof returns nil if keyed requests sent until now may run according to the plan that is loaded after this call, else errNotProven.
+// That plan lacks no key removal that was acknowledged more than revoke ago.
+func (e *Edge) checkProof(now time.Time) error {
+	revoke := e.config.Bounds.Revoke
 	if revoke == 0 || now.Sub(e.replica.Proof()) < revoke-revokeMargin(revoke) {
 		return nil
 	}
 	return errNotProven
 }
 
-// revokeMargin is how much earlier than revoke a proof is given up.
+// revokeMargin returns how much earlier than revoke a proof expires.
 func revokeMargin(revoke time.Duration) time.Duration {
-	return max(revoke/revokeMarginPart, leastRevokeMargin)
+	return max(revoke/revokeMarginDivisor, minRevokeMargin)
 }
 
-// current tells whether this router surely knows all that had been acknowledged a short while ago: a part of contact, and less than edition_time,
-// after which every router in touch must know of it.
+// current reports whether this router provably knows all that was acknowledged a short time ago: a part of contact, and less than
+// edition_time, after which every connected router must know of a change.
 func (e *Edge) current() bool {
-	within := e.set.Bounds.Contact / currentPart
-	if edition := e.set.Bounds.Edition; edition > 0 {
-		within = min(within, edition-edition/editionMarginPart)
+	maxAge := e.config.Bounds.Contact / contactDivisor
+	if edition := e.config.Bounds.Edition; edition > 0 {
+		maxAge = min(maxAge, edition-edition/editionMarginDivisor)
 	}
-	return time.Since(e.replica.Proof()) < within
+	return time.Since(e.replica.Proof()) < maxAge
 }
--- a/internal/cdn/edge/request_bench_test.go
+++ b/internal/cdn/edge/request_bench_test.go
@@ -12,12 +12,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// What a request costs an edge and its stand-in server together, over kept connections, one after the other: a copy that is held, and one that a
-// server is asked for. `go test -run XXX -bench BenchmarkRequest -benchmem ./internal/cdn/edge`
+// BenchmarkRequest measures sequential requests over persistent connections, for the router and its fake server together: one that is
+// answered from the cache, and one that goes to the server.
+// `go test -run XXX -bench BenchmarkRequest -benchmem ./internal/cdn/edge`
 func BenchmarkRequest(b *testing.B) {
 	for name, prefix := range map[string]string{"copy": "/s/", "server": "/r/"} {
 		b.Run(name, func(b *testing.B) {
-			f, _ := lone(b, newOrigin(b), threeRoutes)
+			f, _ := newTestEdge(b, newOrigin(b), threeRoutesJSON)
 			c, err := net.Dial("tcp", strings.TrimPrefix(listen(b, f), "http://"))
 			assert.NilError(b, err)
 			defer c.Close()
--- a/internal/cdn/edge/serve.go
+++ b/internal/cdn/edge/serve.go
@@ -17,47 +17,50 @@
 	"cedarmast/internal/exchange"
 )
 
-// This file is the way of a client's request from its route to its answer.
+// This file handles a client request from route lookup to response.
 
 const (
-	usualBody    = 256 << 10              // bytes of a request that are held without being counted
-	usualLeft    = 2 * time.Second        // for a client that says nothing
-	startsWithin = 600 * time.Millisecond // a router that has just started is to be asked again after this
+	smallBodyBytes    = 256 << 10              // a request body up to this size is buffered without being charged to the body budget
+	defaultTimeLeft   = 2 * time.Second        // of a request without a time-left header
+	startupRetryAfter = 600 * time.Millisecond // Retry-After of a router that has just started and has no configuration yet
 )
 
+// itoa formats a decimal header value.
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
 
+// atoi parses a decimal header value; 0 if it is malformed.
 func atoi(s string) int64 { n, _ := strconv.ParseInt(s, 10, 64); return n }
 
-// request is a client's request on its way.
+// request is a client request in progress.
 type request struct {
 	*http.Request
-	last    bool // of its connection
-	link    *link
-	w       http.ResponseWriter
-	id      string
-	arrived time.Time
-	left    time.Duration
-	route   *clusterstate.Route
-	plan    *plan
-	caller  *departure.Caller // the client, while something is done for it
+	closeConn bool // the response closes the connection
+	outbound  *link
+	w         http.ResponseWriter
+	id        string
+	arrived   time.Time
+	timeLeft  time.Duration
+	route     *clusterstate.Route
+	plan      *plan
+	caller    *departure.Caller // the client, while work is done for it
 
-	clientKey string               // the client's; a route that needs none may come to need it
-	tenant    *clusterstate.Tenant // who holds it by the plan; nil where none is asked for
+	clientKey string               // kept for any route: one that needs no key now may need one before the request is sent
+	tenant    *clusterstate.Tenant // the holder of clientKey according to plan; nil if the route requires no key
 
-	answered bool             // its answer has begun
-	onAnswer func(status int) // hears of the answer once it is out; may be nil
+	answered bool             // the response has been started
+	onAnswer func(status int) // called with the status once the response is written; may be nil
 }
 
+// serve handles one client request.
 func (e *Edge) serve(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
-	e.counts.Requests.Add(1)
-	q := &request{Request: r, w: w, link: e.link, id: r.Header.Get(upstream.HeaderID), arrived: arrived, left: usualLeft, plan: e.plan.Load(), last: e.lastWord.Load()}
+	e.counters.Requests.Add(1)
+	q := &request{Request: r, w: w, outbound: e.outbound, id: r.Header.Get(upstream.HeaderID), arrived: arrived, timeLeft: defaultTimeLeft, plan: e.plan.Load(), closeConn: e.closeConns.Load()}
 	if ms := atoi(r.Header.Get(upstream.HeaderLeft)); ms > 0 {
-		q.left = time.Duration(min(ms, int64(time.Hour/time.Millisecond))) * time.Millisecond
+		q.timeLeft = time.Duration(min(ms, int64(time.Hour/time.Millisecond))) * time.Millisecond
 	}
-	if q.plan == nil { // just started: the common state is on its way
-		q.refuse(startsWithin)
+	if q.plan == nil { // just started: the replicated state has not arrived yet
+		q.refuse(startupRetryAfter)
 		return
 	}
 	host, _, err := net.SplitHostPort(r.Host)
@@ -68,171 +71,173 @@
 		q.final(http.StatusNotFound, nil, nil)
 		return
 	}
-	if !e.admit(q) {
+	if !e.authenticate(q) {
 		return
 	}
-	q.left = min(q.left, q.route.Timeout)
+	q.timeLeft = min(q.timeLeft, q.route.Timeout)
 	if q.route.Kind == clusterstate.Shelved && (r.Method == http.MethodGet || r.Method == http.MethodHead) {
-		io.Copy(io.Discard, http.MaxBytesReader(q.w, r.Body, usualBody)) // it says nothing of an object; behind it a leave would not be seen
+		// A cacheable response does not depend on the request body, and an unread body would hide a disconnect.
+		io.Copy(io.Discard, http.MaxBytesReader(q.w, r.Body, smallBodyBytes))
 		e.serveObject(q, objectKey(q, strings.ToLower(host)))
 		return
 	}
-	defer e.account(q)()
+	defer e.trackCaller(q)()
 	e.serveWithBody(q)
 }
 
-// account keeps account of a request's client from now until the returned function is called.
-func (e *Edge) account(q *request) (done func()) {
+// trackCaller registers the request's client as a caller until the returned function is called.
+func (e *Edge) trackCaller(q *request) (done func()) {
 	q.caller = e.callers.Open(q.Context(), departure.Client, q.route.Name)
-	onLeave(q.Request, q.caller.Leave)
+	onDisconnect(q.Request, q.caller.Leave)
 	return func() {
-		left := q.caller.Left()
+		disconnected := q.caller.Left()
 		q.caller.Close()
-		if left && !q.answered { // http.Server would write an empty success for a handler that writes nothing
+		if disconnected && !q.answered { // http.Server would send an empty 200 for a handler that writes nothing
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// serveWithBody reads a request's body and sends it to a server.
+// serveWithBody buffers the request body and forwards the request to a server.
 func (e *Edge) serveWithBody(q *request) {
 	r := q.Request
-	most := q.plan.Limits.BodyBytes
-	if r.ContentLength > most {
+	maxBytes := q.plan.Limits.BodyBytes
+	if r.ContentLength > maxBytes {
 		q.final(http.StatusRequestEntityTooLarge, nil, nil)
 		return
 	}
-	if r.ContentLength < 0 || r.ContentLength > usualBody { // held whole, all of them within a part of the memory
-		most = min(most, e.bodies.Most())
-		let, ok := e.bodies.Take(max(r.ContentLength, min(most, usualBody)))
+	if r.ContentLength < 0 || r.ContentLength > smallBodyBytes { // buffered whole, within the memory budget of all request bodies
+		maxBytes = min(maxBytes, e.bodyBudget.Most())
+		release, ok := e.bodyBudget.Take(max(r.ContentLength, min(maxBytes, smallBodyBytes)))
 		if !ok {
-			q.refuse(comeAgain)
+			q.refuse(defaultRetryAfter)
 			return
 		}
-		defer let()
+		defer release()
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(q.w, r.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(q.w, r.Body, maxBytes))
 	if err != nil {
 		q.final(http.StatusBadRequest, nil, nil)
 		return
 	}
-	e.serveDirect(q, body)
+	e.forward(q, body)
 }
 
-// target is the request line's, as the client wrote it, but for the host before it that some write.
-func target(r *http.Request) string {
+// requestTarget returns the request target as the client sent it, without the scheme and host of an absolute-form target.
+func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
 	return r.URL.RequestURI()
 }
 
-// serveDirect sends a request to a server of its route's service.
-func (e *Edge) serveDirect(q *request, body []byte) {
-	sv := q.plan.services[q.route.Pick(rand.Float64())]
-	if sv == nil {
-		q.refuse(comeAgain)
+// forward sends a request to a server of its route's service and writes the response.
+func (e *Edge) forward(q *request, body []byte) {
+	svc := q.plan.services[q.route.Pick(rand.Float64())]
+	if svc == nil {
+		q.refuse(defaultRetryAfter)
 		return
 	}
-	permit := e.permit(q.route.Name, q.clientKey)
-	if _, err := permit(); err != nil { // at once, and not after it has waited for a server
+	permit := e.permitFunc(q.route.Name, q.clientKey)
+	if _, err := permit(); err != nil { // checked before the request waits for a server
 		q.deny(denialOf(err))
 		return
 	}
-	sv.rate.want()
-	low := q.plan.low(q.route, q.tenant, sv)
-	if !sv.rate.take(low) {
-		q.refuse(sv.rate.wait(low))
+	svc.limiter.countDemand()
+	ranksLow := q.plan.ranksLow(q.route, q.tenant, svc)
+	if !svc.limiter.take(ranksLow) {
+		q.refuse(svc.limiter.waitTime(ranksLow))
 		return
 	}
 	header := upstream.EndToEnd(q.Header.Clone())
-	if e.plan.Load().keys != nil { // tenants may have come since the request did
+	if e.plan.Load().keys != nil { // tenants may have been configured since the request arrived
 		delete(header, upstream.HeaderKey)
 		delete(header, upstream.HeaderSender)
 	}
 	header["Host"] = []string{q.Host}
 	order := &upstream.Order{ID: q.id, OnceOnly: q.route.Kind == clusterstate.OnceOnly, Caller: q.caller, Permit: permit, Account: e.usageAccount(q.tenant)}
-	a := e.ask(sv, q.route.Name, order, exchange.Request{ID: q.id, Class: q.plan.class(q.route, q.tenant), Arrived: q.arrived, TimeLeft: q.left,
-		Write: q.route.Kind == clusterstate.OnceOnly, Method: q.Method, Target: target(q.Request), Header: header, Body: body})
+	answer := e.sendToService(svc, q.route.Name, order, exchange.Request{ID: q.id, Class: q.plan.className(q.route, q.tenant), Arrived: q.arrived, TimeLeft: q.timeLeft,
+		Write: q.route.Kind == clusterstate.OnceOnly, Method: q.Method, Target: requestTarget(q.Request), Header: header, Body: body})
 	denied := order.Denied()
 	switch failure := order.Failure(); {
-	case q.caller.Left(): // nobody is there to take an answer
+	case q.caller.Left(): // the client has disconnected
 	case denied != nil && order.SurelyNotRun():
 		q.deny(denialOf(denied))
-	case a.Kind == exchange.Served:
-		q.pass(int(atoi(first(a.Header, upstream.StatusKey))), a.Header, a.Body)
-	case failure != nil: // a server's own word about it
-		q.pass(int(atoi(first(failure.Header, upstream.StatusKey))), failure.Header, failure.Body)
-	case a.Kind == exchange.Refused:
-		q.refuse(max(a.RetryAfter, 20*time.Millisecond))
-	case order.OnceOnly && !order.MayHaveRun(): // nothing has left: it has not run
-		q.refuse(comeAgain)
-	case a.TimedOut:
+	case answer.Kind == exchange.Served:
+		q.writeResponse(int(atoi(firstValue(answer.Header, upstream.StatusKey))), answer.Header, answer.Body)
+	case failure != nil: // the last server's own error response
+		q.writeResponse(int(atoi(firstValue(failure.Header, upstream.StatusKey))), failure.Header, failure.Body)
+	case answer.Kind == exchange.Refused:
+		q.refuse(max(answer.RetryAfter, 20*time.Millisecond))
+	case order.OnceOnly && !order.MayHaveRun(): // nothing was sent, so it has not run
+		q.refuse(defaultRetryAfter)
+	case answer.TimedOut:
 		q.final(http.StatusGatewayTimeout, nil, nil)
 	default:
 		q.final(http.StatusBadGateway, nil, nil)
 	}
 }
 
-// objectKey is the key of the object that a request asks for, as it was written: another spelling may be another object.
+// objectKey returns the cache key of the requested object. Path and query are not normalized: another spelling may be another object.
 func objectKey(q *request, host string) objectcache.Key {
 	k := objectcache.Key{Host: host, Path: q.URL.EscapedPath(), Query: q.URL.RawQuery}
 	k.Service = q.route.Pick(float64(k.Hash()>>11) / (1 << 53))
 	return k
 }
 
-// serveObject answers from this router's copy. Nothing is done for the client of one that is fresh, so that no account of it is kept.
+// serveObject answers from this router's cache entry if it is fresh, and otherwise through the cache tier. A fresh hit needs no further
+// work, so its client is not tracked.
 func (e *Edge) serveObject(q *request, k objectcache.Key) {
 	q.onAnswer = e.answerCounter(q.tenant)
-	own, grade := e.held(k, objectcache.Asker{ID: q.id, ClientKey: q.clientKey}, true)
+	cached, grade := e.lookup(k, objectcache.Asker{ID: q.id, ClientKey: q.clientKey}, true)
 	if grade == objectcache.Fresh {
-		q.deliver(fetchedFrom(own))
+		q.deliver(fetchedFrom(cached))
 		return
 	}
-	defer e.account(q)()
-	e.serveShelved(q, k, own)
+	defer e.trackCaller(q)()
+	e.serveFromTier(q, k, cached)
 }
 
-// serveShelved answers from the copy of the cache router that the table names, or of the servers.
-func (e *Edge) serveShelved(q *request, k objectcache.Key, own *objectcache.Copy) {
-	ask := Fetch{Key: k, Target: k.Target(), ID: q.id, ClientKey: q.clientKey, Route: q.route.Name, Index: e.replica.Index()}
-	if own != nil && own.Lent && e.vouched() {
-		ask.ETag = own.ETag
-	}
-	left := q.left - tierSlack
-	if left <= 0 {
-		left = q.left
-	}
-	x := exchange.New(exchange.Request{ID: q.id, Class: copyClass, Key: k.Hash(), HasKey: true, Arrived: q.arrived, TimeLeft: left,
-		Method: http.MethodGet, Target: ask.Target, Header: encodeAsk(ask)})
-	begun := time.Now()
-	a := e.zoneCaches.ask(x, q.caller)
+// serveFromTier answers from the cache router that owns the key, or from the servers if that router does not answer.
+func (e *Edge) serveFromTier(q *request, k objectcache.Key, cached *objectcache.Copy) {
+	query := Fetch{Key: k, Target: k.Target(), ID: q.id, ClientKey: q.clientKey, Route: q.route.Name, Index: e.replica.Index()}
+	if cached != nil && cached.Lent && e.purgesKnown() {
+		query.ETag = cached.ETag
+	}
+	timeLeft := q.timeLeft - tierReserve
+	if timeLeft <= 0 {
+		timeLeft = q.timeLeft
+	}
+	x := exchange.New(exchange.Request{ID: q.id, Class: copyClass, Key: k.Hash(), HasKey: true, Arrived: q.arrived, TimeLeft: timeLeft,
+		Method: http.MethodGet, Target: query.Target, Header: encodeFetch(query)})
+	started := time.Now()
+	answer := e.zoneCaches.do(x, q.caller)
 	if q.caller.Left() {
 		return
 	}
-	if a.Kind == exchange.Served {
-		got := unpack(a.Header, a.Body)
-		if got.Whole {
-			got = e.borrow(k, q.route, got, own, begun)
+	if answer.Kind == exchange.Served {
+		fetched := decodeFetched(answer.Header, answer.Body)
+		if fetched.Whole {
+			fetched = e.storeFromPeer(k, q.route, fetched, cached, started)
 		}
-		if got.Denied != notProven { // there; this router may know more
-			q.deliver(got)
+		if fetched.Denied != keyUnproven { // unproven on that router; this one may have a more recent proof
+			q.deliver(fetched)
 			return
 		}
 	}
-	ask.ETag = ""
-	rest := q.left - time.Since(q.arrived)
-	if rest < 20*time.Millisecond {
-		q.refuse(comeAgain)
+	query.ETag = ""
+	remaining := q.timeLeft - time.Since(q.arrived)
+	if remaining < 20*time.Millisecond {
+		q.refuse(defaultRetryAfter)
 		return
 	}
-	ask.LeftMS = rest.Milliseconds()
-	ctx, done := context.WithTimeout(q.caller.Context(), rest) // a fetch that another one has begun may take longer
-	defer done()
-	q.deliver(e.obtain(ctx, ask)) // no cache router answers, or may: this one asks the servers itself
+	query.LeftMS = remaining.Milliseconds()
+	ctx, cancel := context.WithTimeout(q.caller.Context(), remaining) // the request may join a fetch that is allowed to take longer
+	defer cancel()
+	q.deliver(e.getObject(ctx, query)) // no cache router answered, or it could not decide: this router asks the servers itself
 }
 
-// deliver answers with an object, whole or the range that was asked for, or with what a server said instead.
+// deliver writes a fetched object, whole or the requested range, or else the denial, refusal or server response that came instead.
 func (q *request) deliver(g Fetched) {
 	switch {
 	case g.Denied != notDenied:
@@ -240,36 +245,37 @@
 	case g.Refuse > 0:
 		q.refuse(time.Duration(g.Refuse) * time.Millisecond)
 	case !g.Whole:
-		q.pass(g.Status, g.Header, g.Body)
-	case q.Header.Get("If-None-Match") != "" && q.Header.Get("If-None-Match") == first(g.Header, "Etag"):
-		q.pass(http.StatusNotModified, g.Header, nil)
+		q.writeResponse(g.Status, g.Header, g.Body)
+	case q.Header.Get("If-None-Match") != "" && q.Header.Get("If-None-Match") == firstValue(g.Header, "Etag"):
+		q.writeResponse(http.StatusNotModified, g.Header, nil)
 	default:
 		from, to, ok, ranged := parseRange(q.Header.Get("Range"), int64(len(g.Body)))
 		switch {
 		case !ranged:
-			q.pass(http.StatusOK, g.Header, g.Body)
+			q.writeResponse(http.StatusOK, g.Header, g.Body)
 		case !ok:
-			h := without(g.Header, upstream.HeaderStamp) // a server's stamp stands under the status that it gave, and this one is ours
+			h := withoutHeader(g.Header, upstream.HeaderStamp) // the server's stamp belongs to its own status, and this status is the router's
 			h["Content-Range"] = []string{"bytes */" + itoa(int64(len(g.Body)))}
-			q.pass(http.StatusRequestedRangeNotSatisfiable, h, nil)
+			q.writeResponse(http.StatusRequestedRangeNotSatisfiable, h, nil)
 		default:
-			h := without(g.Header, "Content-Range")
+			h := withoutHeader(g.Header, "Content-Range")
 			h["Content-Range"] = []string{"bytes " + itoa(from) + "-" + itoa(to) + "/" + itoa(int64(len(g.Body)))}
-			q.pass(http.StatusPartialContent, h, g.Body[from:to+1])
+			q.writeResponse(http.StatusPartialContent, h, g.Body[from:to+1])
 		}
 	}
 }
 
-// parseRange reads a single range that names its first byte; anything else asks for the whole.
+// parseRange parses a Range header with a single range that names its first byte. ranged is false for any other header: the whole object
+// is sent. ok is false if the range starts at or past size. to is inclusive.
 func parseRange(text string, size int64) (from, to int64, ok, ranged bool) {
-	spec, is := strings.CutPrefix(text, "bytes=")
-	a, b, dash := strings.Cut(spec, "-")
-	from, err := strconv.ParseInt(a, 10, 64)
-	if !is || !dash || err != nil || from < 0 {
+	spec, isBytes := strings.CutPrefix(text, "bytes=")
+	firstText, lastText, dash := strings.Cut(spec, "-")
+	from, err := strconv.ParseInt(firstText, 10, 64)
+	if !isBytes || !dash || err != nil || from < 0 {
 		return 0, 0, false, false
 	}
-	if to = size - 1; b != "" {
-		last, err := strconv.ParseInt(b, 10, 64)
+	if to = size - 1; lastText != "" {
+		last, err := strconv.ParseInt(lastText, 10, 64)
 		if err != nil || last < from {
 			return 0, 0, false, false
 		}
@@ -278,8 +284,8 @@
 	return from, to, from < size, true
 }
 
-// pass writes what a server said, or what stands for it. It is the one gate by which an answer with a body goes out.
-func (q *request) pass(status int, h http.Header, body []byte) {
+// writeResponse writes a server's response, or an equivalent from the cache. Every response with a body goes through it.
+func (q *request) writeResponse(status int, h http.Header, body []byte) {
 	out := q.w.Header()
 	for name, values := range h {
 		if name[0] != ':' && name != upstream.HeaderLoad {
@@ -289,7 +295,7 @@
 	q.finish(status, body)
 }
 
-// refuse says that the request has not run and never will, and when to come again.
+// refuse answers 503: the request has not run and will not run. after becomes Retry-After if it is positive.
 func (q *request) refuse(after time.Duration) {
 	if after > 0 {
 		q.w.Header()["Retry-After"] = []string{strconv.FormatFloat(after.Seconds(), 'f', 3, 64)}
@@ -297,6 +303,7 @@
 	q.finish(http.StatusServiceUnavailable, nil)
 }
 
+// final writes a response with the given headers.
 func (q *request) final(status int, h http.Header, body []byte) {
 	for name, values := range h {
 		q.w.Header()[name] = values
@@ -304,6 +311,7 @@
 	q.finish(status, body)
 }
 
+// finish adds the router's own headers, writes status and body and calls onAnswer.
 func (q *request) finish(status int, body []byte) {
 	q.answered = true
 	out := q.w.Header()
@@ -311,10 +319,10 @@
 		out[upstream.HeaderID] = []string{q.id}
 	}
 	if out["Content-Type"] == nil {
-		out["Content-Type"] = nil // nothing is guessed
+		out["Content-Type"] = nil // keeps net/http from sniffing the content type
 	}
 	out["Date"] = nil
-	if q.last {
+	if q.closeConn {
 		out["Connection"] = []string{"close"}
 	}
 	if status != http.StatusNotModified && status != http.StatusNoContent {
@@ -322,7 +330,7 @@
 	}
 	q.w.WriteHeader(status)
 	if q.Method != http.MethodHead && len(body) > 0 {
-		q.link.write(q.Context(), q.w.Write, body)
+		q.outbound.write(q.Context(), q.w.Write, body)
 	}
 	if q.onAnswer != nil {
 		q.onAnswer(status)
