--- a/internal/cdn/edge/serve_test.go
+++ b/internal/cdn/edge/serve_test.go
@@ -23,22 +23,23 @@
 	is "gotest.tools/v3/assert/cmp"
 )
 
-// origin is a stand-in server: what reached it, and what it is to say.
+// origin is a fake server: it records the requests that it receives and answers as configured.
 type origin struct {
 	*http.Server
-	address string
-	mu      sync.Mutex
-	asked   []string
-	shown   []identity
-	version int
-	wait    chan struct{} // if set, an answer waits for a word
-	status  int
-	notRun  int // so many requests are turned away, without being run
+	address        string
+	mu             sync.Mutex
+	requests       []string
+	identitiesSeen []identity
+	version        int
+	gate           chan struct{} // if set, responses wait until it is closed
+	status         int
+	notRun         int // number of requests that are rejected without being run
 }
 
-// identity is for whom a server is told that it runs a request, and what else it is shown of the client.
+// identity is what a server sees of a request's client: request id, tenant and key.
 type identity struct{ id, tenant, clientKey string }
 
+// newOrigin starts an origin.
 func newOrigin(t testing.TB) *origin {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,9 +54,9 @@
 func (o *origin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	o.mu.Lock()
-	o.asked = append(o.asked, fmt.Sprintf("%s %s %s %s", r.Method, r.Host, r.RequestURI, body))
-	o.shown = append(o.shown, identity{r.Header.Get(upstream.HeaderID), r.Header.Get("Sender"), r.Header.Get("Key")})
-	version, wait, status := o.version, o.wait, o.status
+	o.requests = append(o.requests, fmt.Sprintf("%s %s %s %s", r.Method, r.Host, r.RequestURI, body))
+	o.identitiesSeen = append(o.identitiesSeen, identity{r.Header.Get(upstream.HeaderID), r.Header.Get("Sender"), r.Header.Get("Key")})
+	version, wait, status := o.version, o.gate, o.status
 	o.mu.Unlock()
 	if wait != nil {
 		<-wait
@@ -63,7 +64,7 @@
 	if id := r.Header.Get(upstream.HeaderID); id != "" {
 		w.Header().Set(upstream.HeaderID, id)
 	}
-	if o.turnsAway() {
+	if o.rejects() {
 		w.Header().Set(upstream.HeaderNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -81,73 +82,77 @@
 	fmt.Fprintf(w, "version %d", version)
 }
 
+// seen returns the requests received, in order.
 func (o *origin) seen() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]string(nil), o.asked...)
+	return append([]string(nil), o.requests...)
 }
 
-// turnsAway tells whether one more request is to be turned away.
-func (o *origin) turnsAway() bool {
+// rejects reports whether the next request is to be rejected.
+func (o *origin) rejects() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.notRun--
 	return o.notRun >= 0
 }
 
-// identities are those that the server was shown, in order.
+// identities returns the identities received, in order.
 func (o *origin) identities() []identity {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]identity(nil), o.shown...)
+	return append([]identity(nil), o.identitiesSeen...)
 }
 
+// set changes the origin's fields under its lock.
 func (o *origin) set(f func()) { o.mu.Lock(); defer o.mu.Unlock(); f() }
 
-// lone is an edge without a core: the test hands it its news.
-func lone(t testing.TB, o *origin, routes string) (*Edge, func(c clusterstate.Command)) {
+// newTestEdge returns a router without core machines, and a function by which the test applies commands to its state.
+func newTestEdge(t testing.TB, o *origin, routes string) (*Edge, func(c clusterstate.Command)) {
 	t.Helper()
-	f := &Edge{set: bootconfig.Settings{Node: "me", Zone: "a", MemoryMB: 64, FileHandles: 1024, Bounds: bootconfig.Bounds{Contact: time.Hour, StaleSlack: 2 * time.Second,
+	f := &Edge{config: bootconfig.Settings{Node: "me", Zone: "a", MemoryMB: 64, FileHandles: 1024, Bounds: bootconfig.Bounds{Contact: time.Hour, StaleSlack: 2 * time.Second,
 		CeilingWindow: 5 * time.Second, CeilingExcess: 1.1}},
 		log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), replica: statesync.New(), cache: objectcache.New(8 << 20), clock: exchange.NewClock(),
-		changes: make(chan func(), 64), life: t.Context()}
+		changes: make(chan func(), 64), lifetime: t.Context()}
 	f.init()
-	f.replica.Set, f.replica.Log = f.set, f.log
+	f.replica.Set, f.replica.Log = f.config, f.log
 	f.replica.Take(clusterstate.News{Fresh: true, Proven: true}, time.Now())
 	go f.zoneCaches.loop.Run(t.Context())
 	go f.shields.loop.Run(t.Context())
 	go f.zoneShields.loop.Run(t.Context())
-	go f.follow(t.Context())
+	go f.runChanges(t.Context())
 	s, index := clusterstate.New(), uint64(0)
 	give := func(c clusterstate.Command) {
 		index++
 		out := s.Apply(index, c)
 		assert.Equal(t, out.Status, clusterstate.Done, out.Text)
-		f.took(s, c, index, false)
+		f.applyChange(s, c, index, false)
 	}
 	give(clusterstate.Command{Put: []byte(`{"edition":"r1","based_on":0,"parcels":[` + routes + `{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{}}]}`)})
 	give(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "me", Zone: "a"}}})
 	give(clusterstate.Command{Server: &clusterstate.Server{ID: "i-1", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.Open, Beat: 1}})
 	done := make(chan struct{})
-	f.later(func() { close(done) })
+	f.enqueue(func() { close(done) })
 	<-done
 	return f, give
 }
 
-func parcel(name, kind, prefix string) string {
+// routeJSON returns a route's entry in a configuration.
+func routeJSON(name, kind, prefix string) string {
 	return fmt.Sprintf(`{"parcel_kind":"routes","label":{"name":%q},"manifest":{"domain":"a.example","path_prefix":%q,"mail_class":%q,"timeout":"2000ms",`+
 		`"target":"500ms","carrier":"shop","tries":2,"shelf":"20s"}},`, name, prefix, kind)
 }
 
-var threeRoutes = parcel("s", "shelved", "/s/") + parcel("r", "resendable", "/r/") + parcel("o", "once_only", "/o/")
+var threeRoutesJSON = routeJSON("s", "shelved", "/s/") + routeJSON("r", "resendable", "/r/") + routeJSON("o", "once_only", "/o/")
 
-// answer is what a client gets.
+// answer is the response that a client gets.
 type answer struct {
 	status int
 	header http.Header
 	body   string
 }
 
+// get sends a request and returns the response.
 func (e *Edge) get(t *testing.T, client *http.Client, url, method, target, body string, head ...string) answer {
 	t.Helper()
 	q, err := http.NewRequest(method, url+target, strings.NewReader(body))
@@ -165,6 +170,7 @@
 	return answer{r.StatusCode, r.Header, string(text)}
 }
 
+// listen starts the router's client listener and returns its URL.
 func listen(t testing.TB, f *Edge) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -176,17 +182,17 @@
 	return "http://" + l.Addr().String()
 }
 
-// Requests reach servers as clients wrote them, and what stands for an object is only ever that object.
-func TestTheWayOfRequests(t *testing.T) {
+// Requests reach servers with the target that the client sent, and a cached object is served only for exactly that target.
+func TestRequestForwarding(t *testing.T) {
 	o := newOrigin(t)
-	f, _ := lone(t, o, threeRoutes)
+	f, _ := newTestEdge(t, o, threeRoutesJSON)
 	url := listen(t, f)
 	cases := []struct {
 		method, target, body string
 		head                 []string
 		status               int
 		says                 string
-		reaches              string // what a server saw last; empty: nothing new
+		reaches              string // the request that the server received; empty: none
 	}{
 		{"GET", "/s/a%2Fb%20c?x=%31&y", "", nil, 200, "version 1", "GET a.example /s/a%2Fb%20c?x=%31&y "},
 		{"GET", "/s/a%2Fb%20c?x=%31&y", "", nil, 200, "version 1", ""},
@@ -215,17 +221,17 @@
 	assert.Equal(t, a.header.Get("Content-Range"), "bytes 2-4/9")
 	assert.Equal(t, a.header.Get(upstream.HeaderStamp), "stamp")
 	a = f.get(t, http.DefaultClient, url, "GET", "/s/a%2Fb%20c?x=%31&y", "", "Range", "bytes=40-")
-	assert.Equal(t, a.header.Get(upstream.HeaderStamp), "", "a refusal of ours under the stamp of a server's success")
+	assert.Equal(t, a.header.Get(upstream.HeaderStamp), "", "the router's own 416 has the server's stamp")
 }
 
-// Whoever asks for one missing object waits for one fetch; a purge meanwhile lets nobody who asks later have what was asked for
-// before it.
-func TestOneFetchAndAPurgeOnItsWay(t *testing.T) {
+// Concurrent requests for a missing object share one fetch. After a purge during that fetch, later requests must not get the object that
+// was requested before the purge.
+func TestPurgeDuringSharedFetch(t *testing.T) {
 	o := newOrigin(t)
-	f, give := lone(t, o, threeRoutes)
+	f, give := newTestEdge(t, o, threeRoutesJSON)
 	url := listen(t, f)
 	gate := make(chan struct{})
-	o.set(func() { o.wait = gate })
+	o.set(func() { o.gate = gate })
 	var wg sync.WaitGroup
 	const clients = 5
 	for range clients {
@@ -233,16 +239,16 @@
 			assert.Check(t, is.Equal(f.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 1"))
 		})
 	}
-	eventually(t, "all wait for one fetch", func() bool {
+	eventually(t, "all requests wait for one fetch", func() bool {
 		f.fetches.mu.Lock()
 		defer f.fetches.mu.Unlock()
-		for _, w := range f.fetches.all {
-			return w.waiting == clients && len(o.seen()) == 1
+		for _, w := range f.fetches.inFlight {
+			return w.waiters == clients && len(o.seen()) == 1
 		}
 		return false
 	})
 	give(clusterstate.Command{Purge: &clusterstate.Purge{Host: "A.example", Path: "/s/1"}})
-	o.set(func() { o.version, o.wait = 2, nil })
+	o.set(func() { o.version, o.gate = 2, nil })
 	close(gate)
 	wg.Wait()
 	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 2")
@@ -252,25 +258,25 @@
 	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 3")
 }
 
-// A router that has been out of touch for longer than the operators' bound asks the server before it hands a copy on: a purge may
-// have passed it by. It asks with the copy's tag, so that the body need not come again.
-func TestOutOfTouchCopiesAreAskedAbout(t *testing.T) {
+// A router whose replica is older than the operators' limit revalidates a copy before it serves it, because it may have missed a purge. It
+// sends the copy's ETag, so that an unchanged body is not transferred again.
+func TestOldReplicaRevalidatesCopies(t *testing.T) {
 	o := newOrigin(t)
-	f, _ := lone(t, o, threeRoutes)
+	f, _ := newTestEdge(t, o, threeRoutesJSON)
 	url := listen(t, f)
 	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 1")
 	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 1")
 	before := len(o.seen())
-	f.set.Bounds.Contact, f.replica.Set.Bounds.Contact = 0, 0 // and nothing has been heard since
+	f.config.Bounds.Contact, f.replica.Set.Bounds.Contact = 0, 0 // the proof is too old
 	o.set(func() { o.version = 2 })
 	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 2")
 	assert.Equal(t, len(o.seen()), before+1)
 }
 
-// A server's own failure goes out as it said it; what may run once reaches one server at most.
-func TestFailuresGoOutAsTheyCame(t *testing.T) {
+// A server's error response is passed through unchanged. A once-only request reaches at most one server.
+func TestServerErrorsPassThrough(t *testing.T) {
 	o := newOrigin(t)
-	f, _ := lone(t, o, threeRoutes)
+	f, _ := newTestEdge(t, o, threeRoutesJSON)
 	url := listen(t, f)
 	o.set(func() { o.status = 500 })
 	for _, target := range []string{"/o/1", "/r/1", "/s/1"} {
@@ -284,6 +290,7 @@
 	}
 }
 
+// newReplicaForTest returns an empty replica that logs nothing.
 func newReplicaForTest() *statesync.Replica {
 	s := statesync.New()
 	s.Log = hclog.NewNullLogger()
--- a/internal/cdn/edge/servers.go
+++ b/internal/cdn/edge/servers.go
@@ -10,86 +10,86 @@
 	"cedarmast/internal/exchange"
 )
 
-// This file tells the decisions which servers there are.
+// This file keeps the load balancers' server lists up to date.
 
-// everyService stands for all services where one is named.
-const everyService = ""
+// allServices stands for all services in place of a service's name.
+const allServices = ""
 
-// listTogether is how long a change of a server waits for others: a list is told whole, and what it costs goes by how many servers there
-// are. Where tens of servers leave at once each would else cost a list of its own.
-const listTogether = 100 * time.Millisecond
+// listDebounce is how long a server change waits for further changes. A list is always sent whole and costs time in proportion to the
+// number of servers; without the delay, tens of servers that leave at once would cost one list each.
+const listDebounce = 100 * time.Millisecond
 
-// serversChanged has the decisions told that a service's servers have changed, with all that change within listPause.
+// serversChanged schedules a new server list for a service, together with all that change within listDelay.
 func (e *Edge) serversChanged(s *clusterstate.State, name string) {
-	first := len(e.relisted) == 0
-	e.relisted[name] = true
+	first := len(e.changedServices) == 0
+	e.changedServices[name] = true
 	switch {
-	case e.listPause == 0:
-		e.tellServers(s)
+	case e.listDelay == 0:
+		e.pushServerLists(s)
 	case first:
-		time.AfterFunc(e.listPause, func() { e.replica.Read(e.tellServers) })
+		time.AfterFunc(e.listDelay, func() { e.replica.Read(e.pushServerLists) })
 	}
 }
 
-// tellServers tells the decisions of the services whose servers have changed since it last did. A new server's limit hangs on how many slots
-// there are, so that the settings come first.
-func (e *Edge) tellServers(s *clusterstate.State) {
-	e.retune(s)
-	if e.relisted[everyService] {
-		e.list(s, everyService)
+// pushServerLists sends new lists to the load balancers of the services whose servers have changed since the last call. Settings go first,
+// because a new server's concurrency limit depends on the number of slots.
+func (e *Edge) pushServerLists(s *clusterstate.State) {
+	e.updateSettings(s)
+	if e.changedServices[allServices] {
+		e.pushServerList(s, allServices)
 	} else {
-		for name := range e.relisted {
-			e.list(s, name)
+		for name := range e.changedServices {
+			e.pushServerList(s, name)
 		}
 	}
-	clear(e.relisted)
+	clear(e.changedServices)
 }
 
-// list tells the decisions which servers a service has, or which all services have.
-func (e *Edge) list(s *clusterstate.State, name string) {
-	for each, sv := range e.services {
-		if name != everyService && each != name {
+// pushServerList sends the current server list to the load balancers of the named service, or of allServices.
+func (e *Edge) pushServerList(s *clusterstate.State, name string) {
+	for svcName, svc := range e.services {
+		if name != allServices && svcName != name {
 			continue
 		}
-		here := false
-		l := exchange.List{Addresses: map[balance.ServerID]string{}}
-		l.Kind, l.Version = balance.Complete, int64(s.Index)
+		hasLocal := false
+		list := exchange.List{Addresses: map[balance.ServerID]string{}}
+		list.Kind, list.Version = balance.Complete, int64(s.Index)
 		for _, id := range slices.Sorted(maps.Keys(s.Servers)) {
-			x := s.Servers[id]
-			if x.Service != each {
+			server := s.Servers[id]
+			if server.Service != svcName {
 				continue
 			}
-			entry := balance.Entry{Server: balance.ServerID(id), Zone: x.Zone, Weight: float64(max(x.Slots, 1)) * sv.speeds.part(id), Started: e.startOf(x)}
-			here = here || x.Zone == e.set.Zone
-			if x.State != clusterstate.Open {
+			entry := balance.Entry{Server: balance.ServerID(id), Zone: server.Zone, Weight: float64(max(server.Slots, 1)) * svc.speeds.weightFactor(id), Started: e.warmupStart(server)}
+			hasLocal = hasLocal || server.Zone == e.config.Zone
+			if server.State != clusterstate.Open {
 				entry.State = balance.Draining
 			}
-			l.Entries = append(l.Entries, entry)
-			l.Addresses[entry.Server] = x.Address
+			list.Entries = append(list.Entries, entry)
+			list.Addresses[entry.Server] = server.Address
 		}
-		sv.here.Store(here)
-		e.lists.Add(1)
-		e.later(func() {
-			for _, to := range sv.loops() {
-				to.Listed(l)
+		svc.hasLocalServers.Store(hasLocal)
+		e.serverLists.Add(1)
+		e.enqueue(func() {
+			for _, loop := range svc.loops() {
+				loop.Listed(list)
 			}
 		})
 	}
-	for id := range e.started {
+	for id := range e.warmupStarts {
 		if _, ok := s.Servers[id]; !ok {
-			delete(e.started, id)
+			delete(e.warmupStarts, id)
 		}
 	}
 }
 
-// startOf is when a server began its warm-up, by this process's clock; 0 for one that is warm.
-func (e *Edge) startOf(x clusterstate.Server) balance.Time {
-	at, ok := e.started[x.ID]
+// warmupStart returns when a server began its warm-up, by this process's clock; 0 for a server that is warm.
+func (e *Edge) warmupStart(server clusterstate.Server) balance.Time {
+	start, ok := e.warmupStarts[server.ID]
 	if !ok {
-		if x.WarmupMS > 0 {
-			at = e.clock.Now().Add(time.Duration(x.WarmupMS)*time.Millisecond - cold)
+		if server.WarmupMS > 0 {
+			start = e.clock.Now().Add(time.Duration(server.WarmupMS)*time.Millisecond - warmUpTime)
 		}
-		e.started[x.ID] = at
+		e.warmupStarts[server.ID] = start
 	}
-	return at
+	return start
 }
--- a/internal/cdn/edge/usage.go
+++ b/internal/cdn/edge/usage.go
@@ -14,29 +14,29 @@
 	"cedarmast/internal/cdn/usage"
 )
 
-// This file counts the tenants' requests and brings the counts to the holder of the duty.
+// This file counts the tenants' requests and reports the counts to the duty holder.
 
 const (
-	reportEvery  = time.Second
-	reportWithin = 400 * time.Millisecond // for the holder's answer, and as long again by way of a neighbour
-	reportRelays = 2                      // neighbours that are asked to pass a report on
-	lifeBytes    = 6
-	lastReport   = 300 * time.Millisecond // for the report at an end in order
-	coreClock    = "core"                 // whichever core machine answers tells the time of all of them
+	reportInterval     = time.Second            // interval of reports
+	reportTimeout      = 400 * time.Millisecond // for the holder's answer, and again for each neighbour that relays
+	maxReportRelays    = 2                      // neighbours that are asked to relay a report
+	processIDBytes     = 6                      // random bytes of a process id
+	finalReportTimeout = 300 * time.Millisecond // for the report at a graceful shutdown
+	coreClockSource    = "core"                 // clock source name: all core machines are taken as one clock
 
 )
 
-// newLife draws what tells this process from those that the machine ran before.
-func newLife() string {
-	var lot [lifeBytes]byte
-	rand.Read(lot[:])
-	return hex.EncodeToString(lot[:])
+// newProcessID returns a random id that distinguishes this process from earlier ones on the machine.
+func newProcessID() string {
+	var id [processIDBytes]byte
+	rand.Read(id[:])
+	return hex.EncodeToString(id[:])
 }
 
-// trueTime is the time of day, whatever this machine's own clock shows.
-func (e *Edge) trueTime() time.Time { return e.truth.Now(time.Now()) }
+// trueTime returns the wall clock time, corrected for this machine's clock error.
+func (e *Edge) trueTime() time.Time { return e.wallClock.Now(time.Now()) }
 
-// usageAccount is the account of a tenant's request that servers run; nil where nothing is reported.
+// usageAccount returns the account by which a tenant's request to servers is counted; nil if usage is not reported.
 func (e *Edge) usageAccount(tenant *clusterstate.Tenant) upstream.Account {
 	if e.meter == nil || tenant == nil {
 		return nil
@@ -44,7 +44,8 @@
 	return usage.NewRequest(e.meter, e.trueTime)
 }
 
-// answerCounter counts a tenant's request on a shelved route by its answer, if that is a success; nil where nothing is reported.
+// answerCounter returns a function that counts a tenant's request on a cacheable route if its status is a success; nil if usage is not
+// reported.
 func (e *Edge) answerCounter(tenant *clusterstate.Tenant) func(status int) {
 	if e.meter == nil || tenant == nil {
 		return nil
@@ -56,67 +57,67 @@
 	}
 }
 
-// reportUsage tells the holder of the duty, again and again, what has been counted, until the context ends.
+// reportUsage reports the counts to the duty holder periodically, until the context ends.
 func (e *Edge) reportUsage(ctx context.Context) {
-	turn := time.NewTicker(reportEvery)
-	defer turn.Stop()
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-turn.C:
-			e.reportOnce(ctx)
+		case <-ticker.C:
+			e.reportUsageOnce(ctx)
 		}
 	}
 }
 
-// reportLast tells the holder what was counted since the last report, as the process ends.
-func (e *Edge) reportLast() {
+// reportFinalUsage reports what was counted since the last report, at shutdown.
+func (e *Edge) reportFinalUsage() {
 	if e.meter == nil {
 		return
 	}
-	ctx, done := context.WithTimeout(context.Background(), lastReport)
-	defer done()
-	e.reportOnce(ctx)
+	ctx, cancel := context.WithTimeout(context.Background(), finalReportTimeout)
+	defer cancel()
+	e.reportUsageOnce(ctx)
 }
 
-// reportOnce tells the holder what is not fixed in the log, by way of neighbours if it is not reached.
-func (e *Edge) reportOnce(ctx context.Context) {
+// reportUsageOnce reports the counts that are not yet fixed in the log, through neighbours if the duty holder can't be reached.
+func (e *Edge) reportUsageOnce(ctx context.Context) {
 	var fixed int64
 	e.replica.Read(func(s *clusterstate.State) { fixed = s.Usage.Fixed })
 	e.meter.Fixed(fixed)
 	report := e.meter.Report(e.trueTime())
-	if e.tellHolder(ctx, &report) == nil {
+	if e.sendReport(ctx, &report) == nil {
 		return
 	}
-	neighbours := e.view.Neighbours()
-	for _, at := range neighbours[:min(len(neighbours), reportRelays)] {
-		call, done := context.WithTimeout(ctx, reportWithin)
-		_, err := peerrpc.Call[usage.Report, bool](call, e.peers.At(at), "Edge.PassUsage", &report)
-		done()
+	neighbours := e.peerView.Neighbours()
+	for _, at := range neighbours[:min(len(neighbours), maxReportRelays)] {
+		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
+		_, err := peerrpc.Call[usage.Report, bool](callCtx, e.peers.At(at), "Edge.PassUsage", &report)
+		cancel()
 		if err == nil {
 			return
 		}
-		e.log.Debug("usage not passed on", "err", err)
+		e.log.Debug("neighbour did not relay usage report", "err", err)
 	}
 }
 
-// tellHolder brings a report to the machine that holds the duty.
-func (e *Edge) tellHolder(ctx context.Context, report *usage.Report) error {
+// sendReport sends a report to the duty holder.
+func (e *Edge) sendReport(ctx context.Context, report *usage.Report) error {
 	holder := ""
 	e.replica.Read(func(s *clusterstate.State) { holder = s.Duty.Holder })
 	if holder == "" {
-		return Error.New("usage: nobody holds the duty")
+		return Error.New("usage: there is no duty holder")
 	}
-	call, done := context.WithTimeout(ctx, reportWithin)
-	defer done()
-	_, err := peerrpc.Call[usage.Report, bool](call, e.peers.At(e.set.Inner(holder, bootconfig.ConfigStorePort)), "ConfigStore.Usage", report)
+	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
+	defer cancel()
+	_, err := peerrpc.Call[usage.Report, bool](callCtx, e.peers.At(e.config.Inner(holder, bootconfig.ConfigStorePort)), "ConfigStore.Usage", report)
 	return err
 }
 
-// PassUsage passes a neighbour's report on to the holder, whom that neighbour does not reach.
-func (p *peerCalls) PassUsage(report *usage.Report, ok *bool) error {
-	if err := p.edge.tellHolder(p.edge.life, report); err != nil {
+// PassUsage relays a neighbour's report to the duty holder, which that neighbour can't reach.
+func (p *peerHandler) PassUsage(report *usage.Report, ok *bool) error {
+	if err := p.edge.sendReport(p.edge.lifetime, report); err != nil {
 		return err
 	}
 	*ok = true
--- a/internal/cdn/edge/usage_test.go
+++ b/internal/cdn/edge/usage_test.go
@@ -14,8 +14,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// What a proxy counts for tenants: by begun runs, and on shelved routes by successes (2xx) alone, whatever the method.
-func TestWhatAProxyCounts(t *testing.T) {
+// Requests are counted for tenants by attempts that may have run, and on cacheable routes only by successful responses (2xx), for any
+// method.
+func TestUsageCounts(t *testing.T) {
 	for _, c := range []struct {
 		method, target, key string
 		notRun              int
@@ -35,10 +36,10 @@
 	} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			o := newOrigin(t)
-			f, _ := lone(t, o, keyedRoutes+twoTenants)
-			f.meter, f.truth = usage.NewMeter("me", "1", time.Hour), truetime.New(time.Now(), false)
+			f, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+			f.meter, f.wallClock = usage.NewMeter("me", "1", time.Hour), truetime.New(time.Now(), false)
 			o.set(func() { o.notRun = c.notRun })
-			f.serve(httptest.NewRecorder(), asked(c.method, c.target, append([]string{"Key", c.key}, c.head...)...))
+			f.serve(httptest.NewRecorder(), newRequest(c.method, c.target, append([]string{"Key", c.key}, c.head...)...))
 			sum := int64(0)
 			for _, counts := range f.meter.Report(time.Now()).Windows {
 				for _, n := range counts {
@@ -50,22 +51,22 @@
 	}
 }
 
-// A client that has the object is answered 304, which is no success (2xx).
-func TestNotModifiedIsNoSuccess(t *testing.T) {
+// A 304 response to a client that has the object is not counted: it is not a success (2xx).
+func TestNotModifiedIsNotCounted(t *testing.T) {
 	o := newOrigin(t)
-	f, _ := lone(t, o, keyedRoutes+twoTenants)
+	f, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
 	first, again := httptest.NewRecorder(), httptest.NewRecorder()
-	f.serve(first, asked("GET", "/s/1", "Key", "k-1"))
+	f.serve(first, newRequest("GET", "/s/1", "Key", "k-1"))
 	tag := first.Header().Get("Etag")
 	assert.Assert(t, tag != "")
-	f.meter, f.truth = usage.NewMeter("me", "1", time.Hour), truetime.New(time.Now(), false)
-	f.serve(again, asked("GET", "/s/1", "Key", "k-1", "If-None-Match", tag))
+	f.meter, f.wallClock = usage.NewMeter("me", "1", time.Hour), truetime.New(time.Now(), false)
+	f.serve(again, newRequest("GET", "/s/1", "Key", "k-1", "If-None-Match", tag))
 	assert.Equal(t, again.Code, 304)
 	assert.Equal(t, len(f.meter.Report(time.Now()).Windows), 0)
 }
 
-// asked is a client's request as the handler gets it: it returns once the request has been counted.
-func asked(method, target string, head ...string) *http.Request {
+// newRequest returns a client request for the handler, which returns once the request has been counted.
+func newRequest(method, target string, head ...string) *http.Request {
 	r := httptest.NewRequest(method, "http://a.example"+target, nil)
 	r.RequestURI = target
 	r.Header.Set(upstream.HeaderID, "try")
