--- a/internal/cdn/edge/cachetier.go
+++ b/internal/cdn/edge/cachetier.go
@@ -40,7 +40,7 @@
 	tierDeadline   = 30 * time.Second
 	tierTarget     = 4 * time.Second        // far longer than a call takes: a slow origin must not look like a slow cache router
 	tierReserve    = 60 * time.Millisecond  // of a request's time, kept back for asking the servers directly
-	maxCatchUpWait = 150 * time.Millisecond // for a change that the caller has seen already, such as a purge
+	maxCatchUpWait = 150 * time.Millisecond // for a state change that the caller has seen already, such as a purge
 )
 
 // newCacheTier returns a tier that sends to shields if toShield is set, else to cache routers. With zoneFirst it prefers the own zone.
@@ -58,73 +58,73 @@
 
 // applyRoster applies the roster steps that are new, one index at a time: every router must apply them in the same order to build the same
 // interval table. If the roster has been compacted, the table is rebuilt from its new base.
-func (h *cacheTier) applyRoster(s *clusterstate.State) {
-	if h.rosterBase != s.RosterBase || h.rosterSteps > len(s.Roster) {
+func (t *cacheTier) applyRoster(s *clusterstate.State) {
+	if t.rosterBase != s.RosterBase || t.rosterSteps > len(s.Roster) {
 		empty := exchange.List{Addresses: map[balance.ServerID]string{}}
 		empty.Kind, empty.Version = balance.Complete, int64(s.Index)
-		h.enqueueList(empty)
-		h.rosterBase, h.rosterSteps = s.RosterBase, 0
-		clear(h.roster)
-		clear(h.listed)
+		t.enqueueList(empty)
+		t.rosterBase, t.rosterSteps = s.RosterBase, 0
+		clear(t.roster)
+		clear(t.listed)
 	}
-	for h.rosterSteps < len(s.Roster) {
-		for index := s.Roster[h.rosterSteps].Index; h.rosterSteps < len(s.Roster) && s.Roster[h.rosterSteps].Index == index; h.rosterSteps++ {
-			if step := s.Roster[h.rosterSteps]; step.Gone {
-				delete(h.roster, step.Node)
+	for t.rosterSteps < len(s.Roster) {
+		for index := s.Roster[t.rosterSteps].Index; t.rosterSteps < len(s.Roster) && s.Roster[t.rosterSteps].Index == index; t.rosterSteps++ {
+			if step := s.Roster[t.rosterSteps]; step.Gone {
+				delete(t.roster, step.Node)
 			} else {
-				h.roster[step.Node] = step.Router
+				t.roster[step.Node] = step.Router
 			}
 		}
-		h.pushChanges(int64(s.Index))
+		t.pushChanges(int64(s.Index))
 	}
 }
 
 // pushChanges sends the balancer the difference between the routers that it should list and those that it lists.
-func (h *cacheTier) pushChanges(version int64) {
-	chosen, want := clusterstate.Lenders(h.roster), map[string]clusterstate.Router{}
-	if h.toShield {
-		chosen = clusterstate.Shields(h.roster)
+func (t *cacheTier) pushChanges(version int64) {
+	chosen, want := clusterstate.Lenders(t.roster), map[string]clusterstate.Router{}
+	if t.toShield {
+		chosen = clusterstate.Shields(t.roster)
 	}
 	for node := range chosen {
-		want[node] = h.roster[node]
+		want[node] = t.roster[node]
 	}
 	list := exchange.List{Addresses: map[balance.ServerID]string{}}
 	list.Kind, list.Version = balance.Partial, version
-	for _, node := range slices.Sorted(maps.Keys(h.listed)) {
+	for _, node := range slices.Sorted(maps.Keys(t.listed)) {
 		if _, ok := want[node]; !ok {
-			list.Entries = append(list.Entries, balance.Entry{Server: balance.ServerID(node), Zone: h.listed[node].Zone, Weight: 1, State: balance.Gone})
+			list.Entries = append(list.Entries, balance.Entry{Server: balance.ServerID(node), Zone: t.listed[node].Zone, Weight: 1, State: balance.Gone})
 		}
 	}
 	for _, node := range slices.Sorted(maps.Keys(want)) {
-		if r := want[node]; h.listed[node] != r {
+		if r := want[node]; t.listed[node] != r {
 			list.Addresses[balance.ServerID(node)] = r.Address
 			list.Entries = append(list.Entries, balance.Entry{Server: balance.ServerID(node), Zone: r.Zone, Weight: max(r.Weight, 1)})
 		}
 	}
-	h.listed = want
+	t.listed = want
 	if len(list.Entries) > 0 {
-		h.enqueueList(list)
+		t.enqueueList(list)
 	}
 }
 
 // enqueueList sends a list to the balancer, in order with other changes.
-func (h *cacheTier) enqueueList(list exchange.List) { h.edge.enqueue(func() { h.loop.Listed(list) }) }
+func (t *cacheTier) enqueueList(list exchange.List) { t.edge.enqueue(func() { t.loop.Listed(list) }) }
 
 // Fetch is a request for an object from one cache router to another.
 type Fetch struct {
 	Key       objectcache.Key
-	Target    string // request target, as in the request line
-	ID        string // the client's Try-Id
-	ClientKey string // belongs to ID; the router that sends to a server names the tenant that holds the key at that time
-	LeftMS    int64  // time left for the answer
-	Route     string // route name
-	Index     uint64 // the caller's state index: the callee must have reached it
-	Own       bool   // sent by a router to itself: not a client's demand for the object, which was counted already
-	Home      bool   // the callee is asked as the key's shield: on a miss it asks the servers
-	AgeMS     int64  // maximum age of a cached copy; 0: any that may be served
-	ETag      string // of the caller's copy: if it still matches, the body is left out
-	Ticket    peerrpc.Ticket
-	Most      int // maximum bytes of the body in the response, the rest is fetched with Piece; 0: all
+	Target    string         // request target, as in the request line
+	ID        string         // the client's Try-Id
+	ClientKey string         // belongs to ID; the router that sends to a server names the tenant that holds the key at that time
+	LeftMS    int64          // time left for the answer
+	Route     string         // route name
+	Index     uint64         // the caller's state index: the callee must have reached it
+	Own       bool           // sent by a router to itself: not a client's demand for the object, which was counted already
+	Home      bool           // the callee is asked as the key's shield: on a miss it asks the servers
+	AgeMS     int64          // maximum age of a cached copy; 0: any that may be served
+	ETag      string         // of the caller's copy: if it still matches, the body is left out
+	Ticket    peerrpc.Ticket // identifies the call, so that it can be cancelled
+	Most      int            // maximum bytes of the body in the response, the rest is fetched with Piece; 0: all
 }
 
 // Fetched is the response to a Fetch.
@@ -145,32 +145,32 @@
 func (q Fetch) asker() objectcache.Asker { return objectcache.Asker{ID: q.ID, ClientKey: q.ClientKey} }
 
 // do submits a fetch on behalf of a caller and waits for the answer.
-func (h *cacheTier) do(x *exchange.Exchange, caller *departure.Caller) exchange.Answer {
-	h.callers.Store(x, caller)
-	defer h.callers.Delete(x)
-	return submitAndWait(h.loop, x, caller)
+func (t *cacheTier) do(x *exchange.Exchange, caller *departure.Caller) exchange.Answer {
+	t.callers.Store(x, caller)
+	defer t.callers.Delete(x)
+	return submitAndWait(t.loop, x, caller)
 }
 
 // Send implements exchange.Sender: it sends the fetch to the chosen cache router. A fetch for this router itself needs no call.
-func (h *cacheTier) Send(a *exchange.Attempt) {
-	caller, ok := h.callers.Load(a.Exchange)
+func (t *cacheTier) Send(a *exchange.Attempt) {
+	caller, ok := t.callers.Load(a.Exchange)
 	go func() {
 		if !ok { // answered meanwhile
 			a.End(exchange.Reply{Result: balance.Moot})
 			return
 		}
-		a.End(h.runAttempt(a, caller.(*departure.Caller)))
+		a.End(t.runAttempt(a, caller.(*departure.Caller)))
 	}()
 }
 
 // runAttempt makes one attempt and returns its result for the balancer.
-func (h *cacheTier) runAttempt(a *exchange.Attempt, caller *departure.Caller) exchange.Reply {
+func (t *cacheTier) runAttempt(a *exchange.Attempt, caller *departure.Caller) exchange.Reply {
 	q := Fetch{}
 	if err := decodeFetch(a.Exchange, &q); err != nil {
 		return exchange.Reply{Result: balance.Moot, Err: err}
 	}
 	q.LeftMS = max(time.Until(a.Due).Milliseconds(), 1)
-	q.Home = h.toShield
+	q.Home = t.toShield
 	ctx, release := upstream.Bind(a.Context, caller)
 	defer release()
 	if !caller.Begin(departure.BreakOff, a.Due) {
@@ -179,11 +179,11 @@
 	defer caller.End(departure.BreakOff)
 	var got Fetched
 	var err error
-	if string(a.Server) == h.edge.config.Node {
+	if string(a.Server) == t.edge.config.Node {
 		q.Own = true
-		got = h.edge.getObject(ctx, q)
+		got = t.edge.getObject(ctx, q)
 	} else {
-		got, err = h.edge.fetchFromPeer(ctx, h.edge.peers.At(a.Address), q)
+		got, err = t.edge.fetchFromPeer(ctx, t.edge.peers.At(a.Address), q)
 	}
 	switch cause := upstream.Withdrawal(ctx); {
 	case cause != nil: // withdrawn by this router: not the cache router's fault
@@ -211,7 +211,7 @@
 
 const fetchValues = 11 // number of values of the fetch field
 
-// encodeFetch encodes the parts of a Fetch that the sender does not set.
+// encodeFetch encodes a Fetch, except for the fields that runAttempt and fetchFromPeer set.
 func encodeFetch(q Fetch) http.Header {
 	return http.Header{headerFetch: {q.Key.Service, q.Key.Host, q.Key.Path, q.Key.Query, q.Target, q.ID, q.Route, itoa(int64(q.Index)),
 		itoa(q.AgeMS), q.ETag, q.ClientKey}}
@@ -303,8 +303,11 @@
 // callCounter counts calls in flight, so that a shutdown can wait for them.
 type callCounter struct{ n atomic.Int64 }
 
+// begin counts a call that starts.
 func (c *callCounter) begin() { c.n.Add(1) }
-func (c *callCounter) done()  { c.n.Add(-1) }
+
+// done counts a call that ends.
+func (c *callCounter) done() { c.n.Add(-1) }
 
 // waitIdle waits until no call is in flight, or the deadline.
 func (c *callCounter) waitIdle(deadline time.Time) {
--- a/internal/cdn/edge/configure_bench_test.go
+++ b/internal/cdn/edge/configure_bench_test.go
@@ -45,9 +45,9 @@
 		b.Run(fmt.Sprintf("%d/%d tenants", size.routes, size.tenants), func(b *testing.B) {
 			life, end := context.WithCancel(b.Context())
 			defer end()
-			f := &Edge{log: hclog.NewNullLogger(), replica: statesync.New(), changes: make(chan func(), 4096), lifetime: life}
-			f.config.MemoryMB, f.config.FileHandles = 256, 4096
-			f.init()
+			e := &Edge{log: hclog.NewNullLogger(), replica: statesync.New(), changes: make(chan func(), 4096), lifetime: life}
+			e.config.MemoryMB, e.config.FileHandles = 256, 4096
+			e.init()
 			s := clusterstate.New()
 			s.Body = clusterstate.Text("{}")
 			for i := range 40 {
@@ -60,9 +60,9 @@
 				version++
 				m := *versions[version%2]
 				m.Version, s.Version = version, version
-				f.applyConfig(s, &m)
-				for len(f.changes) > 0 {
-					(<-f.changes)()
+				e.applyConfig(s, &m)
+				for len(e.changes) > 0 {
+					(<-e.changes)()
 				}
 			}
 		})
--- a/internal/cdn/edge/disconnect_test.go
+++ b/internal/cdn/edge/disconnect_test.go
@@ -58,14 +58,14 @@
 }
 
 // newSlowEdge returns a router with two servers at the origin's address, and the address of its client listener.
-func newSlowEdge(t *testing.T, o *slowOrigin) (f *Edge, address string, give func(clusterstate.Command)) {
+func newSlowEdge(t *testing.T, o *slowOrigin) (e *Edge, address string, apply func(clusterstate.Command)) {
 	t.Helper()
-	f, give = newTestEdge(t, &origin{address: o.address}, threeRoutesJSON)
-	give(clusterstate.Command{Server: &clusterstate.Server{ID: "i-2", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.Open, Beat: 1}})
+	e, apply = newTestEdge(t, &origin{address: o.address}, threeRoutesJSON)
+	apply(clusterstate.Command{Server: &clusterstate.Server{ID: "i-2", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.Open, Beat: 1}})
 	done := make(chan struct{})
-	f.enqueue(func() { close(done) })
+	e.enqueue(func() { close(done) })
 	<-done
-	return f, strings.TrimPrefix(listen(t, f), "http://"), give
+	return e, strings.TrimPrefix(listen(t, e), "http://"), apply
 }
 
 // send opens a client connection and sends a request over it.
@@ -80,27 +80,27 @@
 }
 
 // receive returns the next value of a channel, or fails the test after a timeout.
-func receive[T any](t *testing.T, from <-chan T, within time.Duration, what string) T {
+func receive[T any](t *testing.T, ch <-chan T, timeout time.Duration, what string) T {
 	t.Helper()
 	select {
-	case got := <-from:
+	case got := <-ch:
 		return got
-	case <-time.After(within):
-		t.Fatalf("%s: not within %s", what, within)
+	case <-time.After(timeout):
+		t.Fatalf("%s: not within %s", what, timeout)
 		panic("unreachable")
 	}
 }
 
 // eventually polls until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	late, look := time.After(2*time.Second), time.NewTicker(time.Millisecond)
-	defer look.Stop()
-	for !holds() {
+	timeout, ticker := time.After(2*time.Second), time.NewTicker(time.Millisecond)
+	defer ticker.Stop()
+	for !condition() {
 		select {
-		case <-late:
+		case <-timeout:
 			t.Fatalf("%s: not within two seconds", what)
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 }
@@ -119,11 +119,11 @@
 // After a client has disconnected a failed attempt is not retried at another server.
 func TestNoRetryAfterDisconnect(t *testing.T) {
 	o := newSlowOrigin(t)
-	f, address, _ := newSlowEdge(t, o)
+	e, address, _ := newSlowEdge(t, o)
 	c := send(t, address, "GET", "/r/2")
 	receive(t, o.received, time.Second, "the request at a server")
 	c.Close()
-	eventually(t, "the leave is seen", func() bool { return f.callers.Left() > 0 })
+	eventually(t, "the leave is seen", func() bool { return e.callers.Left() > 0 })
 	select {
 	case o.status <- http.StatusInternalServerError:
 	case <-o.cancelled: // the attempt was cancelled already
@@ -146,23 +146,23 @@
 // undo nothing.
 func TestOnceOnlyRequestFinishesAfterDisconnect(t *testing.T) {
 	o := newSlowOrigin(t)
-	f, address, _ := newSlowEdge(t, o)
+	e, address, _ := newSlowEdge(t, o)
 	c := send(t, address, "POST", "/o/1")
 	receive(t, o.received, time.Second, "the request at a server")
 	c.Close()
-	eventually(t, "the leave is seen", func() bool { return f.callers.Left() > 0 })
+	eventually(t, "the leave is seen", func() bool { return e.callers.Left() > 0 })
 	o.status <- http.StatusInternalServerError // it was not cancelled
 	c = send(t, address, "POST", "/o/2")
 	assert.Equal(t, receive(t, o.received, time.Second, "the next request"), "/o/2")
 	o.status <- http.StatusOK
 	assert.Equal(t, status(t, c), http.StatusOK)
-	assert.Equal(t, f.callers.Violations(), int64(0))
+	assert.Equal(t, e.callers.Violations(), int64(0))
 }
 
 // A client that closes only its sending side still gets its response.
 func TestHalfClosedClientGetsResponse(t *testing.T) {
 	o := newSlowOrigin(t)
-	f, address, _ := newSlowEdge(t, o)
+	e, address, _ := newSlowEdge(t, o)
 	for _, target := range []string{"/r/1", "/o/1", "/s/1"} {
 		c := send(t, address, "GET", target)
 		assert.NilError(t, c.(*net.TCPConn).CloseWrite())
@@ -170,7 +170,7 @@
 		o.status <- http.StatusOK
 		assert.Equal(t, status(t, c), http.StatusOK, target)
 	}
-	assert.Equal(t, f.callers.Left(), int64(0))
+	assert.Equal(t, e.callers.Left(), int64(0))
 }
 
 // status reads the final response on a connection and returns its status.
@@ -198,16 +198,16 @@
 	for _, keeps := range []bool{true, false} {
 		t.Run(fmt.Sprint("caching ", keeps), func(t *testing.T) {
 			o := newSlowOrigin(t)
-			f, address, give := newSlowEdge(t, o)
+			e, address, apply := newSlowEdge(t, o)
 			if !keeps {
-				give(withoutCaching())
+				apply(withoutCaching())
 			}
 			waiting := func(n int) func() bool {
 				return func() bool {
-					f.fetches.mu.Lock()
-					defer f.fetches.mu.Unlock()
+					e.fetches.mu.Lock()
+					defer e.fetches.mu.Unlock()
 					all := 0
-					for _, w := range f.fetches.inFlight {
+					for _, w := range e.fetches.inFlight {
 						all += w.waiters
 					}
 					return all == n
@@ -227,8 +227,8 @@
 			three.Close()
 			if !keeps {
 				assert.Equal(t, receive(t, o.cancelled, cancelTimeout, "the cancellation of a fetch without waiters"), "/s/2")
-				eventually(t, "the fetch is removed", func() bool { f.fetches.mu.Lock(); defer f.fetches.mu.Unlock(); return len(f.fetches.inFlight) == 0 })
-				assert.Equal(t, f.callers.Violations(), int64(0))
+				eventually(t, "the fetch is removed", func() bool { e.fetches.mu.Lock(); defer e.fetches.mu.Unlock(); return len(e.fetches.inFlight) == 0 })
+				assert.Equal(t, e.callers.Violations(), int64(0))
 				return
 			}
 			eventually(t, "no request waits", waiting(0))
@@ -237,7 +237,7 @@
 			o.status <- http.StatusOK
 			assert.Equal(t, status(t, four), http.StatusOK)
 			assert.Equal(t, len(o.received), 0, "a second fetch was started")
-			assert.Equal(t, f.callers.Violations(), int64(0))
+			assert.Equal(t, e.callers.Violations(), int64(0))
 		})
 	}
 }
@@ -245,16 +245,16 @@
 // If a fetch fails whose waiters have all left, it is restarted for a request that joined it meanwhile.
 func TestFetchRestartsForNewWaiter(t *testing.T) {
 	o := newSlowOrigin(t)
-	f, address, _ := newSlowEdge(t, o)
+	e, address, _ := newSlowEdge(t, o)
 	one := send(t, address, "GET", "/s/1")
 	receive(t, o.received, time.Second, "the fetch at a server")
 	one.Close()
-	eventually(t, "the fetch has seen the disconnect", func() bool { return f.callers.Left() > 1 })
+	eventually(t, "the fetch has seen the disconnect", func() bool { return e.callers.Left() > 1 })
 	two := send(t, address, "GET", "/s/1")
 	eventually(t, "the second request waits", func() bool {
-		f.fetches.mu.Lock()
-		defer f.fetches.mu.Unlock()
-		for _, w := range f.fetches.inFlight {
+		e.fetches.mu.Lock()
+		defer e.fetches.mu.Unlock()
+		for _, w := range e.fetches.inFlight {
 			return w.waiters == 1
 		}
 		return false
@@ -269,16 +269,16 @@
 // cache router.
 func TestDisconnectReachesPeer(t *testing.T) {
 	o := newSlowOrigin(t)
-	lender, _, toLender := newSlowEdge(t, o)
+	lender, _, applyToLender := newSlowEdge(t, o)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { l.Close() })
 	go peerrpc.Serve(l, "Edge", func(s *peerrpc.Session) any { return &peerHandler{lender, s} })
-	asker, address, give := newSlowEdge(t, o)
-	give(withoutCaching())
-	toLender(withoutCaching())
-	give(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "lender", Zone: "a", Address: l.Addr().String()}}})
-	give(clusterstate.Command{Absent: "me"})
+	asker, address, apply := newSlowEdge(t, o)
+	apply(withoutCaching())
+	applyToLender(withoutCaching())
+	apply(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "lender", Zone: "a", Address: l.Addr().String()}}})
+	apply(clusterstate.Command{Absent: "me"})
 	done := make(chan struct{})
 	asker.enqueue(func() { close(done) })
 	<-done
@@ -302,28 +302,28 @@
 	assert.NilError(t, err)
 	defer c.Close()
 	fmt.Fprint(c, "GET /s/1 HTTP/1.1\r\nHost: a.example\r\nTry-Id: hasty\r\nTime-Left: 300\r\n\r\n")
-	begun := time.Now()
+	started := time.Now()
 	assert.Equal(t, status(t, c), http.StatusServiceUnavailable)
-	assert.Assert(t, time.Since(begun) < 600*time.Millisecond)
+	assert.Assert(t, time.Since(started) < 600*time.Millisecond)
 }
 
 // A copy without demand is not refreshed for ever: a router that is its own shield must not count its own refresh as a request for the
 // copy.
 func TestRefreshStopsWithoutDemand(t *testing.T) {
 	o := newOrigin(t)
-	f, give := newTestEdge(t, o, strings.ReplaceAll(threeRoutesJSON, `"shelf":"20s"`, `"shelf":"40ms"`))
-	give(clusterstate.Command{Absent: "me"})
-	give(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "me", Zone: "a", Address: "127.0.0.1:1"}}}) // a shield that can be asked
-	url := listen(t, f)
-	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "").status, 200)
-	turn, over := time.NewTicker(5*time.Millisecond), time.After(600*time.Millisecond) // fifteen times the copy's shelf life
-	defer turn.Stop()
+	e, apply := newTestEdge(t, o, strings.ReplaceAll(threeRoutesJSON, `"shelf":"20s"`, `"shelf":"40ms"`))
+	apply(clusterstate.Command{Absent: "me"})
+	apply(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "me", Zone: "a", Address: "127.0.0.1:1"}}}) // a shield that can be asked
+	url := listen(t, e)
+	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "").status, 200)
+	ticker, deadline := time.NewTicker(5*time.Millisecond), time.After(600*time.Millisecond) // fifteen times the copy's shelf life
+	defer ticker.Stop()
 	for {
 		select {
-		case now := <-turn.C:
-			f.refreshDue(now)
+		case now := <-ticker.C:
+			e.refreshDue(now)
 			continue
-		case <-over:
+		case <-deadline:
 		}
 		break
 	}
@@ -333,8 +333,8 @@
 // A request for a cacheable object may have a body, which is ignored; its client's disconnect must be noticed all the same.
 func TestDisconnectAfterRequestBody(t *testing.T) {
 	o := newSlowOrigin(t)
-	_, address, give := newSlowEdge(t, o)
-	give(withoutCaching())
+	_, address, apply := newSlowEdge(t, o)
+	apply(withoutCaching())
 	c, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	fmt.Fprint(c, "GET /s/1 HTTP/1.1\r\nHost: a.example\r\nTry-Id: bodily\r\nTime-Left: 2000\r\nContent-Length: 5\r\n\r\nhello")
--- a/internal/cdn/edge/edge.go
+++ b/internal/cdn/edge/edge.go
@@ -38,11 +38,11 @@
 
 const (
 	maxPeerBodyBytes      = 64 << 20                // upper bound of a body's bytes from another cache router
-	cacheMemoryDivisor    = 4                       // of the memory, for cached objects
-	bodyMemoryDivisor     = 5                       // of the memory, for buffered bodies of long requests
+	cacheMemoryDivisor    = 4                       // the cache may use the memory divided by this
+	bodyMemoryDivisor     = 5                       // so may the buffered bodies of long requests
 	notReadyPeriod        = 2600 * time.Millisecond // after SIGTERM, until the platform has polled the readiness endpoint twice
 	maxShutdownMargin     = 700 * time.Millisecond  // upper bound of the part of grace that is kept back
-	shutdownMarginDivisor = 8                       // of grace, that is kept back: requests in flight have more than five sixths of grace
+	shutdownMarginDivisor = 8                       // grace divided by this is kept back: requests in flight have more than five sixths of grace
 	reservedFDs           = 400                     // file handles that are not for server connections
 	maxViewPeers          = 10                      // neighbours in the partial view
 	peerSamplingInterval  = 3 * time.Second
@@ -103,22 +103,22 @@
 		return Error.New("network.listen_on.readiness: missing")
 	}
 	debug.SetMemoryLimit(int64(float64(config.MemoryMB<<20) * memoryLimitFraction))
-	life, cancel := context.WithCancel(context.Background())
+	lifetime, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	e := &Edge{config: config, log: log, peers: peerrpc.NewPeers(), replica: statesync.New(),
 		cache: objectcache.New(int64(config.MemoryMB<<20) / cacheMemoryDivisor), clock: exchange.NewClock(), changes: make(chan func(), 4096),
-		lifetime: life, listDelay: listDebounce}
+		lifetime: lifetime, listDelay: listDebounce}
 	e.init()
-	own := config.Inner(config.IP, bootconfig.EdgePort)
-	e.peerView = peersampling.New(own, maxViewPeers, mrand.Uint64())
+	ownAddress := config.Inner(config.IP, bootconfig.EdgePort)
+	e.peerView = peersampling.New(ownAddress, maxViewPeers, mrand.Uint64())
 	e.replica.Set, e.replica.Peers, e.replica.Log = config, e.peers, log.Named("statesync")
-	e.replica.Router = clusterstate.Router{Node: config.Node, Zone: config.Zone, Address: own, Weight: machineWeight(config), Inner: !clients}
+	e.replica.Router = clusterstate.Router{Node: config.Node, Zone: config.Zone, Address: ownAddress, Weight: machineWeight(config), Inner: !clients}
 	e.replica.Took, e.replica.Neighbours = e.applyChange, e.peerView.Neighbours
 	if e.wallClock != nil {
 		e.replica.Heard = func(_ string, wall, _, answered time.Time) { e.wallClock.Hear(coreClockSource, wall, answered) }
 	}
 
-	inner, err := net.Listen("tcp", own)
+	peerListener, err := net.Listen("tcp", ownAddress)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -128,20 +128,20 @@
 			return err
 		}
 	}
-	e.tasks.Go(func() { e.zoneCaches.loop.Run(life) })
-	e.tasks.Go(func() { e.shields.loop.Run(life) })
-	e.tasks.Go(func() { e.zoneShields.loop.Run(life) })
-	e.tasks.Go(func() { e.runChanges(life) })
-	e.tasks.Go(func() { e.runMaintenance(life) })
-	e.tasks.Go(func() { e.runPeerSampling(life) })
-	e.tasks.Go(func() { e.reportDemand(life) })
+	e.tasks.Go(func() { e.zoneCaches.loop.Run(lifetime) })
+	e.tasks.Go(func() { e.shields.loop.Run(lifetime) })
+	e.tasks.Go(func() { e.zoneShields.loop.Run(lifetime) })
+	e.tasks.Go(func() { e.runChanges(lifetime) })
+	e.tasks.Go(func() { e.runMaintenance(lifetime) })
+	e.tasks.Go(func() { e.runPeerSampling(lifetime) })
+	e.tasks.Go(func() { e.reportDemand(lifetime) })
 	if e.meter != nil {
-		e.tasks.Go(func() { e.reportUsage(life) })
+		e.tasks.Go(func() { e.reportUsage(lifetime) })
 	}
-	e.tasks.Go(func() { e.logStateOnSignal(life) })
-	go e.replica.Run(life)
-	go peerrpc.Serve(inner, "Edge", func(s *peerrpc.Session) any { return &peerHandler{e, s} })
-	metrics.Serve(life, config, log, e.collectors()...)
+	e.tasks.Go(func() { e.logStateOnSignal(lifetime) })
+	go e.replica.Run(lifetime)
+	go peerrpc.Serve(peerListener, "Edge", func(s *peerrpc.Session) any { return &peerHandler{e, s} })
+	metrics.Serve(lifetime, config, log, e.collectors()...)
 	if front != nil {
 		front.serve()
 	}
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// machineWeight returns a machine's capacity in Mbit/s, relative to other machines: the lower of its link and its share of a core.
+// machineWeight returns a machine's capacity in Mbit/s, for comparison with other machines: the lower of its link and its share of a core.
 func machineWeight(config bootconfig.Settings) float64 {
 	return max(min(config.LinkMbps, config.Cores*mbpsPerCore), 1)
 }
@@ -174,7 +174,7 @@
 	server             *http.Server
 }
 
-// openFrontend opens the listeners.
+// openFrontend opens the listeners of clients and readiness probes.
 func (e *Edge) openFrontend() (*clientFrontend, error) {
 	readiness, err := net.Listen("tcp", e.config.Readiness)
 	if err != nil {
@@ -188,14 +188,14 @@
 }
 
 // serve starts accepting clients and readiness probes.
-func (t *clientFrontend) serve() {
-	t.listener = newClientListener(t.clients)
-	t.server = &http.Server{Handler: http.HandlerFunc(t.edge.serve), ConnState: t.listener.state, ConnContext: withConnection, ReadHeaderTimeout: maxHeaderTimeout, IdleTimeout: maxIdleTimeout,
-		MaxHeaderBytes: 64 << 10, ErrorLog: t.edge.log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})}
-	go t.server.Serve(t.listener)
-	t.edge.tasks.Go(func() { t.listener.enforceLimits(t.edge.lifetime, t.edge.clientLimits) })
-	readyServer := &http.Server{Handler: http.HandlerFunc(t.edge.serveReady), ReadHeaderTimeout: 2 * time.Second}
-	go readyServer.Serve(t.readiness)
+func (f *clientFrontend) serve() {
+	f.listener = newClientListener(f.clients)
+	f.server = &http.Server{Handler: http.HandlerFunc(f.edge.serve), ConnState: f.listener.state, ConnContext: withConnection, ReadHeaderTimeout: maxHeaderTimeout, IdleTimeout: maxIdleTimeout,
+		MaxHeaderBytes: 64 << 10, ErrorLog: f.edge.log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})}
+	go f.server.Serve(f.listener)
+	f.edge.tasks.Go(func() { f.listener.enforceLimits(f.edge.lifetime, f.edge.clientLimits) })
+	readyServer := &http.Server{Handler: http.HandlerFunc(f.edge.serveReady), ReadHeaderTimeout: 2 * time.Second}
+	go readyServer.Serve(f.readiness)
 }
 
 // clientLimits returns the client limits of the configuration in force, or the defaults.
@@ -207,14 +207,14 @@
 }
 
 // shutdown ends gracefully: it reports not ready, then accepts no new connections, then waits for the requests in flight.
-func (t *clientFrontend) shutdown(started time.Time) {
-	t.edge.log.Info("shutting down: accepting requests until the platform stops sending them")
-	time.Sleep(min(notReadyPeriod, t.edge.config.Bounds.Grace/2))
-	t.edge.closeConns.Store(true)
-	if left := t.listener.drain(shutdownDeadline(started, t.edge.config.Bounds.Grace)); left > 0 {
-		t.edge.log.Warn("shutdown timed out with requests in flight", "connections", left)
+func (f *clientFrontend) shutdown(started time.Time) {
+	f.edge.log.Info("shutting down: accepting requests until the platform stops sending them")
+	time.Sleep(min(notReadyPeriod, f.edge.config.Bounds.Grace/2))
+	f.edge.closeConns.Store(true)
+	if left := f.listener.drain(shutdownDeadline(started, f.edge.config.Bounds.Grace)); left > 0 {
+		f.edge.log.Warn("shutdown timed out with requests in flight", "connections", left)
 	}
-	t.server.Close()
+	f.server.Close()
 }
 
 // shutdownDeadline returns until when a shutdown that began at started waits for requests in flight.
@@ -249,14 +249,14 @@
 func (e *Edge) runMaintenance(ctx context.Context) {
 	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
-	for turn := 1; ; turn++ {
+	for tick := 1; ; tick++ {
 		select {
 		case now := <-ticker.C:
 			e.refreshDue(now)
-			if turn%10 == 0 {
+			if tick%10 == 0 {
 				e.reweighServers()
 			}
-			if turn%20 == 0 {
+			if tick%20 == 0 {
 				e.sender.Pool.Sweep(now)
 			}
 		case <-ctx.Done():
@@ -328,4 +328,5 @@
 // noTeller implements the balancer's peer messages by dropping them: routers learn of one another from the replicated state.
 type noTeller struct{}
 
+// Tell drops the message.
 func (noTeller) Tell(int, []byte) {}
--- a/internal/cdn/edge/fetches.go
+++ b/internal/cdn/edge/fetches.go
@@ -71,7 +71,7 @@
 // wait for each other in a cycle.
 type fetchKey struct {
 	objectcache.Key
-	toShield bool
+	asShield bool
 }
 
 // count returns the number of fetches in flight.
--- a/internal/cdn/edge/fleet_bench_test.go
+++ b/internal/cdn/edge/fleet_bench_test.go
@@ -28,10 +28,10 @@
 	}
 	for name, change := range changes {
 		b.Run(name, func(b *testing.B) {
-			f, s := largeFleet(b)
+			e, s := largeFleet(b)
 			for i := 0; b.Loop(); i++ {
-				f.apply(b, s, change(i))
-				f.flush()
+				e.apply(b, s, change(i))
+				e.flush()
 			}
 		})
 	}
--- a/internal/cdn/edge/fleet_test.go
+++ b/internal/cdn/edge/fleet_test.go
@@ -28,9 +28,9 @@
 	t.Helper()
 	life, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
-	f := &Edge{log: hclog.NewNullLogger(), replica: statesync.New(), changes: make(chan func(), 4096), lifetime: life, cache: objectcache.New(64 << 20)}
-	f.config.MemoryMB, f.config.FileHandles, f.config.Node, f.config.Zone = 184, 4100, "n-0", "z-0"
-	f.init()
+	e := &Edge{log: hclog.NewNullLogger(), replica: statesync.New(), changes: make(chan func(), 4096), lifetime: life, cache: objectcache.New(64 << 20)}
+	e.config.MemoryMB, e.config.FileHandles, e.config.Node, e.config.Zone = 184, 4100, "n-0", "z-0"
+	e.init()
 	s := clusterstate.New()
 	s.Index, s.Version, s.Body = 1, 2, clusterstate.Text("{}")
 	for i := range fleetProxies + fleetCaches {
@@ -47,13 +47,13 @@
 	}
 	m := manyRoutes(t, 22, 0, 1500)
 	m.Version = s.Version
-	for _, tier := range []*cacheTier{f.zoneCaches, f.shields, f.zoneShields} {
-		f.tasks.Go(func() { tier.loop.Run(life) })
+	for _, tier := range []*cacheTier{e.zoneCaches, e.shields, e.zoneShields} {
+		e.tasks.Go(func() { tier.loop.Run(life) })
 	}
-	f.applyChange(s, clusterstate.Command{Taken: m}, s.Index, true)
-	f.flush()
-	assert.Equal(t, f.plan.Load().Version, m.Version)
-	return f, s
+	e.applyChange(s, clusterstate.Command{Taken: m}, s.Index, true)
+	e.flush()
+	assert.Equal(t, e.plan.Load().Version, m.Version)
+	return e, s
 }
 
 // fleetServer returns server i of the fleet.
@@ -91,7 +91,7 @@
 		changes        = 300
 		maxPerThousand = 3 << 20 // bytes that a change may allocate per thousand servers
 	)
-	f, s := largeFleet(t)
+	e, s := largeFleet(t)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for i := range changes {
@@ -102,8 +102,8 @@
 		if sv.State == clusterstate.Open { // another server in its place
 			sv.ID += "-next"
 		}
-		f.apply(t, s, clusterstate.Command{Server: &sv})
-		f.flush()
+		e.apply(t, s, clusterstate.Command{Server: &sv})
+		e.flush()
 	}
 	runtime.ReadMemStats(&after)
 	perChange := (after.TotalAlloc - before.TotalAlloc) / changes
@@ -112,39 +112,39 @@
 
 // Server changes within listDelay are sent as one list.
 func TestServerChangesAreBatched(t *testing.T) {
-	f, s := largeFleet(t)
-	f.listDelay = time.Hour // the test ends the delay itself
-	sent := f.serverLists.Load()
+	e, s := largeFleet(t)
+	e.listDelay = time.Hour // the test ends the delay itself
+	sent := e.serverLists.Load()
 	for i := range 28 {
 		sv := fleetServer(2 + i)
 		sv.Beat, sv.State = 1, clusterstate.Closing
-		f.apply(t, s, clusterstate.Command{Server: &sv})
+		e.apply(t, s, clusterstate.Command{Server: &sv})
 	}
-	assert.Equal(t, f.serverLists.Load(), sent)
-	f.pushServerLists(s)
-	assert.Equal(t, f.serverLists.Load(), sent+1)
-	f.pushServerLists(s)
-	assert.Equal(t, f.serverLists.Load(), sent+1, "list sent without a change")
+	assert.Equal(t, e.serverLists.Load(), sent)
+	e.pushServerLists(s)
+	assert.Equal(t, e.serverLists.Load(), sent+1)
+	e.pushServerLists(s)
+	assert.Equal(t, e.serverLists.Load(), sent+1, "list sent without a change")
 }
 
 // Servers are selected in proportion to their weights, and removed servers are not selected.
 func TestWeightedPlacement(t *testing.T) {
-	d := newWeightedPlacement()
-	assert.Equal(t, d.Owner(7), balance.ServerID(""))
-	d.Follow(map[balance.ServerID]float64{"gone": 5})
+	placement := newWeightedPlacement()
+	assert.Equal(t, placement.Owner(7), balance.ServerID(""))
+	placement.Follow(map[balance.ServerID]float64{"gone": 5})
 	weights := map[balance.ServerID]float64{"a": 1, "b": 2, "c": 0.5, "d": 4}
-	d.Follow(weights)
+	placement.Follow(weights)
 	const draws = 100_000
 	drawn := map[balance.ServerID]int{}
 	random := rand.New(rand.NewPCG(1, 2))
 	for range draws {
-		drawn[d.Owner(random.Uint64())]++
+		drawn[placement.Owner(random.Uint64())]++
 	}
 	assert.Equal(t, len(drawn), len(weights))
 	for server, weight := range weights {
 		part := float64(drawn[server]) / draws
 		assert.Assert(t, part > 0.95*weight/7.5 && part < 1.05*weight/7.5, "%s %v", server, part)
 	}
-	assert.Equal(t, d.Owner(0), balance.ServerID("a"))
-	assert.Equal(t, d.Owner(^uint64(0)), balance.ServerID("d"))
+	assert.Equal(t, placement.Owner(0), balance.ServerID("a"))
+	assert.Equal(t, placement.Owner(^uint64(0)), balance.ServerID("d"))
 }
--- a/internal/cdn/edge/fuzz_test.go
+++ b/internal/cdn/edge/fuzz_test.go
@@ -39,17 +39,17 @@
 	f.Add(frame("Edge.Mingle", []peersampling.Neighbour{{Address: "x", Age: -1}}))
 	f.Add(frame("Edge.Serve", 1))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		p := &Edge{}
-		p.init()
-		p.peerView = peersampling.New("me", 4, 1)
+		edge := &Edge{}
+		edge.init()
+		edge.peerView = peersampling.New("me", 4, 1)
 		s := newReplicaForTest()
-		p.replica, p.cache = s, objectcache.New(1<<20)
+		edge.replica, edge.cache = s, objectcache.New(1<<20)
 		server := rpc.NewServer()
-		assert.NilError(t, server.RegisterName("Edge", &peerHandler{edge: p}))
+		assert.NilError(t, server.RegisterName("Edge", &peerHandler{edge: edge}))
 		server.ServeConn(fakeConn{bytes.NewReader(text), io.Discard})
 		assert.Equal(t, s.Index(), uint64(0))
-		n, _ := p.cache.Size()
+		n, _ := edge.cache.Size()
 		assert.Equal(t, n, 0)
-		assert.Assert(t, len(p.peerView.Neighbours()) <= 4)
+		assert.Assert(t, len(edge.peerView.Neighbours()) <= 4)
 	})
 }
--- a/internal/cdn/edge/keychange_test.go
+++ b/internal/cdn/edge/keychange_test.go
@@ -19,8 +19,8 @@
 // A route starts to require keys while a request with a valid key is being received: both configurations allow the request.
 func TestRouteRequiresKeyDuringRequest(t *testing.T) {
 	o := newOrigin(t)
-	f, give := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-	c, err := net.Dial("tcp", strings.TrimPrefix(listen(t, f), "http://"))
+	e, apply := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+	c, err := net.Dial("tcp", strings.TrimPrefix(listen(t, e), "http://"))
 	assert.NilError(t, err)
 	defer c.Close()
 	fmt.Fprint(c, "POST /u/1 HTTP/1.1\r\nHost: a.example\r\nTry-Id: slow\r\nKey: k-1\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n")
@@ -30,7 +30,7 @@
 	assert.Assert(t, strings.Contains(line, "100 Continue"), line)
 	sealed := keyedConfig(2, twoTenantsJSON)
 	sealed.Put = []byte(strings.Replace(string(sealed.Put), `"unsealed":true`, `"unsealed":false`, 1))
-	give(sealed)
+	apply(sealed)
 	fmt.Fprint(c, "claim")
 	_, err = r.Discard(len("\r\n"))
 	assert.NilError(t, err)
@@ -43,15 +43,15 @@
 // sender name that the client sent.
 func TestTenantsAddedDuringRequest(t *testing.T) {
 	o := newOrigin(t)
-	f, give := newTestEdge(t, o, keyedRoutesJSON)
-	c, err := net.Dial("tcp", strings.TrimPrefix(listen(t, f), "http://"))
+	e, apply := newTestEdge(t, o, keyedRoutesJSON)
+	c, err := net.Dial("tcp", strings.TrimPrefix(listen(t, e), "http://"))
 	assert.NilError(t, err)
 	defer c.Close()
 	fmt.Fprint(c, "POST /u/1 HTTP/1.1\r\nHost: a.example\r\nTry-Id: slow\r\nKey: k-1\r\nSender: ink\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n")
 	r := bufio.NewReader(c)
 	_, err = r.ReadString('\n')
 	assert.NilError(t, err)
-	give(keyedConfig(2, twoTenantsJSON))
+	apply(keyedConfig(2, twoTenantsJSON))
 	fmt.Fprint(c, "claim")
 	_, err = r.Discard(len("\r\n"))
 	assert.NilError(t, err)
@@ -65,35 +65,35 @@
 // A key is added between the lookup in an older plan and the proof check: the answer must not be 401.
 func TestKeyAddedAfterLookup(t *testing.T) {
 	o := newOrigin(t)
-	f, give := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+	e, apply := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
 	r := httptest.NewRequest("GET", "http://a.example/r/1", nil)
 	r.Header.Set("Key", "k-9")
 	r.Header.Set(upstream.HeaderID, "try")
 	w := httptest.NewRecorder()
-	q := &request{Request: r, w: w, outbound: f.outbound, id: "try", arrived: time.Now(), timeLeft: time.Second, plan: f.plan.Load()}
-	q.route = q.plan.table.Find("a.example", "/r/1")
-	give(keyedConfig(2, twoTenantsJSON+tenantJSON("new", 0, "k-9"))) // the news and their proof arrive between the lookup and unknownKeyError
-	f.authenticate(q)
+	q := &request{Request: r, w: w, outbound: e.outbound, id: "try", arrived: time.Now(), timeLeft: time.Second, plan: e.plan.Load()}
+	q.route = q.plan.routeTable.Find("a.example", "/r/1")
+	apply(keyedConfig(2, twoTenantsJSON+tenantJSON("new", 0, "k-9"))) // the news and their proof arrive between the lookup and unknownKeyError
+	e.authenticate(q)
 	assert.Assert(t, w.Code != 401, "401 for a key that the configuration in force holds")
 }
 
 // edition_time, not a part of contact, bounds how long a new key may be unknown.
 func TestUnknownKeysWithinEditionTime(t *testing.T) {
 	o := newOrigin(t)
-	f, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-	f.config.Bounds.Contact, f.config.Bounds.Edition = 8*time.Second, 2500*time.Millisecond
-	f.replica = newReplicaForTest()
-	f.replica.Set, f.replica.Log = f.config, f.log
-	f.replica.Take(clusterstate.News{Fresh: true, Proven: true}, time.Now().Add(-3500*time.Millisecond))
-	assert.Assert(t, f.unknownKeyError("k-9") == errNotProven, "401 for a key acknowledged 3.4 s ago, with edition_time 2.5 s")
+	e, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+	e.config.Bounds.Contact, e.config.Bounds.Edition = 8*time.Second, 2500*time.Millisecond
+	e.replica = newReplicaForTest()
+	e.replica.Set, e.replica.Log = e.config, e.log
+	e.replica.Take(clusterstate.News{Fresh: true, Proven: true}, time.Now().Add(-3500*time.Millisecond))
+	assert.Assert(t, e.unknownKeyError("k-9") == errNotProven, "401 for a key acknowledged 3.4 s ago, with edition_time 2.5 s")
 }
 
 // Clients that forge Sender on a cacheable route, by GET, HEAD and POST with a range: servers see the key's tenant and no key.
 func TestForgedSenderOnCacheableRoute(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "POST"} {
 		o := newOrigin(t)
-		f, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-		f.get(t, http.DefaultClient, listen(t, f), method, "/s/1", "", "Key", "k-1", "Sender", "ink", "Range", "bytes=0-1", "Connection", "Sender")
+		e, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+		e.get(t, http.DefaultClient, listen(t, e), method, "/s/1", "", "Key", "k-1", "Sender", "ink", "Range", "bytes=0-1", "Connection", "Sender")
 		for _, i := range o.identities() {
 			assert.Assert(t, i.tenant == "wax" && i.clientKey == "", "%s %+v", method, i)
 		}
@@ -105,37 +105,37 @@
 func TestKeyedRequestsNeedProof(t *testing.T) {
 	for _, target := range []string{"/r/1", "/o/1", "/s/1", "/u/1"} {
 		o := newOrigin(t)
-		f, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-		f.config.Bounds.Revoke = 10 * time.Minute
-		f.replica = newReplicaForTest()
-		f.replica.Set, f.replica.Log = f.config, f.log
-		f.replica.Take(clusterstate.News{Fresh: true, Proven: true}, time.Now().Add(-time.Hour))
-		url := listen(t, f)
-		a := f.get(t, http.DefaultClient, url, "GET", target, "", "Key", "k-1")
+		e, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+		e.config.Bounds.Revoke = 10 * time.Minute
+		e.replica = newReplicaForTest()
+		e.replica.Set, e.replica.Log = e.config, e.log
+		e.replica.Take(clusterstate.News{Fresh: true, Proven: true}, time.Now().Add(-time.Hour))
+		url := listen(t, e)
+		a := e.get(t, http.DefaultClient, url, "GET", target, "", "Key", "k-1")
 		if target == "/u/1" {
 			assert.Equal(t, a.status, 200)
 			continue
 		}
 		assert.Equal(t, a.status, 503, target)
 		assert.Equal(t, len(o.identities()), 0, target)
-		f.replica.Take(clusterstate.News{Fresh: true, Proven: true}, time.Now())
-		assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", target, "", "Key", "k-1").status, 200, target)
+		e.replica.Take(clusterstate.News{Fresh: true, Proven: true}, time.Now())
+		assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", target, "", "Key", "k-1").status, 200, target)
 	}
 }
 
 // Server changes are sent when listDelay is over.
 func TestServerListDelay(t *testing.T) {
-	f, s := largeFleet(t)
-	f.listDelay = 20 * time.Millisecond
-	f.replica.Log, f.replica.Took = f.log, func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
-	f.replica.Take(clusterstate.News{State: s.Clone(), Index: s.Index}, time.Now())
-	f.replica.Took = f.applyChange
-	sent := f.serverLists.Load()
+	e, s := largeFleet(t)
+	e.listDelay = 20 * time.Millisecond
+	e.replica.Log, e.replica.Took = e.log, func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
+	e.replica.Take(clusterstate.News{State: s.Clone(), Index: s.Index}, time.Now())
+	e.replica.Took = e.applyChange
+	sent := e.serverLists.Load()
 	for i := range 5 {
 		sv := fleetServer(2 + i)
 		sv.Beat, sv.State = 1, clusterstate.Closing
-		f.replica.Take(clusterstate.News{Changes: []clusterstate.Change{{Index: s.Index + 1 + uint64(i), Data: clusterstate.Command{Server: &sv}.Encode()}}, Index: s.Index + 1 + uint64(i)}, time.Now())
+		e.replica.Take(clusterstate.News{Changes: []clusterstate.Change{{Index: s.Index + 1 + uint64(i), Data: clusterstate.Command{Server: &sv}.Encode()}}, Index: s.Index + 1 + uint64(i)}, time.Now())
 	}
-	assert.Equal(t, f.serverLists.Load(), sent)
-	eventually(t, "the list is sent", func() bool { return f.serverLists.Load() == sent+1 })
+	assert.Equal(t, e.serverLists.Load(), sent)
+	eventually(t, "the list is sent", func() bool { return e.serverLists.Load() == sent+1 })
 }
--- a/internal/cdn/edge/keys.go
+++ b/internal/cdn/edge/keys.go
@@ -44,7 +44,7 @@
 // deny answers a request that was not run because of its key: 401 for an unknown key, else 503.
 func (q *request) deny(why Denial) {
 	if why == keyUnknown {
-		q.final(http.StatusUnauthorized, nil, nil)
+		q.respond(http.StatusUnauthorized, nil, nil)
 		return
 	}
 	q.refuse(defaultRetryAfter)
@@ -73,7 +73,7 @@
 // unknownKeyError returns why a request whose key was not found in a plan must not run: errNotProven if the key may be newer than this
 // router's state or than the plan that was checked, else errUnknownKey. The proof is read before the plan.
 func (e *Edge) unknownKeyError(clientKey string) error {
-	if !e.current() {
+	if !e.isCurrent() {
 		return errNotProven
 	}
 	if keys := e.plan.Load().keys; keys == nil || keys.Find(clientKey) != nil {
--- a/internal/cdn/edge/keys_test.go
+++ b/internal/cdn/edge/keys_test.go
@@ -36,9 +36,9 @@
 }
 
 // waitForChanges waits until the load balancers have all changes applied so far.
-func waitForChanges(f *Edge) {
+func waitForChanges(e *Edge) {
 	done := make(chan struct{})
-	f.enqueue(func() { close(done) })
+	e.enqueue(func() { close(done) })
 	<-done
 }
 
@@ -76,8 +76,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			o := newOrigin(t)
-			f, _ := newTestEdge(t, o, keyedRoutesJSON+c.tenants)
-			a := f.get(t, http.DefaultClient, listen(t, f), "GET", c.target, "", c.head...)
+			e, _ := newTestEdge(t, o, keyedRoutesJSON+c.tenants)
+			a := e.get(t, http.DefaultClient, listen(t, e), "GET", c.target, "", c.head...)
 			shown := nothing
 			for _, i := range o.identities() {
 				shown = i.tenant + " " + i.clientKey
@@ -85,7 +85,7 @@
 			assert.Equal(t, fmt.Sprint(a.status, ", ", shown), fmt.Sprint(c.status, ", ", c.shown))
 			if c.status == 401 {
 				assert.Equal(t, a.body, "")
-				assert.Equal(t, f.counters.Attempts.Load(), int64(0), "attempts for a request without a valid key")
+				assert.Equal(t, e.counters.Attempts.Load(), int64(0), "attempts for a request without a valid key")
 			}
 		})
 	}
@@ -95,18 +95,18 @@
 // the newest ones, answers 503 instead of 401.
 func TestCachedCopiesRequireKey(t *testing.T) {
 	o := newOrigin(t)
-	f, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-	url := listen(t, f)
+	e, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+	url := listen(t, e)
 	status := func(key string) int {
-		return f.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", key).status
+		return e.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", key).status
 	}
 	assert.Equal(t, status("k-1"), 200)
 	assert.Equal(t, status("k-2"), 200)
 	assert.Equal(t, status("k-4"), 401, "a cached copy is served without a valid key")
 	assert.Equal(t, len(o.seen()), 1)
-	f.config.Bounds.Contact, f.replica.Set.Bounds.Contact = 0, 0 // the proof is too old
+	e.config.Bounds.Contact, e.replica.Set.Bounds.Contact = 0, 0 // the proof is too old
 	assert.Equal(t, status("k-1"), 200)
-	a := f.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-4")
+	a := e.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-4")
 	assert.Equal(t, a.status, 503, "the key may be newer")
 	assert.Assert(t, a.header.Get("Retry-After") != "")
 }
@@ -114,8 +114,8 @@
 // A request whose key is removed while its body is being received is refused at once, before it waits for a server.
 func TestKeyRemovedDuringRequest(t *testing.T) {
 	o := newOrigin(t)
-	f, give := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-	c, err := net.Dial("tcp", strings.TrimPrefix(listen(t, f), "http://"))
+	e, apply := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+	c, err := net.Dial("tcp", strings.TrimPrefix(listen(t, e), "http://"))
 	assert.NilError(t, err)
 	defer c.Close()
 	fmt.Fprint(c, "POST /o/1 HTTP/1.1\r\nHost: a.example\r\nTry-Id: slow\r\nKey: k-1\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n")
@@ -123,14 +123,14 @@
 	line, err := r.ReadString('\n') // the key was valid, and the body is requested
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(line, "100 Continue"), line)
-	give(keyedConfig(2, tenantJSON("ink", 0, "k-2")))
+	apply(keyedConfig(2, tenantJSON("ink", 0, "k-2")))
 	fmt.Fprint(c, "claim")
 	_, err = r.Discard(len("\r\n"))
 	assert.NilError(t, err)
 	resp, err := http.ReadResponse(r, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, http.StatusUnauthorized)
-	assert.Equal(t, f.counters.Attempts.Load(), int64(0))
+	assert.Equal(t, e.counters.Attempts.Load(), int64(0))
 }
 
 // A retry after a failed attempt is sent for the tenant that holds the key at that time, or not at all. A request that has run is answered
@@ -152,17 +152,17 @@
 		for _, target := range []string{"/r/1", "/o/1", "/s/1"} {
 			t.Run(c.name+" "+target, func(t *testing.T) {
 				o := newOrigin(t)
-				f, give := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-				give(secondServer(o))
-				waitForChanges(f)
+				e, apply := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+				apply(secondServer(o))
+				waitForChanges(e)
 				gate := make(chan struct{})
 				if o.gate, o.notRun = gate, 1; c.ran {
 					o.notRun, o.status = 0, 500
 				}
-				url, got := listen(t, f), make(chan answer, 1)
-				go func() { got <- f.get(t, http.DefaultClient, url, "GET", target, "", "Key", "k-1") }()
+				url, got := listen(t, e), make(chan answer, 1)
+				go func() { got <- e.get(t, http.DefaultClient, url, "GET", target, "", "Key", "k-1") }()
 				eventually(t, "the first server has the request", func() bool { return len(o.seen()) == 1 })
-				give(keyedConfig(2, c.then))
+				apply(keyedConfig(2, c.then))
 				close(gate)
 				a := <-got
 				assert.DeepEqual(t, o.tenants(), c.shown)
@@ -178,26 +178,26 @@
 	for _, goes := range []bool{false, true} {
 		t.Run(fmt.Sprint("key removed: ", goes), func(t *testing.T) {
 			o := newOrigin(t)
-			f, give := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-			give(secondServer(o))
-			waitForChanges(f)
+			e, apply := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+			apply(secondServer(o))
+			waitForChanges(e)
 			gate := make(chan struct{})
 			o.set(func() { o.gate = gate })
-			url, first, second := listen(t, f), make(chan answer, 1), make(chan answer, 1)
-			go func() { first <- f.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-1") }()
+			url, first, second := listen(t, e), make(chan answer, 1), make(chan answer, 1)
+			go func() { first <- e.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-1") }()
 			eventually(t, "a server has the request", func() bool { return len(o.seen()) == 1 })
-			go func() { second <- f.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-2") }()
+			go func() { second <- e.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-2") }()
 			eventually(t, "both wait", func() bool {
-				f.fetches.mu.Lock()
-				defer f.fetches.mu.Unlock()
-				for _, w := range f.fetches.inFlight {
+				e.fetches.mu.Lock()
+				defer e.fetches.mu.Unlock()
+				for _, w := range e.fetches.inFlight {
 					return w.waiters == 2
 				}
 				return false
 			})
 			want, shown := 200, []string{"wax"}
 			if goes {
-				give(keyedConfig(2, tenantJSON("ink", 0, "k-2")))
+				apply(keyedConfig(2, tenantJSON("ink", 0, "k-2")))
 				o.set(func() { o.notRun = 1 })
 				want, shown = 401, []string{"wax", "ink"}
 			}
@@ -226,17 +226,17 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			o := newOrigin(t)
-			lender, toLender := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-			if toLender(keyedConfig(2, c.lender)); c.outOfTouch {
+			lender, applyToLender := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+			if applyToLender(keyedConfig(2, c.lender)); c.outOfTouch {
 				lender.config.Bounds.Contact = 0
 			}
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			assert.NilError(t, err)
 			t.Cleanup(func() { l.Close() })
 			go peerrpc.Serve(l, "Edge", func(s *peerrpc.Session) any { return &peerHandler{lender, s} })
-			asker, give := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-			give(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "lender", Zone: "a", Address: l.Addr().String()}}})
-			give(clusterstate.Command{Absent: "me"})
+			asker, apply := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+			apply(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "lender", Zone: "a", Address: l.Addr().String()}}})
+			apply(clusterstate.Command{Absent: "me"})
 			waitForChanges(asker)
 			a := asker.get(t, http.DefaultClient, listen(t, asker), "GET", "/s/1", "", "Key", "k-1")
 			assert.Equal(t, a.status, c.status)
@@ -248,25 +248,25 @@
 // A refresh uses the id and the key of the last request for the copy, which belong together. After the key is removed there is no refresh.
 func TestRefreshUsesLastRequestersKey(t *testing.T) {
 	o := newOrigin(t)
-	f, give := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-	url, ripe := listen(t, f), func() time.Time { return time.Now().Add(16 * time.Second) } // of a shelf life of 20 s
+	e, apply := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+	url, ripe := listen(t, e), func() time.Time { return time.Now().Add(16 * time.Second) } // of a shelf life of 20 s
 	refreshed := func(n int) {
 		t.Helper()
-		f.refreshDue(ripe())
-		eventually(t, "a refresh", func() bool { return len(o.seen()) == n && f.fetches.count() == 0 })
+		e.refreshDue(ripe())
+		eventually(t, "a refresh", func() bool { return len(o.seen()) == n && e.fetches.count() == 0 })
 	}
-	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-1").status, 200)
+	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-1").status, 200)
 	refreshed(2)
-	b := f.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-2")
+	b := e.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-2")
 	assert.Equal(t, b.status, 200)
 	refreshed(3)
 	refreshed(4)
 	all := o.identities()
 	assert.Equal(t, fmt.Sprint(all[1:]), fmt.Sprint([]identity{{"", "wax", ""}, {b.header.Get("Try-Id"), "ink", ""}, {"", "ink", ""}}))
-	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-2").status, 200)
-	give(keyedConfig(2, tenantJSON("wax", 0, "k-1")))
-	f.refreshDue(ripe())
-	assert.Equal(t, f.fetches.count(), 0, "refresh with a removed key")
+	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-2").status, 200)
+	apply(keyedConfig(2, tenantJSON("wax", 0, "k-1")))
+	e.refreshDue(ripe())
+	assert.Equal(t, e.fetches.count(), 0, "refresh with a removed key")
 	assert.Equal(t, len(o.seen()), 4)
 }
 
--- a/internal/cdn/edge/link.go
+++ b/internal/cdn/edge/link.go
@@ -11,19 +11,19 @@
 // chunks before it are almost out, and the body with the fewest bytes left goes first (shortest remaining first, with aging): a short body
 // never waits for more than a moment behind a long one. A fast link is not scheduled.
 type link struct {
-	mu        sync.Mutex
-	bytesPerS float64   // bytes per second; 0: a fast link that is not scheduled
-	freeAt    time.Time // when all that was sent so far will have left the link
-	queue     chunkQueue
-	timerSet  bool
+	mu             sync.Mutex
+	bytesPerSecond float64   // 0: a fast link that is not scheduled
+	freeAt         time.Time // when all that was sent so far will have left the link
+	queue          chunkQueue
+	timerSet       bool
 }
 
 // chunk is part of a body that waits to be sent.
 type chunk struct {
-	bytes, remaining int
-	started          time.Time
-	granted          chan struct{}
-	index            int // index in the queue; -1: not in it
+	bytes, remaining int           // of the chunk, and of the body with it
+	started          time.Time     // when the body was started
+	granted          chan struct{} // closed when the chunk may be sent
+	index            int           // in the queue; -1: not in it
 }
 
 const (
@@ -38,7 +38,7 @@
 func newLink(mbps float64) *link {
 	l := &link{}
 	if mbps < slowLinkMbps {
-		l.bytesPerS = mbps * 1e6 / 8 * linkFraction
+		l.bytesPerSecond = mbps * 1e6 / 8 * linkFraction
 	}
 	return l
 }
@@ -46,24 +46,33 @@
 // chunkQueue is a heap ordered by the aged number of bytes left.
 type chunkQueue []*chunk
 
+// Len implements heap.Interface.
 func (q chunkQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
 func (q chunkQueue) Less(i, j int) bool {
 	now := time.Now()
 	return q[i].priority(now) < q[j].priority(now)
 }
+
+// Swap implements heap.Interface.
 func (q chunkQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i]; q[i].index, q[j].index = i, j }
-func (q *chunkQueue) Push(x any)   { t := x.(*chunk); t.index = len(*q); *q = append(*q, t) }
+
+// Push implements heap.Interface.
+func (q *chunkQueue) Push(x any) { c := x.(*chunk); c.index = len(*q); *q = append(*q, c) }
+
+// Pop implements heap.Interface.
 func (q *chunkQueue) Pop() any {
 	old := *q
-	t := old[len(old)-1]
+	c := old[len(old)-1]
 	*q = old[:len(old)-1]
-	t.index = -1
-	return t
+	c.index = -1
+	return c
 }
 
 // priority returns the body's bytes left, reduced by its age; the lowest is sent first.
-func (t *chunk) priority(now time.Time) float64 {
-	return float64(t.remaining) / (1 + float64(now.Sub(t.started))/float64(agingHalfTime))
+func (c *chunk) priority(now time.Time) float64 {
+	return float64(c.remaining) / (1 + float64(now.Sub(c.started))/float64(agingHalfTime))
 }
 
 // record accounts for bytes that are sent without waiting.
@@ -75,13 +84,13 @@
 
 // reserve accounts for bytes that are sent now. The caller holds the lock.
 func (l *link) reserve(n int, now time.Time) {
-	if l.bytesPerS <= 0 {
+	if l.bytesPerSecond <= 0 {
 		return
 	}
 	if l.freeAt.Before(now) {
 		l.freeAt = now
 	}
-	l.freeAt = l.freeAt.Add(time.Duration(float64(n) / l.bytesPerS * float64(time.Second)))
+	l.freeAt = l.freeAt.Add(time.Duration(float64(n) / l.bytesPerSecond * float64(time.Second)))
 }
 
 // wait blocks until n bytes may be sent of a body that has remaining bytes left and was started at that time. It fails if the context ends
@@ -89,24 +98,24 @@
 func (l *link) wait(ctx context.Context, n, remaining int, started time.Time) error {
 	l.mu.Lock()
 	now := time.Now()
-	if l.bytesPerS <= 0 || len(l.queue) == 0 && l.freeAt.Sub(now) < maxBacklog {
+	if l.bytesPerSecond <= 0 || len(l.queue) == 0 && l.freeAt.Sub(now) < maxBacklog {
 		l.reserve(n, now)
 		l.mu.Unlock()
 		return nil
 	}
-	t := &chunk{bytes: n, remaining: remaining, started: started, granted: make(chan struct{})}
-	heap.Push(&l.queue, t)
+	c := &chunk{bytes: n, remaining: remaining, started: started, granted: make(chan struct{})}
+	heap.Push(&l.queue, c)
 	l.armTimer(now)
 	l.mu.Unlock()
 	select {
-	case <-t.granted:
+	case <-c.granted:
 		return nil
 	case <-ctx.Done():
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t.index >= 0 {
-		heap.Remove(&l.queue, t.index)
+	if c.index >= 0 {
+		heap.Remove(&l.queue, c.index)
 	}
 	return ctx.Err()
 }
@@ -119,7 +128,7 @@
 	}
 }
 
-// dispatch lets the chunks go that may be sent now.
+// dispatch grants the chunks that may be sent now.
 func (l *link) dispatch() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,16 +136,16 @@
 	now := time.Now()
 	for len(l.queue) > 0 && l.freeAt.Sub(now) < maxBacklog {
 		heap.Init(&l.queue) // priorities change with time
-		t := heap.Pop(&l.queue).(*chunk)
-		l.reserve(t.bytes, now)
-		close(t.granted)
+		c := heap.Pop(&l.queue).(*chunk)
+		l.reserve(c.bytes, now)
+		close(c.granted)
 	}
 	l.armTimer(now)
 }
 
 // write writes a body, in scheduled chunks if it is long, until the context ends.
 func (l *link) write(ctx context.Context, to func([]byte) (int, error), body []byte) {
-	if l.bytesPerS <= 0 || len(body) <= longBodyBytes {
+	if l.bytesPerSecond <= 0 || len(body) <= longBodyBytes {
 		l.record(len(body), time.Now())
 		to(body)
 		return
--- a/internal/cdn/edge/link_test.go
+++ b/internal/cdn/edge/link_test.go
@@ -78,15 +78,15 @@
 }
 
 // waitUntil polls until a condition holds.
-func waitUntil(t *testing.T, ok func() bool) {
+func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
-	late, look := time.After(10*time.Second), time.NewTicker(time.Millisecond)
-	defer look.Stop()
-	for !ok() {
+	timeout, ticker := time.After(10*time.Second), time.NewTicker(time.Millisecond)
+	defer ticker.Stop()
+	for !condition() {
 		select {
-		case <-late:
+		case <-timeout:
 			t.Fatal("never")
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 }
@@ -143,8 +143,8 @@
 			assert.NilError(t, err)
 			defer l.Close()
 			go peerrpc.Serve(l, "Edge", peerrpc.Shared(&c.lender))
-			f := &Edge{inbound: newLink(c.mbps)}
-			got, err := f.fetchFromPeer(t.Context(), peerrpc.NewPeer(l.Addr().String()), Fetch{Key: objectcache.Key{Path: "/a"}})
+			e := &Edge{inbound: newLink(c.mbps)}
+			got, err := e.fetchFromPeer(t.Context(), peerrpc.NewPeer(l.Addr().String()), Fetch{Key: objectcache.Key{Path: "/a"}})
 			assert.Equal(t, c.lender.pieces, c.pieces)
 			if c.fails != "" {
 				assert.ErrorContains(t, err, c.fails)
@@ -158,10 +158,10 @@
 
 // A piece is served only from the copy that the Fetch was served from, and only within its length.
 func TestPieceRequiresSameCopy(t *testing.T) {
-	f := &Edge{cache: objectcache.New(1 << 20)}
+	e := &Edge{cache: objectcache.New(1 << 20)}
 	k, body := objectcache.Key{Host: "h", Path: "/a"}, []byte("0123456789")
-	f.cache.Put(k, &objectcache.Copy{Body: body, ETag: "e", Shelf: time.Minute, At: time.Now(), Index: 1})
-	p := &peerHandler{edge: f}
+	e.cache.Put(k, &objectcache.Copy{Body: body, ETag: "e", Shelf: time.Minute, At: time.Now(), Index: 1})
+	p := &peerHandler{edge: e}
 	cases := []struct {
 		q    Piece
 		want string // empty: an error is expected
@@ -183,7 +183,7 @@
 		assert.Equal(t, string(part), c.want, "%+v", c.q)
 		assert.Equal(t, err == nil, c.want != "", "%+v", c.q)
 	}
-	f.cache.Purge(2, "h", "/a", "")
+	e.cache.Purge(2, "h", "/a", "")
 	var part []byte
 	assert.ErrorIs(t, p.Piece(&cases[0].q, &part), errCopyChanged)
 }
--- a/internal/cdn/edge/listener_test.go
+++ b/internal/cdn/edge/listener_test.go
@@ -41,23 +41,23 @@
 // request was lost that arrived while idle connections were being closed: it was read and forwarded, and its connection was closed.
 func TestFirstByteKeepsConnectionOpen(t *testing.T) {
 	for _, byteFirst := range []bool{true, false} {
-		d := newClientListener(nil)
+		listener := newClientListener(nil)
 		s := &scriptedConn{bytes: make(chan byte, 1)}
-		c := &clientConn{Conn: halfclose.New(s), listener: d}
-		d.conns[c] = struct{}{}
+		c := &clientConn{Conn: halfclose.New(s), listener: listener}
+		listener.conns[c] = struct{}{}
 		buf := make([]byte, 1)
 		if byteFirst {
 			s.bytes <- 'G'
 			_, err := c.Read(buf)
 			assert.NilError(t, err)
-			assert.Equal(t, d.closeIdle(), 1)
-			d.state(c, http.StateIdle) // the response is written
+			assert.Equal(t, listener.closeIdle(), 1)
+			listener.state(c, http.StateIdle) // the response is written
 		}
-		assert.Equal(t, d.closeIdle(), 0)
+		assert.Equal(t, listener.closeIdle(), 0)
 		s.bytes <- 'G'
 		_, err := c.Read(buf)
 		assert.Assert(t, errors.Is(err, net.ErrClosed))
-		assert.Equal(t, len(d.conns), 0)
+		assert.Equal(t, len(listener.conns), 0)
 	}
 }
 
@@ -79,33 +79,33 @@
 		{"waits for its response", true, true, time.Hour, true},
 	}
 	for _, c := range cases {
-		d := newClientListener(nil)
+		listener := newClientListener(nil)
 		s := &scriptedConn{bytes: make(chan byte, 1)}
-		k := &clientConn{Conn: halfclose.New(s), listener: d, since: time.Now()}
-		d.conns[k] = struct{}{}
+		k := &clientConn{Conn: halfclose.New(s), listener: listener, since: time.Now()}
+		listener.conns[k] = struct{}{}
 		if c.read {
 			s.bytes <- 'G'
 			_, err := k.Read(make([]byte, 1))
 			assert.NilError(t, err)
 		}
 		if c.whole {
-			d.state(k, http.StateActive)
+			listener.state(k, http.StateActive)
 		}
-		d.closeExpired(time.Now().Add(c.after), limits)
-		assert.Equal(t, len(d.conns) == 1, c.stays, c.name)
+		listener.closeExpired(time.Now().Add(c.after), limits)
+		assert.Equal(t, len(listener.conns) == 1, c.stays, c.name)
 	}
 }
 
 // After a stall the process first reads the data that clients sent meanwhile, and checks their timeouts only then.
 func TestTimeoutsAfterStall(t *testing.T) {
 	limits := clusterstate.Limits{Header: 3 * time.Second, Idle: 15 * time.Second}
-	d, at := newClientListener(nil), time.Now()
-	d.conns[&clientConn{Conn: halfclose.New(&scriptedConn{}), listener: d, since: at}] = struct{}{}
-	d.checkLimits(at, limits)
-	d.checkLimits(at.Add(20*time.Second), limits)
-	assert.Equal(t, len(d.conns), 1, "closed before its bytes could be read")
-	d.checkLimits(at.Add(21*time.Second), limits)
-	assert.Equal(t, len(d.conns), 0)
+	listener, at := newClientListener(nil), time.Now()
+	listener.conns[&clientConn{Conn: halfclose.New(&scriptedConn{}), listener: listener, since: at}] = struct{}{}
+	listener.checkLimits(at, limits)
+	listener.checkLimits(at.Add(20*time.Second), limits)
+	assert.Equal(t, len(listener.conns), 1, "closed before its bytes could be read")
+	listener.checkLimits(at.Add(21*time.Second), limits)
+	assert.Equal(t, len(listener.conns), 0)
 }
 
 // lateListener accepts one more connection while it is being closed, as a kernel may.
@@ -131,17 +131,17 @@
 // connection was closed later with a request in progress. (It made the test below hang about once in a thousand runs on a busy machine.)
 func TestDrainClosesLastAcceptedConnection(t *testing.T) {
 	l := &lateListener{closed: make(chan struct{}), last: make(chan net.Conn)}
-	d := newClientListener(l)
+	listener := newClientListener(l)
 	ours, theirs := net.Pipe()
 	go func() { // like http.Server
 		for {
-			if _, err := d.Accept(); err != nil {
+			if _, err := listener.Accept(); err != nil {
 				return
 			}
 		}
 	}()
 	go func() { <-l.closed; l.last <- ours; close(l.last) }()
-	assert.Equal(t, d.drain(time.Now().Add(5*time.Second)), 0)
+	assert.Equal(t, listener.drain(time.Now().Add(5*time.Second)), 0)
 	theirs.SetReadDeadline(time.Now().Add(5 * time.Second)) // fails if the connection is closed already
 	_, err := theirs.Read(make([]byte, 1))
 	assert.Assert(t, errors.Is(err, io.EOF), "left open: %v", err)
@@ -152,13 +152,13 @@
 	for range 20 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
-		d := newClientListener(l)
+		listener := newClientListener(l)
 		var handled, answered atomic.Int64
-		s := &http.Server{ConnState: d.state, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		s := &http.Server{ConnState: listener.state, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			handled.Add(1)
 			io.WriteString(w, "whole")
 		})}
-		go s.Serve(d)
+		go s.Serve(listener)
 		var wg sync.WaitGroup
 		for range 8 {
 			c, err := net.Dial("tcp", l.Addr().String())
@@ -180,7 +180,7 @@
 		}
 		for answered.Load() < 50 {
 		}
-		assert.Equal(t, d.drain(time.Now().Add(5*time.Second)), 0)
+		assert.Equal(t, listener.drain(time.Now().Add(5*time.Second)), 0)
 		wg.Wait()
 		s.Close()
 		assert.Equal(t, handled.Load(), answered.Load())
@@ -189,9 +189,9 @@
 
 // Requests in flight at SIGTERM have more than five sixths of grace, whatever grace is: a server that answers by then is not cut off.
 func TestShutdownDeadline(t *testing.T) {
-	begun := time.Now()
+	started := time.Now()
 	for _, grace := range []time.Duration{time.Second, 3 * time.Second, 6 * time.Second, time.Minute} {
-		waits := shutdownDeadline(begun, grace).Sub(begun)
+		waits := shutdownDeadline(started, grace).Sub(started)
 		assert.Assert(t, waits > grace*5/6 && waits < grace, "%s of %s", waits, grace)
 	}
 }
--- a/internal/cdn/edge/objects.go
+++ b/internal/cdn/edge/objects.go
@@ -48,7 +48,7 @@
 		if svc == nil || !svc.limiter.hasSpare() {
 			continue
 		}
-		route := p.table.Find(due.Key.Host, due.Key.Path)
+		route := p.routeTable.Find(due.Key.Host, due.Key.Path)
 		if route == nil {
 			continue
 		}
@@ -183,8 +183,8 @@
 }
 
 // fetchObject gets an object from its shield or from the servers, or has the old copy revalidated, and caches a cacheable response.
-func (e *Edge) fetchObject(caller *departure.Caller, p *plan, svc *service, q Fetch, old *objectcache.Copy, timeout time.Duration) Fetched {
-	route := p.routes[q.Route]
+func (e *Edge) fetchObject(caller *departure.Caller, plan *plan, svc *service, q Fetch, old *objectcache.Copy, timeout time.Duration) Fetched {
+	route := plan.routes[q.Route]
 	if route == nil {
 		route = &clusterstate.Route{Timeout: timeout}
 	}
@@ -201,9 +201,9 @@
 	if _, err := permit(); err != nil {
 		return deniedFetch(err)
 	}
-	tenant := p.tenantFor(route, q.ClientKey)
+	tenant := plan.tenantFor(route, q.ClientKey)
 	svc.limiter.countDemand()
-	ranksLow := p.ranksLow(route, tenant, svc)
+	ranksLow := plan.ranksLow(route, tenant, svc)
 	for deadline := time.Now().Add(min(timeout/3, maxRateWait)); !svc.limiter.take(ranksLow); {
 		wait := svc.limiter.waitTime(ranksLow)
 		if time.Now().Add(wait).After(deadline) {
@@ -219,7 +219,7 @@
 	}
 	order := &upstream.Order{ID: q.ID, Stamped: true, Keep: route.Shelf > 0, Caller: caller, Permit: permit}
 	index, started := e.replica.Index(), time.Now()
-	answer := e.sendToService(svc, route.Name, order, exchange.Request{Class: p.className(route, tenant), Arrived: started, TimeLeft: min(timeout, route.Timeout),
+	answer := e.sendToService(svc, route.Name, order, exchange.Request{Class: plan.className(route, tenant), Arrived: started, TimeLeft: min(timeout, route.Timeout),
 		Method: http.MethodGet, Target: q.Target, Header: header})
 	if answer.Kind != exchange.Served {
 		if last := order.Failure(); last != nil {
@@ -299,8 +299,8 @@
 }
 
 // storeObject caches an object if its route allows that, and returns it as a copy.
-func (e *Edge) storeObject(q Fetch, route *clusterstate.Route, header http.Header, body []byte, at time.Time, index uint64) *objectcache.Copy {
-	x := &objectcache.Copy{Header: header, Body: body, ETag: firstValue(header, "Etag"), Shelf: route.Shelf, At: at, Index: index, For: q.asker(),
+func (e *Edge) storeObject(q Fetch, route *clusterstate.Route, header http.Header, body []byte, askedAt time.Time, index uint64) *objectcache.Copy {
+	x := &objectcache.Copy{Header: header, Body: body, ETag: firstValue(header, "Etag"), Shelf: route.Shelf, At: askedAt, Index: index, For: q.asker(),
 		Labels: strings.Fields(strings.Join(header[upstream.HeaderLabels], " "))}
 	if route.Shelf > 0 {
 		e.cache.Put(q.Key, x)
--- a/internal/cdn/edge/pieces.go
+++ b/internal/cdn/edge/pieces.go
@@ -52,7 +52,7 @@
 
 // fetchFromPeer requests an object from another cache router. Over a slow link the rest of a long body is requested piece by piece.
 func (e *Edge) fetchFromPeer(ctx context.Context, peer *peerrpc.Peer, q Fetch) (Fetched, error) {
-	if e.inbound.bytesPerS > 0 {
+	if e.inbound.bytesPerSecond > 0 {
 		q.Most = peerPieceBytes
 	}
 	started := time.Now()
--- a/internal/cdn/edge/plan.go
+++ b/internal/cdn/edge/plan.go
@@ -15,11 +15,11 @@
 // plan is one configuration, compiled for serving requests. It is immutable once it is in force.
 type plan struct {
 	*clusterstate.Manifest
-	table    *clusterstate.Table
-	routes   map[string]*clusterstate.Route // by name
-	classes  classNames                     // load balancer class names of all routes
-	topRanks map[string]int                 // by service: the highest rank of its routes, which is the lowest number
-	services map[string]*service
+	routeTable *clusterstate.Table
+	routes     map[string]*clusterstate.Route // by name
+	classes    classNames                     // load balancer class names of all routes
+	topRanks   map[string]int                 // by service: the highest rank of its routes, which is the lowest number
+	services   map[string]*service
 	tenantTable
 }
 
@@ -36,15 +36,15 @@
 }
 
 // loopFor returns the load balancer loop for a route's requests.
-func (sv *service) loopFor(route string) *exchange.Loop {
-	if sv.speeds.hasLongBodies(route) {
-		return sv.zoneFirst
+func (svc *service) loopFor(route string) *exchange.Loop {
+	if svc.speeds.hasLongBodies(route) {
+		return svc.zoneFirst
 	}
-	return sv.allZones
+	return svc.allZones
 }
 
 // loops returns both load balancer loops of the service.
-func (sv *service) loops() [2]*exchange.Loop { return [2]*exchange.Loop{sv.zoneFirst, sv.allZones} }
+func (svc *service) loops() [2]*exchange.Loop { return [2]*exchange.Loop{svc.zoneFirst, svc.allZones} }
 
 const (
 	initialSlotShare    = 1.5             // of a server's slots that all routers together may fill before any response was seen
@@ -103,7 +103,7 @@
 			return
 		}
 	}
-	p := &plan{Manifest: m, table: clusterstate.NewTable(m), tenantTable: newTenantTable(m), services: map[string]*service{}, classes: classNames{}, routes: make(map[string]*clusterstate.Route, len(m.Routes))}
+	p := &plan{Manifest: m, routeTable: clusterstate.NewTable(m), tenantTable: newTenantTable(m), services: map[string]*service{}, classes: classNames{}, routes: make(map[string]*clusterstate.Route, len(m.Routes))}
 	for i := range m.Routes {
 		p.routes[m.Routes[i].Name] = &m.Routes[i]
 		for _, t := range p.tenantPerPriority(&m.Routes[i]) {
@@ -162,8 +162,8 @@
 }
 
 // ranksLow reports whether a tenant's requests on a route rank below the highest rank of the service.
-func (p *plan) ranksLow(r *clusterstate.Route, t *clusterstate.Tenant, sv *service) bool {
-	return p.rank(r, t) > p.topRanks[sv.name]
+func (p *plan) ranksLow(r *clusterstate.Route, t *clusterstate.Tenant, svc *service) bool {
+	return p.rank(r, t) > p.topRanks[svc.name]
 }
 
 // idleTimeout returns how long an unused server connection is kept. It is shorter where a server accepts fewer connections than there are
--- a/internal/cdn/edge/plan_test.go
+++ b/internal/cdn/edge/plan_test.go
@@ -18,32 +18,32 @@
 // the requests of an operators' mix was refused: the target was 120 ms of which a fetch takes 60, which looked like overload, and limits
 // were set before the servers' slots were known.
 func TestLoopSettings(t *testing.T) {
-	f := &Edge{config: bootconfig.Settings{Zone: "a"}}
+	e := &Edge{config: bootconfig.Settings{Zone: "a"}}
 	s := clusterstate.New()
 	p := &plan{Manifest: &clusterstate.Manifest{Routes: []clusterstate.Route{
 		{Name: "board", Kind: clusterstate.Shelved, Target: 120 * time.Millisecond, Timeout: 1500 * time.Millisecond, Priority: 2, Tries: 3, Split: []clusterstate.Share{{Service: "vault", Weight: 1}}},
 		{Name: "claim", Kind: clusterstate.OnceOnly, Target: 500 * time.Millisecond, Timeout: 2 * time.Second, Priority: 1, Tries: 2, Split: []clusterstate.Share{{Service: "vault", Weight: 1}}},
 		{Name: "other", Kind: clusterstate.Resendable, Timeout: time.Second, Tries: 1, Split: []clusterstate.Share{{Service: "desk", Weight: 1}, {Service: "vault", Weight: 0}}},
 	}}}
-	set := f.loopSettings(s, p, "vault")
+	set := e.loopSettings(s, p, "vault")
 	assert.Equal(t, len(set.Classes), 2)
 	assert.Equal(t, set.Classes[0].Aim, 375*time.Millisecond)
 	assert.Equal(t, set.Classes[0].Effect, balance.Safe)
 	assert.Equal(t, set.Classes[1].Aim, 500*time.Millisecond)
 	assert.Equal(t, set.Classes[1].Effect, balance.Unsafe)
 	assert.Equal(t, set.MaxAttempts, 2)
-	assert.Equal(t, f.loopSettings(s, p, "desk").Classes[0].Aim, 500*time.Millisecond)
-	assert.Equal(t, f.loopSettings(s, p, "none").Classes[0].Name, "none")
+	assert.Equal(t, e.loopSettings(s, p, "desk").Classes[0].Aim, 500*time.Millisecond)
+	assert.Equal(t, e.loopSettings(s, p, "none").Classes[0].Name, "none")
 
 	for i := range 11 {
 		s.Routers[string(rune('a'+i))] = clusterstate.Router{}
 	}
-	few := f.loopSettings(s, p, "vault").Routers
+	few := e.loopSettings(s, p, "vault").Routers
 	s.Servers["i-1"] = clusterstate.Server{Service: "vault", Slots: 32}
-	many := f.loopSettings(s, p, "vault").Routers
+	many := e.loopSettings(s, p, "vault").Routers
 	assert.Assert(t, many < few, "%d %d", many, few)
 	s.Servers["i-1"] = clusterstate.Server{Service: "vault", Slots: 2}
-	assert.Assert(t, f.loopSettings(s, p, "vault").Routers > few)
+	assert.Assert(t, e.loopSettings(s, p, "vault").Routers > few)
 }
 
 // The routers' shares of a service's rate add up to no more than its ceiling in any window, for any number of routers, also after they were
@@ -234,9 +234,9 @@
 func TestZoneFirstTiers(t *testing.T) {
 	seen := map[string]bool{}
 	for _, zone := range []string{"a", "b", "c", "d", "e"} {
-		n := &zoneFirstTiers{zone: zone}
-		n.Listed(0, map[string]int{"a": 2, "b": 2, "c": 0, "x": 1})
-		order := n.Order(0, balance.Visit{})
+		tiers := &zoneFirstTiers{zone: zone}
+		tiers.Listed(0, map[string]int{"a": 2, "b": 2, "c": 0, "x": 1})
+		order := tiers.Order(0, balance.Visit{})
 		assert.Equal(t, len(order), 3)
 		if zone == "a" || zone == "b" {
 			assert.Equal(t, order[0].Zone, zone)
@@ -249,18 +249,18 @@
 
 // A server that takes twice as long as the mean gets a quarter of the requests, and is dropped once it is removed.
 func TestServerSpeeds(t *testing.T) {
-	p := newServerSpeeds()
-	assert.Assert(t, p.hasLongBodies("r"), "an unknown route is assumed to have long bodies")
-	p.weightFactor("slow")
+	speeds := newServerSpeeds()
+	assert.Assert(t, speeds.hasLongBodies("r"), "an unknown route is assumed to have long bodies")
+	speeds.weightFactor("slow")
 	for range 200 {
-		p.record("r", "quick", 50*time.Millisecond, 6000)
-		p.record("r", "slow", 150*time.Millisecond, 0)
+		speeds.record("r", "quick", 50*time.Millisecond, 6000)
+		speeds.record("r", "slow", 150*time.Millisecond, 0)
 	}
-	assert.Assert(t, !p.hasLongBodies("r"))
-	assert.Assert(t, p.factor("quick") > 1.5 && p.factor("slow") < 0.6, "%v %v", p.factor("quick"), p.factor("slow"))
-	assert.Assert(t, p.changed(map[string]bool{"quick": true, "slow": true}))
-	p.changed(nil)
-	assert.Equal(t, len(p.relativeTime)+len(p.reported), 0)
+	assert.Assert(t, !speeds.hasLongBodies("r"))
+	assert.Assert(t, speeds.factor("quick") > 1.5 && speeds.factor("slow") < 0.6, "%v %v", speeds.factor("quick"), speeds.factor("slow"))
+	assert.Assert(t, speeds.changed(map[string]bool{"quick": true, "slow": true}))
+	speeds.changed(nil)
+	assert.Equal(t, len(speeds.relativeTime)+len(speeds.reported), 0)
 }
 
 // A Fetch and its response are unchanged after they were encoded for package exchange and decoded.
--- a/internal/cdn/edge/proof.go
+++ b/internal/cdn/edge/proof.go
@@ -11,10 +11,10 @@
 // the proof covers. In the other order the plan might be older than the proof. All times are of the monotonic clock.
 
 const (
-	revokeMarginDivisor  = 20                     // of revoke: how much earlier a proof expires, for clock drift and the way to a server
+	revokeMarginDivisor  = 20                     // a proof expires earlier by revoke divided by this, for clock drift and the way to a server
 	minRevokeMargin      = 100 * time.Millisecond // lower bound of that margin
-	contactDivisor       = 2                      // of contact: a router with a younger proof is current, it knows all but the newest changes
-	editionMarginDivisor = 20                     // of edition_time: how much earlier a proof is too old to say that a key does not exist
+	contactDivisor       = 2                      // a router is current while its proof is younger than contact divided by this
+	editionMarginDivisor = 20                     // and younger than edition_time less edition_time divided by this: it may say that a key does not exist
 )
 
 // errNotProven is the error of a keyed request that is refused because this router can't prove that it knows all removed keys.
@@ -35,9 +35,9 @@
 	return max(revoke/revokeMarginDivisor, minRevokeMargin)
 }
 
-// current reports whether this router provably knows all that was acknowledged a short time ago: a part of contact, and less than
+// isCurrent reports whether this router provably knows all that was acknowledged a short time ago: a part of contact, and less than
 // edition_time, after which every connected router must know of a change.
-func (e *Edge) current() bool {
+func (e *Edge) isCurrent() bool {
 	maxAge := e.config.Bounds.Contact / contactDivisor
 	if edition := e.config.Bounds.Edition; edition > 0 {
 		maxAge = min(maxAge, edition-edition/editionMarginDivisor)
--- a/internal/cdn/edge/proof_test.go
+++ b/internal/cdn/edge/proof_test.go
@@ -14,10 +14,10 @@
 
 // disconnectedEdge returns a router whose last proof is of the given time, and that was disconnected from all others then.
 func disconnectedEdge(b bootconfig.Bounds, at time.Time) *Edge {
-	f := &Edge{config: bootconfig.Settings{Bounds: b}, replica: statesync.New()}
-	f.replica.Log = hclog.NewNullLogger()
-	f.replica.Take(clusterstate.News{Fresh: true, Proven: true}, at)
-	return f
+	e := &Edge{config: bootconfig.Settings{Bounds: b}, replica: statesync.New()}
+	e.replica.Log = hclog.NewNullLogger()
+	e.replica.Take(clusterstate.News{Fresh: true, Proven: true}, at)
+	return e
 }
 
 // A router that is disconnected while a key is removed must run no request with it later than revoke after the removal: its proof expires
@@ -36,21 +36,21 @@
 		{0, time.Hour, true},
 	} {
 		now := time.Now()
-		f := disconnectedEdge(bootconfig.Bounds{Revoke: c.revoke, Contact: 5 * time.Second}, now)
-		if got := f.checkProof(now.Add(c.age)); (got == nil) != c.runs {
+		e := disconnectedEdge(bootconfig.Bounds{Revoke: c.revoke, Contact: 5 * time.Second}, now)
+		if got := e.checkProof(now.Add(c.age)); (got == nil) != c.runs {
 			t.Errorf("revoke %v: %v after the proof checkProof returns %v", c.revoke, c.age, got)
 		}
 	}
 	now := time.Now()
-	f := disconnectedEdge(bootconfig.Bounds{Revoke: 5 * time.Second}, now)
+	e := disconnectedEdge(bootconfig.Bounds{Revoke: 5 * time.Second}, now)
 	later := now.Add(6 * time.Second)
-	f.replica.TakeFromNeighbour(clusterstate.News{Proven: true, AgeMS: 4000}, later)
-	assert.NilError(t, f.checkProof(later))
-	assert.ErrorIs(t, f.checkProof(later.Add(time.Second)), errNotProven)
-	f.replica.TakeFromNeighbour(clusterstate.News{Proven: true, AgeMS: 4000, Index: 7}, later.Add(time.Second))
-	assert.ErrorIs(t, f.checkProof(later.Add(time.Second)), errNotProven, "proof from a response that lacks changes that the neighbour holds")
-	f.replica = statesync.New()
-	assert.ErrorIs(t, f.checkProof(now), errNotProven, "proof of an empty replica")
+	e.replica.TakeFromNeighbour(clusterstate.News{Proven: true, AgeMS: 4000}, later)
+	assert.NilError(t, e.checkProof(later))
+	assert.ErrorIs(t, e.checkProof(later.Add(time.Second)), errNotProven)
+	e.replica.TakeFromNeighbour(clusterstate.News{Proven: true, AgeMS: 4000, Index: 7}, later.Add(time.Second))
+	assert.ErrorIs(t, e.checkProof(later.Add(time.Second)), errNotProven, "proof from a response that lacks changes that the neighbour holds")
+	e.replica = statesync.New()
+	assert.ErrorIs(t, e.checkProof(now), errNotProven, "proof of an empty replica")
 }
 
 // Cached copies are served while all purges older than contact are known. A router is current while its proof is younger than half of that.
@@ -60,10 +60,10 @@
 		age              time.Duration
 		current, vouched bool
 	}{{0, true, true}, {29 * time.Minute, true, true}, {31 * time.Minute, false, true}, {61 * time.Minute, false, false}} {
-		f := disconnectedEdge(bounds, time.Now().Add(-c.age))
-		assert.Equal(t, f.current(), c.current, "%v", c.age)
-		assert.Equal(t, f.purgesKnown(), c.vouched, "%v", c.age)
+		e := disconnectedEdge(bounds, time.Now().Add(-c.age))
+		assert.Equal(t, e.isCurrent(), c.current, "%v", c.age)
+		assert.Equal(t, e.purgesKnown(), c.vouched, "%v", c.age)
 	}
-	f := disconnectedEdge(bounds, time.Time{})
-	assert.Assert(t, !f.current() && !f.purgesKnown())
+	e := disconnectedEdge(bounds, time.Time{})
+	assert.Assert(t, !e.isCurrent() && !e.purgesKnown())
 }
--- a/internal/cdn/edge/ratelimit.go
+++ b/internal/cdn/edge/ratelimit.go
@@ -17,9 +17,9 @@
 	perSecond  float64 // refill rate; 0 means unlimited
 	burst      float64
 	tokens     float64
-	refilledAt time.Time // of the last refill
+	refilledAt time.Time // time of the last refill
 
-	wanted    int       // requests for a server since the last sample, whether let through or not
+	requests  int       // requests for a server since the last sample, whether let through or not
 	sampledAt time.Time // time of that sample
 	demand    float64   // requests per second, smoothed
 }
@@ -48,7 +48,7 @@
 // countDemand counts a request that needs a server.
 func (r *rateLimiter) countDemand() {
 	r.mu.Lock()
-	r.wanted++
+	r.requests++
 	r.mu.Unlock()
 }
 
@@ -57,9 +57,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if span := now.Sub(r.sampledAt).Seconds(); !r.sampledAt.IsZero() && span > 0 {
-		r.demand += demandSmoothing * (float64(r.wanted)/span - r.demand)
+		r.demand += demandSmoothing * (float64(r.requests)/span - r.demand)
 	}
-	r.wanted, r.sampledAt = 0, now
+	r.requests, r.sampledAt = 0, now
 	if r.perSecond <= 0 {
 		return 0
 	}
--- a/internal/cdn/edge/request_bench_test.go
+++ b/internal/cdn/edge/request_bench_test.go
@@ -18,8 +18,8 @@
 func BenchmarkRequest(b *testing.B) {
 	for name, prefix := range map[string]string{"copy": "/s/", "server": "/r/"} {
 		b.Run(name, func(b *testing.B) {
-			f, _ := newTestEdge(b, newOrigin(b), threeRoutesJSON)
-			c, err := net.Dial("tcp", strings.TrimPrefix(listen(b, f), "http://"))
+			e, _ := newTestEdge(b, newOrigin(b), threeRoutesJSON)
+			c, err := net.Dial("tcp", strings.TrimPrefix(listen(b, e), "http://"))
 			assert.NilError(b, err)
 			defer c.Close()
 			answers := bufio.NewReader(c)
--- a/internal/cdn/edge/serve.go
+++ b/internal/cdn/edge/serve.go
@@ -67,8 +67,8 @@
 	if err != nil {
 		host = r.Host
 	}
-	if q.route = q.plan.table.Find(host, r.URL.Path); q.route == nil {
-		q.final(http.StatusNotFound, nil, nil)
+	if q.route = q.plan.routeTable.Find(host, r.URL.Path); q.route == nil {
+		q.respond(http.StatusNotFound, nil, nil)
 		return
 	}
 	if !e.authenticate(q) {
@@ -103,7 +103,7 @@
 	r := q.Request
 	maxBytes := q.plan.Limits.BodyBytes
 	if r.ContentLength > maxBytes {
-		q.final(http.StatusRequestEntityTooLarge, nil, nil)
+		q.respond(http.StatusRequestEntityTooLarge, nil, nil)
 		return
 	}
 	if r.ContentLength < 0 || r.ContentLength > smallBodyBytes { // buffered whole, within the memory budget of all request bodies
@@ -117,7 +117,7 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(q.w, r.Body, maxBytes))
 	if err != nil {
-		q.final(http.StatusBadRequest, nil, nil)
+		q.respond(http.StatusBadRequest, nil, nil)
 		return
 	}
 	e.forward(q, body)
@@ -172,9 +172,9 @@
 	case order.OnceOnly && !order.MayHaveRun(): // nothing was sent, so it has not run
 		q.refuse(defaultRetryAfter)
 	case answer.TimedOut:
-		q.final(http.StatusGatewayTimeout, nil, nil)
+		q.respond(http.StatusGatewayTimeout, nil, nil)
 	default:
-		q.final(http.StatusBadGateway, nil, nil)
+		q.respond(http.StatusBadGateway, nil, nil)
 	}
 }
 
@@ -303,8 +303,8 @@
 	q.finish(http.StatusServiceUnavailable, nil)
 }
 
-// final writes a response with the given headers.
-func (q *request) final(status int, h http.Header, body []byte) {
+// respond writes a response with the given headers.
+func (q *request) respond(status int, h http.Header, body []byte) {
 	for name, values := range h {
 		q.w.Header()[name] = values
 	}
--- a/internal/cdn/edge/serve_test.go
+++ b/internal/cdn/edge/serve_test.go
@@ -110,31 +110,31 @@
 // newTestEdge returns a router without core machines, and a function by which the test applies commands to its state.
 func newTestEdge(t testing.TB, o *origin, routes string) (*Edge, func(c clusterstate.Command)) {
 	t.Helper()
-	f := &Edge{config: bootconfig.Settings{Node: "me", Zone: "a", MemoryMB: 64, FileHandles: 1024, Bounds: bootconfig.Bounds{Contact: time.Hour, StaleSlack: 2 * time.Second,
+	e := &Edge{config: bootconfig.Settings{Node: "me", Zone: "a", MemoryMB: 64, FileHandles: 1024, Bounds: bootconfig.Bounds{Contact: time.Hour, StaleSlack: 2 * time.Second,
 		CeilingWindow: 5 * time.Second, CeilingExcess: 1.1}},
 		log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), replica: statesync.New(), cache: objectcache.New(8 << 20), clock: exchange.NewClock(),
 		changes: make(chan func(), 64), lifetime: t.Context()}
-	f.init()
-	f.replica.Set, f.replica.Log = f.config, f.log
-	f.replica.Take(clusterstate.News{Fresh: true, Proven: true}, time.Now())
-	go f.zoneCaches.loop.Run(t.Context())
-	go f.shields.loop.Run(t.Context())
-	go f.zoneShields.loop.Run(t.Context())
-	go f.runChanges(t.Context())
+	e.init()
+	e.replica.Set, e.replica.Log = e.config, e.log
+	e.replica.Take(clusterstate.News{Fresh: true, Proven: true}, time.Now())
+	go e.zoneCaches.loop.Run(t.Context())
+	go e.shields.loop.Run(t.Context())
+	go e.zoneShields.loop.Run(t.Context())
+	go e.runChanges(t.Context())
 	s, index := clusterstate.New(), uint64(0)
-	give := func(c clusterstate.Command) {
+	apply := func(c clusterstate.Command) {
 		index++
 		out := s.Apply(index, c)
 		assert.Equal(t, out.Status, clusterstate.Done, out.Text)
-		f.applyChange(s, c, index, false)
+		e.applyChange(s, c, index, false)
 	}
-	give(clusterstate.Command{Put: []byte(`{"edition":"r1","based_on":0,"parcels":[` + routes + `{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{}}]}`)})
-	give(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "me", Zone: "a"}}})
-	give(clusterstate.Command{Server: &clusterstate.Server{ID: "i-1", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.Open, Beat: 1}})
+	apply(clusterstate.Command{Put: []byte(`{"edition":"r1","based_on":0,"parcels":[` + routes + `{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{}}]}`)})
+	apply(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "me", Zone: "a"}}})
+	apply(clusterstate.Command{Server: &clusterstate.Server{ID: "i-1", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.Open, Beat: 1}})
 	done := make(chan struct{})
-	f.enqueue(func() { close(done) })
+	e.enqueue(func() { close(done) })
 	<-done
-	return f, give
+	return e, apply
 }
 
 // routeJSON returns a route's entry in a configuration.
@@ -171,13 +171,13 @@
 }
 
 // listen starts the router's client listener and returns its URL.
-func listen(t testing.TB, f *Edge) string {
+func listen(t testing.TB, e *Edge) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	d := newClientListener(l)
-	s := &http.Server{Handler: http.HandlerFunc(f.serve), ConnState: d.state, ConnContext: withConnection}
-	go s.Serve(d)
+	listener := newClientListener(l)
+	s := &http.Server{Handler: http.HandlerFunc(e.serve), ConnState: listener.state, ConnContext: withConnection}
+	go s.Serve(listener)
 	t.Cleanup(func() { s.Close() })
 	return "http://" + l.Addr().String()
 }
@@ -185,8 +185,8 @@
 // Requests reach servers with the target that the client sent, and a cached object is served only for exactly that target.
 func TestRequestForwarding(t *testing.T) {
 	o := newOrigin(t)
-	f, _ := newTestEdge(t, o, threeRoutesJSON)
-	url := listen(t, f)
+	e, _ := newTestEdge(t, o, threeRoutesJSON)
+	url := listen(t, e)
 	cases := []struct {
 		method, target, body string
 		head                 []string
@@ -208,7 +208,7 @@
 	}
 	for _, c := range cases {
 		before := len(o.seen())
-		a := f.get(t, http.DefaultClient, url, c.method, c.target, c.body, c.head...)
+		a := e.get(t, http.DefaultClient, url, c.method, c.target, c.body, c.head...)
 		assert.Equal(t, a.status, c.status, c.target)
 		assert.Equal(t, a.body, c.says, c.target)
 		last := ""
@@ -217,10 +217,10 @@
 		}
 		assert.Equal(t, last, c.reaches, "%s %s", c.method, c.target)
 	}
-	a := f.get(t, http.DefaultClient, url, "GET", "/s/a%2Fb%20c?x=%31&y", "", "Range", "bytes=2-4")
+	a := e.get(t, http.DefaultClient, url, "GET", "/s/a%2Fb%20c?x=%31&y", "", "Range", "bytes=2-4")
 	assert.Equal(t, a.header.Get("Content-Range"), "bytes 2-4/9")
 	assert.Equal(t, a.header.Get(upstream.HeaderStamp), "stamp")
-	a = f.get(t, http.DefaultClient, url, "GET", "/s/a%2Fb%20c?x=%31&y", "", "Range", "bytes=40-")
+	a = e.get(t, http.DefaultClient, url, "GET", "/s/a%2Fb%20c?x=%31&y", "", "Range", "bytes=40-")
 	assert.Equal(t, a.header.Get(upstream.HeaderStamp), "", "the router's own 416 has the server's stamp")
 }
 
@@ -228,60 +228,60 @@
 // was requested before the purge.
 func TestPurgeDuringSharedFetch(t *testing.T) {
 	o := newOrigin(t)
-	f, give := newTestEdge(t, o, threeRoutesJSON)
-	url := listen(t, f)
+	e, apply := newTestEdge(t, o, threeRoutesJSON)
+	url := listen(t, e)
 	gate := make(chan struct{})
 	o.set(func() { o.gate = gate })
 	var wg sync.WaitGroup
 	const clients = 5
 	for range clients {
 		wg.Go(func() {
-			assert.Check(t, is.Equal(f.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 1"))
+			assert.Check(t, is.Equal(e.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 1"))
 		})
 	}
 	eventually(t, "all requests wait for one fetch", func() bool {
-		f.fetches.mu.Lock()
-		defer f.fetches.mu.Unlock()
-		for _, w := range f.fetches.inFlight {
+		e.fetches.mu.Lock()
+		defer e.fetches.mu.Unlock()
+		for _, w := range e.fetches.inFlight {
 			return w.waiters == clients && len(o.seen()) == 1
 		}
 		return false
 	})
-	give(clusterstate.Command{Purge: &clusterstate.Purge{Host: "A.example", Path: "/s/1"}})
+	apply(clusterstate.Command{Purge: &clusterstate.Purge{Host: "A.example", Path: "/s/1"}})
 	o.set(func() { o.version, o.gate = 2, nil })
 	close(gate)
 	wg.Wait()
-	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 2")
+	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 2")
 	assert.Equal(t, len(o.seen()), 2, "%v", o.seen())
-	give(clusterstate.Command{Purge: &clusterstate.Purge{Tag: "red"}})
+	apply(clusterstate.Command{Purge: &clusterstate.Purge{Tag: "red"}})
 	o.set(func() { o.version = 3 })
-	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 3")
+	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 3")
 }
 
 // A router whose replica is older than the operators' limit revalidates a copy before it serves it, because it may have missed a purge. It
 // sends the copy's ETag, so that an unchanged body is not transferred again.
 func TestOldReplicaRevalidatesCopies(t *testing.T) {
 	o := newOrigin(t)
-	f, _ := newTestEdge(t, o, threeRoutesJSON)
-	url := listen(t, f)
-	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 1")
-	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 1")
+	e, _ := newTestEdge(t, o, threeRoutesJSON)
+	url := listen(t, e)
+	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 1")
+	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 1")
 	before := len(o.seen())
-	f.config.Bounds.Contact, f.replica.Set.Bounds.Contact = 0, 0 // the proof is too old
+	e.config.Bounds.Contact, e.replica.Set.Bounds.Contact = 0, 0 // the proof is too old
 	o.set(func() { o.version = 2 })
-	assert.Equal(t, f.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 2")
+	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 2")
 	assert.Equal(t, len(o.seen()), before+1)
 }
 
 // A server's error response is passed through unchanged. A once-only request reaches at most one server.
 func TestServerErrorsPassThrough(t *testing.T) {
 	o := newOrigin(t)
-	f, _ := newTestEdge(t, o, threeRoutesJSON)
-	url := listen(t, f)
+	e, _ := newTestEdge(t, o, threeRoutesJSON)
+	url := listen(t, e)
 	o.set(func() { o.status = 500 })
 	for _, target := range []string{"/o/1", "/r/1", "/s/1"} {
 		before := len(o.seen())
-		a := f.get(t, http.DefaultClient, url, "GET", target, "")
+		a := e.get(t, http.DefaultClient, url, "GET", target, "")
 		assert.Equal(t, a.status, 500, target)
 		assert.Equal(t, a.body, "version 1", target)
 		if target == "/o/1" {
--- a/internal/cdn/edge/serverspeeds.go
+++ b/internal/cdn/edge/serverspeeds.go
@@ -41,16 +41,16 @@
 }
 
 // record adds a response of a server: how long it took, and the bytes of its body.
-func (p *serverSpeeds) record(route, server string, took time.Duration, bytes int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	stats := p.routes[route]
+func (s *serverSpeeds) record(route, server string, took time.Duration, bytes int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	stats := s.routes[route]
 	if stats == nil {
-		if len(p.routes) >= maxSpeedRoutes {
-			clear(p.routes)
+		if len(s.routes) >= maxSpeedRoutes {
+			clear(s.routes)
 		}
 		stats = &routeStats{meanSeconds: took.Seconds()}
-		p.routes[route] = stats
+		s.routes[route] = stats
 	}
 	stats.responses++
 	weight := max(speedSmoothing, 1/float64(stats.responses))
@@ -61,33 +61,33 @@
 	if stats.responses < minResponses || server == "" {
 		return
 	}
-	relative, ok := p.relativeTime[server]
+	relative, ok := s.relativeTime[server]
 	if !ok {
 		relative = 1
 	}
-	p.relativeTime[server] = relative + speedSmoothing*(took.Seconds()/max(stats.meanSeconds, 1e-4)-relative)
+	s.relativeTime[server] = relative + speedSmoothing*(took.Seconds()/max(stats.meanSeconds, 1e-4)-relative)
 }
 
 // hasLongBodies reports whether a route's bodies are long on average; an unknown route's are assumed to be.
-func (p *serverSpeeds) hasLongBodies(route string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	stats := p.routes[route]
+func (s *serverSpeeds) hasLongBodies(route string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	stats := s.routes[route]
 	return stats == nil || stats.responses < minResponses || stats.meanBytes >= longBodyBytes
 }
 
 // weightFactor returns the factor by which a server's weight differs from its number of slots, and remembers it as reported.
-func (p *serverSpeeds) weightFactor(server string) float64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	factor := p.factor(server)
-	p.reported[server] = factor
+func (s *serverSpeeds) weightFactor(server string) float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	factor := s.factor(server)
+	s.reported[server] = factor
 	return factor
 }
 
 // factor returns a server's current weight factor. The caller holds the lock.
-func (p *serverSpeeds) factor(server string) float64 {
-	relative, ok := p.relativeTime[server]
+func (s *serverSpeeds) factor(server string) float64 {
+	relative, ok := s.relativeTime[server]
 	if !ok {
 		return 1
 	}
@@ -95,17 +95,17 @@
 }
 
 // changed reports whether a server's weight factor has changed enough to send a new list. It drops servers that are not in servers.
-func (p *serverSpeeds) changed(servers map[string]bool) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *serverSpeeds) changed(servers map[string]bool) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	changed := false
-	for id := range p.relativeTime {
+	for id := range s.relativeTime {
 		if !servers[id] {
-			delete(p.relativeTime, id)
-			delete(p.reported, id)
+			delete(s.relativeTime, id)
+			delete(s.reported, id)
 			continue
 		}
-		if told, ok := p.reported[id]; ok && math.Abs(p.factor(id)-told) > reportedStep*told {
+		if last, ok := s.reported[id]; ok && math.Abs(s.factor(id)-last) > reportedStep*last {
 			changed = true
 		}
 	}
--- a/internal/cdn/edge/usage_test.go
+++ b/internal/cdn/edge/usage_test.go
@@ -36,12 +36,12 @@
 	} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			o := newOrigin(t)
-			f, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-			f.meter, f.wallClock = usage.NewMeter("me", "1", time.Hour), truetime.New(time.Now(), false)
+			e, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+			e.meter, e.wallClock = usage.NewMeter("me", "1", time.Hour), truetime.New(time.Now(), false)
 			o.set(func() { o.notRun = c.notRun })
-			f.serve(httptest.NewRecorder(), newRequest(c.method, c.target, append([]string{"Key", c.key}, c.head...)...))
+			e.serve(httptest.NewRecorder(), newRequest(c.method, c.target, append([]string{"Key", c.key}, c.head...)...))
 			sum := int64(0)
-			for _, counts := range f.meter.Report(time.Now()).Windows {
+			for _, counts := range e.meter.Report(time.Now()).Windows {
 				for _, n := range counts {
 					sum += n
 				}
@@ -54,15 +54,15 @@
 // A 304 response to a client that has the object is not counted: it is not a success (2xx).
 func TestNotModifiedIsNotCounted(t *testing.T) {
 	o := newOrigin(t)
-	f, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+	e, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
 	first, again := httptest.NewRecorder(), httptest.NewRecorder()
-	f.serve(first, newRequest("GET", "/s/1", "Key", "k-1"))
+	e.serve(first, newRequest("GET", "/s/1", "Key", "k-1"))
 	tag := first.Header().Get("Etag")
 	assert.Assert(t, tag != "")
-	f.meter, f.wallClock = usage.NewMeter("me", "1", time.Hour), truetime.New(time.Now(), false)
-	f.serve(again, newRequest("GET", "/s/1", "Key", "k-1", "If-None-Match", tag))
+	e.meter, e.wallClock = usage.NewMeter("me", "1", time.Hour), truetime.New(time.Now(), false)
+	e.serve(again, newRequest("GET", "/s/1", "Key", "k-1", "If-None-Match", tag))
 	assert.Equal(t, again.Code, 304)
-	assert.Equal(t, len(f.meter.Report(time.Now()).Windows), 0)
+	assert.Equal(t, len(e.meter.Report(time.Now()).Windows), 0)
 }
 
 // newRequest returns a client request for the handler, which returns once the request has been counted.
