--- a/internal/cdn/edge/disconnect_test.go
+++ b/internal/cdn/edge/disconnect_test.go
@@ -106,14 +106,14 @@
 }
 
 // When a client disconnects its repeatable request is cancelled: the server sees the connection close, and no further server is tried. In
-// the incident GONE the load balancer was not told of disconnects, and the sender checked its context only while dialling.
+// the incident GONE the load balancer was not notified of disconnects, and the sender checked its context only while dialling.
 func TestDisconnectCancelsRequest(t *testing.T) {
 	o := newSlowOrigin(t)
 	_, address, _ := newSlowEdge(t, o)
 	c := send(t, address, "GET", "/r/1")
 	receive(t, o.received, time.Second, "the request at a server")
 	c.Close()
-	receive(t, o.cancelled, cancelTimeout, "the end of the work for a client that has left")
+	receive(t, o.cancelled, cancelTimeout, "the cancellation after the client has disconnected")
 }
 
 // After a client has disconnected a failed attempt is not retried at another server.
@@ -123,7 +123,7 @@
 	c := send(t, address, "GET", "/r/2")
 	receive(t, o.received, time.Second, "the request at a server")
 	c.Close()
-	eventually(t, "the leave is seen", func() bool { return e.callers.Left() > 0 })
+	eventually(t, "the disconnect is seen", func() bool { return e.callers.Left() > 0 })
 	select {
 	case o.status <- http.StatusInternalServerError:
 	case <-o.cancelled: // the attempt was cancelled already
@@ -150,7 +150,7 @@
 	c := send(t, address, "POST", "/o/1")
 	receive(t, o.received, time.Second, "the request at a server")
 	c.Close()
-	eventually(t, "the leave is seen", func() bool { return e.callers.Left() > 0 })
+	eventually(t, "the disconnect is seen", func() bool { return e.callers.Left() > 0 })
 	o.status <- http.StatusInternalServerError // it was not cancelled
 	c = send(t, address, "POST", "/o/2")
 	assert.Equal(t, receive(t, o.received, time.Second, "the next request"), "/o/2")
@@ -195,11 +195,11 @@
 // A shared fetch continues while one of its waiters is left. On a route without caching it is cancelled when the last one leaves. A fetch
 // whose response will be cached is finished, and requests that arrive meanwhile get it.
 func TestSharedFetchEndsWithLastWaiter(t *testing.T) {
-	for _, keeps := range []bool{true, false} {
-		t.Run(fmt.Sprint("caching ", keeps), func(t *testing.T) {
+	for _, caching := range []bool{true, false} {
+		t.Run(fmt.Sprint("caching ", caching), func(t *testing.T) {
 			o := newSlowOrigin(t)
 			e, address, apply := newSlowEdge(t, o)
-			if !keeps {
+			if !caching {
 				apply(withoutCaching())
 			}
 			waiting := func(n int) func() bool {
@@ -225,7 +225,7 @@
 			three := send(t, address, "GET", "/s/2")
 			receive(t, o.received, time.Second, "another fetch at a server")
 			three.Close()
-			if !keeps {
+			if !caching {
 				assert.Equal(t, receive(t, o.cancelled, cancelTimeout, "the cancellation of a fetch without waiters"), "/s/2")
 				eventually(t, "the fetch is removed", func() bool { e.fetches.mu.Lock(); defer e.fetches.mu.Unlock(); return len(e.fetches.inFlight) == 0 })
 				assert.Equal(t, e.callers.Violations(), int64(0))
@@ -269,27 +269,27 @@
 // cache router.
 func TestDisconnectReachesPeer(t *testing.T) {
 	o := newSlowOrigin(t)
-	lender, _, applyToLender := newSlowEdge(t, o)
+	peer, _, applyToPeer := newSlowEdge(t, o)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { l.Close() })
-	go peerrpc.Serve(l, "Edge", func(s *peerrpc.Session) any { return &peerHandler{lender, s} })
-	asker, address, apply := newSlowEdge(t, o)
+	go peerrpc.Serve(l, "Edge", func(s *peerrpc.Session) any { return &peerHandler{peer, s} })
+	e, address, apply := newSlowEdge(t, o)
 	apply(withoutCaching())
-	applyToLender(withoutCaching())
+	applyToPeer(withoutCaching())
 	apply(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "lender", Zone: "a", Address: l.Addr().String()}}})
 	apply(clusterstate.Command{Absent: "me"})
 	done := make(chan struct{})
-	asker.enqueue(func() { close(done) })
+	e.enqueue(func() { close(done) })
 	<-done
 	c := send(t, address, "GET", "/s/1")
 	receive(t, o.received, time.Second, "the fetch at a server, through the cache router")
-	assert.Assert(t, lender.callers.Left() == 0)
+	assert.Assert(t, peer.callers.Left() == 0)
 	c.Close()
 	receive(t, o.cancelled, cancelTimeout, "the cancellation at the server, two processes away")
-	eventually(t, "the cache router has seen the disconnect", func() bool { return lender.callers.Left() > 0 })
-	assert.Equal(t, asker.counters.Results[balance.Reset].Load()+asker.counters.Results[balance.NoConnect].Load(), int64(0), "the disconnect was counted as a failure of the cache router")
-	assert.Equal(t, asker.callers.Violations()+lender.callers.Violations(), int64(0))
+	eventually(t, "the cache router has seen the disconnect", func() bool { return peer.callers.Left() > 0 })
+	assert.Equal(t, e.counters.Results[balance.Reset].Load()+e.counters.Results[balance.NoConnect].Load(), int64(0), "the disconnect was counted as a failure of the cache router")
+	assert.Equal(t, e.callers.Violations()+peer.callers.Violations(), int64(0))
 }
 
 // A request that joins a fetch which takes longer than the request's time left is answered in time.
@@ -340,5 +340,5 @@
 	fmt.Fprint(c, "GET /s/1 HTTP/1.1\r\nHost: a.example\r\nTry-Id: bodily\r\nTime-Left: 2000\r\nContent-Length: 5\r\n\r\nhello")
 	receive(t, o.received, time.Second, "the fetch at a server")
 	c.Close()
-	receive(t, o.cancelled, cancelTimeout, "the end of the work for a client that has left")
+	receive(t, o.cancelled, cancelTimeout, "the cancellation after the client has disconnected")
 }
--- a/internal/cdn/edge/fleet_test.go
+++ b/internal/cdn/edge/fleet_test.go
@@ -95,14 +95,14 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for i := range changes {
-		sv := fleetServer(2 + i%100)
-		if sv.Beat = uint64(i + 1); i/100%2 == 0 {
-			sv.State = clusterstate.Closing
+		server := fleetServer(2 + i%100)
+		if server.Beat = uint64(i + 1); i/100%2 == 0 {
+			server.State = clusterstate.Closing
 		}
-		if sv.State == clusterstate.Open { // another server in its place
-			sv.ID += "-next"
+		if server.State == clusterstate.Open { // another server in its place
+			server.ID += "-next"
 		}
-		e.apply(t, s, clusterstate.Command{Server: &sv})
+		e.apply(t, s, clusterstate.Command{Server: &server})
 		e.flush()
 	}
 	runtime.ReadMemStats(&after)
--- a/internal/cdn/edge/keys_test.go
+++ b/internal/cdn/edge/keys_test.go
@@ -137,10 +137,10 @@
 // with its result even if its key is gone.
 func TestKeyChangesBetweenAttempts(t *testing.T) {
 	cases := []struct {
-		name, then string // the tenants after the first server has received the request
-		ran        bool   // the first server runs it and fails, else it rejects it
-		status     int
-		shown      []string // tenants in the order of attempts
+		name, tenants string // the tenants after the first server has received the request
+		ran           bool   // the first server runs it and fails, else it rejects it
+		status        int
+		seen          []string // tenants in the order of attempts
 	}{
 		{"key stays", twoTenantsJSON, false, 200, []string{"wax", "wax"}},
 		{"key removed", tenantJSON("ink", 0, "k-2"), false, 401, []string{"wax"}},
@@ -162,10 +162,10 @@
 				url, got := listen(t, e), make(chan answer, 1)
 				go func() { got <- e.get(t, http.DefaultClient, url, "GET", target, "", "Key", "k-1") }()
 				eventually(t, "the first server has the request", func() bool { return len(o.seen()) == 1 })
-				apply(keyedConfig(2, c.then))
+				apply(keyedConfig(2, c.tenants))
 				close(gate)
 				a := <-got
-				assert.DeepEqual(t, o.tenants(), c.shown)
+				assert.DeepEqual(t, o.tenants(), c.seen)
 				assert.Equal(t, a.status, c.status)
 			})
 		}
@@ -175,8 +175,8 @@
 // A shared fetch runs with the key of the request that started it. If that key is removed only that request is refused; the others start a
 // new fetch.
 func TestSharedFetchUsesStarterKey(t *testing.T) {
-	for _, goes := range []bool{false, true} {
-		t.Run(fmt.Sprint("key removed: ", goes), func(t *testing.T) {
+	for _, keyRemoved := range []bool{false, true} {
+		t.Run(fmt.Sprint("key removed: ", keyRemoved), func(t *testing.T) {
 			o := newOrigin(t)
 			e, apply := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
 			apply(secondServer(o))
@@ -187,7 +187,7 @@
 			go func() { first <- e.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-1") }()
 			eventually(t, "a server has the request", func() bool { return len(o.seen()) == 1 })
 			go func() { second <- e.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-2") }()
-			eventually(t, "both wait", func() bool {
+			eventually(t, "both requests wait", func() bool {
 				e.fetches.mu.Lock()
 				defer e.fetches.mu.Unlock()
 				for _, w := range e.fetches.inFlight {
@@ -196,7 +196,7 @@
 				return false
 			})
 			want, shown := 200, []string{"wax"}
-			if goes {
+			if keyRemoved {
 				apply(keyedConfig(2, tenantJSON("ink", 0, "k-2")))
 				o.set(func() { o.notRun = 1 })
 				want, shown = 401, []string{"wax", "ink"}
@@ -213,10 +213,10 @@
 // the same or newer.
 func TestSendingRouterNamesTenant(t *testing.T) {
 	cases := []struct {
-		name, lender string // lender: the tenants at the other cache router
-		outOfTouch   bool   // whether that router's proof is too old
-		status       int
-		shown        []string
+		name, peer string // peerTenants: the tenants at the other cache router
+		oldProof   bool   // whether that router's proof is too old
+		status     int
+		seen       []string
 	}{
 		{"same configuration", twoTenantsJSON, false, 200, []string{"wax"}},
 		{"key removed there", tenantJSON("ink", 0, "k-2"), false, 401, nil},
@@ -226,21 +226,21 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			o := newOrigin(t)
-			lender, applyToLender := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-			if applyToLender(keyedConfig(2, c.lender)); c.outOfTouch {
-				lender.config.Bounds.Contact = 0
+			peer, applyToPeer := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+			if applyToPeer(keyedConfig(2, c.peer)); c.oldProof {
+				peer.config.Bounds.Contact = 0
 			}
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			assert.NilError(t, err)
 			t.Cleanup(func() { l.Close() })
-			go peerrpc.Serve(l, "Edge", func(s *peerrpc.Session) any { return &peerHandler{lender, s} })
-			asker, apply := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
+			go peerrpc.Serve(l, "Edge", func(s *peerrpc.Session) any { return &peerHandler{peer, s} })
+			e, apply := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
 			apply(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "lender", Zone: "a", Address: l.Addr().String()}}})
 			apply(clusterstate.Command{Absent: "me"})
-			waitForChanges(asker)
-			a := asker.get(t, http.DefaultClient, listen(t, asker), "GET", "/s/1", "", "Key", "k-1")
+			waitForChanges(e)
+			a := e.get(t, http.DefaultClient, listen(t, e), "GET", "/s/1", "", "Key", "k-1")
 			assert.Equal(t, a.status, c.status)
-			assert.DeepEqual(t, o.tenants(), c.shown)
+			assert.DeepEqual(t, o.tenants(), c.seen)
 		})
 	}
 }
@@ -249,10 +249,10 @@
 func TestRefreshUsesLastRequestersKey(t *testing.T) {
 	o := newOrigin(t)
 	e, apply := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-	url, ripe := listen(t, e), func() time.Time { return time.Now().Add(16 * time.Second) } // of a shelf life of 20 s
+	url, refreshTime := listen(t, e), func() time.Time { return time.Now().Add(16 * time.Second) } // of a shelf life of 20 s
 	refreshed := func(n int) {
 		t.Helper()
-		e.refreshDue(ripe())
+		e.refreshDue(refreshTime())
 		eventually(t, "a refresh", func() bool { return len(o.seen()) == n && e.fetches.count() == 0 })
 	}
 	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-1").status, 200)
@@ -265,7 +265,7 @@
 	assert.Equal(t, fmt.Sprint(all[1:]), fmt.Sprint([]identity{{"", "wax", ""}, {b.header.Get("Try-Id"), "ink", ""}, {"", "ink", ""}}))
 	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-2").status, 200)
 	apply(keyedConfig(2, tenantJSON("wax", 0, "k-1")))
-	e.refreshDue(ripe())
+	e.refreshDue(refreshTime())
 	assert.Equal(t, e.fetches.count(), 0, "refresh with a removed key")
 	assert.Equal(t, len(o.seen()), 4)
 }
@@ -300,9 +300,9 @@
 			}
 			assert.DeepEqual(t, got, c.want)
 			assert.Equal(t, p.rank(&m.Routes[2], nil), 1)
-			sv := &service{name: "shop"}
-			assert.Assert(t, !p.ranksLow(&m.Routes[0], of[0], sv) && p.ranksLow(&m.Routes[1], of[0], sv))
-			assert.Equal(t, p.ranksLow(&m.Routes[0], of[len(of)-1], sv), c.want[len(c.want)-2] > 0)
+			svc := &service{name: "shop"}
+			assert.Assert(t, !p.ranksLow(&m.Routes[0], of[0], svc) && p.ranksLow(&m.Routes[1], of[0], svc))
+			assert.Equal(t, p.ranksLow(&m.Routes[0], of[len(of)-1], svc), c.want[len(c.want)-2] > 0)
 			assert.Equal(t, len((&Edge{}).loopSettings(clusterstate.New(), p, "shop").Classes), c.classes)
 		})
 	}
--- a/internal/cdn/edge/link_test.go
+++ b/internal/cdn/edge/link_test.go
@@ -29,10 +29,10 @@
 func TestLinkScheduling(t *testing.T) {
 	now := time.Now()
 	cases := []struct {
-		name  string
-		left  []int
-		begun []time.Duration // before now
-		order []int
+		name      string
+		remaining []int
+		waited    []time.Duration // before now
+		order     []int
 	}{
 		{"fewest bytes left first", []int{120_000, 30_000, 60_000}, []time.Duration{0, 0, 0}, []int{1, 2, 0}},
 		{"equal: longest wait first", []int{50_000, 50_000}, []time.Duration{0, time.Second}, []int{1, 0}},
@@ -40,11 +40,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			l, went := blockedLink(), make(chan int)
-			for i := range c.left {
+			l, sent := blockedLink(), make(chan int)
+			for i := range c.remaining {
 				go func() {
-					assert.Check(t, l.wait(t.Context(), chunkBytes, c.left[i], now.Add(-c.begun[i])))
-					went <- i
+					assert.Check(t, l.wait(t.Context(), chunkBytes, c.remaining[i], now.Add(-c.waited[i])))
+					sent <- i
 				}()
 				waitUntil(t, func() bool { return l.waiting() == i+1 })
 			}
@@ -53,7 +53,7 @@
 				l.freeAt = time.Now().Add(maxBacklog - time.Millisecond) // room for one chunk, which fills the link again
 				l.mu.Unlock()
 				l.dispatch()
-				assert.Equal(t, <-went, want)
+				assert.Equal(t, <-sent, want)
 				l.mu.Lock()
 				l.timerSet = true
 				l.mu.Unlock()
@@ -100,20 +100,20 @@
 }
 
 // Fetch returns the object or its beginning.
-func (l *fakePeer) Fetch(q *Fetch, g *Fetched) error {
-	*g = Fetched{Status: 200, Whole: true, Header: http.Header{"Etag": {"e"}}, Body: l.body}
-	if q.Most > 0 && len(l.body) > q.Most {
-		g.Total, g.Body = len(l.body)+l.extraBytes, l.body[:q.Most]
+func (p *fakePeer) Fetch(q *Fetch, g *Fetched) error {
+	*g = Fetched{Status: 200, Whole: true, Header: http.Header{"Etag": {"e"}}, Body: p.body}
+	if q.Most > 0 && len(p.body) > q.Most {
+		g.Total, g.Body = len(p.body)+p.extraBytes, p.body[:q.Most]
 	}
 	return nil
 }
 
 // Piece returns part of the object, or an error once the copy is replaced.
-func (l *fakePeer) Piece(q *Piece, part *[]byte) error {
-	if l.pieces++; l.replacedAfter > 0 && l.pieces > l.replacedAfter {
+func (p *fakePeer) Piece(q *Piece, part *[]byte) error {
+	if p.pieces++; p.replacedAfter > 0 && p.pieces > p.replacedAfter {
 		return errCopyChanged
 	}
-	*part = l.body[q.From:min(q.From+q.N, len(l.body))]
+	*part = p.body[q.From:min(q.From+q.N, len(p.body))]
 	return nil
 }
 
@@ -126,8 +126,8 @@
 	cases := []struct {
 		name   string
 		mbps   float64
-		lender fakePeer
-		fails  string
+		peer   fakePeer
+		err    string
 		pieces int
 	}{
 		{"fast link: whole", 1000, fakePeer{body: whole}, "", 0},
@@ -142,16 +142,16 @@
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			assert.NilError(t, err)
 			defer l.Close()
-			go peerrpc.Serve(l, "Edge", peerrpc.Shared(&c.lender))
+			go peerrpc.Serve(l, "Edge", peerrpc.Shared(&c.peer))
 			e := &Edge{inbound: newLink(c.mbps)}
 			got, err := e.fetchFromPeer(t.Context(), peerrpc.NewPeer(l.Addr().String()), Fetch{Key: objectcache.Key{Path: "/a"}})
-			assert.Equal(t, c.lender.pieces, c.pieces)
-			if c.fails != "" {
-				assert.ErrorContains(t, err, c.fails)
+			assert.Equal(t, c.peer.pieces, c.pieces)
+			if c.err != "" {
+				assert.ErrorContains(t, err, c.err)
 				return
 			}
 			assert.NilError(t, err)
-			assert.Assert(t, bytes.Equal(got.Body, c.lender.body) && got.Total == 0)
+			assert.Assert(t, bytes.Equal(got.Body, c.peer.body) && got.Total == 0)
 		})
 	}
 }
--- a/internal/cdn/edge/listener.go
+++ b/internal/cdn/edge/listener.go
@@ -58,11 +58,11 @@
 		}
 		return nil, err
 	}
-	k := &clientConn{Conn: halfclose.New(c), listener: l, since: time.Now()}
+	conn := &clientConn{Conn: halfclose.New(c), listener: l, since: time.Now()}
 	l.mu.Lock()
-	l.conns[k] = struct{}{}
+	l.conns[conn] = struct{}{}
 	l.mu.Unlock()
-	return k, nil
+	return conn, nil
 }
 
 // Read reads; the first byte of a request marks the connection busy. Data that arrives on a connection that is being closed is dropped.
@@ -104,17 +104,17 @@
 
 // state is http.Server's ConnState hook: active means that a request's header has been read, idle that its response is written.
 func (l *clientListener) state(c net.Conn, s http.ConnState) {
-	k, ok := c.(*clientConn)
+	conn, ok := c.(*clientConn)
 	if !ok {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
 	switch s {
 	case http.StateActive:
-		k.busy, k.headerRead = true, true
+		conn.busy, conn.headerRead = true, true
 	case http.StateIdle:
-		k.busy, k.headerRead, k.since = false, false, time.Now()
+		conn.busy, conn.headerRead, conn.since = false, false, time.Now()
 	}
 }
 
--- a/internal/cdn/edge/listener_test.go
+++ b/internal/cdn/edge/listener_test.go
@@ -66,11 +66,11 @@
 func TestConnectionTimeouts(t *testing.T) {
 	limits := clusterstate.Limits{Header: 8 * time.Second, Idle: 30 * time.Second}
 	cases := []struct {
-		name  string
-		read  bool // the first byte of a request
-		whole bool // and the whole header
-		after time.Duration
-		stays bool
+		name       string
+		busy       bool // the first byte of a request
+		headerRead bool // and the whole header
+		after      time.Duration
+		stays      bool
 	}{
 		{"rests", false, false, 24 * time.Second, true},
 		{"idle too long", false, false, 31 * time.Second, false},
@@ -83,12 +83,12 @@
 		s := &scriptedConn{bytes: make(chan byte, 1)}
 		k := &clientConn{Conn: halfclose.New(s), listener: listener, since: time.Now()}
 		listener.conns[k] = struct{}{}
-		if c.read {
+		if c.busy {
 			s.bytes <- 'G'
 			_, err := k.Read(make([]byte, 1))
 			assert.NilError(t, err)
 		}
-		if c.whole {
+		if c.headerRead {
 			listener.state(k, http.StateActive)
 		}
 		listener.closeExpired(time.Now().Add(c.after), limits)
@@ -128,7 +128,7 @@
 func (l *lateListener) Close() error { close(l.closed); return nil }
 
 // drain must close a connection that is accepted just as the listener closes. It was not in the set yet, so drain returned zero, and the
-// connection was closed later with a request in progress. (It made the test below hang about once in a thousand runs on a busy machine.)
+// connection was closed later with a request in progress. (It made the test below hang once in some thousand runs on a busy machine.)
 func TestDrainClosesLastAcceptedConnection(t *testing.T) {
 	l := &lateListener{closed: make(chan struct{}), last: make(chan net.Conn)}
 	listener := newClientListener(l)
--- a/internal/cdn/edge/objects.go
+++ b/internal/cdn/edge/objects.go
@@ -321,7 +321,7 @@
 	return answer
 }
 
-// submitAndWait submits an exchange and waits for its answer. If the caller leaves, the load balancer is told and the answer is a failure.
+// submitAndWait submits an exchange and waits for its answer. If the caller leaves, the load balancer is notified and the answer is Failed.
 // If an attempt must be finished all the same, its answer is awaited; no further attempt is sent (departure.Caller.Begin).
 func submitAndWait(l *exchange.Loop, x *exchange.Exchange, caller *departure.Caller) exchange.Answer {
 	if caller.Left() {
--- a/internal/cdn/edge/serve_test.go
+++ b/internal/cdn/edge/serve_test.go
@@ -233,8 +233,8 @@
 	gate := make(chan struct{})
 	o.set(func() { o.gate = gate })
 	var wg sync.WaitGroup
-	const clients = 5
-	for range clients {
+	const requests = 5
+	for range requests {
 		wg.Go(func() {
 			assert.Check(t, is.Equal(e.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 1"))
 		})
@@ -243,7 +243,7 @@
 		e.fetches.mu.Lock()
 		defer e.fetches.mu.Unlock()
 		for _, w := range e.fetches.inFlight {
-			return w.waiters == clients && len(o.seen()) == 1
+			return w.waiters == requests && len(o.seen()) == 1
 		}
 		return false
 	})
--- a/internal/cdn/edge/statelog.go
+++ b/internal/cdn/edge/statelog.go
@@ -53,18 +53,18 @@
 }
 
 // Enabled implements slog.Handler.
-func (d balanceLogHandler) Enabled(_ context.Context, level slog.Level) bool {
+func (h balanceLogHandler) Enabled(_ context.Context, level slog.Level) bool {
 	return level >= slog.LevelInfo
 }
 
 // Handle implements slog.Handler.
-func (d balanceLogHandler) Handle(_ context.Context, r slog.Record) error {
+func (h balanceLogHandler) Handle(_ context.Context, r slog.Record) error {
 	var pairs []any
 	add := func(a slog.Attr) bool {
 		pairs = append(pairs, a.Key, a.Value.String())
 		return true
 	}
-	for _, a := range d.attrs {
+	for _, a := range h.attrs {
 		add(a)
 	}
 	r.Attrs(add)
@@ -75,14 +75,14 @@
 	case r.Level >= slog.LevelWarn:
 		level = hclog.Warn
 	}
-	d.log.Log(level, r.Message, pairs...)
+	h.log.Log(level, r.Message, pairs...)
 	return nil
 }
 
 // WithAttrs implements slog.Handler.
-func (d balanceLogHandler) WithAttrs(more []slog.Attr) slog.Handler {
-	return balanceLogHandler{d.log, append(append([]slog.Attr(nil), d.attrs...), more...)}
+func (h balanceLogHandler) WithAttrs(more []slog.Attr) slog.Handler {
+	return balanceLogHandler{h.log, append(append([]slog.Attr(nil), h.attrs...), more...)}
 }
 
 // WithGroup implements slog.Handler; groups are ignored.
-func (d balanceLogHandler) WithGroup(string) slog.Handler { return d }
+func (h balanceLogHandler) WithGroup(string) slog.Handler { return h }
--- a/internal/cdn/edge/usage.go
+++ b/internal/cdn/edge/usage.go
@@ -23,7 +23,6 @@
 	processIDBytes     = 6                      // random bytes of a process id
 	finalReportTimeout = 300 * time.Millisecond // for the report at a graceful shutdown
 	coreClockSource    = "core"                 // clock source name: all core machines are taken as one clock
-
 )
 
 // newProcessID returns a random id that distinguishes this process from earlier ones on the machine.
--- a/internal/cdn/edge/weighted.go
+++ b/internal/cdn/edge/weighted.go
@@ -20,23 +20,23 @@
 func newWeightedPlacement() balance.Placement { return new(weightedPlacement) }
 
 // Follow replaces the servers and their weights.
-func (d *weightedPlacement) Follow(weights map[balance.ServerID]float64) {
-	d.servers, d.cumulative = slices.AppendSeq(d.servers[:0], maps.Keys(weights)), d.cumulative[:0]
-	slices.Sort(d.servers)
+func (p *weightedPlacement) Follow(weights map[balance.ServerID]float64) {
+	p.servers, p.cumulative = slices.AppendSeq(p.servers[:0], maps.Keys(weights)), p.cumulative[:0]
+	slices.Sort(p.servers)
 	total := 0.0
-	for _, server := range d.servers {
+	for _, server := range p.servers {
 		total += weights[server]
-		d.cumulative = append(d.cumulative, total)
+		p.cumulative = append(p.cumulative, total)
 	}
 }
 
 // Owner returns the server that a hash selects; empty if there are no servers.
-func (d *weightedPlacement) Owner(hash uint64) balance.ServerID {
-	if len(d.servers) == 0 {
+func (p *weightedPlacement) Owner(hash uint64) balance.ServerID {
+	if len(p.servers) == 0 {
 		return ""
 	}
 	const fractions = 1 << 53 // distinct fractions that a float64 can represent
-	at := float64(hash>>11) / fractions * d.cumulative[len(d.cumulative)-1]
-	i := sort.Search(len(d.cumulative), func(i int) bool { return d.cumulative[i] > at })
-	return d.servers[min(i, len(d.servers)-1)] // rounding may yield the total itself
+	at := float64(hash>>11) / fractions * p.cumulative[len(p.cumulative)-1]
+	i := sort.Search(len(p.cumulative), func(i int) bool { return p.cumulative[i] > at })
+	return p.servers[min(i, len(p.servers)-1)] // rounding may yield the total itself
 }
--- a/internal/cdn/edge/zonefirst.go
+++ b/internal/cdn/edge/zonefirst.go
@@ -15,23 +15,23 @@
 }
 
 // Listed implements balance.Tiers: it orders the zones that have servers.
-func (n *zoneFirstTiers) Listed(_ balance.Time, up map[string]int) {
-	n.tiers = n.tiers[:0]
-	if up[n.zone] > 0 {
-		n.tiers = append(n.tiers, balance.Tier{Zone: n.zone, Part: 1})
+func (t *zoneFirstTiers) Listed(_ balance.Time, up map[string]int) {
+	t.tiers = t.tiers[:0]
+	if up[t.zone] > 0 {
+		t.tiers = append(t.tiers, balance.Tier{Zone: t.zone, Part: 1})
 	}
 	for _, zone := range slices.Sorted(maps.Keys(up)) {
-		if zone != n.zone && up[zone] > 0 {
-			n.tiers = append(n.tiers, balance.Tier{Zone: zone, Part: 1})
+		if zone != t.zone && up[zone] > 0 {
+			t.tiers = append(t.tiers, balance.Tier{Zone: zone, Part: 1})
 		}
 	}
-	if len(n.tiers) > 2 { // the second zone depends on the own zone: not all traffic of a lost zone goes to the same one
-		rest := n.tiers[1:]
-		if n.tiers[0].Zone != n.zone {
-			rest = n.tiers
+	if len(t.tiers) > 2 { // the second zone depends on the own zone: not all traffic of a lost zone goes to the same one
+		rest := t.tiers[1:]
+		if t.tiers[0].Zone != t.zone {
+			rest = t.tiers
 		}
 		shift := 0
-		for _, b := range []byte(n.zone) {
+		for _, b := range []byte(t.zone) {
 			shift += int(b)
 		}
 		shift %= len(rest)
@@ -40,13 +40,13 @@
 }
 
 // Order implements balance.Tiers.
-func (n *zoneFirstTiers) Order(balance.Time, balance.Visit) []balance.Tier { return n.tiers }
+func (t *zoneFirstTiers) Order(balance.Time, balance.Visit) []balance.Tier { return t.tiers }
 
 // Begun implements balance.Tiers; attempts don't change the order.
-func (n *zoneFirstTiers) Begun(balance.Time, string, uint64, bool, bool) bool { return false }
+func (t *zoneFirstTiers) Begun(balance.Time, string, uint64, bool, bool) bool { return false }
 
 // Ended implements balance.Tiers.
-func (n *zoneFirstTiers) Ended(balance.Time, balance.Stay) {}
+func (t *zoneFirstTiers) Ended(balance.Time, balance.Stay) {}
 
 // View implements balance.Tiers; there is nothing to show.
-func (n *zoneFirstTiers) View() ([]balance.SiteView, float64) { return nil, 0 }
+func (t *zoneFirstTiers) View() ([]balance.SiteView, float64) { return nil, 0 }
