--- a/balance/api.go
+++ b/balance/api.go
@@ -1,10 +1,10 @@
-// Package balance decides, for one router, where each request goes and when it is given up. It does no I/O:
-// the host hands it batches of events with their time and carries out the actions that come back.
+// Package balance decides, for one router, which server gets each request and when the request is given up. It does
+// no I/O: the host passes in batches of events with their time and carries out the actions that are returned.
 package balance
 
 import "time"
 
-// Time is a reading of the host's clock in nanoseconds; its origin means nothing.
+// Time is a reading of the host's clock in nanoseconds; its origin is arbitrary.
 type Time int64
 
 // Add returns t moved by d.
@@ -13,24 +13,24 @@
 // Sub returns the span from u to t.
 func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
 
-// RequestID and ServerID are names chosen by the outside; nothing is read into them but their order.
+// RequestID and ServerID are names that the host chooses; only their order has a meaning.
 type (
 	RequestID string
 	ServerID  string
 )
 
-// Effect says how far a class may be repeated once an attempt may have run.
+// Effect says whether a request of a class may be repeated once an attempt of it may have run.
 type Effect int
 
-// The effects, mildest first. The zero value is the strictest, so that an unstated effect is never
-// repeated.
+// The effects, strictest first: never repeated, repeated by key within a Group, always repeated. The zero value is
+// the strictest, so that a request whose effect is not stated is never repeated.
 const (
 	Unsafe Effect = iota
 	Keyed
 	Safe
 )
 
-// Group is the set of servers within which a keyed request's repeats are dropped.
+// Group is the set of servers within which repeats of a keyed request are dropped.
 type Group int
 
 // The groups. The zero value is unknown and allows no repeat.
@@ -41,113 +41,113 @@
 	GroupCell
 )
 
-// Class is one kind of request.
+// Class is a kind of request and its service objectives.
 type Class struct {
 	Name      string
-	Aim       time.Duration // answered within this it earns all its worth
-	Deadline  time.Duration // how long a client waits over all its tries
-	Worth     float64
-	LateShare float64
+	Aim       time.Duration // latency target: an answer within it has the full worth
+	Deadline  time.Duration // how long a client waits, over all its tries
+	Worth     float64       // relative value of an answer
+	LateShare float64       // share of Worth that an answer after Aim still has
 	Effect    Effect
 	Group     Group
-	Memory    time.Duration // how long repeats are dropped, from the first attempt that may have run
+	Memory    time.Duration // how long repeats are dropped, counted from the first attempt that may have run
 }
 
-// Tenant is one customer and its share of the service.
+// Tenant is a customer and its share of the service.
 type Tenant struct {
 	Name          string
-	AllowancePerS float64 // over all routers
+	AllowancePerS float64 // requests per second over all routers
 }
 
-// Settings is what a router is told at its start.
+// Settings is the configuration of a router.
 type Settings struct {
 	Classes        []Class
 	Tenants        []Tenant
-	Routers        int  // how many routers share the work
-	Number         int  // of this one among them, from 0
-	PeerMessages   bool // routers may tell each other things
+	Routers        int  // routers that share the work
+	Number         int  // index of this router among them, from 0
+	PeerMessages   bool // routers may send each other messages
 	Zone           string
-	OverShareWorth float64
-	Aside          bool   // caches answer a miss, and the router asks the origin itself
-	OriginKind     string // the kind of the list entry that is the origin; empty if none
-	AskForList     bool   // the list comes only to those who ask
-	AskWithin      time.Duration
-
-	MaxAttempts    int // a request; 0 means no limit
-	MayCancel      bool
-	Parallel       bool          // two attempts of one request may be out at once
-	MaxRetryAfter  time.Duration // the longest advice that clients follow; 0 if they are told none
+	OverShareWorth float64       // factor on the worth of requests over a tenant's share
+	Aside          bool          // cache-aside: caches answer a miss, and the router asks the origin itself
+	OriginKind     string        // Kind of the list entry that is the origin; empty if there is none
+	AskForList     bool          // the list is only sent to subscribers
+	AskWithin      time.Duration // a call for the list without an answer is repeated after half of this
+
+	MaxAttempts    int           // per request; 0 means no limit
+	MayCancel      bool          // attempts in flight may be cancelled
+	Parallel       bool          // two attempts of one request may be in flight at once
+	MaxRetryAfter  time.Duration // the longest Retry-After that clients follow; 0 if they get none
 	ConnectTimeout time.Duration
-	Streams        int // attempts that one connection carries at once; 0 counts as one
+	Streams        int // attempts that one connection carries at once; 0 counts as 1
 
-	ColdFrom       float64 // the share of its capacity at which a server starts, at least
-	Ramp           time.Duration
-	OverloadFactor float64
+	ColdFrom       float64       // least share of its capacity that a server has at its start
+	Ramp           time.Duration // time from a server's start until it has its full capacity
+	OverloadFactor float64       // multiple of its capacity that overloads a server if sent for OverloadFor
 	OverloadFor    time.Duration
 
-	Answered float64 // what a process before this one was answered, a second and warm weight of 1; 0 if nobody tells
+	Answered float64 // answers per second and warm weight of 1 that this process's predecessor got; 0 if not known
 
-	Tiers     func() Tiers     // makes what confines requests to sites; nil: nothing does
-	Placement func() Placement // makes what says where keys belong; nil: the interval table does
+	Tiers     func() Tiers     // creates the policy that confines requests to sites; nil if they are not confined
+	Placement func() Placement // creates the placement of keys; nil for the interval table
 }
 
-// Placement says which cache a key belongs to, in the place of the interval table. It belongs to one Balancer and is called by it alone.
+// Placement maps keys to caches instead of the interval table. It belongs to one Balancer, which is its only caller.
 type Placement interface {
-	// Follow takes the caches that keys belong to, with their weights.
+	// Follow sets the caches that own keys, with their weights.
 	Follow(weights map[ServerID]float64)
-	// Owner is the cache of a mixed key; empty where there is none. It is asked again with another hash for the key's next cache.
+	// Owner returns the cache of a hashed key, or an empty id if there is none. Another hash gives the key's next cache.
 	Owner(hash uint64) ServerID
 }
 
-// Tiers says in which sites a request's caches are drawn, site by site. It belongs to one Balancer and is called by it
-// alone; it does no I/O and has no clock of its own.
+// Tiers orders the sites in which a cache is selected for a request. It belongs to one Balancer, which is its only
+// caller; it does no I/O and has no clock of its own.
 type Tiers interface {
-	// Listed brings the number of caches that are up in each zone.
+	// Listed reports the number of caches that are up in each zone.
 	Listed(now Time, up map[string]int)
-	// Order is where a request's caches are drawn: in the first tier, and in the next one if that has none with a place for
-	// it. The slice is good until the next call.
+	// Order returns the tiers in which a cache is selected: a tier is used if those before it have no cache with capacity.
+	// The slice is valid until the next call.
 	Order(now Time, v Visit) []Tier
-	// Begun and Ended tell of an attempt at a zone's cache; Begun returns whether the zone may have to fetch the key.
+	// Begun and Ended report an attempt at a zone's cache; Begun returns whether the zone may have to fetch the key.
 	Begun(now Time, zone string, key uint64, read, guest bool) (news bool)
 	Ended(now Time, s Stay)
-	// View tells what is held of each site, in order, and how many fetches for others' keys may be out at once.
+	// View returns the state of each site, in order, and how many fetches for other sites' keys may be in flight at once.
 	View() (sites []SiteView, fetches float64)
 }
 
-// SiteView is what is held of one site.
+// SiteView is the state of one site, for logs.
 type SiteView struct {
 	Zone    string
 	State   string
-	Part    float64       // of its keys that it has now
+	Part    float64       // share of its keys that it holds now
 	Up      int           // caches listed as up
-	Absent  float64       // smoothed part of attempts that found nobody
-	Connect time.Duration // smoothed; 0 if not known
+	Absent  float64       // smoothed share of attempts that got no answer
+	Connect time.Duration // smoothed time to connect; 0 if not known
 }
 
-// Tier is a zone, and the part of each cache's limit that the request may hold there: 1 where it is at home, less as a
-// guest, 0 if it may not go there now for want of a place.
+// Tier is a zone and the part of each cache's limit that the request may use there: 1 at its home site, less as a
+// guest of another site, 0 if there is no capacity for it now.
 type Tier struct {
 	Zone string
 	Part float64
 }
 
-// Visit is what an order is asked for.
+// Visit describes a request to Tiers.Order.
 type Visit struct {
-	Key   uint64  // mixed: even over all its bits
-	Read  bool    // it has a key whose answer caches may keep
-	Safe  bool    // it may be sent again, whatever becomes of the first attempt
-	Worth float64 // as a multiple of the mean
-	Again bool    // an attempt of it has been made
+	Key   uint64  // hashed: uniform over all bits
+	Read  bool    // it has a key, and caches may store the answer
+	Safe  bool    // it may be repeated, whatever the result of the first attempt
+	Worth float64 // as a multiple of the mean of all requests
+	Again bool    // an attempt has been made before
 }
 
-// Stay is how an attempt at a zone's cache ended.
+// Stay is the result of an attempt at a zone's cache.
 type Stay struct {
 	Zone    string
 	Key     uint64
 	Took    time.Duration
-	Connect time.Duration // that opening its connection took; 0 if that is not known or one was open
+	Connect time.Duration // time to open its connection; 0 if not known or if one was open
 	Result  Result
-	News    bool // as Begun said
+	News    bool // as returned by Begun
 }
 
 // State is a server's state in the list.
@@ -171,28 +171,28 @@
 	State   State
 }
 
-// ListKind says how a list event is to be read.
+// ListKind says what the entries of a List cover.
 type ListKind int
 
 // The kinds of list event.
 const (
 	Partial   ListKind = iota // changed entries only
-	Complete                  // all entries; what is missing is gone
-	Persisted                 // all entries as last held, possibly out of date
+	Complete                  // all entries; servers that are missing are gone
+	Persisted                 // all entries as last stored, possibly out of date
 	Failed                    // a call failed or the subscription broke
 )
 
-// Event is something that happened; one of the types below.
+// Event is an input of Handle: one of the types below.
 type Event interface{ event() }
 
 type (
-	// List brings news of the servers.
+	// List is an update of the server list.
 	List struct {
 		Kind    ListKind
 		Version int64
 		Entries []Entry
 	}
-	// Request is a client's request; it is owed one final answer before Due.
+	// Request is a client's request; it gets exactly one final answer, before Due.
 	Request struct {
 		ID     RequestID
 		Class  string
@@ -202,30 +202,30 @@
 		Write  bool
 		Due    Time
 	}
-	// Outcome ends one attempt.
+	// Outcome is the result of an attempt.
 	Outcome struct {
 		ID       RequestID
 		Attempt  int
 		Server   ServerID
 		Result   Result
-		Fetching bool          // a miss, while the server waits for another request's fetch of that key
-		Done     bool          // the request is finished
-		Connect  time.Duration // that opening a connection for it took; 0 if one was open, or nobody can tell
+		Fetching bool          // a miss while the server waits for another request's fetch of the key
+		Done     bool          // the request is complete
+		Connect  time.Duration // time to open a connection for it; 0 if one was open, or if not known
 		Load     map[string]float64
 	}
-	// Opened says that a streamed answer has begun: the attempt is the client's from here on.
+	// Opened says that a streamed answer has begun; from then on its attempt serves the client and is not cancelled.
 	Opened struct {
 		ID      RequestID
 		Attempt int
 		Server  ServerID
 	}
-	// ClientGone ends a request with nothing more owed.
+	// ClientGone ends a request that needs no answer any more.
 	ClientGone struct{ ID RequestID }
-	// Retuned brings new settings. What was learned stays, and requests in hand keep the class that they came with.
+	// Retuned sets new settings. Learned state stays, and requests in progress keep the class that they came with.
 	Retuned struct{ Settings }
 	// Heard is a message from another router.
 	Heard struct{ Content []byte }
-	// Timer is a SetTimer come due.
+	// Timer is the expiry of a SetTimer.
 	Timer struct{ Token int64 }
 )
 
@@ -241,58 +241,58 @@
 // Result is how an attempt ended.
 type Result int
 
-// The results. The zero value is unknown and counts as one that may have run.
+// The results. An attempt with the zero value, unknown, counts as one that may have run.
 const (
 	Unknown   Result = iota
 	OK               // answered
-	Errored          // the server answered an error
-	Full             // turned away unseen
+	Errored          // the server answered with an error
+	Full             // rejected before processing
 	TimedOut         // no answer in time
-	NoConnect        // no connection
+	NoConnect        // no connection could be opened
 	Reset            // the connection broke
-	Cancelled        // withdrawn by the router
+	Cancelled        // cancelled by the router
 	Moot             // never sent
 	Miss             // the cache lacks the key
-	Spoilt           // an answer came that can't be read
+	Spoilt           // the answer was malformed
 )
 
 // NeverRan tells whether the result proves that the attempt had no effect.
 func (r Result) NeverRan() bool { return r == Full || r == NoConnect || r == Moot || r == Miss }
 
-// Action is something the host is to do; one of the types below.
+// Action is a command to the host: one of the types below.
 type Action interface{ action() }
 
 type (
-	// Send begins an attempt, which ends by the request's Due at the latest.
+	// Send starts an attempt, which ends by the request's Due at the latest.
 	Send struct {
 		ID     RequestID
 		Server ServerID
 	}
-	// Refuse is a final answer that promises a retry is harmless.
+	// Refuse is a final answer which promises that a retry is harmless.
 	Refuse struct {
 		ID         RequestID
 		RetryAfter time.Duration
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final answer which promises nothing: the request may have run.
 	Fail struct{ ID RequestID }
-	// Cancel withdraws an attempt.
+	// Cancel cancels an attempt.
 	Cancel struct {
 		ID      RequestID
 		Attempt int
 	}
-	// SetTimer asks for a Timer.
+	// SetTimer asks for a Timer with its token.
 	SetTimer struct {
 		After time.Duration
 		Token int64
 	}
-	// Tell sends another router a message, which may be lost.
+	// Tell sends a message to another router; it may be lost.
 	Tell struct {
 		To      int
 		Content []byte
 	}
-	// CloseIdle closes the server's connections that no attempt is out on.
+	// CloseIdle closes the server's connections that have no attempt in flight.
 	CloseIdle struct{ Server ServerID }
-	// Subscribe asks for the list's changes.
+	// Subscribe asks for the changes of the list.
 	Subscribe struct{}
 )
 
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -6,21 +6,20 @@
 	"time"
 )
 
-// This file codes what routers tell each other; what is told, to whom and what is made of it is decided in
-// the policy files. A message is a row of sightings of ten bytes: the hashes of a key and a server, and
-// milliseconds under a bit that tells of an answer.
+// This file encodes the messages between routers; the policy files decide what is sent, to whom, and how it is used. A message is a
+// sequence of observations of ten bytes: the hashes of a key and a server, and milliseconds below a bit that tells of an answer.
 
-// sighting is one attempt's time in flight at a server; without a key it goes on with an earlier one.
-type sighting struct {
+// observation is an attempt's time in flight at a server; without a key it continues an earlier one of the same attempt.
+type observation struct {
 	key      uint32
 	server   uint32
 	took     time.Duration
-	answered bool // well, or by being turned away
+	answered bool // successfully, or by a rejection as full
 }
 
 const (
-	sightingLen, maxSightings = 10, 25 // 256 bytes a message
-	answeredBit, mostTold     = 1 << 15, 1<<15 - 1
+	observationLen, maxObservations = 10, 25 // a message has at most 256 bytes
+	answeredBit, maxMillis          = 1 << 15, 1<<15 - 1
 )
 
 func hashID(id ServerID) uint32 {
@@ -29,38 +28,38 @@
 	return h.Sum32()
 }
 
-func encodeSightings(all []sighting) []byte {
-	var text []byte
+func encodeObservations(all []observation) []byte {
+	var content []byte
 	for _, s := range all {
-		text = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(text, s.key), s.server)
-		told := uint16(min(s.took.Milliseconds(), mostTold))
+		content = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(content, s.key), s.server)
+		millis := uint16(min(s.took.Milliseconds(), maxMillis))
 		if s.answered {
-			told |= answeredBit
+			millis |= answeredBit
 		}
-		text = binary.BigEndian.AppendUint16(text, told)
+		content = binary.BigEndian.AppendUint16(content, millis)
 	}
-	return text
+	return content
 }
 
-// decodeSightings passes over a last piece that is cut short.
-func decodeSightings(text []byte) (all []sighting) {
-	for ; len(text) >= sightingLen; text = text[sightingLen:] {
-		told := binary.BigEndian.Uint16(text[8:])
-		took := time.Duration(told&mostTold) * time.Millisecond
-		all = append(all, sighting{binary.BigEndian.Uint32(text), binary.BigEndian.Uint32(text[4:]), took, told&answeredBit != 0})
+// decodeObservations ignores an incomplete observation at the end.
+func decodeObservations(content []byte) (all []observation) {
+	for ; len(content) >= observationLen; content = content[observationLen:] {
+		millis := binary.BigEndian.Uint16(content[8:])
+		took := time.Duration(millis&maxMillis) * time.Millisecond
+		all = append(all, observation{binary.BigEndian.Uint32(content), binary.BigEndian.Uint32(content[4:]), took, millis&answeredBit != 0})
 	}
 	return all
 }
 
-// tell sends what was sighted to some other routers, drawn anew each time.
-func (b *Balancer) tell(peers int) {
-	text := encodeSightings(b.sightings)
-	b.sightings = nil
-	for range min(peers, b.set.Routers-1) {
-		to := b.rng.IntN(b.set.Routers - 1)
-		if to >= b.set.Number {
+// gossip sends the pending observations to other routers that are chosen at random each time.
+func (b *Balancer) gossip(peers int) {
+	content := encodeObservations(b.observations)
+	b.observations = nil
+	for range min(peers, b.cfg.Routers-1) {
+		to := b.rng.IntN(b.cfg.Routers - 1)
+		if to >= b.cfg.Number {
 			to++
 		}
-		b.do(Tell{To: to, Content: text})
+		b.emit(Tell{To: to, Content: content})
 	}
 }
--- a/balance/interval.go
+++ b/balance/interval.go
@@ -7,26 +7,26 @@
 	"sort"
 )
 
-// This file holds the interval table's data structure; how it is cut is decided in table.go.
+// This file holds the interval table's data structure; table.go holds how intervals are assigned.
 
-// interval is a stretch of positions from start up to the next interval's start.
+// interval is a range of positions from start up to the start of the next interval.
 type interval struct {
 	start int64
 	owner ServerID
 }
 
-// gap is a released stretch.
+// gap is a range that its owner has released; end is exclusive.
 type gap struct{ start, end int64 }
 
-// table is the interval table of Random Slicing: sorted, without gap or overlap, covering all of space.
-// With no cache to own it, all belongs to the empty id.
+// table is the interval table of Random Slicing: sorted and covering all of space without gap or overlap.
+// Without any cache, the empty id owns all of it.
 type table struct {
 	intervals []interval
-	weights   map[ServerID]float64 // the weights it was last cut for
-	by        Placement            // in the place of the intervals; nil: nothing is
+	weights   map[ServerID]float64 // weights of the last rebalancing
+	placement Placement            // replaces the intervals unless nil
 }
 
-// newTable returns the table of a fleet without caches.
+// newTable returns a table without caches.
 func newTable() table { return table{intervals: []interval{{0, ""}}} }
 
 func (t *table) end(i int) int64 {
@@ -36,28 +36,28 @@
 	return space
 }
 
-// change moves the table to new weights.
-func (t *table) change(weights map[ServerID]float64) {
-	if t.by == nil {
-		t.cut(weights)
+// setWeights moves the table or placement to new weights.
+func (t *table) setWeights(weights map[ServerID]float64) {
+	if t.placement == nil {
+		t.rebalance(weights)
 		return
 	}
 	t.weights = maps.Clone(weights)
-	t.by.Follow(weights)
+	t.placement.Follow(weights)
 }
 
-// lookup returns the owner of a mixed key.
+// lookup returns the owner of a hashed key.
 func (t *table) lookup(hash uint64) ServerID {
-	if t.by != nil {
-		return t.by.Owner(hash)
+	if t.placement != nil {
+		return t.placement.Owner(hash)
 	}
 	after := func(i int) bool { return t.intervals[i].start > int64(hash>>2) }
 	return t.intervals[sort.Search(len(t.intervals), after)-1].owner
 }
 
-// merge adds taken to a sorted row of intervals, joining neighbours of one owner. The table may have thousands
-// of intervals and a change few, so all are not sorted again.
-func merge(kept, taken []interval) []interval {
+// mergeIntervals adds taken to the sorted kept intervals and joins neighbours of the same owner. The table may have
+// thousands of intervals and a change only a few, so kept is not sorted again.
+func mergeIntervals(kept, taken []interval) []interval {
 	slices.SortFunc(taken, func(a, b interval) int { return cmp.Compare(a.start, b.start) })
 	merged := make([]interval, 0, len(kept)+len(taken))
 	for _, iv := range kept {
--- a/balance/size_test.go
+++ b/balance/policy_size_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// The operators read the decisions whole: 670 lines at most that are not blank, comments counted, none over 110. Which
-// files those are stands in deploy/balancer.toml alone.
-func TestDecisionsStayReadable(t *testing.T) {
+// Operators review the policy files as a whole: together they have at most 670 lines that are not blank, comments included, of
+// at most 110 characters. deploy/balancer.toml lists the files.
+func TestPolicyFilesStaySmall(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -40,9 +40,9 @@
 		}
 	}
 	if lines > 670 {
-		t.Errorf("the decisions have %d lines that are not blank, 670 allowed", lines)
+		t.Errorf("the policy files have %d lines that are not blank, 670 allowed", lines)
 	}
-	if lines < 400 { // the list has lost a file
-		t.Errorf("only %d lines of decisions found in %d files", lines, len(files))
+	if lines < 400 { // a file is missing in the list
+		t.Errorf("only %d lines found in %d policy files", lines, len(files))
 	}
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -12,7 +12,7 @@
 
 const ms = Time(time.Millisecond)
 
-// testSettings is a small site: one class of each effect.
+// testSettings returns the settings of a small site with a class of each effect.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -28,28 +28,28 @@
 	}
 }
 
-// rig feeds a balancer and remembers what it did.
-type rig struct {
-	t         *testing.T
-	b         *Balancer
-	now       Time
-	last      []Action
-	timers    map[Time][]int64
-	tries     map[RequestID][]ServerID
-	refused   map[RequestID]time.Duration
-	failed    map[RequestID]bool
-	cancelled map[RequestID]bool
-	asked     int
+// harness drives a Balancer on a simulated clock and records its actions.
+type harness struct {
+	t           *testing.T
+	b           *Balancer
+	now         Time
+	lastActions []Action
+	timers      map[Time][]int64
+	tries       map[RequestID][]ServerID
+	refused     map[RequestID]time.Duration
+	failed      map[RequestID]bool
+	cancelled   map[RequestID]bool
+	subscribed  int
 }
 
-func newRig(t *testing.T, set Settings) *rig {
-	return &rig{t: t, b: New(set, 7), now: 1e12, timers: map[Time][]int64{}, tries: map[RequestID][]ServerID{},
+func newHarness(t *testing.T, set Settings) *harness {
+	return &harness{t: t, b: New(set, 7), now: 1e12, timers: map[Time][]int64{}, tries: map[RequestID][]ServerID{},
 		refused: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}, cancelled: map[RequestID]bool{}}
 }
 
-func (g *rig) give(events ...Event) {
-	g.last = g.b.Handle(g.now, events)
-	for _, a := range g.last {
+func (g *harness) handle(events ...Event) {
+	g.lastActions = g.b.Handle(g.now, events)
+	for _, a := range g.lastActions {
 		switch a := a.(type) {
 		case Send:
 			g.tries[a.ID] = append(g.tries[a.ID], a.Server)
@@ -63,47 +63,47 @@
 		case Cancel:
 			g.cancelled[a.ID] = true
 		case Subscribe:
-			g.asked++
+			g.subscribed++
 		}
 	}
 }
 
-// run lets time pass, a millisecond a batch.
-func (g *rig) run(d time.Duration) {
+// run advances the clock by d in steps of one millisecond and delivers the timers that are due.
+func (g *harness) run(d time.Duration) {
 	for end := g.now.Add(d); g.now < end; {
 		g.now += ms
 		tokens := g.timers[g.now]
 		delete(g.timers, g.now)
 		for _, token := range tokens {
-			g.give(Timer{Token: token})
+			g.handle(Timer{Token: token})
 		}
 	}
 }
 
-func (g *rig) caches(n int) {
+func (g *harness) caches(n int) {
 	l := List{Kind: Complete}
 	for i := range n {
 		l.Entries = append(l.Entries, Entry{Server: ServerID(fmt.Sprintf("c%d", i)), Weight: 1,
 			Zone: fmt.Sprintf("z%d", i%2)})
 	}
-	g.give(l)
+	g.handle(l)
 }
 
-func (g *rig) ask(id, class string) {
-	g.give(Request{ID: RequestID(id), Class: class, Key: 42, HasKey: true, Due: g.now.Add(1500 * time.Millisecond)})
+func (g *harness) request(id, class string) {
+	g.handle(Request{ID: RequestID(id), Class: class, Key: 42, HasKey: true, Due: g.now.Add(1500 * time.Millisecond)})
 }
 
-// answer ends the request's last attempt.
-func (g *rig) answer(id string, result Result) {
+// answer ends the request's last attempt with a result.
+func (g *harness) answer(id string, result Result) {
 	tries := g.tries[RequestID(id)]
 	if len(tries) == 0 {
 		g.t.Fatalf("request %s was never sent", id)
 	}
-	g.give(Outcome{ID: RequestID(id), Attempt: len(tries) - 1, Server: tries[len(tries)-1], Result: result,
+	g.handle(Outcome{ID: RequestID(id), Attempt: len(tries) - 1, Server: tries[len(tries)-1], Result: result,
 		Done: result == OK})
 }
 
-func (g *rig) want(id string, tries int, refused, failed bool) {
+func (g *harness) want(id string, tries int, refused, failed bool) {
 	g.t.Helper()
 	_, gotRefused := g.refused[RequestID(id)]
 	if n := len(g.tries[RequestID(id)]); n != tries || gotRefused != refused || g.failed[RequestID(id)] != failed {
@@ -112,7 +112,7 @@
 	}
 }
 
-// Rule 2: what may have run is sent again only where a repeat is harmless, and refused only where a retry is.
+// Rule 2: a request that may have run is repeated only where a repeat is harmless, and refused only where a retry is.
 func TestNoEffectTwice(t *testing.T) {
 	for _, c := range []struct {
 		class           string
@@ -136,9 +136,9 @@
 		t.Run(fmt.Sprint(c.class, c.result, c.after), func(t *testing.T) {
 			set := testSettings()
 			set.MayCancel = false
-			g := newRig(t, set)
+			g := newHarness(t, set)
 			g.caches(4)
-			g.ask("r", c.class)
+			g.request("r", c.class)
 			g.run(c.after)
 			g.answer("r", c.result)
 			g.want("r", c.tries, c.refused, c.failed)
@@ -146,11 +146,11 @@
 	}
 }
 
-// The memory counts from the first attempt that may have run, not from one that proved idle.
+// Class.Memory counts from the first attempt that may have run, not from one that proved to have had no effect.
 func TestMemoryCountsFromTheFirstThatMayHaveRun(t *testing.T) {
-	g := newRig(t, testSettings())
+	g := newHarness(t, testSettings())
 	g.caches(4)
-	g.ask("r", "add")
+	g.request("r", "add")
 	g.run(200 * time.Millisecond)
 	g.answer("r", NoConnect)
 	g.run(300 * time.Millisecond) // 500 ms after the first, 300 after the one that may have run
@@ -160,54 +160,54 @@
 
 func TestZonedRequestStaysInItsZone(t *testing.T) {
 	for key := range uint64(40) {
-		g := newRig(t, testSettings())
+		g := newHarness(t, testSettings())
 		g.caches(4)
-		g.give(Request{ID: "r", Class: "zoned", Key: key, HasKey: true, Due: g.now.Add(time.Second)})
+		g.handle(Request{ID: "r", Class: "zoned", Key: key, HasKey: true, Due: g.now.Add(time.Second)})
 		g.answer("r", Reset)
 		if tries := g.tries["r"]; len(tries) == 2 && (tries[0][1]-tries[1][1])%2 != 0 {
-			t.Errorf("key %d went on from %s to %s, in another zone", key, tries[0], tries[1])
+			t.Errorf("key %d was retried from %s at %s, in another zone", key, tries[0], tries[1])
 		}
 	}
 }
 
 func TestAttemptsAreLimited(t *testing.T) {
-	g := newRig(t, testSettings())
+	g := newHarness(t, testSettings())
 	g.caches(6)
-	g.ask("r", "once")
+	g.request("r", "once")
 	for range 3 {
 		g.answer("r", NoConnect)
 	}
 	g.want("r", 3, true, false)
 }
 
-// Rule 1: one final answer in time, also where nothing can be sent or the outcome is overdue.
+// Rule 1: one final answer in time, also if nothing can be sent or the outcome is overdue.
 func TestEveryRequestIsAnsweredInTime(t *testing.T) {
 	t.Run("no caches", func(t *testing.T) {
-		g := newRig(t, testSettings())
-		g.ask("r", "once")
+		g := newHarness(t, testSettings())
+		g.request("r", "once")
 		g.want("r", 0, true, false)
 	})
 	t.Run("deadline already past", func(t *testing.T) {
-		g := newRig(t, testSettings())
+		g := newHarness(t, testSettings())
 		g.caches(2)
-		g.give(Request{ID: "r", Class: "read", Due: g.now - 1})
+		g.handle(Request{ID: "r", Class: "read", Due: g.now - 1})
 		g.want("r", 0, true, false)
 	})
 	t.Run("expired at the deadline", func(t *testing.T) {
 		set := testSettings()
 		set.MayCancel = false
-		g := newRig(t, set)
+		g := newHarness(t, set)
 		g.caches(2)
-		g.ask("r", "once")
+		g.request("r", "once")
 		g.run(1500 * time.Millisecond)
 		g.answer("r", TimedOut)
 		g.want("r", 1, false, true)
 	})
 	t.Run("waiting for another's fetch", func(t *testing.T) {
-		g := newAside(t)
-		g.ask("a", "read")
+		g := newAsideHarness(t)
+		g.request("a", "read")
 		g.answer("a", Miss)
-		g.ask("b", "read") // joins a's fetch
+		g.request("b", "read") // waits for a's fetch
 		g.want("b", 0, false, false)
 		g.run(1500 * time.Millisecond)
 		g.want("b", 0, true, false)
@@ -215,10 +215,10 @@
 }
 
 func TestNothingAfterTheFinalAnswer(t *testing.T) {
-	g := newRig(t, testSettings())
+	g := newHarness(t, testSettings())
 	g.caches(4)
-	g.ask("r", "read")
-	g.give(ClientGone{ID: "r"})
+	g.request("r", "read")
+	g.handle(ClientGone{ID: "r"})
 	g.answer("r", Reset)
 	g.run(3 * time.Second)
 	g.want("r", 1, false, false)
@@ -227,15 +227,15 @@
 	}
 }
 
-// Rule 3: nothing goes to a draining or gone server, not even what was waiting for it.
-func TestDrainsAreKept(t *testing.T) {
+// Rule 3: nothing is sent to a draining or gone server, not even what was waiting for it.
+func TestDrainsAreRespected(t *testing.T) {
 	for _, state := range []State{Draining, Gone} {
-		g := newRig(t, testSettings())
+		g := newHarness(t, testSettings())
 		g.caches(3)
-		g.give(List{Kind: Partial, Entries: []Entry{{Server: "c1", State: state}}})
+		g.handle(List{Kind: Partial, Entries: []Entry{{Server: "c1", State: state}}})
 		for i := range 300 {
 			id := RequestID(fmt.Sprint(i))
-			g.give(Request{ID: id, Class: "read", Key: uint64(i), HasKey: true, Due: g.now + 1000*ms})
+			g.handle(Request{ID: id, Class: "read", Key: uint64(i), HasKey: true, Due: g.now + 1000*ms})
 			if s := g.tries[id]; len(s) > 0 && s[0] == "c1" {
 				t.Fatalf("sent to a server in state %v", state)
 			}
@@ -243,44 +243,44 @@
 	}
 }
 
-// In ask mode a failed or unanswered call is made again; an answered one is left alone.
+// With AskForList a failed or unanswered call for the list is repeated; an answered one is not.
 func TestSubscriptionIsKeptAlive(t *testing.T) {
 	set := testSettings()
 	set.AskForList, set.AskWithin = true, 10*time.Second
-	g := newRig(t, set)
-	g.give(List{Kind: Persisted})
+	g := newHarness(t, set)
+	g.handle(List{Kind: Persisted})
 	g.run(10 * time.Millisecond)
-	if g.asked != 1 {
-		t.Fatalf("asked %d times at the start", g.asked)
+	if g.subscribed != 1 {
+		t.Fatalf("subscribed %d times at the start", g.subscribed)
 	}
 	g.run(9 * time.Second) // no answer at all
-	if g.asked < 2 {
-		t.Error("an unanswered call was not made again")
+	if g.subscribed < 2 {
+		t.Error("an unanswered call was not repeated")
 	}
-	n := g.asked
-	g.give(List{Kind: Failed})
+	n := g.subscribed
+	g.handle(List{Kind: Failed})
 	g.run(4 * time.Second)
-	if g.asked == n {
-		t.Error("a failed call was not made again")
+	if g.subscribed == n {
+		t.Error("a failed call was not repeated")
 	}
-	g.give(List{Kind: Partial})
-	n = g.asked
+	g.handle(List{Kind: Partial})
+	n = g.subscribed
 	g.run(time.Minute)
-	if g.asked != n {
-		t.Error("asked again while subscribed")
+	if g.subscribed != n {
+		t.Error("the call was repeated while subscribed")
 	}
 }
 
-// Rule 4: a cold server gets its warm share and no burst, and none of it is owed later.
-func TestColdServerIsNotPushedOver(t *testing.T) {
-	g := newRig(t, testSettings())
+// Rule 4: a cold server gets its warm fraction and no burst, and unused budget does not add up.
+func TestColdServerIsNotOverloaded(t *testing.T) {
+	g := newHarness(t, testSettings())
 	g.caches(4)
 	n, cold := 0, 0
 	step := func(d time.Duration) {
 		for end := g.now.Add(d); g.now < end; g.run(10 * time.Millisecond) {
 			n++
 			id := fmt.Sprint(n)
-			g.give(Request{ID: RequestID(id), Class: "read", Key: uint64(n), HasKey: true, Due: g.now + 1000*ms})
+			g.handle(Request{ID: RequestID(id), Class: "read", Key: uint64(n), HasKey: true, Due: g.now + 1000*ms})
 			if tries := g.tries[RequestID(id)]; len(tries) > 0 {
 				if tries[0] == "new" {
 					cold++
@@ -290,10 +290,10 @@
 		}
 	}
 	step(5 * time.Second)
-	g.give(List{Kind: Partial, Entries: []Entry{{Server: "new", Weight: 1, Started: g.now}}})
+	g.handle(List{Kind: Partial, Entries: []Entry{{Server: "new", Weight: 1, Started: g.now}}})
 	step(2 * time.Second)
-	// 100 requests a second over five: a warm server gets 40 in two seconds, this one 0.2 to 0.28 of the
-	// mean answered, times the root of 3.
+	// At 100 requests per second over five servers a warm one gets 40 in two seconds, and this one 0.2 to 0.28 of
+	// the mean answered, times the square root of 3.
 	if cold == 0 || cold > 25 {
 		t.Errorf("a cold server got %d requests in its first two seconds, want 1 to 25", cold)
 	}
@@ -304,18 +304,18 @@
 	}
 }
 
-// Where most servers are cold at once, each has its share of what a warm one answers, not of a mean that the cold ones pull
-// down: the fewer answers they got the smaller their budgets were, while the warm ones refused what they could not take.
-// And it has no more than that: what the warm ones answer is what a warm server stands.
+// If most servers are cold at once, each gets its share of what a warm one answers, not of a mean that the cold ones lower: with
+// the mean, the budgets shrank with the answers of cold servers, while the warm ones refused what they could not take.
+// A cold server gets no more than that, as what the warm ones answer is what a warm server can take.
 func TestManyColdServersHaveTheirShare(t *testing.T) {
-	g := newRig(t, testSettings())
+	g := newHarness(t, testSettings())
 	g.caches(2)
 	n, sent := 0, map[ServerID]int{}
 	step := func(d time.Duration) {
 		for end := g.now.Add(d); g.now < end; g.run(10 * time.Millisecond) {
 			n++
 			id := fmt.Sprint(n)
-			g.give(Request{ID: RequestID(id), Class: "read", Key: uint64(n), HasKey: true, Due: g.now + 1000*ms})
+			g.handle(Request{ID: RequestID(id), Class: "read", Key: uint64(n), HasKey: true, Due: g.now + 1000*ms})
 			if tries := g.tries[RequestID(id)]; len(tries) > 0 {
 				sent[tries[0]]++
 				g.answer(id, OK)
@@ -327,7 +327,7 @@
 	for i := range 6 {
 		list.Entries = append(list.Entries, Entry{Server: ServerID(fmt.Sprint("cold", i)), Weight: 1, Started: g.now})
 	}
-	g.give(list)
+	g.handle(list)
 	step(500 * time.Millisecond)
 	clear(sent)
 	step(2 * time.Second)
@@ -339,26 +339,26 @@
 			warm += n
 		}
 	}
-	// Warm at a quarter to a third, times the root of 3, they stand for two to three and a half warm ones beside the two. By the
-	// mean of all eight they had a third.
+	// With warm fractions of a quarter to a third, times the square root of 3, the six count as 2 to 3.5 warm servers beside the
+	// two warm ones. With the mean of all eight they got a third of the requests.
 	part := float64(cold) / float64(cold+warm)
 	if part < 0.45 || part > 0.75 {
 		t.Errorf("%d requests at six cold servers, %d at two warm ones: %.2f", cold, warm, part)
 	}
 }
 
-// A process that replaces another one gives cold servers their share at once, by what the other one was answered: its own
-// window takes twice the stated span to fill. Without a word of it the share grows from one request an aim.
-func TestColdShareOverAReplacement(t *testing.T) {
+// A process that replaces another one gives cold servers their share at once, by the answer rate of its predecessor: its own
+// window takes twice OverloadFor to fill. Without that rate the share grows from one request per target.
+func TestColdShareAfterProcessReplacement(t *testing.T) {
 	first := func(answered float64) (cold int) {
 		set := testSettings()
 		set.Answered = answered
-		g := newRig(t, set)
-		g.give(List{Kind: Complete, Entries: []Entry{{Server: "a", Weight: 1}, {Server: "b", Weight: 1},
+		g := newHarness(t, set)
+		g.handle(List{Kind: Complete, Entries: []Entry{{Server: "a", Weight: 1}, {Server: "b", Weight: 1},
 			{Server: "cold", Weight: 1, Started: g.now.Add(-5 * time.Second)}}})
 		for n := range 100 {
 			id := fmt.Sprint(n)
-			g.give(Request{ID: RequestID(id), Class: "read", Key: uint64(n), HasKey: true, Due: g.now + 1000*ms})
+			g.handle(Request{ID: RequestID(id), Class: "read", Key: uint64(n), HasKey: true, Due: g.now + 1000*ms})
 			if g.tries[RequestID(id)][0] == "cold" {
 				cold++
 			}
@@ -367,49 +367,49 @@
 		}
 		return cold
 	}
-	// 100 a second over a warm weight of 2.4; a cold one at 0.4 has 0.4 times the root of 3 of one's 42.
+	// 100 per second over a warm weight of 2.4; a cold server at 0.4 gets 0.4 times the square root of 3 of the 42 that a warm one gets.
 	without, with := first(0), first(42)
 	if with < 20 || with > 40 || with < without+5 {
-		t.Errorf("%d requests in its first second with what was answered before, %d without", with, without)
+		t.Errorf("%d requests in the first second with the predecessor's answer rate, %d without", with, without)
 	}
 }
 
-// FuzzRules drives random events, with every outcome the wire has, and checks rules 1 to 3 after each batch.
+// FuzzRules passes random events, with every result that an attempt can have, and checks rules 1 to 3 after each batch.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(60) {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		newWorld(t, seed).play(3000)
+		newFuzzHost(t, seed).runSteps(3000)
 	})
 }
 
-// world answers a balancer at random and holds it to the rules.
-type world struct {
-	*rig
+// fuzzHost is a host that answers a Balancer at random and checks the rules.
+type fuzzHost struct {
+	*harness
 	rng    *rand.Rand
 	set    Settings
-	open   map[RequestID]*owed
+	open   map[RequestID]*openRequest
 	states map[ServerID]State
 	next   int
 }
 
-type owed struct {
-	class Class
-	due   Time
-	tries []try
-	ended bool
-	out   int
+type openRequest struct {
+	class    Class
+	due      Time
+	tries    []sentAttempt
+	ended    bool
+	inFlight int
 }
 
-type try struct {
-	to   ServerID
-	sent Time
-	open bool
-	idle bool
+type sentAttempt struct {
+	to       ServerID
+	sent     Time
+	open     bool
+	neverRan bool
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
+func newFuzzHost(t *testing.T, seed uint64) *fuzzHost {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	set := testSettings()
 	set.Aside, set.OriginKind = seed%2 == 0, "origin"
@@ -422,15 +422,15 @@
 	if seed%11 == 0 {
 		set.Classes, set.MaxAttempts, set.Ramp, set.OverloadFor, set.Routers = nil, 0, 0, 0, 0
 	}
-	return &world{rig: newRig(t, set), rng: rng, set: set, open: map[RequestID]*owed{}, states: map[ServerID]State{}}
+	return &fuzzHost{harness: newHarness(t, set), rng: rng, set: set, open: map[RequestID]*openRequest{}, states: map[ServerID]State{}}
 }
 
-func (w *world) play(steps int) {
+func (w *fuzzHost) runSteps(steps int) {
 	for range steps {
 		w.now += Time(w.rng.IntN(20)) * ms
 		var events []Event
-		if w.rng.IntN(6) == 0 { // the first of its batch, so that the state after the batch was known in all of it
-			events = append(events, w.list())
+		if w.rng.IntN(6) == 0 { // first in its batch, so that the states after the batch hold for all of it
+			events = append(events, w.randomList())
 		}
 		for _, at := range slices.Sorted(maps.Keys(w.timers)) {
 			if at > w.now {
@@ -442,10 +442,10 @@
 			delete(w.timers, at)
 		}
 		for range w.rng.IntN(4) {
-			events = append(events, w.event())
+			events = append(events, w.randomEvent())
 		}
-		events = append(events, w.overdue()...)
-		w.give(events...)
+		events = append(events, w.outcomes()...)
+		w.handle(events...)
 		w.check()
 	}
 	for _, iv := range w.b.table.intervals {
@@ -454,11 +454,11 @@
 		}
 	}
 	if len(w.b.table.intervals) > 0 {
-		sizes(w.t, &w.b.table)
+		ownerShares(w.t, &w.b.table)
 	}
 }
 
-func (w *world) list() Event {
+func (w *fuzzHost) randomList() Event {
 	l := List{Kind: ListKind(w.rng.IntN(4))}
 	if l.Kind == Failed {
 		return l
@@ -481,7 +481,7 @@
 	return l
 }
 
-func (w *world) event() Event {
+func (w *fuzzHost) randomEvent() Event {
 	switch w.rng.IntN(12) {
 	case 0:
 		text := make([]byte, w.rng.IntN(60))
@@ -500,7 +500,7 @@
 		q := Request{ID: RequestID(fmt.Sprint(w.next)), Class: []string{"read", "add", "zoned", "once", "?"}[w.rng.IntN(5)],
 			Key: uint64(w.rng.IntN(9)), HasKey: w.rng.IntN(4) > 0, Write: w.rng.IntN(4) == 0,
 			Due: w.now.Add(time.Duration(w.rng.IntN(1500)-20) * time.Millisecond)}
-		o := &owed{due: q.Due}
+		o := &openRequest{due: q.Due}
 		for _, c := range w.set.Classes {
 			if c.Name == q.Class {
 				o.class = c
@@ -511,8 +511,8 @@
 	}
 }
 
-// overdue ends attempts: at random before the deadline, for certain at it.
-func (w *world) overdue() (events []Event) {
+// outcomes ends attempts: at random before the deadline, all at the deadline.
+func (w *fuzzHost) outcomes() (events []Event) {
 	for _, id := range slices.Sorted(maps.Keys(w.open)) {
 		o := w.open[id]
 		for n := range o.tries {
@@ -524,8 +524,8 @@
 			if w.now >= o.due {
 				result = TimedOut
 			}
-			a.open, a.idle = false, result.NeverRan()
-			o.out--
+			a.open, a.neverRan = false, result.NeverRan()
+			o.inFlight--
 			o.ended = o.ended || result == OK
 			events = append(events, Outcome{ID: id, Attempt: n, Server: a.to, Result: result, Done: o.ended})
 		}
@@ -533,23 +533,23 @@
 	return events
 }
 
-// check holds the last batch's actions to the rules.
-func (w *world) check() {
-	for _, a := range w.last {
+// check checks the last batch's actions against the rules.
+func (w *fuzzHost) check() {
+	for _, a := range w.lastActions {
 		switch a := a.(type) {
 		case Send:
 			o := w.open[a.ID]
 			if o == nil || o.ended {
-				w.t.Fatalf("%s sent after its end", a.ID)
+				w.t.Fatalf("%s sent after its final answer", a.ID)
 			}
 			if w.states[a.Server] != Up {
 				w.t.Fatalf("%s sent to %s in state %v", a.ID, a.Server, w.states[a.Server])
 			}
-			if o.out > 0 && !w.set.Parallel {
-				w.t.Fatalf("%s has two attempts out", a.ID)
+			if o.inFlight > 0 && !w.set.Parallel {
+				w.t.Fatalf("%s has two attempts in flight", a.ID)
 			}
 			for _, earlier := range o.tries {
-				if earlier.idle || o.class.Effect == Safe {
+				if earlier.neverRan || o.class.Effect == Safe {
 					continue
 				}
 				if o.class.Effect == Unsafe || w.now >= earlier.sent.Add(o.class.Memory) {
@@ -559,12 +559,12 @@
 			if w.set.MaxAttempts > 0 && len(o.tries) >= w.set.MaxAttempts {
 				w.t.Fatalf("%s has too many attempts", a.ID)
 			}
-			o.tries = append(o.tries, try{to: a.Server, sent: w.now, open: true})
-			o.out++
+			o.tries = append(o.tries, sentAttempt{to: a.Server, sent: w.now, open: true})
+			o.inFlight++
 		case Refuse:
 			o := w.open[a.ID]
 			for _, earlier := range o.tries {
-				if !earlier.idle && o.class.Effect != Safe {
+				if !earlier.neverRan && o.class.Effect != Safe {
 					w.t.Fatalf("%s refused though it may have run", a.ID)
 				}
 			}
@@ -577,7 +577,7 @@
 		if !o.ended && w.now > o.due+21*ms {
 			w.t.Fatalf("%s has no final answer %v after its deadline", id, w.now.Sub(o.due))
 		}
-		if o.ended && o.out == 0 {
+		if o.ended && o.inFlight == 0 {
 			if w.b.requests[id] != nil {
 				w.t.Fatalf("%s is still held", id)
 			}
--- a/balance/table.go
+++ b/balance/table.go
@@ -6,13 +6,13 @@
 	"sort"
 )
 
-// space is the length of [0,1) in whole positions, so that no rounding drifts over the changes.
+// space is the length of [0,1) in integer positions, so that rounding errors do not add up over the changes.
 const space = int64(1) << 62
 
-// weightStep is the relative move of a weight that is ignored: a moved key misses, and hashing is as uneven.
-const weightStep = 0.1
+// minWeightChange is relative; smaller changes are ignored: a moved key misses, and hashing is as uneven.
+const minWeightChange = 0.1
 
-// mix is Thomas Wang's 64-bit integer mix.
+// mix is Thomas Wang's 64-bit integer hash.
 func mix(key uint64) uint64 {
 	key = ^key + key<<21
 	key ^= key >> 24
@@ -23,12 +23,12 @@
 	return key + key<<31
 }
 
-// cut moves the table to new weights by CutShift+Sorted: owners whose share shrank, or who left, release
-// what is too much, and those who grew or came take it. Only what must move moves.
-func (t *table) cut(weights map[ServerID]float64) {
+// rebalance moves the table to new weights by CutShift+Sorted: owners whose share shrank, or that left,
+// release their excess, and those that grew or joined take it. No other position changes its owner.
+func (t *table) rebalance(weights map[ServerID]float64) {
 	ids, total, need := sortedIDs(weights), 0.0, map[ServerID]int64{"": space}
 	for _, id := range ids {
-		if old, ok := t.weights[id]; ok && math.Abs(weights[id]-old) < weightStep*old {
+		if old, ok := t.weights[id]; ok && math.Abs(weights[id]-old) < minWeightChange*old {
 			weights[id] = old
 		}
 		total += weights[id]
@@ -40,31 +40,30 @@
 		need[id] = int64(weights[id]/total*(1<<40)) << 22
 		need[""] -= need[id]
 	}
-	if len(ids) > 0 { // what rounding left over
+	if len(ids) > 0 { // the remainder from rounding
 		need[ids[0]], need[""] = need[ids[0]]+need[""], 0
 	}
 	for i, iv := range t.intervals {
 		need[iv.owner] -= t.end(i) - iv.start
 	}
-	t.weights = maps.Clone(weights) // the caller may go on with its map
+	t.weights = maps.Clone(weights) // the caller may change its map
 	t.assign(t.release(need), need)
 }
 
-// release walks the intervals in position order and collects the gaps (Algorithm 1): whole intervals while
-// they fit, the last one cut at its end or its start by turns. A cut that adjoins the gap before it grows
-// that gap and is no turn, as in the paper's Figure 2.
+// release collects gaps in position order (Algorithm 1): whole intervals while they fit, the last one cut at
+// its end and its start by turns. A cut next to a gap extends it and is no turn, as in the paper's Figure 2.
 func (t *table) release(need map[ServerID]int64) (gaps []gap) {
 	var kept []interval
 	cutEnd := true
 	for i, iv := range t.intervals {
-		end, r := t.end(i), max(-need[iv.owner], 0)
-		from, to := iv.start, min(iv.start+r, end)
+		end, excess := t.end(i), max(-need[iv.owner], 0)
+		from, to := iv.start, min(iv.start+excess, end)
 		adjoins := len(gaps) > 0 && gaps[len(gaps)-1].end == iv.start
 		if to == end {
 			cutEnd = false
-		} else if r > 0 && !adjoins {
+		} else if excess > 0 && !adjoins {
 			if cutEnd {
-				from, to = end-r, end
+				from, to = end-excess, end
 			}
 			cutEnd = !cutEnd
 		}
@@ -85,24 +84,24 @@
 	return gaps
 }
 
-// assign gives the largest needs the largest gaps; equal ones go by id and by position.
+// assign gives the owners with the largest needs the largest gaps; ties go by id and by position.
 func (t *table) assign(gaps []gap, need map[ServerID]int64) {
-	var taken []interval
-	takers := sortedIDs(need)
-	sort.SliceStable(takers, func(i, j int) bool { return need[takers[i]] > need[takers[j]] })
-	for _, id := range takers {
+	var assigned []interval
+	owners := sortedIDs(need)
+	sort.SliceStable(owners, func(i, j int) bool { return need[owners[i]] > need[owners[j]] })
+	for _, id := range owners {
 		for need[id] > 0 {
-			big := &gaps[0]
+			largest := &gaps[0]
 			for i := range gaps {
-				if gaps[i].end-gaps[i].start > big.end-big.start {
-					big = &gaps[i]
+				if gaps[i].end-gaps[i].start > largest.end-largest.start {
+					largest = &gaps[i]
 				}
 			}
-			part := min(need[id], big.end-big.start)
-			taken = append(taken, interval{big.start, id})
-			big.start += part
-			need[id] -= part
+			size := min(need[id], largest.end-largest.start)
+			assigned = append(assigned, interval{largest.start, id})
+			largest.start += size
+			need[id] -= size
 		}
 	}
-	t.intervals = merge(t.intervals, taken)
+	t.intervals = mergeIntervals(t.intervals, assigned)
 }
--- a/balance/table_test.go
+++ b/balance/table_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// sizes sums each owner's share of [0,1) and checks that the table covers it without gap or overlap.
-func sizes(t *testing.T, tab *table) map[ServerID]float64 {
+// ownerShares returns each owner's share of [0,1) and checks that the table covers it without gap or overlap.
+func ownerShares(t *testing.T, tab *table) map[ServerID]float64 {
 	t.Helper()
 	got := map[ServerID]float64{}
 	if tab.intervals[0].start != 0 {
-		t.Fatalf("table begins at %d", tab.intervals[0].start)
+		t.Fatalf("the table begins at %d", tab.intervals[0].start)
 	}
 	for i, iv := range tab.intervals {
 		if tab.end(i) <= iv.start {
@@ -29,7 +29,7 @@
 	for _, w := range weights {
 		total += w
 	}
-	got := sizes(t, tab)
+	got := ownerShares(t, tab)
 	if len(weights) > 0 && len(got) != len(weights) {
 		t.Fatalf("%d owners, want %d", len(got), len(weights))
 	}
@@ -40,8 +40,8 @@
 	}
 }
 
-// moved is the share of the space whose owner differs.
-func moved(a, b *table) float64 {
+// movedShare returns the share of the space whose owner differs between the tables.
+func movedShare(a, b *table) float64 {
 	n, points := 0, 1<<14
 	for i := range points {
 		h := uint64(i) << 50
@@ -52,20 +52,21 @@
 	return float64(n) / float64(points)
 }
 
-func copyOf(t *table) *table {
+func copyTable(t *table) *table {
 	return &table{intervals: append([]interval(nil), t.intervals...), weights: t.weights}
 }
 
-// The values follow from the mix's published steps, worked out apart from this code.
+// The values were computed from the published steps of the hash, independently of this code.
 func TestMixFollowsWangsSteps(t *testing.T) {
-	for key, want := range map[uint64]uint64{0: 0x77cfa1eef01bca90, 1: 0x5bca7c69b794f8ce, 4569004829183723: 0xfd8eda3ac78f5bcb, 18446744073709551615: 0x1f89206e3f8ec794} {
+	for key, want := range map[uint64]uint64{0: 0x77cfa1eef01bca90, 1: 0x5bca7c69b794f8ce,
+		4569004829183723: 0xfd8eda3ac78f5bcb, 18446744073709551615: 0x1f89206e3f8ec794} {
 		if got := mix(key); got != want {
 			t.Errorf("mix(%d) = %#x, want %#x", key, got, want)
 		}
 	}
 }
 
-// Figure 2 of the paper: two bins join three. The figure's sizes are in hundredths.
+// Figure 2 of the Random Slicing paper: two bins join three. The sizes in the figure are hundredths.
 func TestCutShiftFollowsFigure2(t *testing.T) {
 	at := func(hundredths int) int64 { return int64(hundredths) * (space / 100) }
 	tab := &table{intervals: []interval{
@@ -84,7 +85,7 @@
 	}
 }
 
-func TestOnlyWhatMustMoveMoves(t *testing.T) {
+func TestOnlyNecessaryKeysMove(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		to   map[ServerID]float64
@@ -99,10 +100,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			tab := newTable()
-			tab.change(map[ServerID]float64{"a": 1, "b": 1, "c": 1, "d": 1})
-			old := copyOf(&tab)
-			tab.change(c.to)
-			if got := moved(old, &tab); got > c.max+0.001 {
+			tab.setWeights(map[ServerID]float64{"a": 1, "b": 1, "c": 1, "d": 1})
+			old := copyTable(&tab)
+			tab.setWeights(c.to)
+			if got := movedShare(old, &tab); got > c.max+0.001 {
 				t.Errorf("%.4f of the space moved, want %.4f at most", got, c.max)
 			}
 			checkShares(t, &tab, c.to)
@@ -110,19 +111,19 @@
 	}
 }
 
-func TestNoCachesIsALegalTable(t *testing.T) {
+func TestTableWithoutCaches(t *testing.T) {
 	tab := newTable()
-	tab.change(map[ServerID]float64{})
+	tab.setWeights(map[ServerID]float64{})
 	if got := tab.lookup(1 << 63); got != "" {
 		t.Errorf("owner %q of an empty table", got)
 	}
-	tab.change(map[ServerID]float64{"a": 3})
+	tab.setWeights(map[ServerID]float64{"a": 3})
 	checkShares(t, &tab, map[ServerID]float64{"a": 3})
-	tab.change(map[ServerID]float64{})
-	sizes(t, &tab)
+	tab.setWeights(map[ServerID]float64{})
+	ownerShares(t, &tab)
 }
 
-// FuzzTable drives random changes and checks coverage and shares after each; the seeds are fixed for CI.
+// FuzzTable applies random weight changes and checks coverage and shares after each. The seeds are fixed for CI.
 func FuzzTable(f *testing.F) {
 	for seed := range uint64(50) {
 		f.Add(seed)
@@ -137,7 +138,7 @@
 					weights[ServerID(fmt.Sprintf("s%02d", i))] = float64(1 + rng.IntN(4))
 				}
 			}
-			tab.change(weights)
+			tab.setWeights(weights)
 			checkShares(t, &tab, weights)
 		}
 	})
--- a/balance/view.go
+++ b/balance/view.go
@@ -2,73 +2,73 @@
 
 import "time"
 
-// View is what the decisions hold of one server, for whoever compares it with what is under way.
+// View is the state of one server, which the host compares with the attempts that are really in flight.
 type View struct {
 	Server   ServerID
-	Out      int           // attempts that count as in flight
-	Limit    float64       // of them
-	Excluded time.Duration // for which it is ejected yet
-	Trial    bool          // its ejection is over, and one attempt at a time may end it
-	Fails    int           // in a row
-	Warmth   float64       // the share of its capacity that it is taken to have
-	Heard    time.Duration // since its last answer; under 0 if there was none
+	Out      int           // attempts counted as in flight
+	Limit    float64       // concurrency limit
+	Excluded time.Duration // remaining time of its ejection
+	Trial    bool          // its ejection has expired, and a successful attempt ends it; only one at a time is made
+	Fails    int           // consecutive failures
+	Warmth   float64       // share of its capacity that it is assumed to have
+	Heard    time.Duration // since its last answer; negative if there was none
 }
 
-// View tells what is held of each server, by id. Nothing is changed by it.
+// View returns the state of each server, sorted by id. It changes no decision.
 func (b *Balancer) View(now Time) []View {
 	b.now = max(b.now, now)
 	var all []View
 	for _, id := range sortedIDs(b.servers) {
 		s := b.servers[id]
-		v := View{Server: id, Out: s.out, Limit: s.limit, Excluded: max(s.ejected.Sub(b.now), 0),
-			Trial: s.ejected != 0 && b.now >= s.ejected, Fails: s.fails, Warmth: b.warmth(s), Heard: -1}
-		if s.heard != 0 {
-			v.Heard = b.now.Sub(s.heard)
+		v := View{Server: id, Out: s.inFlight, Limit: s.limit, Excluded: max(s.ejectedUntil.Sub(b.now), 0),
+			Trial: s.ejectedUntil != 0 && b.now >= s.ejectedUntil, Fails: s.failures, Warmth: b.warmFraction(s), Heard: -1}
+		if s.lastHeard != 0 {
+			v.Heard = b.now.Sub(s.lastHeard)
 		}
 		all = append(all, v)
 	}
 	return all
 }
 
-// Why names what a request was given up for.
+// Why is the reason for which a request was given up.
 type Why int
 
 // The reasons.
 const (
-	NoTime   Why = iota // its time was up
-	Shut                // a gate was not open for it
-	NoServer            // none might take it: ejected, cold, tried already, forbidden by rule 2, or at sites without a place for it
-	Crowded             // the server that was chosen is at its limit
-	Spent               // an attempt ended without an answer, and no further one was allowed
-	whys
+	NoTime   Why = iota // its deadline is near or past
+	Shut                // an admission gate rejected it
+	NoServer            // no server is eligible: ejected, cold, tried already, not safe to repeat at (rule 2), or in a site without capacity
+	Crowded             // the selected server is at its limit
+	Spent               // an attempt failed, and no further one was allowed
+	whyCount
 )
 
 func (w Why) String() string {
-	return [whys]string{"no_time", "shut", "no_server", "crowded", "spent"}[w]
+	return [whyCount]string{"no_time", "shut", "no_server", "crowded", "spent"}[w]
 }
 
-// Overall is what the decisions hold of the caches together, and why they gave requests up since their start.
+// Overall is the state of all caches together and the number of requests given up since the start.
 type Overall struct {
-	Gate, OriginGate float64       // the part of requests that each lets through
-	Errors           float64       // smoothed share of the caches' answers
-	Latency          time.Duration // smoothed, to an answer
-	Taking           time.Duration // mean time of the last answers, those told by other routers among them
-	Retries          float64       // left in the budget
-	Excluded         int           // caches that are ejected, or have yet to end it by a trial
+	Gate, OriginGate float64       // part of requests that each admission gate lets pass
+	Errors           float64       // smoothed share of errors among the caches' answers
+	Latency          time.Duration // smoothed latency of answers to this router
+	Taking           time.Duration // mean latency of the last answers, with those that other routers report
+	Retries          float64       // further attempts that the retry budget allows
+	Excluded         int           // caches that are ejected or need a successful trial after it
 	Caches           int
-	GivenUp          [whys]int  // by Why
-	Sites            []SiteView // with tiers, in order
-	Answered         float64    // by the caches, a second and warm weight of 1
-	Fetches          float64    // that may be out at once for keys that a site may not have, with tiers
+	GivenUp          [whyCount]int // indexed by Why
+	Sites            []SiteView    // with tiers, in their order
+	Answered         float64       // answers of caches per second and warm weight of 1
+	Fetches          float64       // with tiers: fetches that may be in flight at once for keys that a site may not hold
 }
 
-// Overall tells it; nothing is changed by it.
+// Overall returns the state of all caches together. It changes no decision.
 func (b *Balancer) Overall(now Time) Overall {
 	b.now = max(b.now, now)
-	o := Overall{Gate: b.gate.open, OriginGate: b.originGate.open, Errors: b.erring, Latency: b.latency, Retries: b.retries,
-		Taking: b.taking, Caches: len(b.caches), GivenUp: b.givenUp, Answered: b.answers.rate(b.now, 2*b.set.OverloadFor)}
+	o := Overall{Gate: b.cacheGate.ratio, OriginGate: b.originGate.ratio, Errors: b.errorRate, Latency: b.latency, Retries: b.retryBudget,
+		Taking: b.fleetLatency, Caches: len(b.caches), GivenUp: b.givenUp, Answered: b.answerRate.rate(b.now, 2*b.cfg.OverloadFor)}
 	for _, s := range b.caches {
-		if s.ejected != 0 {
+		if s.ejectedUntil != 0 {
 			o.Excluded++
 		}
 	}
