--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -12,7 +12,7 @@
 type fleet struct {
 	routers  []*Balancer
 	now      Time
-	queue    queue
+	queue    callQueue
 	sequence int
 	rng      *rand.Rand
 	answers  map[ServerID]func() (time.Duration, Result) // how each answers at present; nil if it does not
@@ -25,7 +25,8 @@
 	results  map[string]int // served, refused, failed
 }
 
-type queue []timedCall
+// callQueue is a heap of calls by time, then in the order of scheduling.
+type callQueue []timedCall
 
 type timedCall struct {
 	at       Time
@@ -33,13 +34,13 @@
 	call     func()
 }
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
+func (q callQueue) Len() int { return len(q) }
+func (q callQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(timedCall)) }
-func (q *queue) Pop() any {
+func (q callQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *callQueue) Push(x any)   { *q = append(*q, x.(timedCall)) }
+func (q *callQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
@@ -70,6 +71,7 @@
 
 func (f *fleet) answerError() (time.Duration, Result) { return 5 * time.Millisecond, Errored }
 
+// after schedules a call at d from now.
 func (f *fleet) after(d time.Duration, do func()) {
 	f.sequence++
 	heap.Push(&f.queue, timedCall{f.now.Add(d), f.sequence, do})
@@ -108,6 +110,7 @@
 	}
 }
 
+// end ends an attempt of router i unless it has ended before.
 func (f *fleet) end(i int, name string, o Outcome) {
 	if f.inFlight[name] {
 		delete(f.inFlight, name)
@@ -135,6 +138,7 @@
 	}
 }
 
+// reset clears the counts.
 func (f *fleet) reset() { clear(f.sent); clear(f.results) }
 
 // A seventh of the caches answer only errors, then a zone falls silent, so that the bad ones are a fifth of those left. When these
--- a/balance/gate_test.go
+++ b/balance/gate_test.go
@@ -30,15 +30,15 @@
 func TestMeanLatencyFollowsAnswers(t *testing.T) {
 	for _, perSecond := range []int{70, 11} {
 		g := manyRoutersHarness(t)
-		aim := g.b.target
-		g.reportAnswers(10*time.Second, perSecond, aim/10)
-		g.reportAnswers(2*aim, perSecond, 2*aim)
-		if taking := g.b.Overall(g.now).Taking; taking < aim/2 {
-			t.Errorf("%d per second: two targets into overload the mean latency is %v", perSecond, taking)
+		target := g.b.target
+		g.reportAnswers(10*time.Second, perSecond, target/10)
+		g.reportAnswers(2*target, perSecond, 2*target)
+		if latency := g.b.Overall(g.now).Taking; latency < target/2 {
+			t.Errorf("%d per second: two targets into overload the mean latency is %v", perSecond, latency)
 		}
-		g.reportAnswers(4*aim, perSecond, aim/10)
-		if taking := g.b.Overall(g.now).Taking; taking > aim/2 {
-			t.Errorf("%d per second: four targets after the overload the mean latency is %v", perSecond, taking)
+		g.reportAnswers(4*target, perSecond, target/10)
+		if latency := g.b.Overall(g.now).Taking; latency > target/2 {
+			t.Errorf("%d per second: four targets after the overload the mean latency is %v", perSecond, latency)
 		}
 	}
 }
--- a/balance/isolated_router_test.go
+++ b/balance/isolated_router_test.go
@@ -60,8 +60,8 @@
 		g := isolatedHarness(t, 1, change)
 		g.serve(1, 0, 0)
 		g.run(17 * time.Second) // 32 targets are 16 s; whether the action closes connections is tested where the router is started
-		if linked := g.b.caches[0].connected; linked != (want == 0) {
-			t.Errorf("case %d: connected %v", want, linked)
+		if connected := g.b.caches[0].connected; connected != (want == 0) {
+			t.Errorf("case %d: connected %v", want, connected)
 		}
 	}
 }
@@ -99,10 +99,10 @@
 	quiet := g.b.cacheGate.ratio
 	g = isolatedHarness(t, 80)
 	g.serve(60, 450*time.Millisecond, 0)
-	s, jam := g.b.caches[3], g.b.cacheGate.ratio
+	s, overloaded := g.b.caches[3], g.b.cacheGate.ratio
 	s.load.seconds, g.b.load.seconds, g.b.now = 5, 6, g.now+1000*ms
-	if g.b.adjustGate(s, false); quiet < 1 || jam > 0.7 || g.b.cacheGate.ratio >= jam || !g.b.isOutlier(s) {
-		t.Errorf("gate at %.2f when quiet, %.2f under overload, %.2f after an outlier", quiet, jam, g.b.cacheGate.ratio)
+	if g.b.adjustGate(s, false); quiet < 1 || overloaded > 0.7 || g.b.cacheGate.ratio >= overloaded || !g.b.isOutlier(s) {
+		t.Errorf("gate at %.2f when quiet, %.2f under overload, %.2f after an outlier", quiet, overloaded, g.b.cacheGate.ratio)
 	}
 	slow := &server{isOrigin: true, lastGood: g.b.now, latency: g.b.target / 5}
 	g.b.adjustGate(slow, false)
@@ -112,9 +112,9 @@
 		t.Errorf("the origin's gate is at %.2f, then %.2f under overload", calm, g.b.originGate.ratio)
 	}
 	r := &request{class: g.b.class(Request{Class: "read"}), priority: 0.05}
-	for n, taking := range []time.Duration{g.b.target / 4, g.b.target * 2 / 5} {
-		if g.b.cacheGate.ratio, g.b.meanPriority, g.b.fleetLatency = 1, 0.5, taking; g.b.admits(&g.b.cacheGate, r) != (n == 0) {
-			t.Errorf("while answers take %v, traffic of very low priority is admitted: %v", taking, n == 1)
+	for n, latency := range []time.Duration{g.b.target / 4, g.b.target * 2 / 5} {
+		if g.b.cacheGate.ratio, g.b.meanPriority, g.b.fleetLatency = 1, 0.5, latency; g.b.admits(&g.b.cacheGate, r) != (n == 0) {
+			t.Errorf("while answers take %v, traffic of very low priority is admitted: %v", latency, n == 1)
 		}
 	}
 }
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -58,8 +58,8 @@
 	g.answer("a", Miss)
 	g.answer("b", Miss)
 	g.request("c", "read")
-	g.want("b", 1, false, false)
-	g.want("c", 0, false, false)
+	g.wantResult("b", 1, false, false)
+	g.wantResult("c", 0, false, false)
 	g.answer("a", OK)
 	cache := g.tries["a"][0]
 	if b, c := g.tries["b"], g.tries["c"]; len(b) != 2 || b[1] != cache || len(c) != 1 || c[0] != cache {
@@ -134,18 +134,18 @@
 	set.Tenants, set.OverShareWorth = []Tenant{{Name: "big", AllowancePerS: 4}}, 0.1
 	g := newHarness(t, set)
 	g.caches(2)
-	worth := 1.0
+	lowest := 1.0
 	for i := range 50 {
 		id := RequestID(fmt.Sprint(i))
 		g.handle(Request{ID: id, Class: "read", Tenant: "big", Due: g.now + 1000*ms})
 		if r := g.b.requests[id]; r != nil {
-			worth = min(worth, r.priority)
+			lowest = min(lowest, r.priority)
 			g.answer(string(id), OK)
 		}
 		g.run(10 * time.Millisecond)
 	}
-	if worth >= 1 {
-		t.Errorf("a request far over its tenant's share has priority %v", worth)
+	if lowest >= 1 {
+		t.Errorf("a request far over its tenant's share has priority %v", lowest)
 	}
 }
 
@@ -323,7 +323,7 @@
 		g.request(id, "read")
 		if i%8 == 0 {
 			g.answer(id, Spoilt)
-			g.want(id, 2, false, false)
+			g.wantResult(id, 2, false, false)
 		}
 		g.answer(id, OK)
 		g.run(5 * time.Millisecond)
@@ -339,12 +339,12 @@
 	for id, tries := range map[string]int{"read": 2, "add": 2, "once": 1} {
 		g.request(id, id)
 		g.answer(id, Spoilt)
-		g.want(id, tries, false, id == "once")
+		g.wantResult(id, tries, false, id == "once")
 		g.run(5 * time.Millisecond)
 	}
 	first := g.tries["read"][0]
 	g.answer("read", OK)
-	spoil := func(name string, apart time.Duration) *server {
+	sendMalformed := func(name string, apart time.Duration) *server {
 		for i := range 2 * ejectAfter {
 			id := fmt.Sprint(name, i)
 			g.request(id, "once")
@@ -353,10 +353,10 @@
 		}
 		return g.b.servers[first]
 	}
-	if s := spoil("quick", 5*time.Millisecond); s.ejectedUntil != 0 {
+	if s := sendMalformed("quick", 5*time.Millisecond); s.ejectedUntil != 0 {
 		t.Errorf("ejected within %v of a good answer", 2*ejectAfter*5*time.Millisecond)
 	}
-	if s := spoil("long", 30*time.Millisecond); s.ejectedUntil == 0 {
+	if s := sendMalformed("long", 30*time.Millisecond); s.ejectedUntil == 0 {
 		t.Errorf("a server whose answers are all malformed is still in use: %+v", s)
 	}
 }
@@ -444,7 +444,7 @@
 	set.Routers = 1
 	g := newHarness(t, set)
 	g.caches(4)
-	quick := func(n int) {
+	serveQuickly := func(n int) {
 		for range n {
 			id := fmt.Sprint("q", g.now)
 			g.request(id, "read")
@@ -452,20 +452,20 @@
 			g.answer(id, OK)
 		}
 	}
-	quick(100)
+	serveQuickly(100)
 	g.request("stuck", "read")
-	quick(20)
+	serveQuickly(20)
 	if g.cancelled["stuck"] {
 		t.Fatal("cancelled before half a target though its server answers")
 	}
-	quick(20)
+	serveQuickly(20)
 	if !g.cancelled["stuck"] {
 		t.Fatalf("left on its connection for %d mean latencies", 400*time.Millisecond/g.b.latency)
 	}
 	g.answer("stuck", Cancelled)
-	g.want("stuck", 2, false, false)
+	g.wantResult("stuck", 2, false, false)
 	g.request("once", "once")
-	quick(40)
+	serveQuickly(40)
 	if g.cancelled["once"] {
 		t.Error("an attempt that must not run twice was cancelled without a retry")
 	}
@@ -479,5 +479,5 @@
 	g.b.servers["cold"].tokens = -1000
 	g.handle(Request{ID: "r", Class: "read", Key: 1, HasKey: true, Due: g.now.Add(600 * time.Millisecond)})
 	g.run(300 * time.Millisecond)
-	g.want("r", 0, true, false)
+	g.wantResult("r", 0, true, false)
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -47,6 +47,7 @@
 		refused: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}, cancelled: map[RequestID]bool{}}
 }
 
+// handle passes events to the Balancer and records the actions.
 func (g *harness) handle(events ...Event) {
 	g.lastActions = g.b.Handle(g.now, events)
 	for _, a := range g.lastActions {
@@ -80,6 +81,7 @@
 	}
 }
 
+// caches lists n caches, c0, c1 and so on, in the zones z0 and z1 by turns.
 func (g *harness) caches(n int) {
 	l := List{Kind: Complete}
 	for i := range n {
@@ -89,6 +91,7 @@
 	g.handle(l)
 }
 
+// request sends a request of a class for key 42.
 func (g *harness) request(id, class string) {
 	g.handle(Request{ID: RequestID(id), Class: class, Key: 42, HasKey: true, Due: g.now.Add(1500 * time.Millisecond)})
 }
@@ -103,7 +106,8 @@
 		Done: result == OK})
 }
 
-func (g *harness) want(id string, tries int, refused, failed bool) {
+// wantResult checks how many attempts a request had and whether it was refused or failed.
+func (g *harness) wantResult(id string, tries int, refused, failed bool) {
 	g.t.Helper()
 	_, gotRefused := g.refused[RequestID(id)]
 	if n := len(g.tries[RequestID(id)]); n != tries || gotRefused != refused || g.failed[RequestID(id)] != failed {
@@ -141,7 +145,7 @@
 			g.request("r", c.class)
 			g.run(c.after)
 			g.answer("r", c.result)
-			g.want("r", c.tries, c.refused, c.failed)
+			g.wantResult("r", c.tries, c.refused, c.failed)
 		})
 	}
 }
@@ -155,7 +159,7 @@
 	g.answer("r", NoConnect)
 	g.run(300 * time.Millisecond) // 500 ms after the first, 300 after the one that may have run
 	g.answer("r", Reset)
-	g.want("r", 3, false, false)
+	g.wantResult("r", 3, false, false)
 }
 
 func TestZonedRequestStaysInItsZone(t *testing.T) {
@@ -177,7 +181,7 @@
 	for range 3 {
 		g.answer("r", NoConnect)
 	}
-	g.want("r", 3, true, false)
+	g.wantResult("r", 3, true, false)
 }
 
 // Rule 1: one final answer in time, also if nothing can be sent or the outcome is overdue.
@@ -185,13 +189,13 @@
 	t.Run("no caches", func(t *testing.T) {
 		g := newHarness(t, testSettings())
 		g.request("r", "once")
-		g.want("r", 0, true, false)
+		g.wantResult("r", 0, true, false)
 	})
 	t.Run("deadline already past", func(t *testing.T) {
 		g := newHarness(t, testSettings())
 		g.caches(2)
 		g.handle(Request{ID: "r", Class: "read", Due: g.now - 1})
-		g.want("r", 0, true, false)
+		g.wantResult("r", 0, true, false)
 	})
 	t.Run("expired at the deadline", func(t *testing.T) {
 		set := testSettings()
@@ -201,16 +205,16 @@
 		g.request("r", "once")
 		g.run(1500 * time.Millisecond)
 		g.answer("r", TimedOut)
-		g.want("r", 1, false, true)
+		g.wantResult("r", 1, false, true)
 	})
 	t.Run("waiting for another's fetch", func(t *testing.T) {
 		g := newAsideHarness(t)
 		g.request("a", "read")
 		g.answer("a", Miss)
 		g.request("b", "read") // waits for a's fetch
-		g.want("b", 0, false, false)
+		g.wantResult("b", 0, false, false)
 		g.run(1500 * time.Millisecond)
-		g.want("b", 0, true, false)
+		g.wantResult("b", 0, true, false)
 	})
 }
 
@@ -221,7 +225,7 @@
 	g.handle(ClientGone{ID: "r"})
 	g.answer("r", Reset)
 	g.run(3 * time.Second)
-	g.want("r", 1, false, false)
+	g.wantResult("r", 1, false, false)
 	if n := len(g.b.requests); n != 0 {
 		t.Errorf("%d requests still held", n)
 	}
@@ -394,6 +398,7 @@
 	next   int
 }
 
+// openRequest is what fuzzHost knows of a request that it still tracks.
 type openRequest struct {
 	class    Class
 	due      Time
@@ -402,6 +407,7 @@
 	inFlight int
 }
 
+// sentAttempt is an attempt that the Balancer has sent.
 type sentAttempt struct {
 	to       ServerID
 	sent     Time
@@ -425,6 +431,7 @@
 	return &fuzzHost{harness: newHarness(t, set), rng: rng, set: set, open: map[RequestID]*openRequest{}, states: map[ServerID]State{}}
 }
 
+// runSteps passes random batches of events and checks each batch, then the table.
 func (w *fuzzHost) runSteps(steps int) {
 	for range steps {
 		w.now += Time(w.rng.IntN(20)) * ms
@@ -458,6 +465,7 @@
 	}
 }
 
+// randomList returns a list event and records the states of its servers.
 func (w *fuzzHost) randomList() Event {
 	l := List{Kind: ListKind(w.rng.IntN(4))}
 	if l.Kind == Failed {
@@ -481,6 +489,7 @@
 	return l
 }
 
+// randomEvent returns a request, a message of random bytes, or an event about something unknown.
 func (w *fuzzHost) randomEvent() Event {
 	switch w.rng.IntN(12) {
 	case 0:
--- a/balance/scale_test.go
+++ b/balance/scale_test.go
@@ -14,6 +14,7 @@
 	return set
 }
 
+// requestKey sends a read of a key.
 func (g *harness) requestKey(id string, key uint64) {
 	g.handle(Request{ID: RequestID(id), Class: "read", Key: key, HasKey: true, Due: g.now + 1500*ms})
 }
@@ -171,17 +172,17 @@
 	other.caches(8)
 	g.requestKey("a", 42)
 	g.run(249 * time.Millisecond)
-	var told []Tell
+	var messages []Tell
 	for range 200 {
 		g.lastActions = nil
 		g.run(time.Millisecond)
-		told = append(told, g.messages()...)
+		messages = append(messages, g.messages()...)
 	}
-	if len(told) != gossipPeers {
-		t.Fatalf("%d messages, want %d", len(told), gossipPeers)
+	if len(messages) != gossipPeers {
+		t.Fatalf("%d messages, want %d", len(messages), gossipPeers)
 	}
 	peers := map[int]bool{}
-	for _, m := range told {
+	for _, m := range messages {
 		peers[m.To] = true
 		if m.To == 7 || m.To < 0 || m.To >= 400 || len(m.Content) > 256 {
 			t.Errorf("message to %d of %d bytes", m.To, len(m.Content))
@@ -192,7 +193,7 @@
 	}
 	s := other.b.servers[g.tries["a"][0]]
 	for range 4 {
-		other.handle(Heard{Content: told[0].Content})
+		other.handle(Heard{Content: messages[0].Content})
 	}
 	if !other.b.isOutlier(s) {
 		t.Error("four reports about a cache do not make it an outlier")
--- a/balance/settings_change_test.go
+++ b/balance/settings_change_test.go
@@ -27,7 +27,7 @@
 			g.request("before", "read")
 			g.handle(Retuned{changedSettings(c.change)})
 			g.answer("before", Reset)
-			g.want("before", 2, false, false) // safe: sent again
+			g.wantResult("before", 2, false, false) // safe: sent again
 			g.answer("before", OK)
 		})
 	}
@@ -36,7 +36,7 @@
 	g.handle(Retuned{changedSettings(func(s *Settings) { s.Classes[0].Effect = Unsafe })})
 	g.request("after", "read")
 	g.answer("after", Reset)
-	g.want("after", 1, false, true)
+	g.wantResult("after", 1, false, true)
 }
 
 // A request that arrives with a class removed by the last change of settings still has that class. A request of a class that never
@@ -48,12 +48,12 @@
 	g.handle(Retuned{without})
 	g.request("late", "read")
 	g.answer("late", Reset)
-	g.want("late", 2, false, false)
+	g.wantResult("late", 2, false, false)
 	g.answer("late", OK)
 	g.handle(Retuned{without})
 	g.request("later", "read")
 	g.answer("later", Reset)
-	g.want("later", 1, false, true)
+	g.wantResult("later", 1, false, true)
 }
 
 // A lower MaxAttempts applies at once, also to requests in progress.
@@ -64,7 +64,7 @@
 	g.handle(Retuned{changedSettings(func(s *Settings) { s.MaxAttempts = 2 })})
 	g.answer("q", Full)
 	g.answer("q", Full)
-	g.want("q", 2, true, false)
+	g.wantResult("q", 2, true, false)
 }
 
 // New settings with another order of tenants keep the request rate of each and the state of the servers.
--- a/balance/state.go
+++ b/balance/state.go
@@ -192,7 +192,7 @@
 // applySettings changes the settings. The old classes are not modified, since requests in progress point to them. Request rates
 // of tenants are kept by name. Tiers and Placement stay as created.
 func (b *Balancer) applySettings(settings Settings) {
-	old, asked := b.cfg, b.tenantRates
+	old, oldRates := b.cfg, b.tenantRates
 	b.removedClasses = nil
 	for _, c := range old.Classes {
 		if !slices.ContainsFunc(settings.Classes, func(n Class) bool { return n.Name == c.Name }) {
@@ -205,7 +205,7 @@
 	b.setTarget()
 	for i, t := range settings.Tenants {
 		if j := slices.IndexFunc(old.Tenants, func(o Tenant) bool { return o.Name == t.Name }); j >= 0 {
-			b.tenantRates[i] = asked[j]
+			b.tenantRates[i] = oldRates[j]
 		}
 	}
 }
@@ -305,9 +305,9 @@
 	}
 	waiters := r.waiters
 	r.waiters = nil
-	for _, w := range waiters {
-		for i := range w.attempts {
-			w.attempts[i].mayReuse = ok && w.attempts[i].neverRan
+	for _, waiter := range waiters {
+		for i := range waiter.attempts {
+			waiter.attempts[i].mayReuse = ok && waiter.attempts[i].neverRan
 		}
 	}
 	return waiters
@@ -366,12 +366,12 @@
 	return weight
 }
 
-// updateLoad decays u, adds the time of out attempts in flight since its last update, and returns the seconds.
-func (b *Balancer) updateLoad(u *decayingLoad, out int) float64 {
+// updateLoad decays a load, adds the time of the attempts in flight since its last update, and returns the seconds.
+func (b *Balancer) updateLoad(load *decayingLoad, inFlight int) float64 {
 	fade := 1 - 1/(loadWindow*float64(max(len(b.caches), 1)))
-	u.seconds = u.seconds*math.Pow(fade, float64(b.sends-u.sends)) + float64(out)*b.now.Sub(u.updated).Seconds()
-	u.updated, u.sends = b.now, b.sends
-	return u.seconds
+	load.seconds = load.seconds*math.Pow(fade, float64(b.sends-load.sends)) + float64(inFlight)*b.now.Sub(load.updated).Seconds()
+	load.updated, load.sends = b.now, b.sends
+	return load.seconds
 }
 
 // warmWeight returns the sum of a pool's weights times warm fractions, over which its answers are distributed. The sum is
@@ -395,14 +395,14 @@
 func (b *Balancer) share() float64 { return 1 / float64(max(b.cfg.Routers, 1)) }
 
 // addLoad updates the load of a cache and its pools and adds time in flight to it.
-func (b *Balancer) addLoad(s *server, more time.Duration) {
+func (b *Balancer) addLoad(s *server, took time.Duration) {
 	b.updateLoad(&s.load, s.inFlight)
 	b.updateLoad(&b.load, b.inFlight)
-	s.load.seconds += more.Seconds()
-	b.load.seconds += more.Seconds()
+	s.load.seconds += took.Seconds()
+	b.load.seconds += took.Seconds()
 	if s.pool != &b.pool {
 		b.updateLoad(&s.pool.load, s.pool.inFlight)
-		s.pool.load.seconds += more.Seconds()
+		s.pool.load.seconds += took.Seconds()
 	}
 }
 
