--- a/balance/table.go
+++ b/balance/table.go
@@ -51,7 +51,7 @@
 }
 
 // release collects gaps in position order (Algorithm 1): whole intervals while they fit, the last one cut at
-// its end and its start by turns. A cut next to a gap extends it and is no turn, as in the paper's Figure 2.
+// its end and its start by turns. A cut right after a gap extends it and is no turn (Figure 2 of the paper).
 func (t *table) release(need map[ServerID]int64) (gaps []gap) {
 	var kept []interval
 	cutEnd := true
