--- a/internal/cdn/raftlog/batch.go
+++ b/internal/cdn/raftlog/batch.go
@@ -5,88 +5,90 @@
 	"hash/crc32"
 )
 
-// A journal's file is a head, and behind it batches. Each batch was one write and one sync, and the next one was written only
-// after that sync: so a batch that is not whole was never synced if nothing whole stands behind it, and the disk has
-// spoilt it if something does.
+// A journal file is a header followed by batches. Each batch is one write and one sync, and the next batch is written only after
+// that sync. So an incomplete batch was never synced if no complete batch follows it, and was corrupted by the disk if one does.
 
 const (
-	fileMagic  = "cedarlog"
-	saltBytes  = 8
-	headBytes  = len(fileMagic) + saltBytes
-	batchHead  = 4 + 4 + 8 // length, checksum, number
-	mostNumber = 1 << 40   // of batches in a file; a greater one is no number
+	fileMagic        = "cedarlog"
+	saltBytes        = 8
+	fileHeaderBytes  = len(fileMagic) + saltBytes
+	batchHeaderBytes = 4 + 4 + 8 // length, checksum, number
+	maxBatchNumber   = 1 << 40   // highest valid batch number
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// framing tells one file's batches from all other bytes: its checksums begin with the file's salt.
+// framing encodes and recognizes the batches of one file. The checksums cover the file's salt, so that batches of another file
+// are not accepted.
 type framing struct{ salt [saltBytes]byte }
 
-func (f framing) head() []byte { return append([]byte(fileMagic), f.salt[:]...) }
+// header returns the header of the file.
+func (f framing) header() []byte { return append([]byte(fileMagic), f.salt[:]...) }
 
-// frame puts a batch's head before it.
+// frame returns a batch with its header.
 func (f framing) frame(number uint64, body []byte) []byte {
-	out := make([]byte, batchHead, batchHead+len(body))
+	out := make([]byte, batchHeaderBytes, batchHeaderBytes+len(body))
 	binary.LittleEndian.PutUint32(out, uint32(len(body)))
 	binary.LittleEndian.PutUint64(out[8:], number)
-	binary.LittleEndian.PutUint32(out[4:], f.sum(out[8:batchHead], body))
+	binary.LittleEndian.PutUint32(out[4:], f.checksum(out[8:batchHeaderBytes], body))
 	return append(out, body...)
 }
 
-func (f framing) sum(number, body []byte) uint32 {
-	sum := crc32.Update(0, table, f.salt[:])
-	sum = crc32.Update(sum, table, number)
-	return crc32.Update(sum, table, body)
+// checksum returns the checksum of a batch, over the salt, the encoded number and the body.
+func (f framing) checksum(number, body []byte) uint32 {
+	sum := crc32.Update(0, crcTable, f.salt[:])
+	sum = crc32.Update(sum, crcTable, number)
+	return crc32.Update(sum, crcTable, body)
 }
 
-// at returns the batch that begins at the text's start, if it is whole and its number is one of those wanted.
-func (f framing) at(text []byte, least, most uint64) (number uint64, body []byte, ok bool) {
-	if len(text) < batchHead {
+// parse returns the batch that begins at the start of data, if it is complete and its number is from minNumber to maxNumber.
+func (f framing) parse(data []byte, minNumber, maxNumber uint64) (number uint64, body []byte, ok bool) {
+	if len(data) < batchHeaderBytes {
 		return 0, nil, false
 	}
-	size := binary.LittleEndian.Uint32(text)
-	number = binary.LittleEndian.Uint64(text[8:])
-	if uint64(size) > uint64(len(text)-batchHead) || number < least || number > most {
+	size := binary.LittleEndian.Uint32(data)
+	number = binary.LittleEndian.Uint64(data[8:])
+	if uint64(size) > uint64(len(data)-batchHeaderBytes) || number < minNumber || number > maxNumber {
 		return 0, nil, false
 	}
-	body = text[batchHead : batchHead+int(size)]
-	if f.sum(text[8:batchHead], body) != binary.LittleEndian.Uint32(text[4:]) {
+	body = data[batchHeaderBytes : batchHeaderBytes+int(size)]
+	if f.checksum(data[8:batchHeaderBytes], body) != binary.LittleEndian.Uint32(data[4:]) {
 		return 0, nil, false
 	}
 	return number, body, true
 }
 
-// contents is what a file holds.
+// contents holds the batches of a file.
 type contents struct {
 	batches [][]byte
-	spoilt  bool // a batch that was synced is not whole
+	corrupt bool // a batch that had been synced is incomplete or fails its checksum
 }
 
-// readBatches reads a file. A tail that is not whole is left out: it was never synced.
-func readBatches(text []byte) (c contents) {
-	if len(text) < headBytes || string(text[:len(fileMagic)]) != fileMagic {
+// readBatches parses a file. An incomplete batch at the end is left out, since it was never synced.
+func readBatches(data []byte) (c contents) {
+	if len(data) < fileHeaderBytes || string(data[:len(fileMagic)]) != fileMagic {
 		return c
 	}
 	var f framing
-	copy(f.salt[:], text[len(fileMagic):])
-	text = text[headBytes:]
-	for len(text) > 0 {
+	copy(f.salt[:], data[len(fileMagic):])
+	data = data[fileHeaderBytes:]
+	for len(data) > 0 {
 		number := uint64(len(c.batches)) + 1
-		_, body, ok := f.at(text, number, number)
+		_, body, ok := f.parse(data, number, number)
 		if !ok {
-			c.spoilt = f.anyBehind(text[1:], number)
+			c.corrupt = f.hasLaterBatch(data[1:], number)
 			return c
 		}
 		c.batches = append(c.batches, body)
-		text = text[batchHead+len(body):]
+		data = data[batchHeaderBytes+len(body):]
 	}
 	return c
 }
 
-// anyBehind tells whether a whole batch of a later number stands anywhere in the text.
-func (f framing) anyBehind(text []byte, number uint64) bool {
-	for ; len(text) >= batchHead; text = text[1:] {
-		if _, _, ok := f.at(text, number+1, mostNumber); ok {
+// hasLaterBatch reports whether data contains, at any offset, a complete batch with a number greater than the given one.
+func (f framing) hasLaterBatch(data []byte, number uint64) bool {
+	for ; len(data) >= batchHeaderBytes; data = data[1:] {
+		if _, _, ok := f.parse(data, number+1, maxBatchNumber); ok {
 			return true
 		}
 	}
--- a/internal/cdn/raftlog/disk_test.go
+++ b/internal/cdn/raftlog/disk_test.go
@@ -12,11 +12,13 @@
 	"gotest.tools/v3/assert"
 )
 
+// command returns the entry with an index.
 func command(i uint64) consensus.Entry {
 	return consensus.Entry{Index: i, Term: 1, Data: fmt.Appendf(nil, "command %d", i)}
 }
 
-func beginOn(t *testing.T, disk *simulation.Disk) *raftlog.Journal {
+// newJournalOn returns a new journal on an empty disk.
+func newJournalOn(t *testing.T, disk *simulation.Disk) *raftlog.Journal {
 	t.Helper()
 	j, held, lost, err := raftlog.Open(disk)
 	assert.NilError(t, err)
@@ -25,7 +27,8 @@
 	return j
 }
 
-func heldBy(t *testing.T, disk *simulation.Disk) raftlog.Held {
+// stateOn returns the state on a disk.
+func stateOn(t *testing.T, disk *simulation.Disk) raftlog.Held {
 	t.Helper()
 	_, held, lost, err := raftlog.Open(disk)
 	assert.NilError(t, err)
@@ -33,26 +36,26 @@
 	return held
 }
 
-const powerLosses = 60 // of each case: what a disk keeps is drawn
+const powerFailureSeeds = 60 // seeds of each case, since what a disk keeps after a power failure is random
 
-// A failed write or sync counts for nothing, and the journal takes no more until it is renewed with all that is held; what
-// is saved after that outlives a loss of power. A journal that goes on in the same file has a hole where the failed sync
-// dropped what it was to keep, and all behind it is gone.
-func TestAFailedWrite(t *testing.T) {
-	troubles := map[string]func(*simulation.Disk){
+// After a failed write or sync nothing in the batch counts as saved, and the journal refuses saves until it is renewed with the
+// complete state. What is saved after that survives a power failure. A journal that continued in the same file would have a gap
+// where the failed sync dropped data, and everything after the gap would be lost.
+func TestFailedWrite(t *testing.T) {
+	failures := map[string]func(*simulation.Disk){
 		"a sync fails":          func(d *simulation.Disk) { d.FailSyncs = 1 },
 		"the disk is full":      func(d *simulation.Disk) { d.Full = true },
 		"the renewal fails too": func(d *simulation.Disk) { d.FailSyncs = 2 },
 	}
-	for name, trouble := range troubles {
-		for seed := range uint64(powerLosses) {
+	for name, inject := range failures {
+		for seed := range uint64(powerFailureSeeds) {
 			disk := simulation.NewDisk(seed)
-			j := beginOn(t, disk)
+			j := newJournalOn(t, disk)
 			all := []consensus.Entry{command(1), command(2)}
 			assert.NilError(t, j.Save(nil, nil, all[:1]))
-			trouble(disk)
+			inject(disk)
 			assert.Assert(t, errors.Is(j.Save(nil, nil, all[1:]), raftlog.ErrBroken), name)
-			assert.Assert(t, errors.Is(j.Save(nil, nil, all[1:]), raftlog.ErrBroken), "%s: goes on in the same file", name)
+			assert.Assert(t, errors.Is(j.Save(nil, nil, all[1:]), raftlog.ErrBroken), "%s: continues in the same file", name)
 			disk.Full = false
 			for n := 0; j.Renew(consensus.HardState{}, consensus.Snapshot{}, all) != nil; n++ {
 				assert.Assert(t, n < 3, "%s: never renewed", name)
@@ -60,26 +63,26 @@
 			all = append(all, command(3))
 			assert.NilError(t, j.Save(nil, nil, all[2:]))
 			disk.PowerLost()
-			assert.DeepEqual(t, heldBy(t, disk).Entries, all)
+			assert.DeepEqual(t, stateOn(t, disk).Entries, all)
 		}
 	}
 }
 
-// A new generation counts only once its folder is synced, and the older one goes only then: whatever a loss of power leaves
-// of the folder's entries, what was saved before or behind the renewal is there.
-func TestAFolderThatForgets(t *testing.T) {
-	for seed := range uint64(powerLosses) {
+// A new generation counts only once its directory is synced, and only then is the older one removed. Whatever a power failure
+// leaves of the directory entries, what was saved before and after the renewal is kept.
+func TestPowerFailureAroundRenewal(t *testing.T) {
+	for seed := range uint64(powerFailureSeeds) {
 		disk := simulation.NewDisk(seed)
-		j := beginOn(t, disk)
+		j := newJournalOn(t, disk)
 		disk.PowerLost()
-		assert.Equal(t, heldBy(t, disk).ID, "me")
+		assert.Equal(t, stateOn(t, disk).ID, "me")
 		for round := range uint64(3) {
 			j, held, _, err := raftlog.Open(disk)
 			assert.NilError(t, err)
 			assert.NilError(t, j.Begin(held))
 			assert.NilError(t, j.Save(nil, nil, []consensus.Entry{command(round + 1)}))
 			disk.PowerLost()
-			assert.Equal(t, uint64(len(heldBy(t, disk).Entries)), round+1)
+			assert.Equal(t, uint64(len(stateOn(t, disk).Entries)), round+1)
 		}
 		j.Close()
 	}
--- a/internal/cdn/raftlog/files.go
+++ b/internal/cdn/raftlog/files.go
@@ -7,42 +7,42 @@
 	"path/filepath"
 )
 
-// Files is the folder that a journal lies in, in the few operations that it needs: a test or a simulation puts its own in
-// the place of a real one. A file that was made, renamed or removed is lasting only once Sync has returned; what was
-// written to it only once its own Sync has.
+// Files is the directory of a journal, with the operations that the journal needs. Tests and simulations substitute their own
+// implementation. Creating, renaming or removing a file is durable only once Sync has returned, and data written to a file only
+// once the file's own Sync has.
 type Files interface {
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
-	Create(name string) (File, error) // an empty one, for writing
+	Create(name string) (File, error) // creates an empty file, or truncates an existing one, for writing
 	Rename(from, to string) error
 	Remove(name string) error
 	Sync() error
 }
 
-// File is a file that is written from its start to its end.
+// File is a file that is written sequentially from its start.
 type File interface {
 	Write(data []byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// folder is a real folder.
-type folder string
+// osDirectory is the path of a directory of the operating system.
+type osDirectory string
 
-// OpenFolder returns a folder of the operating system, made if it is missing.
+// OpenFolder returns a directory of the operating system and creates it if it is missing.
 func OpenFolder(dir string) (Files, error) {
 	if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return nil, Error.Wrap(err)
 		}
-		if err := folder(filepath.Dir(dir)).Sync(); err != nil {
+		if err := osDirectory(filepath.Dir(dir)).Sync(); err != nil {
 			return nil, err
 		}
 	}
-	return folder(dir), nil
+	return osDirectory(dir), nil
 }
 
-func (f folder) List() (names []string, err error) {
+func (f osDirectory) List() (names []string, err error) {
 	entries, err := os.ReadDir(string(f))
 	for _, e := range entries {
 		names = append(names, e.Name())
@@ -50,12 +50,12 @@
 	return names, Error.Wrap(err)
 }
 
-func (f folder) Read(name string) ([]byte, error) {
+func (f osDirectory) Read(name string) ([]byte, error) {
 	data, err := os.ReadFile(filepath.Join(string(f), name))
 	return data, Error.Wrap(err)
 }
 
-func (f folder) Create(name string) (File, error) {
+func (f osDirectory) Create(name string) (File, error) {
 	file, err := os.Create(filepath.Join(string(f), name))
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -63,19 +63,19 @@
 	return file, nil
 }
 
-func (f folder) Rename(from, to string) error {
+func (f osDirectory) Rename(from, to string) error {
 	return Error.Wrap(os.Rename(filepath.Join(string(f), from), filepath.Join(string(f), to)))
 }
 
-func (f folder) Remove(name string) error {
+func (f osDirectory) Remove(name string) error {
 	return Error.Wrap(os.Remove(filepath.Join(string(f), name)))
 }
 
-func (f folder) Sync() error {
-	d, err := os.Open(string(f))
+func (f osDirectory) Sync() error {
+	dir, err := os.Open(string(f))
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	defer d.Close()
-	return Error.Wrap(d.Sync())
+	defer dir.Close()
+	return Error.Wrap(dir.Sync())
 }
--- a/internal/cdn/raftlog/raftlog.go
+++ b/internal/cdn/raftlog/raftlog.go
@@ -1,11 +1,11 @@
-// Package raftlog keeps a core machine's part of the replicated log on its disk: a journal of one file, which only grows, in
-// batches of one write and one sync each. What follows is kept by it whatever the disk does:
+// Package raftlog stores a core machine's replicated log on disk, in an append-only journal file that is written in batches of
+// one write and one sync each. It guarantees the following, whatever the disk does:
 //
-//   - Nothing counts as saved before the batch, and for a new file the folder as well, is synced.
-//   - A file is written by one process, and never again after a write or a sync of it failed: the next save begins a new
-//     one, a generation, with all that is held. So nothing ever stands behind a hole.
-//   - An older generation is removed only after the newer one is whole and both it and the folder are synced.
-//   - A batch that the disk has spoilt after it was synced is found at the next start: the disk counts as lost.
+//   - Nothing counts as saved before the batch, and for a new file also the directory, is synced.
+//   - A file is written by one process only, and never again after a write or sync of it has failed: the journal then has to be
+//     renewed, which begins a new file, the next generation, with the complete state. So no data ever follows a gap.
+//   - An older generation is removed only after the newer one is complete and both it and the directory are synced.
+//   - A batch that the disk has corrupted after it was synced is detected at the next start: the disk then counts as lost.
 package raftlog
 
 import (
@@ -25,35 +25,35 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("journal")
 
-// ErrBroken is the cause of a failed save after which the journal must be renewed: what is on the disk of it is not known.
-var ErrBroken = errors.New("the journal's file can't be written any more")
+// ErrBroken is the cause of a failed save after which the journal must be renewed: how much of the batch is on disk is unknown.
+var ErrBroken = errors.New("journal file is no longer writable")
 
 const (
-	filePrefix   = "log-"
-	spoiltPrefix = "spoilt-"
-	olderPrefix  = "journal-" // of a form before the first release
+	filePrefix      = "log-"
+	corruptPrefix   = "spoilt-"
+	oldFormatPrefix = "journal-" // of the format used before the first release
 )
 
-// Journal is the open journal. It belongs to one goroutine.
+// Journal is an open journal. It is not safe for concurrent use.
 type Journal struct {
-	files      Files
-	generation int // the newest that was tried
-	current    File
-	framing    framing
-	number     uint64 // of the last batch
-	begun      int64  // bytes of the present generation's first batch
-	appended   int64  // and of those behind it
-	id         string
-	committed  uint64 // as last noted
-	told       uint64 // and as it stands on the disk
+	files           Files
+	generation      int // the newest one that exists or was attempted
+	current         File
+	framing         framing
+	batchNumber     uint64 // of the last batch in the current file
+	firstBatchBytes int64  // bytes in the first batch of the current generation
+	appendedBytes   int64  // bytes in the batches after it
+	diskID          string
+	committed       uint64 // commit index last passed to Note
+	savedCommitted  uint64 // commit index on disk
 }
 
-// Open reads what the folder holds. The journal that it returns takes nothing before it is renewed, for who knows how the
-// process before ended. An empty folder yields Held without an ID; so does one whose disk has spoilt what was synced, and
-// then lost says what was set aside.
+// Open reads the journal in a directory. The returned journal accepts no saves before it is renewed by Begin or Renew, since how
+// the previous process ended is unknown. For an empty directory, Held has no ID. If the disk has corrupted synced data, Held has
+// no ID either, and lost is the name of the file that was set aside.
 func Open(files Files) (j *Journal, held Held, lost string, err error) {
 	j = &Journal{files: files}
-	generations, err := j.list()
+	generations, err := j.listGenerations()
 	if err != nil {
 		return nil, held, "", err
 	}
@@ -63,84 +63,86 @@
 		switch {
 		case err != nil:
 			return nil, held, "", err
-		case state == spoilt:
+		case state == corrupt:
 			return j, Held{}, fileName(generations[i]), j.setAside(generations[:i+1])
-		case state == whole:
-			j.id = held.ID
+		case state == complete:
+			j.diskID = held.ID
 			return j, held, "", nil
 		}
 	}
 	return j, Held{}, "", nil
 }
 
+// fileName returns the file name of a generation.
 func fileName(generation int) string { return fmt.Sprintf("%s%08d", filePrefix, generation) }
 
-// list returns the generations in their order.
-func (j *Journal) list() (all []int, err error) {
+// listGenerations returns the generations in the directory, the oldest first.
+func (j *Journal) listGenerations() (generations []int, err error) {
 	names, err := j.files.List()
 	if err != nil {
 		return nil, err
 	}
 	for _, name := range names {
-		if strings.HasPrefix(name, olderPrefix) {
-			return nil, Error.New("%s: written by a form before the first release, which is not read any more", name)
+		if strings.HasPrefix(name, oldFormatPrefix) {
+			return nil, Error.New("%s: written in the format used before the first release, which is not read any more", name)
 		}
 		if number, ok := strings.CutPrefix(name, filePrefix); ok {
 			if n, err := strconv.Atoi(number); err == nil {
-				all = append(all, n)
+				generations = append(generations, n)
 			}
 		}
 	}
-	slices.Sort(all)
-	return all, nil
+	slices.Sort(generations)
+	return generations, nil
 }
 
-// state is what became of a generation.
-type state int
+// fileState is the condition of a generation's file.
+type fileState int
 
 const (
-	unfinished state = iota // its beginning never became whole, and the one before it still holds all
-	whole
-	spoilt
+	incomplete fileState = iota // its first batch was never completed; the previous generation still holds the complete state
+	complete
+	corrupt
 )
 
-func (j *Journal) load(generation int) (held Held, _ state, err error) {
-	text, err := j.files.Read(fileName(generation))
+// load reads the file of a generation.
+func (j *Journal) load(generation int) (held Held, _ fileState, err error) {
+	data, err := j.files.Read(fileName(generation))
 	if err != nil {
-		return held, unfinished, err
+		return held, incomplete, err
 	}
-	c := readBatches(text)
-	if c.spoilt {
-		return held, spoilt, nil
+	c := readBatches(data)
+	if c.corrupt {
+		return held, corrupt, nil
 	}
 	sealed := false
 	for i, batch := range c.batches {
-		if err := held.replay(batch, &sealed); err != nil { // its checksum is good: it was written so
-			return held, unfinished, Error.New("%s: batch %d: %w", fileName(generation), i+1, err)
+		if err := held.replay(batch, &sealed); err != nil { // the checksum is valid, so the batch was written like this
+			return held, incomplete, Error.New("%s: batch %d: %w", fileName(generation), i+1, err)
 		}
 	}
 	if !sealed {
-		return Held{}, unfinished, nil
+		return Held{}, incomplete, nil
 	}
-	return held, whole, nil
+	return held, complete, nil
 }
 
-// setAside keeps a spoilt generation for who wants to look into it, one at most, and removes the older ones: what they hold
-// has been overtaken.
+// setAside renames the newest of the given generations, which is corrupt, so that it can be inspected. It removes the generation
+// set aside before, so that at most one is kept, and the older generations, whose contents are outdated.
 func (j *Journal) setAside(generations []int) error {
 	names, err := j.files.List()
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		if strings.HasPrefix(name, spoiltPrefix) {
+		if strings.HasPrefix(name, corruptPrefix) {
 			if err := j.files.Remove(name); err != nil {
 				return err
 			}
 		}
 	}
 	newest := fileName(generations[len(generations)-1])
-	if err := j.files.Rename(newest, spoiltPrefix+newest); err != nil {
+	if err := j.files.Rename(newest, corruptPrefix+newest); err != nil {
 		return err
 	}
 	for _, old := range generations[:len(generations)-1] {
@@ -151,20 +153,21 @@
 	return j.files.Sync()
 }
 
-// Begin uses a folder for the first time: the disk gets its ID and what it starts from.
+// Begin sets the ID of the disk and writes a new generation with the given state. It must be called once after Open, before the
+// first Save.
 func (j *Journal) Begin(held Held) error {
-	j.id = held.ID
+	j.diskID = held.ID
 	return j.Renew(held.Hard, held.Snapshot, held.Entries)
 }
 
-// Save writes a batch with one sync. After an error nothing of it counts as saved, and the journal must be renewed.
+// Save writes a batch with one sync. After an error nothing in the batch counts as saved, and the journal must be renewed.
 func (j *Journal) Save(hard *consensus.HardState, snap *consensus.Snapshot, entries []consensus.Entry) error {
 	if j.current == nil {
 		return Error.Wrap(ErrBroken)
 	}
 	var b []byte
 	if hard != nil {
-		b = appendRecord(b, kindHard, asJSON(hard))
+		b = appendRecord(b, kindHard, mustMarshal(hard))
 	}
 	if snap != nil {
 		b = appendRecord(b, kindSnapshot, encodeSnapshot(*snap))
@@ -175,42 +178,46 @@
 	if len(b) == 0 {
 		return nil
 	}
-	told := max(j.told, j.committed)
-	if told > j.told { // it rides along: a start need not wait for a leader to say what it knew
-		b = appendRecord(b, kindCommitted, binary.AppendUvarint(nil, told))
+	savedCommitted := max(j.savedCommitted, j.committed)
+	if savedCommitted > j.savedCommitted { // lets the next start apply committed entries without waiting for a leader
+		b = appendRecord(b, kindCommitted, binary.AppendUvarint(nil, savedCommitted))
 	}
-	if err := j.write(b); err != nil {
+	if err := j.writeBatch(b); err != nil {
 		j.Close()
 		return errors.Join(Error.Wrap(err), ErrBroken)
 	}
-	j.told = told
-	j.appended += int64(len(b))
+	j.savedCommitted = savedCommitted
+	j.appendedBytes += int64(len(b))
 	return nil
 }
 
-func (j *Journal) write(batch []byte) error {
-	if _, err := j.current.Write(j.framing.frame(j.number+1, batch)); err != nil {
+// writeBatch appends a batch to the current file and syncs it.
+func (j *Journal) writeBatch(batch []byte) error {
+	if _, err := j.current.Write(j.framing.frame(j.batchNumber+1, batch)); err != nil {
 		return err
 	}
-	j.number++
+	j.batchNumber++
 	return j.current.Sync()
 }
 
-// Note says that entries up to an index are committed. It is written with what is saved next, and costs no write of its own.
+// Note records that entries up to an index are committed. The index is written with the next batch, and causes no write itself.
 func (j *Journal) Note(committed uint64) { j.committed = max(j.committed, committed) }
 
-// Size is the length of the present generation in bytes.
-func (j *Journal) Size() int64 { return j.begun + j.appended }
+// Size returns the size of the current generation's batches in bytes.
+func (j *Journal) Size() int64 { return j.firstBatchBytes + j.appendedBytes }
 
-// Grown tells whether more than so many bytes, and more than it began with, stand behind the generation's beginning.
-func (j *Journal) Grown(most int64) bool { return j.appended > max(most, j.begun) }
+// Grown reports whether the current generation has grown by more than the given number of bytes, and by more than the size of
+// its first batch.
+func (j *Journal) Grown(minBytes int64) bool {
+	return j.appendedBytes > max(minBytes, j.firstBatchBytes)
+}
 
-// Renew begins a new generation with all that is held, and lets the older ones go once it is lasting. If the new one can't
-// be written the present one goes on, if there is one; if it can't be synced nothing is written any more before a renewal succeeds.
+// Renew begins a new generation with the complete state, and removes the older ones once it is durable. If the new file can't be
+// written, the current one, if there is one, stays in use. If it can't be synced, saves fail until a renewal succeeds.
 func (j *Journal) Renew(hard consensus.HardState, snap consensus.Snapshot, entries []consensus.Entry) error {
 	var b []byte
-	b = appendRecord(b, kindID, []byte(j.id))
-	b = appendRecord(b, kindHard, asJSON(hard))
+	b = appendRecord(b, kindID, []byte(j.diskID))
+	b = appendRecord(b, kindHard, mustMarshal(hard))
 	b = appendRecord(b, kindSnapshot, encodeSnapshot(snap))
 	for _, e := range entries {
 		b = appendRecord(b, kindEntry, encodeEntry(e))
@@ -218,56 +225,57 @@
 	b = appendRecord(b, kindCommitted, binary.AppendUvarint(nil, j.committed))
 	b = appendRecord(b, kindSeal, nil)
 
-	j.generation++ // each attempt has a file of its own
-	fresh, framing, err := j.beginFile(b)
+	j.generation++ // each attempt writes a new file
+	file, framing, err := j.createFile(b)
 	if err != nil {
 		return err
 	}
 	j.Close()
-	if err := fresh.Sync(); err != nil {
-		fresh.Close()
+	if err := file.Sync(); err != nil {
+		file.Close()
 		return errors.Join(Error.Wrap(err), ErrBroken)
 	}
 	if err := j.files.Sync(); err != nil {
-		fresh.Close()
+		file.Close()
 		return errors.Join(err, ErrBroken)
 	}
-	j.current, j.framing, j.number = fresh, framing, 1
-	j.begun, j.appended, j.told = int64(len(b)), 0, j.committed
+	j.current, j.framing, j.batchNumber = file, framing, 1
+	j.firstBatchBytes, j.appendedBytes, j.savedCommitted = int64(len(b)), 0, j.committed
 	j.removeOlder()
 	return nil
 }
 
-// beginFile writes a generation's first batch. A file that could not be written whole is never taken for one.
-func (j *Journal) beginFile(batch []byte) (File, framing, error) {
+// createFile creates the file of the current generation and writes its first batch. A file that was not written completely is
+// never used.
+func (j *Journal) createFile(batch []byte) (File, framing, error) {
 	var f framing
 	rand.Read(f.salt[:])
 	file, err := j.files.Create(fileName(j.generation))
 	if err != nil {
 		return nil, f, err
 	}
-	if _, err := file.Write(append(f.head(), f.frame(1, batch)...)); err != nil {
+	if _, err := file.Write(append(f.header(), f.frame(1, batch)...)); err != nil {
 		file.Close()
-		j.files.Remove(fileName(j.generation)) // a leftover is passed over, and removed with the next renewal
+		j.files.Remove(fileName(j.generation)) // a leftover is ignored at the next start and removed by the next renewal
 		return nil, f, Error.Wrap(err)
 	}
 	return file, f, nil
 }
 
-// removeOlder removes the older generations. One that can't be removed, or comes back, is passed over at the next start.
+// removeOlder removes the older generations. One that can't be removed, or that reappears, is ignored at the next start.
 func (j *Journal) removeOlder() {
-	all, err := j.list()
+	generations, err := j.listGenerations()
 	if err != nil {
 		return
 	}
-	for _, old := range all {
+	for _, old := range generations {
 		if old < j.generation {
 			j.files.Remove(fileName(old))
 		}
 	}
 }
 
-// Close lets the journal's file go.
+// Close closes the journal's file.
 func (j *Journal) Close() {
 	if j.current != nil {
 		j.current.Close()
--- a/internal/cdn/raftlog/raftlog_test.go
+++ b/internal/cdn/raftlog/raftlog_test.go
@@ -12,19 +12,23 @@
 	"gotest.tools/v3/assert"
 )
 
+// entry returns the entry with an index.
 func entry(i uint64) consensus.Entry {
 	return consensus.Entry{Index: i, Term: 1, Data: fmt.Appendf(nil, "command %d", i)}
 }
 
-func begin(t *testing.T) (string, *Journal) {
+// newJournal returns a new journal and its directory.
+func newJournal(t *testing.T) (string, *Journal) {
 	t.Helper()
 	dir := t.TempDir()
 	j, h := open(t, dir)
 	assert.Equal(t, h.ID, "")
-	assert.NilError(t, j.Begin(Held{ID: "me", Snapshot: consensus.Snapshot{Membership: consensus.Membership{Voters: []consensus.Member{{ID: "me", Addr: "a"}}}}}))
+	assert.NilError(t, j.Begin(Held{ID: "me", Snapshot: consensus.Snapshot{
+		Membership: consensus.Membership{Voters: []consensus.Member{{ID: "me", Addr: "a"}}}}}))
 	return dir, j
 }
 
+// open opens the journal in a directory and fails if it is corrupt.
 func open(t *testing.T, dir string) (*Journal, Held) {
 	t.Helper()
 	files, err := OpenFolder(dir)
@@ -35,7 +39,7 @@
 	return j, h
 }
 
-// reopen opens the journal again and readies it for writing, as a process does at its start.
+// reopen opens a journal and renews it for writing, as a process does when it starts.
 func reopen(t *testing.T, dir string) (*Journal, Held) {
 	t.Helper()
 	j, h := open(t, dir)
@@ -44,12 +48,12 @@
 	return j, h
 }
 
-func TestWhatIsSavedComesBack(t *testing.T) {
-	dir, j := begin(t)
+func TestSaveAndReopen(t *testing.T) {
+	dir, j := newJournal(t)
 	assert.NilError(t, j.Save(&consensus.HardState{Term: 3, Vote: "x"}, nil, []consensus.Entry{entry(1), entry(2), entry(3)}))
 	other := entry(2)
 	other.Term, other.Membership = 4, &consensus.Membership{Voters: []consensus.Member{{ID: "b", Addr: "c"}}}
-	assert.NilError(t, j.Save(nil, nil, []consensus.Entry{other})) // it replaces the second and the third
+	assert.NilError(t, j.Save(nil, nil, []consensus.Entry{other})) // replaces the second and the third entry
 	j.Close()
 	j, h := reopen(t, dir)
 	assert.Equal(t, h.ID, "me")
@@ -62,12 +66,12 @@
 	assert.Equal(t, string(h.Snapshot.Data), "all")
 	assert.DeepEqual(t, h.Entries, []consensus.Entry{other, entry(3)})
 	left, _ := os.ReadDir(dir)
-	assert.Equal(t, len(left), 1, "the old generation is let go")
+	assert.Equal(t, len(left), 1, "the old generation is not removed")
 }
 
-// What is noted as committed rides along with the next write, is never told before it is on the disk, and never goes back.
-func TestWhatIsCommittedIsNoted(t *testing.T) {
-	dir, j := begin(t)
+// The commit index passed to Note is saved with the next batch, is not reported before it is on disk, and never decreases.
+func TestCommitIndexIsSaved(t *testing.T) {
+	dir, j := newJournal(t)
 	steps := []struct {
 		note  uint64
 		saves int
@@ -88,6 +92,7 @@
 	}
 }
 
+// newestFile returns the path of the newest generation's file.
 func newestFile(t *testing.T, dir string) string {
 	t.Helper()
 	all, _ := filepath.Glob(filepath.Join(dir, filePrefix+"*"))
@@ -95,11 +100,11 @@
 	return all[len(all)-1]
 }
 
-// Power is lost during a write: whatever part of the unsynced tail is there, torn or spoilt, what was synced comes back, and the
-// journal goes on behind it.
-func TestATornTail(t *testing.T) {
+// A power failure during a write leaves an incomplete or corrupt unsynced batch at the end of the file. Everything synced before
+// must still be read, and the journal must accept further saves.
+func TestIncompleteWrite(t *testing.T) {
 	for cut := range 40 {
-		dir, j := begin(t)
+		dir, j := newJournal(t)
 		assert.NilError(t, j.Save(nil, nil, []consensus.Entry{entry(1)}))
 		synced, err := os.ReadFile(newestFile(t, dir))
 		assert.NilError(t, err)
@@ -126,9 +131,10 @@
 	}
 }
 
-// Power is lost while a new generation is written: as long as it is not whole it counts for nothing, and the old one goes on.
-func TestAnUnfinishedGeneration(t *testing.T) {
-	dir, j := begin(t)
+// A power failure while a new generation is written leaves an incomplete file, which must be ignored in favour of the previous
+// generation.
+func TestIncompleteGeneration(t *testing.T) {
+	dir, j := newJournal(t)
 	assert.NilError(t, j.Save(nil, nil, []consensus.Entry{entry(1)}))
 	old, err := os.ReadFile(newestFile(t, dir))
 	assert.NilError(t, err)
@@ -145,10 +151,10 @@
 	}
 }
 
-// A batch that the disk has spoilt after it was synced is no torn tail: cutting the journal off there would take back what
-// was promised. The disk counts as lost, and what it held is kept for who looks into it.
-func TestASpoiltBatch(t *testing.T) {
-	dir, j := begin(t)
+// A batch that the disk has corrupted after it was synced must not be treated as an incomplete write: truncating the journal there
+// would drop acknowledged entries. The disk counts as lost, and the file is kept for inspection.
+func TestCorruptBatch(t *testing.T) {
+	dir, j := newJournal(t)
 	for i := range uint64(4) {
 		assert.NilError(t, j.Save(nil, nil, []consensus.Entry{entry(i + 1)}))
 	}
@@ -156,8 +162,8 @@
 	file := newestFile(t, dir)
 	text, err := os.ReadFile(file)
 	assert.NilError(t, err)
-	third := strings.Index(string(text), "command 3")
-	text[third] ^= 0x55
+	position := strings.Index(string(text), "command 3")
+	text[position] ^= 0x55
 	assert.NilError(t, os.WriteFile(file, text, 0o644))
 	files, err := OpenFolder(dir)
 	assert.NilError(t, err)
@@ -165,17 +171,17 @@
 	assert.NilError(t, err)
 	assert.Equal(t, h.ID, "")
 	assert.Equal(t, lost, filepath.Base(file))
-	aside, err := os.ReadFile(filepath.Join(dir, spoiltPrefix+lost))
+	kept, err := os.ReadFile(filepath.Join(dir, corruptPrefix+lost))
 	assert.NilError(t, err)
-	assert.DeepEqual(t, aside, text)
+	assert.DeepEqual(t, kept, text)
 	_, h = open(t, dir)
-	assert.Equal(t, h.ID, "", "found again")
+	assert.Equal(t, h.ID, "", "the corrupt file was read again")
 }
 
-// A folder of an earlier form is refused and not taken for an empty one.
-func TestAnEarlierFormIsRefused(t *testing.T) {
+// A directory with a journal of the old format is rejected, not treated as empty.
+func TestOldFormatIsRejected(t *testing.T) {
 	dir := t.TempDir()
-	assert.NilError(t, os.Mkdir(filepath.Join(dir, olderPrefix+"00000003"), 0o755))
+	assert.NilError(t, os.Mkdir(filepath.Join(dir, oldFormatPrefix+"00000003"), 0o755))
 	files, err := OpenFolder(dir)
 	assert.NilError(t, err)
 	_, _, _, err = Open(files)
--- a/internal/cdn/raftlog/record.go
+++ b/internal/cdn/raftlog/record.go
@@ -10,50 +10,52 @@
 	"cedarmast/internal/cdn/consensus"
 )
 
-// The kinds of record.
+// The record kinds.
 const (
 	kindID byte = iota + 1
 	kindHard
 	kindSnapshot
 	kindEntry
-	kindSeal // what stands before it is the whole of what an older generation held
+	kindSeal // ends the complete state at the beginning of a generation
 	kindCommitted
 )
 
-var errCutShort = errors.New("record cut short")
+var errTruncated = errors.New("record is truncated")
 
-// Held is what a disk holds.
+// Held is the state on a disk.
 type Held struct {
-	ID       string // this disk's, drawn when it was first used; empty: it never was
+	ID       string // random ID of the disk, chosen at its first use; empty if it has not been used
 	Hard     consensus.HardState
 	Snapshot consensus.Snapshot
 	Entries  []consensus.Entry
 
-	Committed uint64 // entries up to this one are surely kept by a majority; there may be more
+	Committed uint64 // last entry that is known to be committed; later ones may be as well
 }
 
+// appendRecord appends a record to a batch: the length of the body, the kind and the body.
 func appendRecord(b []byte, kind byte, body []byte) []byte {
 	b = binary.AppendUvarint(b, uint64(len(body)))
 	return append(append(b, kind), body...)
 }
 
-// replay takes a batch's records on.
+// replay applies the records of a batch. It sets sealed if one of them is a seal.
 func (h *Held) replay(batch []byte, sealed *bool) error {
 	for len(batch) > 0 {
 		size, n := binary.Uvarint(batch)
 		if n <= 0 || size >= uint64(len(batch)-n) {
-			return errCutShort
+			return errTruncated
 		}
 		kind, body := batch[n], batch[n+1:n+1+int(size)]
 		batch = batch[n+1+int(size):]
-		if err := h.take(kind, body, sealed); err != nil {
+		if err := h.applyRecord(kind, body, sealed); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *Held) take(kind byte, body []byte, sealed *bool) (err error) {
+// applyRecord applies one record.
+func (h *Held) applyRecord(kind byte, body []byte, sealed *bool) (err error) {
 	switch kind {
 	case kindID:
 		h.ID = string(body)
@@ -64,39 +66,40 @@
 		h.Entries = nil
 		return err
 	case kindEntry:
-		return h.takeEntry(body)
+		return h.applyEntry(body)
 	case kindCommitted:
 		committed, n := binary.Uvarint(body)
 		if n <= 0 {
-			return errCutShort
+			return errTruncated
 		}
 		h.Committed = max(h.Committed, committed)
 	case kindSeal:
 		*sealed = true
 	default:
-		return fmt.Errorf("a record of kind %d", kind)
+		return fmt.Errorf("unknown record kind %d", kind)
 	}
 	return nil
 }
 
-// takeEntry puts an entry in its place; it replaces what stood from its index on.
-func (h *Held) takeEntry(body []byte) error {
+// applyEntry adds an entry, which replaces all entries from its index on. An entry covered by the snapshot is ignored.
+func (h *Held) applyEntry(body []byte) error {
 	e, err := decodeEntry(body)
 	if err != nil {
 		return err
 	}
-	at := int64(e.Index) - int64(h.Snapshot.Index) - 1
-	if at < 0 {
+	position := int64(e.Index) - int64(h.Snapshot.Index) - 1
+	if position < 0 {
 		return nil
 	}
-	if at > int64(len(h.Entries)) {
+	if position > int64(len(h.Entries)) {
 		return fmt.Errorf("entry %d does not follow %d", e.Index, int(h.Snapshot.Index)+len(h.Entries))
 	}
-	h.Entries = append(h.Entries[:at], e)
+	h.Entries = append(h.Entries[:position], e)
 	return nil
 }
 
-func asJSON(v any) []byte {
+// mustMarshal returns the JSON encoding of a value that can always be encoded.
+func mustMarshal(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // plain structs of numbers, strings and bytes
@@ -104,11 +107,11 @@
 	return text
 }
 
-// appendNumbers writes an index, a term and a membership, which entries and snapshots begin with.
-func appendNumbers(b []byte, index, term uint64, m *consensus.Membership) []byte {
+// appendHeader appends the index, term and membership that entries and snapshots begin with. The membership may be nil.
+func appendHeader(b []byte, index, term uint64, m *consensus.Membership) []byte {
 	var membership []byte
 	if m != nil {
-		membership = asJSON(m)
+		membership = mustMarshal(m)
 	}
 	b = binary.AppendUvarint(b, index)
 	b = binary.AppendUvarint(b, term)
@@ -116,18 +119,19 @@
 	return append(b, membership...)
 }
 
-func readNumbers(b []byte) (index, term uint64, m *consensus.Membership, rest []byte, err error) {
+// readHeader parses what appendHeader has written, and returns a copy of the bytes after it as rest.
+func readHeader(b []byte) (index, term uint64, m *consensus.Membership, rest []byte, err error) {
 	var numbers [3]uint64
 	for i := range numbers {
 		v, n := binary.Uvarint(b)
 		if n <= 0 {
-			return 0, 0, nil, nil, errCutShort
+			return 0, 0, nil, nil, errTruncated
 		}
 		numbers[i], b = v, b[n:]
 	}
 	size := numbers[2]
 	if size > uint64(len(b)) {
-		return 0, 0, nil, nil, errCutShort
+		return 0, 0, nil, nil, errTruncated
 	}
 	if size > 0 {
 		m = new(consensus.Membership)
@@ -139,21 +143,21 @@
 }
 
 func encodeEntry(e consensus.Entry) []byte {
-	return append(appendNumbers(nil, e.Index, e.Term, e.Membership), e.Data...)
+	return append(appendHeader(nil, e.Index, e.Term, e.Membership), e.Data...)
 }
 
 func decodeEntry(b []byte) (e consensus.Entry, err error) {
-	e.Index, e.Term, e.Membership, e.Data, err = readNumbers(b)
+	e.Index, e.Term, e.Membership, e.Data, err = readHeader(b)
 	return e, err
 }
 
 func encodeSnapshot(s consensus.Snapshot) []byte {
-	return append(appendNumbers(nil, s.Index, s.Term, &s.Membership), s.Data...)
+	return append(appendHeader(nil, s.Index, s.Term, &s.Membership), s.Data...)
 }
 
 func decodeSnapshot(b []byte) (s consensus.Snapshot, err error) {
 	var m *consensus.Membership
-	s.Index, s.Term, m, s.Data, err = readNumbers(b)
+	s.Index, s.Term, m, s.Data, err = readHeader(b)
 	if m != nil {
 		s.Membership = *m
 	}
