--- a/internal/cdn/consensus/consensus_test.go
+++ b/internal/cdn/consensus/consensus_test.go
@@ -10,17 +10,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// runWithout lets time pass with machines that say and hear nothing.
+// runWithout runs the given number of heartbeat intervals while the silent machines neither run nor receive messages.
 func (w *world) runWithout(rounds int, silent ...int) {
 	for range rounds {
 		for i := range w.machines {
 			if !slices.Contains(silent, i) {
-				w.beat(i)
+				w.heartbeat(i)
 			}
 		}
-		for n := 0; len(w.mail) > 0 && n < 1000; n++ {
-			if slices.Contains(silent, w.at(w.mail[0].ToAddr)) {
-				w.mail = w.mail[1:]
+		for n := 0; len(w.inFlight) > 0 && n < 1000; n++ {
+			if slices.Contains(silent, w.machineAt(w.inFlight[0].ToAddr)) {
+				w.inFlight = w.inFlight[1:]
 				continue
 			}
 			w.deliver(0, false)
@@ -28,10 +28,11 @@
 	}
 }
 
-func (w *world) voters(t *testing.T) []string {
+// voterIDs returns the sorted IDs of the leader's voters and fails if a membership change is in progress.
+func (w *world) voterIDs(t *testing.T) []string {
 	t.Helper()
 	l := w.leader()
-	assert.Assert(t, l >= 0, "nobody leads")
+	assert.Assert(t, l >= 0, "no leader")
 	m := w.machines[l].node.Membership()
 	assert.Assert(t, !m.Joint(), "%v", m)
 	ids := []string{}
@@ -43,39 +44,39 @@
 }
 
 const (
-	roundsOfSilent = int(1800 * time.Millisecond / (120 * time.Millisecond)) // after which a silent voter may be replaced
-	roundsOfRemove = int(62 * time.Second / (120 * time.Millisecond))        // and be taken out in any case
+	silentRounds = int(1800 * time.Millisecond / (120 * time.Millisecond)) // after which a silent voter may be removed or replaced
+	removeRounds = int(62 * time.Second / (120 * time.Millisecond))        // after which it is removed in any case
 )
 
-// Every other machine asks to join and becomes a voter by itself. A voter that is silent stays one while as many as must be
-// tolerated can be lost beside it; where they can't, it goes out at once, and after a minute in any case, but never below
-// what can lose as many as must be tolerated.
+// A machine that is not a member joins and becomes a voter on its own. A silent voter stays in while as many further failures
+// as must be tolerated can be survived. Otherwise it is removed soon, and after a minute in any case, but the membership never
+// shrinks below the size that survives the failures that must be tolerated.
 func TestMembershipGrowsAndShrinks(t *testing.T) {
 	w := newWorld(3, 2)
 	w.run(30)
-	assert.DeepEqual(t, w.voters(t), []string{"0", "1", "2", "3", "4"})
+	assert.DeepEqual(t, w.voterIDs(t), []string{"0", "1", "2", "3", "4"})
 	l := w.leader()
 	first, second := (l+1)%5, (l+2)%5
-	w.runWithout(roundsOfSilent+20, first)
-	assert.Equal(t, len(w.voters(t)), 5, "taken out though one more may be lost")
-	w.runWithout(roundsOfRemove, first)
-	assert.Equal(t, len(w.voters(t)), 4)
-	w.run(30) // it comes back, and votes again
-	assert.Equal(t, len(w.voters(t)), 5)
-	w.runWithout(roundsOfSilent+20, first, second)
-	assert.Equal(t, len(w.voters(t)), 3, "one more can't be lost")
+	w.runWithout(silentRounds+20, first)
+	assert.Equal(t, len(w.voterIDs(t)), 5, "removed although one more failure is tolerated")
+	w.runWithout(removeRounds, first)
+	assert.Equal(t, len(w.voterIDs(t)), 4)
+	w.run(30) // it returns and becomes a voter again
+	assert.Equal(t, len(w.voterIDs(t)), 5)
+	w.runWithout(silentRounds+20, first, second)
+	assert.Equal(t, len(w.voterIDs(t)), 3, "one more failure is not tolerated")
 	w.run(30)
-	assert.Equal(t, len(w.voters(t)), 5)
+	assert.Equal(t, len(w.voterIDs(t)), 5)
 	w = newWorld(3, 0)
 	w.run(12)
-	w.runWithout(roundsOfRemove, (w.leader()+1)%3)
-	assert.Equal(t, len(w.voters(t)), 3, "shrunk below three")
+	w.runWithout(removeRounds, (w.leader()+1)%3)
+	assert.Equal(t, len(w.voterIDs(t)), 3, "shrunk below three")
 }
 
-// A machine is gone for good, and its successor comes at another address before anybody calls the dead one dead. It waits
-// until the leader knows, and takes the dead one's place: beside it, two of four would be left after the next loss. Found by
-// the simulation, seeds 29 and 70.
-func TestASuccessorThatComesEarly(t *testing.T) {
+// Guards against adding the successor of a dead voter as a further voter. It joins at another address before the leader takes the
+// voter for dead, and must wait until then and replace it: otherwise the next failure leaves two of four voters. Found by the
+// simulation, seeds 29 and 70.
+func TestSuccessorJoinsBeforeVoterIsDead(t *testing.T) {
 	w := newWorld(3, 1)
 	w.runWithout(12, 3)
 	dead := (w.leader() + 1) % 3
@@ -84,7 +85,7 @@
 		w.runWithout(1, dead)
 		assert.Equal(t, len(w.machines[w.leader()].node.Membership().Voters), 3)
 	}
-	assert.Assert(t, !slices.Contains(w.voters(t), w.name(dead)))
+	assert.Assert(t, !slices.Contains(w.voterIDs(t), w.memberID(dead)))
 	next := (w.leader() + 1) % 4
 	for next == dead {
 		next = (next + 1) % 4
@@ -93,18 +94,17 @@
 	assert.Assert(t, w.propose(w.leader(), "with two of three"))
 	w.runWithout(4, dead, next)
 	n := w.machines[w.leader()].node
-	assert.Equal(t, n.commit, n.last())
+	assert.Equal(t, n.commitIndex, n.lastIndex())
 }
 
-// A machine that comes takes the place of one that has long been silent, so that dead voters don't pile up until the living
-// ones are no majority; one that lost its disk takes the place of its own old identity at once. Neither way is the set of
-// those who decide ever smaller than it was.
-func TestNewcomersReplaceTheDead(t *testing.T) {
+// A machine that joins replaces a voter that has long been silent, so that dead voters do not accumulate until the live ones are
+// no majority. A machine that lost its disk replaces its own old ID at once. In neither case does the set of voters shrink.
+func TestJoiningMachineReplacesDeadVoter(t *testing.T) {
 	w := newWorld(3, 1)
-	w.runWithout(roundsOfSilent+20, 2, 3)
-	assert.DeepEqual(t, w.voters(t), []string{"0", "1", "2"})
+	w.runWithout(silentRounds+20, 2, 3)
+	assert.DeepEqual(t, w.voterIDs(t), []string{"0", "1", "2"})
 	w.runWithout(20, 2)
-	assert.DeepEqual(t, w.voters(t), []string{"0", "1", "3"})
+	assert.DeepEqual(t, w.voterIDs(t), []string{"0", "1", "3"})
 
 	w = newWorld(3, 0)
 	w.run(12)
@@ -118,10 +118,10 @@
 			}
 		}
 	}
-	assert.Assert(t, slices.Contains(w.voters(t), w.name(lost)))
-	assert.Equal(t, len(w.voters(t)), 3)
-	w.weak.ReplaceBySmallerSet = true // what stood here before: by way of two, one loss from having no majority
-	w = newWorldWith(w.weak)
+	assert.Assert(t, slices.Contains(w.voterIDs(t), w.memberID(lost)))
+	assert.Equal(t, len(w.voterIDs(t)), 3)
+	w.faults.ReplaceBySmallerSet = true // without joint memberships: two voters in between, so that one failure loses the majority
+	w = newWorldWith(w.faults)
 	w.run(12)
 	w.wipe((w.leader() + 1) % 3)
 	smallest := 3
@@ -136,55 +136,56 @@
 	assert.Equal(t, smallest, 2)
 }
 
-func newWorldWith(weak Weaknesses) *world {
+// newWorldWith returns a world of three voters whose nodes run with the given safety checks disabled.
+func newWorldWith(faults Weaknesses) *world {
 	w := newWorld(3, 0)
-	w.weak = weak
+	w.faults = faults
 	for i := range w.machines {
 		w.start(i)
 	}
 	return w
 }
 
-// A member that ends for good is out of the membership, or holds nothing that the others lack, before its process ends; a
-// leader hands over first. The only copy of an entry would else go with it.
+// Guards against losing a committed entry with a member that shuts down for good. Before it stops it must have been removed from
+// the membership, or a majority of the others must hold everything it holds. A leader hands leadership over first.
 func TestLeaving(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		for _, leads := range []bool{false, true} {
 			w := newWorld(3, size-3)
 			w.run(30)
-			going := w.leader()
+			leaving := w.leader()
 			if !leads {
-				going = (going + 1) % size
+				leaving = (leaving + 1) % size
 			}
-			behind := (going + 1) % size
+			behind := (leaving + 1) % size
 			if behind == w.leader() {
 				behind = (behind + 1) % size
 			}
 			w.propose(w.leader(), "held by all but one")
 			w.runWithout(1, behind)
-			w.machines[going].node.Leave()
+			w.machines[leaving].node.Leave()
 			if size == 3 {
 				w.runWithout(3, behind)
-				assert.Assert(t, !w.machines[going].node.Left(), "ends with one of the two copies")
+				assert.Assert(t, !w.machines[leaving].node.Left(), "may stop with one of the two copies")
 			}
-			for n := 0; !w.machines[going].node.Left(); n++ {
-				assert.Assert(t, n < 40, "size %d, leads %v: never done", size, leads)
+			for n := 0; !w.machines[leaving].node.Left(); n++ {
+				assert.Assert(t, n < 40, "size %d, leads %v: never allowed to stop", size, leads)
 				w.run(1)
 			}
-			w.runWithout(10, going)
-			left := w.voters(t)
-			assert.Equal(t, len(left), max(3, size-1))
-			assert.Assert(t, size == 3 || !slices.Contains(left, w.name(going)))
+			w.runWithout(10, leaving)
+			remaining := w.voterIDs(t)
+			assert.Equal(t, len(remaining), max(3, size-1))
+			assert.Assert(t, size == 3 || !slices.Contains(remaining, w.memberID(leaving)))
 			for i, m := range w.machines {
 				held := slices.ContainsFunc(m.entries, func(e Entry) bool { return strings.HasPrefix(string(e.Data), "held by all") })
-				assert.Assert(t, i == going || held, "not held by %d", i)
+				assert.Assert(t, i == leaving || held, "not held by %d", i)
 			}
 		}
 	}
 }
 
-// A delayed word of an identity whose machine has come back under another one does not bring it back.
-func TestARetiredIdentityStaysOut(t *testing.T) {
+// A delayed message from an ID whose machine has rejoined under a new one does not make the old ID a voter again.
+func TestRetiredIDStaysOut(t *testing.T) {
 	w := newWorld(3, 0)
 	w.run(12)
 	lost := (w.leader() + 1) % 3
@@ -193,28 +194,28 @@
 	w.run(40)
 	l := w.machines[w.leader()].node
 	l.Step(l.now, Message{From: old.ID, Addr: old.Addr, Term: l.Term(), Join: &Join{}})
-	l.Step(l.now, Message{From: old.ID, Addr: old.Addr, Term: l.Term(), Appended: &Appended{Match: l.last()}})
+	l.Step(l.now, Message{From: old.ID, Addr: old.Addr, Term: l.Term(), Appended: &Appended{Match: l.lastIndex()}})
 	w.run(20)
-	assert.Assert(t, !slices.Contains(w.voters(t), old.ID), "%v", w.voters(t))
+	assert.Assert(t, !slices.Contains(w.voterIDs(t), old.ID), "%v", w.voterIDs(t))
 }
 
-// A machine that was cut off does not unseat the leader when it comes back: its pre-votes raise no term.
-func TestACutOffMachineUnseatsNobody(t *testing.T) {
+// A node that was partitioned does not depose the leader when it comes back, since its pre-votes raise no term.
+func TestPartitionedNodeDoesNotDeposeLeader(t *testing.T) {
 	w := newWorld(3, 0)
 	w.run(12)
 	l := w.leader()
 	term := w.machines[l].node.Term()
-	cut := (l + 1) % 3
+	partitioned := (l + 1) % 3
 	for range 20 {
-		w.timeout(cut)
-		w.mail = nil
+		w.timeout(partitioned)
+		w.inFlight = nil
 	}
 	w.run(10)
 	assert.Equal(t, w.leader(), l)
 	assert.Equal(t, w.machines[l].node.Term(), term)
 }
 
-// A read barrier ends only after a majority has answered a round that began after it was asked for.
+// A read barrier completes only after a majority has answered a heartbeat round that began after the call.
 func TestBarrier(t *testing.T) {
 	w := newWorld(3, 0)
 	w.run(12)
@@ -227,20 +228,20 @@
 	assert.Equal(t, len(r.Messages), 2)
 	answer := func(round uint64) {
 		n.Step(n.now, Message{From: r.Messages[0].To, To: n.self.ID, Addr: r.Messages[0].ToAddr, Term: n.Term(),
-			Appended: &Appended{Match: n.commit, Answer: Answer{Round: round}}})
+			Appended: &Appended{Match: n.commitIndex, Answer: Answer{Round: round}}})
 	}
 	answer(r.Messages[0].Append.Round - 1)
 	assert.Equal(t, len(n.Take().Reads), 0, "an answer to an earlier round")
 	answer(r.Messages[0].Append.Round)
 	reads := n.Take().Reads
-	assert.DeepEqual(t, reads, []Read{{Token: 7, Index: n.commit, OK: true}})
+	assert.DeepEqual(t, reads, []Read{{Token: 7, Index: n.commitIndex, OK: true}})
 	follower := w.machines[(l+1)%3].node
 	follower.Barrier(9)
 	assert.DeepEqual(t, follower.Take().Reads, []Read{{Token: 9}})
 }
 
-// A leader that hears no majority stops leading within twice the election's time, and says meanwhile that it is not fresh.
-func TestACutOffLeaderGivesWay(t *testing.T) {
+// A leader that hears from no majority steps down within twice the election timeout, and reports before that that it is not fresh.
+func TestPartitionedLeaderStepsDown(t *testing.T) {
 	w := newWorld(3, 0)
 	w.run(12)
 	n := w.machines[w.leader()].node
@@ -256,57 +257,59 @@
 	assert.Assert(t, n.Role() != Leader, fmt.Sprint(n.Role()))
 }
 
-// A follower too far behind gets a snapshot, and a late one does not take back what it has promised since.
-func TestSnapshotsTakeNothingBack(t *testing.T) {
+// A follower that is too far behind receives a snapshot. A delayed older snapshot does not remove entries that the follower has
+// acknowledged since.
+func TestOldSnapshotRemovesNoEntries(t *testing.T) {
 	w := newWorld(3, 0)
 	w.run(12)
 	l := w.leader()
 	behind := (l + 1) % 3
 	for k := range 5 {
 		w.propose(l, fmt.Sprint(k))
-		for len(w.mail) > 0 {
-			if w.mail[0].ToAddr == address(behind) {
-				w.mail = w.mail[1:]
+		for len(w.inFlight) > 0 {
+			if w.inFlight[0].ToAddr == address(behind) {
+				w.inFlight = w.inFlight[1:]
 				continue
 			}
 			w.deliver(0, false)
 		}
 	}
 	n := w.machines[l].node
-	assert.Assert(t, n.Compact(n.commit, []byte("state")))
+	assert.Assert(t, n.Compact(n.commitIndex, []byte("state")))
 	n.log = newLog(n.snap, nil) // without the tail
 	w.machines[l].snap, w.machines[l].entries = n.snap, nil
 	late := n.snap
 	w.run(20)
 	f := w.machines[behind].node
-	assert.Equal(t, f.commit, n.commit)
+	assert.Equal(t, f.commitIndex, n.commitIndex)
 	assert.Equal(t, string(f.snap.Data), "state")
 	w.propose(l, "after")
 	w.run(2)
-	before := f.last()
+	before := f.lastIndex()
 	late.Index--
 	f.Step(f.now, Message{From: n.self.ID, Addr: n.self.Addr, Term: n.Term(),
 		Piece: &SnapshotPiece{Index: late.Index, LastTerm: late.Term, Membership: late.Membership, Size: len(late.Data), Data: late.Data}})
-	assert.Equal(t, f.last(), before)
+	assert.Equal(t, f.lastIndex(), before)
 }
 
-// After a loss of power machines come up one after the other. One that asked for votes before a majority was up waited for a whole election
-// time, half a second and more, with nobody leading; now it asks again soon, and raises no term by it. Whoever promises another one its vote
-// waits as long, so that not two stand at once.
-func TestVotesAreAskedAboutAgainSoon(t *testing.T) {
+// After a power failure machines start one after the other. A node whose pre-vote failed because no majority was up yet used to
+// wait for a whole election timeout, half a second and more, without a leader. It must retry soon, without raising the term, and
+// a node that has granted another's pre-vote must wait as long, so that there are not two candidates at once.
+func TestPreVoteIsRetriedSoon(t *testing.T) {
 	members := []Member{{"a", "a"}, {"b", "b"}, {"c", "c"}}
 	begin := time.Unix(0, 0)
 	for seed := range uint64(20) {
-		n := New(Config{Self: members[0], Hard: HardState{Term: 3}, Snapshot: Snapshot{Membership: Membership{Voters: members}}, Timing: Usual, Seed: seed}, begin)
+		n := New(Config{Self: members[0], Hard: HardState{Term: 3}, Snapshot: Snapshot{Membership: Membership{Voters: members}},
+			Timing: Usual, Seed: seed}, begin)
 		asked := map[time.Time]bool{}
 		now := begin
-		tick := func() (stood bool) {
+		tick := func() (preVoted bool) {
 			now = now.Add(5 * time.Millisecond)
 			n.Tick(now)
 			for _, m := range n.Take().Messages {
-				stood = stood || m.PreVote != nil
+				preVoted = preVoted || m.PreVote != nil
 			}
-			return stood
+			return preVoted
 		}
 		for now.Before(begin.Add(time.Second)) {
 			if tick() {
@@ -319,17 +322,17 @@
 		n.Step(now, Message{From: "b", Addr: "b", To: "a", Term: 4, PreVote: &VoteRequest{}})
 		until := now.Add(Usual.Election / 4)
 		for now.Before(until.Add(-10 * time.Millisecond)) {
-			assert.Assert(t, !tick(), "stands beside the one that it promised its vote")
+			assert.Assert(t, !tick(), "campaigns against the node that it has granted a pre-vote")
 		}
 		for ok := false; !ok; ok = tick() {
-			assert.Assert(t, now.Before(until.Add(Usual.Election)), "never stands again")
+			assert.Assert(t, now.Before(until.Add(Usual.Election)), "never campaigns again")
 		}
 	}
 }
 
-// A snapshot that travels in many pieces, some of which are lost, is finished by the one that it was begun with, though the
-// log is compacted again and again meanwhile; then the entries behind it follow from the log.
-func TestASnapshotOutlastsCompaction(t *testing.T) {
+// A snapshot transfer in many pieces, some of which are lost, completes with the snapshot it began with, although the log is
+// compacted repeatedly meanwhile. The entries after the snapshot are then replicated from the log.
+func TestSnapshotTransferSurvivesCompaction(t *testing.T) {
 	w := newWorld(3, 0)
 	w.run(12)
 	l := w.leader()
@@ -341,21 +344,21 @@
 		w.runWithout(2, silent...)
 	}
 	change("first", behind)
-	assert.Assert(t, n.Compact(n.taken, state))
-	n.log = newLog(n.snap, slices.Clone(n.behindSnapshot()))
-	pinned := n.snap.Index
+	assert.Assert(t, n.Compact(n.deliveredIndex, state))
+	n.log = newLog(n.snap, slices.Clone(n.afterSnapshot()))
+	firstSnapshot := n.snap.Index
 	pieces := 0
-	for step := 0; w.machines[behind].node.snap.Index != pinned; step++ {
-		assert.Assert(t, step < 400, "never there: offset %v", n.peers[w.name(behind)])
+	for step := 0; w.machines[behind].node.snap.Index != firstSnapshot; step++ {
+		assert.Assert(t, step < 400, "never installed: progress %v", n.peers[w.memberID(behind)])
 		for i := range w.machines {
-			w.beat(i)
+			w.heartbeat(i)
 		}
 		lose := step%3 == 0
-		for len(w.mail) > 0 {
-			if p := w.mail[0].Piece; p != nil && len(p.Data) > 0 {
+		for len(w.inFlight) > 0 {
+			if p := w.inFlight[0].Piece; p != nil && len(p.Data) > 0 {
 				pieces++
 				if lose {
-					w.mail = w.mail[1:]
+					w.inFlight = w.inFlight[1:]
 					lose = false
 					continue
 				}
@@ -364,32 +367,32 @@
 		}
 		if step%5 == 4 {
 			change(fmt.Sprint(step))
-			n.Compact(n.taken, state)
+			n.Compact(n.deliveredIndex, state)
 		}
 	}
-	assert.Assert(t, n.snap.Index > pinned, "compacted meanwhile")
-	assert.Assert(t, pieces < 40, "%d pieces for six", pieces)
+	assert.Assert(t, n.snap.Index > firstSnapshot, "not compacted meanwhile")
+	assert.Assert(t, pieces < 40, "%d pieces sent, six needed", pieces)
 	w.run(5)
-	assert.Equal(t, w.machines[behind].node.commit, n.commit)
+	assert.Equal(t, w.machines[behind].node.commitIndex, n.commitIndex)
 }
 
-// A follower's knowledge that its leader led a majority is by its own clock, from the sending of an answer: messages that
-// waited while it was stopped make nothing fresh, nor does a stamp of a process that its machine ran before.
-func TestAThawedFollowerIsNotFresh(t *testing.T) {
+// A follower's state counts as fresh by the follower's own clock, from the time at which it sent an answer. Messages that waited
+// while the follower was suspended do not make it fresh, nor does a timestamp of a previous process of its machine.
+func TestResumedFollowerIsNotFresh(t *testing.T) {
 	w := newWorld(3, 0)
 	w.run(20)
 	l, f := w.leader(), (w.leader()+1)%3
 	n := w.machines[f].node
 	assert.Assert(t, n.Fresh(900*time.Millisecond))
 	var waiting []Message
-	for range 8 { // it is stopped; what it is sent waits
-		w.beat(l)
-		for _, m := range w.mail {
+	for range 8 { // the follower is suspended, and its messages wait
+		w.heartbeat(l)
+		for _, m := range w.inFlight {
 			if m.ToAddr == address(f) {
 				waiting = append(waiting, m)
 			}
 		}
-		w.mail = nil
+		w.inFlight = nil
 	}
 	for _, m := range waiting {
 		n.Step(n.now.Add(20*time.Second), m)
@@ -399,45 +402,45 @@
 	w.run(20)
 	w.crash(f)
 	n = w.machines[f].node
-	w.beat(l)
-	for len(w.mail) > 0 {
-		if m := w.mail[0]; m.ToAddr == address(f) {
+	w.heartbeat(l)
+	for len(w.inFlight) > 0 {
+		if m := w.inFlight[0]; m.ToAddr == address(f) {
 			n.Step(n.now, m)
 		}
-		w.mail = w.mail[1:]
+		w.inFlight = w.inFlight[1:]
 	}
-	assert.Assert(t, !n.Fresh(time.Hour), "by a stamp of the process before")
+	assert.Assert(t, !n.Fresh(time.Hour), "fresh by a timestamp of the previous process")
 }
 
-// A leader that was stopped for 20 s neither judges the others by the time that it slept nor confirms anything: its first
-// beat ends its leading.
-func TestAThawedLeaderGivesWayFirst(t *testing.T) {
+// A leader that was suspended for 20 s neither takes that time for the silence of its peers nor confirms a read: it steps down at
+// its first tick.
+func TestResumedLeaderStepsDownFirst(t *testing.T) {
 	w := newWorld(3, 2)
 	w.run(30)
 	n := w.machines[w.leader()].node
-	before := n.last()
+	before := n.lastIndex()
 	n.Barrier(5)
 	n.Tick(n.now.Add(20 * time.Second))
 	assert.Assert(t, n.Role() != Leader)
-	assert.Equal(t, n.last(), before, "a membership was begun")
+	assert.Equal(t, n.lastIndex(), before, "a membership change was begun")
 	assert.DeepEqual(t, n.Take().Reads, []Read{{Token: 5}})
 }
 
-// A leader's word that it led a majority makes a follower current only once it holds what was committed then: one that hears
-// heartbeats and lacks entries is not. Found by the simulation, among others seed 266.
-func TestCurrentOnlyWithTheEntries(t *testing.T) {
+// A confirmation that the leader led a majority makes a follower fresh only once the follower has committed what was committed
+// then: one that receives heartbeats but lacks entries is not fresh. Found by the simulation, with seed 266 among others.
+func TestFreshOnlyWithCommittedEntries(t *testing.T) {
 	w := newWorld(3, 0)
 	w.run(20)
 	leader := w.machines[w.leader()].node
 	n := w.machines[(w.leader()+1)%3].node
-	n.confirmed, n.promised = time.Time{}, promise{}
-	say := func(a Append) {
-		a.Confirmed, a.ConfirmedIndex, a.PrevIndex, a.PrevTerm = n.stampNow(), n.saved+1, n.last(), n.lastTerm()
+	n.currentAsOf, n.pendingFreshness = time.Time{}, freshnessPoint{}
+	sendAppend := func(a Append) {
+		a.Confirmed, a.ConfirmedIndex, a.PrevIndex, a.PrevTerm = n.timestampNow(), n.savedIndex+1, n.lastIndex(), n.lastTerm()
 		n.Step(n.now, Message{From: leader.self.ID, Addr: leader.self.Addr, Term: leader.Term(), Append: &a})
 	}
-	next := n.last() + 1
-	say(Append{Commit: n.commit})
-	assert.Assert(t, !n.Fresh(time.Second), "current without entry %d", next)
-	say(Append{Entries: []Entry{{Index: next, Term: leader.Term()}}, Commit: next})
+	next := n.lastIndex() + 1
+	sendAppend(Append{Commit: n.commitIndex})
+	assert.Assert(t, !n.Fresh(time.Second), "fresh without entry %d", next)
+	sendAppend(Append{Entries: []Entry{{Index: next, Term: leader.Term()}}, Commit: next})
 	assert.Assert(t, n.Fresh(time.Second))
 }
--- a/internal/cdn/consensus/election.go
+++ b/internal/cdn/consensus/election.go
@@ -2,46 +2,51 @@
 
 import "time"
 
-func (n *Node) electionTime() time.Duration {
+// electionTimeout returns a random election timeout between Timing.Election and twice that.
+func (n *Node) electionTimeout() time.Duration {
 	return n.timing.Election + time.Duration(n.rng.Int64N(int64(n.timing.Election)))
 }
 
-// askAgain is after how long a vote is asked about that came to nothing; whoever has just promised one to another waits as long as well.
-func (n *Node) askAgain() time.Duration {
+// preVoteRetryDelay returns the random delay before a failed pre-vote is repeated. A node that has just granted a pre-vote to
+// another waits as long before its own.
+func (n *Node) preVoteRetryDelay() time.Duration {
 	return n.timing.Election/4 + time.Duration(n.rng.Int64N(int64(n.timing.Election/4)))
 }
 
-func (n *Node) hearsLeader() bool {
-	return n.leader != "" && n.now.Sub(n.heard) < n.timing.Election
+// hasLiveLeader reports whether the leader has been heard from within the minimum election timeout.
+func (n *Node) hasLiveLeader() bool {
+	return n.leader != "" && n.now.Sub(n.leaderHeardAt) < n.timing.Election
 }
 
-// stand begins an election, with a round before it that changes nothing: one that was cut off does not unseat a leader.
-func (n *Node) stand(transfer bool) {
-	n.deadline = n.now.Add(n.electionTime())
+// campaign starts a pre-vote, or the election itself if the pre-vote is won or the leader has asked for a transfer. A pre-vote
+// changes no term, so a node that was partitioned does not depose the leader when it comes back.
+func (n *Node) campaign(transfer bool) {
+	n.deadline = n.now.Add(n.electionTimeout())
 	if !n.membership.Contains(n.self.ID) {
-		if n.leader != "" && !n.hearsLeader() {
-			n.follow("", "")
+		if n.leader != "" && !n.hasLiveLeader() {
+			n.becomeFollower("", "")
 		}
 		return
 	}
 	if transfer || n.role == PreCandidate && n.hasWon() {
-		n.enter(n.hard.Term + 1)
-		n.hard.Vote, n.dirty = n.self.ID, true
+		n.adoptTerm(n.hard.Term + 1)
+		n.hard.Vote, n.hardUnsaved = n.self.ID, true
 		n.become(Candidate, "", "")
-		n.askForVotes(Message{Term: n.hard.Term, Vote: n.voteRequest(transfer)})
+		n.requestVotes(Message{Term: n.hard.Term, Vote: n.voteRequest(transfer)})
 	} else {
 		n.become(PreCandidate, "", "")
-		n.deadline = n.now.Add(n.askAgain()) // nothing rises by asking: others may be up in a moment
-		n.askForVotes(Message{Term: n.hard.Term + 1, PreVote: n.voteRequest(false)})
+		n.deadline = n.now.Add(n.preVoteRetryDelay()) // asking again soon raises no term, and other nodes may just be starting
+		n.requestVotes(Message{Term: n.hard.Term + 1, PreVote: n.voteRequest(false)})
 	}
-	n.tally()
+	n.tallyVotes()
 }
 
 func (n *Node) voteRequest(transfer bool) *VoteRequest {
-	return &VoteRequest{LastIndex: n.last(), LastTerm: n.lastTerm(), Transfer: transfer}
+	return &VoteRequest{LastIndex: n.lastIndex(), LastTerm: n.lastTerm(), Transfer: transfer}
 }
 
-func (n *Node) askForVotes(m Message) {
+// requestVotes sends a vote or pre-vote request to all other members.
+func (n *Node) requestVotes(m Message) {
 	for _, to := range n.membership.All() {
 		if to.ID != n.self.ID {
 			n.send(to, m)
@@ -49,84 +54,89 @@
 	}
 }
 
+// hasWon reports whether a quorum has granted its votes.
 func (n *Node) hasWon() bool {
 	return n.membership.Quorum(func(id string) bool { return n.votes[id] })
 }
 
-func (n *Node) tally() {
+// tallyVotes ends a pre-vote or an election that is won.
+func (n *Node) tallyVotes() {
 	if !n.hasWon() {
 		return
 	}
 	switch n.role {
 	case PreCandidate:
-		n.stand(false)
+		n.campaign(false)
 	case Candidate:
 		n.become(Leader, n.self.ID, n.self.Addr)
-		n.append(Entry{}) // of its own term: what came before is committed with it
+		n.appendEntry(Entry{}) // an empty entry of the new term, with which all earlier entries are committed
 		n.beginRound()
 	}
 }
 
-// holdsAsMuch tells whether a candidate's log is at least as new as the own one.
-func (n *Node) holdsAsMuch(v *VoteRequest) bool {
-	return v.LastTerm > n.lastTerm() || v.LastTerm == n.lastTerm() && v.LastIndex >= n.last()
+// isUpToDate reports whether a candidate's log is at least as up to date as this node's.
+func (n *Node) isUpToDate(request *VoteRequest) bool {
+	return request.LastTerm > n.lastTerm() || request.LastTerm == n.lastTerm() && request.LastIndex >= n.lastIndex()
 }
 
-// onPreVote says whether a vote would be granted: only if no leader is heard.
+// onPreVote answers whether this node would grant a vote. It would not while it hears from a leader.
 func (n *Node) onPreVote(m Message) {
 	to := Member{m.From, m.Addr}
-	if n.role == Leader || n.hearsLeader() || !n.holdsAsMuch(m.PreVote) || m.Term <= n.hard.Term {
-		n.send(to, Message{PreVoteReply: &VoteReply{}}) // under the own term: nothing rises by asking
+	if n.role == Leader || n.hasLiveLeader() || !n.isUpToDate(m.PreVote) || m.Term <= n.hard.Term {
+		n.send(to, Message{PreVoteReply: &VoteReply{}}) // under this node's term: a pre-vote raises no term
 		return
 	}
 	n.send(to, Message{Term: m.Term, PreVoteReply: &VoteReply{Granted: true}})
-	if next := n.now.Add(n.askAgain()); next.After(n.deadline) { // so that not two stand at once
+	if next := n.now.Add(n.preVoteRetryDelay()); next.After(n.deadline) { // avoids two candidates at once
 		n.deadline = next
 	}
 }
 
-// onVote grants a vote to whoever holds all that may be committed, once a term.
+// onVote grants its vote to at most one candidate a term, and only if the candidate's log is at least as up to date as this node's.
 func (n *Node) onVote(m Message) {
-	grant := n.holdsAsMuch(m.Vote) && (n.role == Follower || n.role == PreCandidate) && (n.hard.Vote == "" || n.hard.Vote == m.From)
+	grant := n.isUpToDate(m.Vote) && (n.role == Follower || n.role == PreCandidate) && (n.hard.Vote == "" || n.hard.Vote == m.From)
 	if grant {
 		if n.role == PreCandidate {
-			n.follow("", "")
+			n.becomeFollower("", "")
 		}
-		n.hard.Vote, n.dirty = m.From, true
-		n.deadline = n.now.Add(n.electionTime())
+		n.hard.Vote, n.hardUnsaved = m.From, true
+		n.deadline = n.now.Add(n.electionTimeout())
 	}
-	n.send(Member{m.From, m.Addr}, Message{VoteReply: &VoteReply{Granted: grant, Sent: n.stampNow()}})
+	n.send(Member{m.From, m.Addr}, Message{VoteReply: &VoteReply{Granted: grant, Sent: n.timestampNow()}})
 }
 
+// onVoteReply counts a granted vote, or pre-vote, if the node still has the role in which it asked for it.
 func (n *Node) onVoteReply(m Message, role Role, granted bool) {
 	if n.role == role && granted {
 		n.votes[m.From] = true
 		if m.VoteReply != nil {
-			n.stamps[m.From] = m.VoteReply.Sent
+			n.voteTimestamps[m.From] = m.VoteReply.Sent
 		}
-		n.tally()
+		n.tallyVotes()
 	}
 }
 
-// HandOver lets the follower that holds the most stand at once; the leader is about to go.
+// HandOver asks the live voter with the longest log to start an election at once, since this leader is about to step down. It
+// does nothing if that voter lacks committed entries.
 func (n *Node) HandOver() {
 	var best *progress
 	for _, id := range sortedIDs(n.peers) {
 		p := n.peers[id]
-		if p.voter && !n.isLeaving(p) && n.now.Sub(p.heard) < n.timing.Election && (best == nil || p.match > best.match) {
+		if p.voter && !n.isLeaving(p) && n.now.Sub(p.heardAt) < n.timing.Election && (best == nil || p.match > best.match) {
 			best = p
 		}
 	}
-	if best != nil && best.match >= n.commit {
+	if best != nil && best.match >= n.commitIndex {
 		n.send(best.Member, Message{TakeOver: &TakeOver{}})
 	}
 }
 
-// GiveWay ends a leader's time that can't do its work, as one whose disk takes nothing.
+// GiveWay makes a leader that can't work, for example because its disk fails, step down. It hands leadership over and starts no
+// election of its own for four times the minimum election timeout.
 func (n *Node) GiveWay() {
 	if n.role == Leader {
 		n.HandOver()
-		n.follow("", "")
+		n.becomeFollower("", "")
 		n.deadline = n.now.Add(4 * n.timing.Election)
 	}
 }
--- a/internal/cdn/consensus/messages.go
+++ b/internal/cdn/consensus/messages.go
@@ -6,34 +6,35 @@
 	"time"
 )
 
-// Member is one machine's part in the log. A machine that has lost its disk comes back under another ID.
+// Member identifies a machine that replicates the log. A machine that has lost its disk rejoins under a new ID.
 type Member struct{ ID, Addr string }
 
-// Entry is one change in the log. Membership, where it is set, is in force from that entry on, committed or not.
+// Entry is one entry of the replicated log. A Membership, if set, takes effect as soon as the entry is in the log, committed
+// or not.
 type Entry struct {
 	Index, Term uint64
 	Membership  *Membership
 	Data        []byte
 }
 
-// HardState is what must be on disk before a message that depends on it leaves.
+// HardState must be on disk before any message that depends on it is sent.
 type HardState struct {
 	Term uint64
 	Vote string
 }
 
-// Snapshot stands for all entries up to Index.
+// Snapshot replaces all entries up to and including Index.
 type Snapshot struct {
 	Index, Term uint64
 	Membership  Membership
 	Data        []byte
 }
 
-// Message is what one machine tells another: an envelope with exactly one of the payloads.
+// Message is the envelope that nodes exchange; exactly one of the payloads is set.
 type Message struct {
-	From, To string // IDs; a Join need not know whom it reaches
-	Addr     string // of the sender
-	ToAddr   string // where the host is to send it
+	From, To string // member IDs; To is empty in a Join, whose sender may know only the address
+	Addr     string // address of the sender
+	ToAddr   string // address that the host sends the message to
 	Term     uint64
 
 	PreVote      *VoteRequest
@@ -50,34 +51,34 @@
 	LeaveReply   *LeaveReply
 }
 
-// VoteRequest asks for a vote, or in a PreVote whether there would be one.
+// VoteRequest asks for a vote, or in a pre-vote whether the vote would be granted.
 type VoteRequest struct {
 	LastIndex, LastTerm uint64 // of the candidate's last entry
-	Transfer            bool   // a leader has asked the candidate to stand
+	Transfer            bool   // the election was started by a leadership transfer
 }
 
 // VoteReply answers a VoteRequest.
 type VoteReply struct {
 	Granted bool
-	Sent    Stamp // for Contact.Confirmed, if the candidate wins
+	Sent    Stamp // the voter's clock at sending; confirmed through Contact.Confirmed if the candidate wins
 }
 
-// Contact goes with everything that a leader sends to a follower.
+// Contact is part of every message from a leader to a follower.
 type Contact struct {
-	Round uint64 // of the leader's rounds of heartbeats; the answer names it
-	// Confirmed is the newest of the follower's own time stamps of which the leader knows that it led a majority afterwards.
-	// Whoever holds all up to ConfirmedIndex holds all that was acknowledged before that time.
+	Round uint64 // number of the leader's heartbeat round; the follower's answer repeats it
+	// Confirmed is the newest of the follower's own timestamps after which the leader is known to have led a majority.
+	// A node that has committed all entries up to ConfirmedIndex holds everything acknowledged before that time.
 	Confirmed      Stamp
 	ConfirmedIndex uint64
 }
 
-// Stamp is a time by a follower's own steady clock. Nobody else reads it, nor the follower after a restart.
+// Stamp is a time on a follower's own monotonic clock. It is opaque to other nodes, and to the follower after a restart.
 type Stamp struct {
-	Process uint64 // drawn at its start; never 0
-	At      time.Duration
+	Process uint64        // random ID of the follower's process, never 0
+	At      time.Duration // since that process started
 }
 
-// Append brings entries, or as a heartbeat none.
+// Append replicates entries to a follower. Without entries it is a heartbeat.
 type Append struct {
 	Contact
 	PrevIndex, PrevTerm uint64 // of the entry before Entries
@@ -85,61 +86,64 @@
 	Commit              uint64
 }
 
-// Answer goes with everything that a follower answers to a leader.
+// Answer is part of every reply from a follower to a leader.
 type Answer struct {
-	Round uint64   // as in the Contact that is answered
-	Sent  Stamp    // for Contact.Confirmed
-	Seen  []string // who has lately asked the follower's process for news
+	Round uint64   // copied from the Contact that is answered
+	Sent  Stamp    // the follower's clock at sending, for Contact.Confirmed
+	Seen  []string // nodes that have recently polled the follower's process for changes
 }
 
-// Appended answers an Append.
+// Appended is the reply to an Append, and to a snapshot that the follower already holds or has completed.
 type Appended struct {
 	Answer
 	Rejected bool
-	Match    uint64 // the last entry that is held alike, on disk; if Rejected the last that may be
+	Match    uint64 // last entry known to match the leader's log, on disk; if Rejected, the last one that may match
 }
 
-// SnapshotPiece is a part of a snapshot. One without data is a heartbeat, and asks how far the receiver has come.
+// SnapshotPiece carries a part of a snapshot. Without data it is a heartbeat, and asks how much the receiver holds.
 type SnapshotPiece struct {
 	Contact
-	Index, LastTerm uint64 // of the last entry that the snapshot stands for
+	Index, LastTerm uint64 // of the last entry that the snapshot covers
 	Membership      Membership
 	Size, Offset    int
 	Data            []byte
 }
 
-// PieceTaken answers a SnapshotPiece: the receiver holds the snapshot up to Offset.
+// PieceTaken is the reply to a SnapshotPiece: the receiver holds the first Offset bytes of the snapshot.
 type PieceTaken struct {
 	Answer
 	Index  uint64
 	Offset int
 }
 
-// Join is from one that hears no leader: it asks to be told of one, and to become a voter if it is none.
+// Join is sent by a node that hears from no leader. It asks the leader to make contact, and to add the sender as a voter if it
+// is not one yet.
 type Join struct {
 	LastIndex uint64
-	Relayed   bool // by one that is no leader
+	Relayed   bool // forwarded by a node that is not the leader
 }
 
-// TakeOver is from a leader that goes: the receiver is to stand at once.
+// TakeOver is sent by a leader that steps down: the receiver starts an election at once.
 type TakeOver struct{}
 
-// Leave is from a member that is about to end: it asks to be taken out, and whether it may end.
+// Leave is sent by a member that is about to shut down: it asks to be removed, and whether it may stop.
 type Leave struct{}
 
-// LeaveReply answers a Leave. Done says that the member is out, or holds nothing that a majority without it lacks.
+// LeaveReply is the reply to a Leave. Done means that the member has been removed, or that a majority without it holds
+// everything committed.
 type LeaveReply struct{ Done bool }
 
-// Membership is who votes. While Outgoing is set a change is under way, and all that is decided needs a majority of both sets.
+// Membership is the set of voters. While Outgoing is set it is a joint membership, in which elections and commits need a
+// majority of both sets.
 type Membership struct {
 	Voters   []Member
 	Outgoing []Member `json:",omitempty"`
 }
 
-// Joint tells whether a change is under way.
+// Joint reports whether a membership change is in progress.
 func (m Membership) Joint() bool { return len(m.Outgoing) > 0 }
 
-// All is every member of either set, once.
+// All returns the members of both sets without duplicates.
 func (m Membership) All() []Member {
 	all := append([]Member(nil), m.Voters...)
 	for _, o := range m.Outgoing {
@@ -150,12 +154,12 @@
 	return all
 }
 
-// Contains tells whether an ID is in either set.
+// Contains reports whether a member ID is in either set.
 func (m Membership) Contains(id string) bool {
 	return contains(m.Voters, id) || contains(m.Outgoing, id)
 }
 
-// Quorum tells whether those of whom has is true are a majority of each set. An empty set has none.
+// Quorum reports whether the members for which has returns true are a majority of each set. An empty membership has no quorum.
 func (m Membership) Quorum(has func(id string) bool) bool {
 	return len(m.Voters) > 0 && majorityOf(m.Voters, has) && (!m.Joint() || majorityOf(m.Outgoing, has))
 }
--- a/internal/cdn/consensus/node.go
+++ b/internal/cdn/consensus/node.go
@@ -1,7 +1,7 @@
-// Package consensus is the agreement of the core machines: one elected leader orders all changes in a replicated log. It
-// follows Raft, with pre-votes, joint changes of membership, read barriers and snapshots in pieces. It does no I/O and has
-// no clock or goroutine of its own: the host brings messages and the time, saves what Ready names, then sends what Ready
-// names.
+// Package consensus implements the Raft consensus algorithm for the core machines: one elected leader orders all changes in a
+// replicated log. It has pre-votes, joint membership changes, read barriers, and snapshots that are transferred in pieces. It
+// does no I/O and has no clock or goroutine of its own: the host passes messages and the time in, saves the state in each
+// Ready, and then sends the messages in it.
 package consensus
 
 import (
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Role is what a node is at the moment.
+// Role is the current role of a node.
 type Role uint8
 
-// The roles. A learner is a follower that is in no membership it knows.
+// The roles. A learner, a node that is not in the membership it knows of, is a follower.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -25,246 +25,261 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Timing are the spans of the steady clock that decide. None of them carries safety: a node that is stopped for longer than
-// any of them, between any two steps, confirms and serves nothing that it should not.
+// Timing holds the intervals and timeouts of a node, on the monotonic clock. Safety does not depend on them: a node that is
+// suspended for longer than any of them, between any two steps, neither confirms nor serves stale data.
 type Timing struct {
-	Heartbeat time.Duration
-	Election  time.Duration // the least silence of a leader that is taken for its end; the most is twice that. A voter that is silent for so long gives its place to a machine that has come
-	Silent    time.Duration // a voter silent for so long is taken out where less than must be could be lost beside it
-	Remove    time.Duration // and for so long is taken out in any case, while more are left than must be
+	Heartbeat time.Duration // interval between heartbeat rounds
+
+	// Election is the minimum election timeout; the maximum is twice that. A voter that is silent for that long is replaced by
+	// a machine that has joined.
+	Election time.Duration
+
+	Silent time.Duration // a voter silent for longer is removed if fewer than Config.Tolerate others could be lost
+	Remove time.Duration // a voter silent for longer is removed in any case, down to the minimum number of voters
 }
 
-// Usual is the timing in service: a sync takes 2 ms, a round trip 3 ms, a quarter of a core may be away for 100 ms.
-var Usual = Timing{Heartbeat: 120 * time.Millisecond, Election: 450 * time.Millisecond, Silent: 1500 * time.Millisecond, Remove: time.Minute}
+// Usual is the timing used in production: a sync takes 2 ms, a round trip 3 ms, and a quarter of a core may not be scheduled
+// for 100 ms.
+var Usual = Timing{
+	Heartbeat: 120 * time.Millisecond,
+	Election:  450 * time.Millisecond,
+	Silent:    1500 * time.Millisecond,
+	Remove:    time.Minute,
+}
 
-// Weaknesses take guards out, one each. They are for tests that show that a guard is needed and that the simulation finds
-// its absence; nothing else sets one, which a test sees to.
+// Weaknesses disables safety checks, one per field. Tests use it to show that a check is needed and that the simulation detects
+// when it is missing. Production code sets none of them, which a test verifies.
 type Weaknesses struct {
-	ReplaceBySmallerSet bool // a replaced member goes out before its successor comes in
-	CountJoiningEarly   bool // a machine that joins counts as holding all that it was sent
-	ReadWithoutRound    bool // a read barrier asks nobody
+	ReplaceBySmallerSet bool // a replaced member is removed before its successor is added
+	CountJoiningEarly   bool // a joining machine counts as holding everything that was sent to it
+	ReadWithoutRound    bool // a read barrier completes without a heartbeat round
 }
 
-// Limits bound what is kept and sent at once.
+// Limits bounds the log kept in memory and the size of messages.
 type Limits struct {
-	TailEntries int // kept behind a snapshot, for those who are not far behind
-	TailBytes   int // of them at most
-	PieceBytes  int // of a snapshot in one message
+	TailEntries int // entries covered by the snapshot that are kept for followers only a little behind
+	TailBytes   int // maximum total size of these entries
+	PieceBytes  int // maximum snapshot data in one message
 }
 
-// UsualLimits are the limits in service.
+// UsualLimits are the limits used in production.
 var UsualLimits = Limits{TailEntries: 2048, TailBytes: 2 << 20, PieceBytes: 128 << 10}
 
-// Ready is what the host is to do, in this order: save Hard, Snapshot and Entries (an entry replaces what is held from its
-// index on) in one sync, then send Messages, then take Committed and Reads.
+// Ready holds the work of the host, in this order: save Hard, Snapshot and Entries with one sync (an entry replaces all saved
+// entries from its index on), then send Messages, then apply Committed and answer Reads.
 type Ready struct {
 	Hard      *HardState
-	Snapshot  *Snapshot // received: it replaces all that is held
+	Snapshot  *Snapshot // received from the leader: replaces the saved snapshot and all saved entries
 	Entries   []Entry
 	Messages  []Message
 	Committed []Entry
 	Reads     []Read
 }
 
-// Empty tells whether there is nothing to do.
+// Empty reports whether there is nothing to do.
 func (r Ready) Empty() bool {
 	return r.Hard == nil && r.Snapshot == nil && len(r.Entries)+len(r.Messages)+len(r.Committed)+len(r.Reads) == 0
 }
 
-// MustSave tells whether something is to be saved.
+// MustSave reports whether there is anything to save.
 func (r Ready) MustSave() bool { return r.Hard != nil || r.Snapshot != nil || len(r.Entries) > 0 }
 
-// Config is what a node is made from.
+// Config holds the settings of a node and its state loaded from disk.
 type Config struct {
 	Self     Member
 	Timing   Timing
-	Tolerate int // machines that may be lost at once
+	Tolerate int // number of machines that may be lost at once
 	Seed     uint64
-	Contacts []string // addresses of others that may know a leader
+	Contacts []string // addresses of other machines, which may know the leader
 	Weak     Weaknesses
-	Limits   Limits // zero: the usual ones
+	Limits   Limits // the zero value means the default limits
 
-	Hard     HardState // as they are on the disk
+	Hard     HardState // loaded from disk, as are the two fields below
 	Snapshot Snapshot
-	Entries  []Entry // behind the snapshot
+	Entries  []Entry // the entries after the snapshot
 }
 
-// Node is one machine's part in the agreement. It belongs to one goroutine.
+// Node is the Raft state machine of one machine. It is not safe for concurrent use.
 type Node struct {
-	self     Member
-	timing   Timing
-	tolerate int
-	weak     Weaknesses
-	limits   Limits
-	rng      *rand.Rand
-	process  uint64    // this process, in the node's own time stamps
-	start    time.Time // what they count from
-	now      time.Time
-
-	hard         HardState
-	dirty        bool // hard is not saved
-	log               // entries, and the snapshot that stands for those before them
-	membership   Membership
-	membershipAt uint64 // the entry that it is in force from
-	saved        uint64 // the last entry that is on disk here
-	unsaved      uint64 // the first entry that Ready has not named; 0: none
-	received     *Snapshot
-	incoming     *incoming
-	commit       uint64
-	taken        uint64 // the last committed entry that Ready has named
-
-	role      Role
-	leader    string
-	leaderAt  string // its address
-	heard     time.Time
-	confirmed time.Time // all that was acknowledged before it is held here
-	promised  promise   // the same, once more is held
-	deadline  time.Time // of the election, or of the leader's next round
-	votes     map[string]bool
-	stamps    map[string]Stamp // that came with the votes
-	contacts  []string         // addresses to ask while there is no leader
-	joinAt    time.Time
-	leaving   bool
-	left      bool
-	askAt     time.Time // when to ask to leave again
-
-	peers       map[string]*progress
-	retired     map[string]bool // identities whose machine came back under another one in this term
-	round       uint64
-	rounds      []round
-	roundCommit uint64    // what was committed when the last round but one began
-	lastCommit  uint64    // and when the last one did
-	majorityAt  time.Time // when the last round began that a majority has answered
-	barriers    []barrier
-	messages    []Message
-	reads       []Read
-
-	Attended func(seen []string) // hears, at the leader, who has asked its followers for news; may be nil
-	SeenHere func() []string     // who has asked here lately; may be nil
+	self      Member
+	timing    Timing
+	tolerate  int
+	faults    Weaknesses
+	limits    Limits
+	rng       *rand.Rand
+	processID uint64    // identifies this process in the node's own timestamps
+	startedAt time.Time // time zero of the node's own timestamps
+	now       time.Time
+
+	hard             HardState
+	hardUnsaved      bool // hard has changed since the last Ready
+	log                   // the snapshot and the entries in memory
+	membership       Membership
+	membershipIndex  uint64 // index of the entry that set membership
+	savedIndex       uint64 // last entry on this node's disk
+	firstUnsaved     uint64 // first entry that no Ready has contained yet; 0: none
+	receivedSnapshot *Snapshot
+	incomingSnapshot *incomingSnapshot
+	commitIndex      uint64
+	deliveredIndex   uint64 // last committed entry that a Ready has contained
+
+	role             Role
+	leader           string
+	leaderAddr       string
+	leaderHeardAt    time.Time
+	currentAsOf      time.Time      // everything acknowledged before this time is committed here
+	pendingFreshness freshnessPoint // its time replaces currentAsOf once its index is committed here
+	deadline         time.Time      // when the next election starts; at the leader, the next heartbeat round
+	votes            map[string]bool
+	voteTimestamps   map[string]Stamp // timestamps received with the votes
+	contacts         []string         // addresses that are sent a Join while there is no leader
+	nextJoinAt       time.Time
+	leaving          bool
+	leaveDone        bool
+	nextLeaveAt      time.Time // when the next Leave is sent
+
+	peers               map[string]*progress
+	retiredIDs          map[string]bool // member IDs that were replaced in this term by a new ID of the same machine
+	currentRound        uint64
+	pendingRounds       []heartbeatRound
+	previousRoundCommit uint64    // commit index when the last heartbeat round but one began
+	currentRoundCommit  uint64    // commit index when the last heartbeat round began
+	majorityRoundAt     time.Time // start of the last heartbeat round that a majority has answered
+	barriers            []barrier
+	messages            []Message
+	reads               []Read
+
+	Attended func(seen []string) // called at the leader with the nodes that have polled its followers; may be nil
+	SeenHere func() []string     // returns the nodes that have recently polled this process; may be nil
 }
 
-// progress is what a leader knows of another machine.
+// progress is the leader's record of a peer.
 type progress struct {
 	Member
-	voter       bool
-	match, next uint64
-	window      []sent // batches that are not answered yet
-	heard       time.Time
-	round       uint64 // the last one that it answered
-	latest      Stamp  // its own time stamp of its last answer
-	stamp       Stamp  // of an answer that waits to be confirmed
-	stampRound  uint64 // by this round, the first that began after that answer; 0: none waits
-	confirmed   Stamp  // the newest one that a later round has confirmed
-	confirmedAt uint64 // and what was committed then
-	leaving     time.Time
-	transfer    *transfer
+	voter              bool
+	match, next        uint64          // last entry known to be on the peer's disk, and the next one to send
+	inFlight           []inFlightBatch // batches not acknowledged yet
+	heardAt            time.Time
+	answeredRound      uint64    // last heartbeat round that the peer answered
+	latestTimestamp    Stamp     // timestamp of the peer's last answer
+	pendingTimestamp   Stamp     // timestamp of an answer that is not confirmed yet
+	pendingRound       uint64    // the first round that began after that answer, which confirms it; 0: no answer is waiting
+	confirmedTimestamp Stamp     // newest timestamp that a later round has confirmed
+	confirmedCommit    uint64    // commit index when that round was confirmed
+	leaveAskedAt       time.Time // when the peer last asked to leave
+	outgoingSnapshot   *outgoingSnapshot
 }
 
-// New returns a node from what is on its disk.
+// New returns a node that starts from the state on its disk.
 func New(c Config, now time.Time) *Node {
-	n := &Node{self: c.Self, timing: c.Timing, tolerate: c.Tolerate, weak: c.Weak, limits: c.Limits, rng: rand.New(rand.NewPCG(c.Seed, 0x9e3779b97f4a7c15)),
-		start: now, now: now, hard: c.Hard, log: newLog(c.Snapshot, c.Entries), commit: c.Snapshot.Index, taken: c.Snapshot.Index,
+	n := &Node{self: c.Self, timing: c.Timing, tolerate: c.Tolerate, faults: c.Weak, limits: c.Limits,
+		rng: rand.New(rand.NewPCG(c.Seed, 0x9e3779b97f4a7c15)), startedAt: now, now: now,
+		hard: c.Hard, log: newLog(c.Snapshot, c.Entries), commitIndex: c.Snapshot.Index, deliveredIndex: c.Snapshot.Index,
 		contacts: c.Contacts}
 	if n.limits == (Limits{}) {
 		n.limits = UsualLimits
 	}
-	n.process = n.rng.Uint64() | 1
-	n.saved = n.last()
-	n.refresh()
-	n.follow("", "")
-	// After a start nobody may lead, as when all were without power: asking early unseats no leader that is there.
+	n.processID = n.rng.Uint64() | 1
+	n.savedIndex = n.lastIndex()
+	n.refreshMembership()
+	n.becomeFollower("", "")
+	// After a start there may be no leader, for example after a power failure of all machines. Starting the first pre-vote
+	// early does not depose a leader that exists.
 	n.deadline = now.Add(n.timing.Election/4 + time.Duration(n.rng.Int64N(int64(n.timing.Election/2))))
 	return n
 }
 
-// SetContacts names others that may know a leader, in the place of those named before.
+// SetContacts replaces the addresses of other machines, which may know the leader.
 func (n *Node) SetContacts(addrs []string) { n.contacts = addrs }
 
-// Role is the node's role.
+// Role returns the node's current role.
 func (n *Node) Role() Role { return n.role }
 
-// Term is the node's term.
+// Term returns the node's current term.
 func (n *Node) Term() uint64 { return n.hard.Term }
 
-// Commit is the last entry that is surely kept.
-func (n *Node) Commit() uint64 { return n.commit }
+// Commit returns the commit index.
+func (n *Node) Commit() uint64 { return n.commitIndex }
 
-// Leader returns the leader's ID and address; empty if none is known.
-func (n *Node) Leader() (id, addr string) { return n.leader, n.leaderAt }
+// Leader returns the ID and address of the leader, or empty strings if none is known.
+func (n *Node) Leader() (id, addr string) { return n.leader, n.leaderAddr }
 
-// Self is the node as a member.
+// Self returns the ID and address of this node.
 func (n *Node) Self() Member { return n.self }
 
-// Membership is the membership in force, by the log as held.
+// Membership returns the latest membership in this node's log, committed or not.
 func (n *Node) Membership() Membership { return n.membership }
 
-// Live tells, at the leader, which members have been heard within the span.
+// Live returns the members that the leader has heard from within the given duration, and the leader itself. It is meaningful
+// only at the leader.
 func (n *Node) Live(within time.Duration) (live []Member) {
 	for _, m := range n.membership.All() {
-		if p := n.peers[m.ID]; m.ID == n.self.ID || p != nil && n.now.Sub(p.heard) < within {
+		if p := n.peers[m.ID]; m.ID == n.self.ID || p != nil && n.now.Sub(p.heardAt) < within {
 			live = append(live, m)
 		}
 	}
 	return live
 }
 
-// become is the one place where the role changes.
+// become changes the role. No other function does.
 func (n *Node) become(role Role, leader, addr string) {
 	if n.role == Leader && role != Leader {
 		for _, b := range n.barriers {
 			n.reads = append(n.reads, Read{Token: b.token})
 		}
-		n.barriers, n.peers, n.rounds, n.retired = nil, nil, nil, nil
+		n.barriers, n.peers, n.pendingRounds, n.retiredIDs = nil, nil, nil, nil
 	}
-	n.role, n.leader, n.leaderAt = role, leader, addr
+	n.role, n.leader, n.leaderAddr = role, leader, addr
 	n.votes = nil
 	switch role {
 	case PreCandidate, Candidate:
-		n.votes, n.stamps = map[string]bool{n.self.ID: true}, map[string]Stamp{}
+		n.votes, n.voteTimestamps = map[string]bool{n.self.ID: true}, map[string]Stamp{}
 	case Leader:
-		n.peers, n.retired, n.majorityAt = map[string]*progress{}, map[string]bool{}, n.now
-		n.trackMembers()
-		for id, stamp := range n.stamps {
+		n.peers, n.retiredIDs, n.majorityRoundAt = map[string]*progress{}, map[string]bool{}, n.now
+		n.updatePeers()
+		for id, timestamp := range n.voteTimestamps {
 			if p := n.peers[id]; p != nil {
-				p.stamp, p.stampRound = stamp, n.round+1
+				p.pendingTimestamp, p.pendingRound = timestamp, n.currentRound+1
 			}
 		}
 	}
 }
 
-func (n *Node) follow(leader, addr string) {
+// becomeFollower makes the node a follower of the given leader, or of none, and restarts its election timeout.
+func (n *Node) becomeFollower(leader, addr string) {
 	n.become(Follower, leader, addr)
-	n.deadline = n.now.Add(n.electionTime())
+	n.deadline = n.now.Add(n.electionTimeout())
 }
 
-// enter takes a higher term on.
-func (n *Node) enter(term uint64) {
+// adoptTerm moves to a higher term, without a vote in it.
+func (n *Node) adoptTerm(term uint64) {
 	if term > n.hard.Term {
-		n.hard, n.dirty = HardState{Term: term}, true
+		n.hard, n.hardUnsaved = HardState{Term: term}, true
 	}
 }
 
-// Tick brings the time.
+// Tick advances the node's time and starts whatever is due.
 func (n *Node) Tick(now time.Time) {
 	n.now = now
-	n.askToLeave()
+	n.sendLeave()
 	if n.role == Leader {
 		n.tickLeader()
 		return
 	}
 	if !now.Before(n.deadline) {
-		n.stand(false)
+		n.campaign(false)
 	}
-	if (n.leader == "" || now.Sub(n.heard) > n.timing.Election) && !n.leaving && !now.Before(n.joinAt) {
-		n.joinAt = now.Add(n.timing.Election / 2)
-		n.askForLeader()
+	if (n.leader == "" || now.Sub(n.leaderHeardAt) > n.timing.Election) && !n.leaving && !now.Before(n.nextJoinAt) {
+		n.nextJoinAt = now.Add(n.timing.Election / 2)
+		n.sendJoinRequests()
 	}
 }
 
-// tickLeader looks first whether this node may still lead: one that was stopped judges nobody by the time that it slept.
+// tickLeader first checks whether this node may still lead, so that a node that was suspended does not take the time of its own
+// suspension for the silence of its peers.
 func (n *Node) tickLeader() {
-	if n.now.Sub(n.majorityAt) > 2*n.timing.Election {
-		n.follow("", "") // cut off, or stopped: others may have a leader
+	if n.now.Sub(n.majorityRoundAt) > 2*n.timing.Election {
+		n.becomeFollower("", "") // partitioned or suspended: another leader may have been elected
 		return
 	}
 	if !n.now.Before(n.deadline) {
@@ -273,23 +288,24 @@
 	n.maintainMembership()
 }
 
-// askForLeader looks for a leader among all addresses that are known.
-func (n *Node) askForLeader() {
+// sendJoinRequests looks for the leader by sending a Join to every known address.
+func (n *Node) sendJoinRequests() {
 	asked := map[string]bool{n.self.Addr: true}
-	tell := func(addr string) {
+	sendJoin := func(addr string) {
 		if addr != "" && !asked[addr] {
 			asked[addr] = true
-			n.send(Member{Addr: addr}, Message{Join: &Join{LastIndex: n.last()}})
+			n.send(Member{Addr: addr}, Message{Join: &Join{LastIndex: n.lastIndex()}})
 		}
 	}
-	for _, a := range n.contacts {
-		tell(a)
+	for _, contact := range n.contacts {
+		sendJoin(contact)
 	}
 	for _, m := range n.membership.All() {
-		tell(m.Addr)
+		sendJoin(m.Addr)
 	}
 }
 
+// send queues a message to another machine, under the current term unless m.Term is set.
 func (n *Node) send(to Member, m Message) {
 	m.From, m.To, m.Addr, m.ToAddr = n.self.ID, to.ID, n.self.Addr, to.Addr
 	if m.Term == 0 {
@@ -298,10 +314,10 @@
 	n.messages = append(n.messages, m)
 }
 
-// Step brings a message.
+// Step processes a received message at the given time.
 func (n *Node) Step(now time.Time, m Message) {
 	n.now = now
-	if m.To != "" && m.To != n.self.ID { // meant for who had this address before
+	if m.To != "" && m.To != n.self.ID { // addressed to a previous member at this address
 		return
 	}
 	switch {
@@ -311,32 +327,32 @@
 	case m.Term > n.hard.Term && !n.onHigherTerm(m):
 		return
 	case m.Term < n.hard.Term:
-		n.refuse(m)
+		n.rejectOldTerm(m)
 		return
 	}
 	n.dispatch(m)
 }
 
-// onHigherTerm takes the term of a message on; false if the message is to be passed over. What belongs to a pre-vote is of a
-// term that nobody has entered.
+// onHigherTerm adopts the higher term of a message. It returns false if the message must be ignored. Pre-vote messages do not
+// change the term, since they carry one that nobody has entered.
 func (n *Node) onHigherTerm(m Message) bool {
 	if m.PreVote != nil || m.PreVoteReply != nil && m.PreVoteReply.Granted {
 		return true
 	}
-	if m.Vote != nil && !m.Vote.Transfer && n.hearsLeader() && n.role != Leader {
-		return false // whoever stands has not asked before
+	if m.Vote != nil && !m.Vote.Transfer && n.hasLiveLeader() && n.role != Leader {
+		return false // the candidate did not ask in a pre-vote first
 	}
-	n.enter(m.Term)
-	n.follow("", "")
+	n.adoptTerm(m.Term)
+	n.becomeFollower("", "")
 	return true
 }
 
-// refuse answers what comes under an older term, so that its sender takes the present one on.
-func (n *Node) refuse(m Message) {
+// rejectOldTerm answers a message of an older term, so that its sender adopts the current one.
+func (n *Node) rejectOldTerm(m Message) {
 	to := Member{m.From, m.Addr}
 	switch {
 	case m.Append != nil, m.Piece != nil:
-		n.send(to, Message{Appended: &Appended{Rejected: true, Match: n.commit}})
+		n.send(to, Message{Appended: &Appended{Rejected: true, Match: n.commitIndex}})
 	case m.PreVote != nil:
 		n.send(to, Message{PreVoteReply: &VoteReply{}})
 	case m.Vote != nil:
@@ -344,6 +360,7 @@
 	}
 }
 
+// dispatch passes a message of the current term, or a pre-vote message, to its handler.
 func (n *Node) dispatch(m Message) {
 	switch {
 	case m.PreVote != nil:
@@ -357,14 +374,14 @@
 	case m.Append != nil:
 		n.onAppend(m)
 	case m.Appended != nil:
-		n.onAppended(m)
+		n.onAppendReply(m)
 	case m.Piece != nil:
-		n.onPiece(m)
+		n.onSnapshotPiece(m)
 	case m.PieceTaken != nil:
-		n.onPieceTaken(m)
+		n.onSnapshotPieceReply(m)
 	case m.TakeOver != nil:
 		if n.leader == m.From {
-			n.stand(true)
+			n.campaign(true)
 		}
 	case m.Leave != nil:
 		n.onLeave(m)
@@ -373,26 +390,26 @@
 	}
 }
 
-// Held is all that a disk needs to hold: for a new generation of it.
-func (n *Node) Held() (HardState, Snapshot, []Entry) { return n.hard, n.snap, n.behindSnapshot() }
+// Held returns the complete state that must be on disk, from which the host writes a new journal.
+func (n *Node) Held() (HardState, Snapshot, []Entry) { return n.hard, n.snap, n.afterSnapshot() }
 
-// Take returns what is to be done, and counts it as done.
+// Take returns the pending work and removes it from the node: the host must carry it out.
 func (n *Node) Take() Ready {
 	var r Ready
-	if n.dirty {
+	if n.hardUnsaved {
 		h := n.hard
-		r.Hard, n.dirty = &h, false
+		r.Hard, n.hardUnsaved = &h, false
 	}
-	r.Snapshot, n.received = n.received, nil
-	if n.unsaved > 0 {
-		r.Entries = slices.Clone(n.between(max(n.unsaved, n.snap.Index+1), n.last()))
-		n.unsaved = 0
+	r.Snapshot, n.receivedSnapshot = n.receivedSnapshot, nil
+	if n.firstUnsaved > 0 {
+		r.Entries = slices.Clone(n.between(max(n.firstUnsaved, n.snap.Index+1), n.lastIndex()))
+		n.firstUnsaved = 0
 	}
 	r.Messages, n.messages = n.messages, nil
 	r.Reads, n.reads = n.reads, nil
-	if n.commit > n.taken {
-		r.Committed = slices.Clone(n.between(n.taken+1, n.commit))
-		n.taken = n.commit
+	if n.commitIndex > n.deliveredIndex {
+		r.Committed = slices.Clone(n.between(n.deliveredIndex+1, n.commitIndex))
+		n.deliveredIndex = n.commitIndex
 	}
 	return r
 }
--- a/internal/cdn/consensus/reads.go
+++ b/internal/cdn/consensus/reads.go
@@ -2,63 +2,66 @@
 
 import "time"
 
-// This file is what a node knows of its being current: rounds of heartbeats, the read barriers that wait for them, and a
-// follower's knowledge that its leader led a majority.
+// This file tracks how current a node's state is: heartbeat rounds, the read barriers that wait for them, and a follower's
+// knowledge of when its leader last led a majority.
 
-// Read is the end of a read barrier: what is applied up to Index answers the read with Token; not OK: this node can't tell.
+// Read is the result of a read barrier.
 type Read struct {
-	Token, Index uint64
-	OK           bool
+	Token, Index uint64 // the token passed to Barrier, and the index up to which the host must have applied entries before it reads
+	OK           bool   // false: the barrier failed, since this node is not a leader that can confirm it
 }
 
+// barrier is a read barrier that waits for a majority to answer a heartbeat round.
 type barrier struct{ token, index, round uint64 }
 
-// round is a question to all followers, and when it began.
-type round struct {
-	number uint64
-	at     time.Time
+// heartbeatRound is a heartbeat to all followers that they have to answer.
+type heartbeatRound struct {
+	number    uint64
+	startedAt time.Time
 }
 
-const mostRounds = 64
+// maxPendingRounds is the number of unanswered heartbeat rounds that are remembered.
+const maxPendingRounds = 64
 
-// Barrier asks for a read barrier; its end comes with Ready. It ends well only after a majority has answered a round that
-// began after the call.
+// Barrier starts a read barrier; its result comes with a later Ready. It succeeds only after a majority has answered a
+// heartbeat round that began after the call. The round begins with the next Flush.
 func (n *Node) Barrier(token uint64) {
-	if n.role != Leader || !n.leads() {
+	if n.role != Leader || !n.committedInTerm() {
 		n.reads = append(n.reads, Read{Token: token})
 		return
 	}
-	if n.weak.ReadWithoutRound {
-		n.reads = append(n.reads, Read{Token: token, Index: n.commit, OK: true})
+	if n.faults.ReadWithoutRound {
+		n.reads = append(n.reads, Read{Token: token, Index: n.commitIndex, OK: true})
 		return
 	}
-	n.barriers = append(n.barriers, barrier{token, n.commit, n.round + 1}) // of the next round, which Flush begins
+	n.barriers = append(n.barriers, barrier{token, n.commitIndex, n.currentRound + 1}) // waits for the next round, which Flush begins
 }
 
-// beginRound asks every follower for a word.
+// beginRound starts a heartbeat round.
 func (n *Node) beginRound() {
-	n.round++
-	n.roundCommit, n.lastCommit = n.lastCommit, n.commit
-	n.rounds = append(n.rounds, round{n.round, n.now})
-	if len(n.rounds) > mostRounds {
-		n.rounds = n.rounds[1:]
+	n.currentRound++
+	n.previousRoundCommit, n.currentRoundCommit = n.currentRoundCommit, n.commitIndex
+	n.pendingRounds = append(n.pendingRounds, heartbeatRound{n.currentRound, n.now})
+	if len(n.pendingRounds) > maxPendingRounds {
+		n.pendingRounds = n.pendingRounds[1:]
 	}
 	n.deadline = n.now.Add(n.timing.Heartbeat)
-	n.eachPeer(func(p *progress) { n.replicate(p, true) })
-	n.settleRounds()
+	n.forEachPeer(func(p *progress) { n.replicate(p, true) })
+	n.completeRounds()
 }
 
-// settleRounds ends the rounds that a majority has answered, and the barriers that wait for them.
-func (n *Node) settleRounds() {
-	answered := n.quorumReached(n.round, func(p *progress) uint64 { return p.round })
-	for len(n.rounds) > 0 && n.rounds[0].number <= answered {
-		n.majorityAt = n.rounds[0].at
-		n.rounds = n.rounds[1:]
+// completeRounds completes the heartbeat rounds that a majority has answered, the barriers that wait for them, and the
+// timestamps that they confirm.
+func (n *Node) completeRounds() {
+	answered := n.quorumValue(n.currentRound, func(p *progress) uint64 { return p.answeredRound })
+	for len(n.pendingRounds) > 0 && n.pendingRounds[0].number <= answered {
+		n.majorityRoundAt = n.pendingRounds[0].startedAt
+		n.pendingRounds = n.pendingRounds[1:]
 	}
 	for _, p := range n.peers {
-		if p.stampRound > 0 && p.stampRound <= answered && n.leads() {
-			p.confirmed, p.confirmedAt = p.stamp, n.commit
-			p.stamp, p.stampRound = p.latest, n.round+1
+		if p.pendingRound > 0 && p.pendingRound <= answered && n.committedInTerm() {
+			p.confirmedTimestamp, p.confirmedCommit = p.pendingTimestamp, n.commitIndex
+			p.pendingTimestamp, p.pendingRound = p.latestTimestamp, n.currentRound+1
 		}
 	}
 	for len(n.barriers) > 0 && n.barriers[0].round <= answered {
@@ -67,64 +70,66 @@
 	}
 }
 
-// contact is what goes with a message to a follower.
-func (n *Node) contact(p *progress) Contact {
-	return Contact{Round: n.round, Confirmed: p.confirmed, ConfirmedIndex: p.confirmedAt}
+// newContact returns the Contact of a message to a follower.
+func (n *Node) newContact(p *progress) Contact {
+	return Contact{Round: n.currentRound, Confirmed: p.confirmedTimestamp, ConfirmedIndex: p.confirmedCommit}
 }
 
-// answer is what goes with an answer to the leader.
-func (n *Node) answer(c Contact) Answer {
-	a := Answer{Round: c.Round, Sent: n.stampNow()}
+// newAnswer returns the Answer of a reply to the leader.
+func (n *Node) newAnswer(c Contact) Answer {
+	a := Answer{Round: c.Round, Sent: n.timestampNow()}
 	if n.SeenHere != nil {
 		a.Seen = n.SeenHere()
 	}
 	return a
 }
 
-func (n *Node) stampNow() Stamp { return Stamp{n.process, n.now.Sub(n.start)} }
+// timestampNow returns the current time as this node's own timestamp.
+func (n *Node) timestampNow() Stamp { return Stamp{n.processID, n.now.Sub(n.startedAt)} }
 
-// promise is a time by this node's clock, and an index: once all up to it is committed here, all that was acknowledged before
-// that time is held.
-type promise struct {
+// freshnessPoint is a time on this node's clock and an index: once all entries up to index are committed here, this node holds
+// everything that was acknowledged before that time.
+type freshnessPoint struct {
 	at    time.Time
 	index uint64
 }
 
-// confirm notes that the leader led a majority after this node's own time stamp. The stamp was set when an answer was sent:
-// however long messages were on their way, or this node stopped, it never seems newer than it is. A promise that waits is
-// kept until it is met: a newer one would always be ahead of a node that lags.
-func (n *Node) confirm(c Contact) {
-	if c.Confirmed.Process == n.process && n.promised.at.IsZero() { // else none yet, or of a process that this machine ran before
-		n.promised = promise{n.start.Add(c.Confirmed.At), c.ConfirmedIndex}
+// confirmFreshness records that the leader led a majority after one of this node's own timestamps. The timestamp was taken when
+// an answer was sent, so the state never seems newer than it is, however long messages were delayed or this node was suspended.
+// A pending freshness point is kept until it is reached: replacing it by newer ones would leave a lagging node behind forever.
+func (n *Node) confirmFreshness(c Contact) {
+	if c.Confirmed.Process == n.processID && n.pendingFreshness.at.IsZero() { // other timestamps are unset or from a previous process
+		n.pendingFreshness = freshnessPoint{n.startedAt.Add(c.Confirmed.At), c.ConfirmedIndex}
 	}
-	n.meetPromise()
+	n.updateFreshness()
 }
 
-// meetPromise is called whenever more may be committed here.
-func (n *Node) meetPromise() {
-	if n.promised.at.IsZero() || n.commit < n.promised.index {
+// updateFreshness completes the pending freshness point once its index is committed here. It must be called whenever the commit
+// index may have moved.
+func (n *Node) updateFreshness() {
+	if n.pendingFreshness.at.IsZero() || n.commitIndex < n.pendingFreshness.index {
 		return
 	}
-	if n.promised.at.After(n.confirmed) {
-		n.confirmed = n.promised.at
+	if n.pendingFreshness.at.After(n.currentAsOf) {
+		n.currentAsOf = n.pendingFreshness.at
 	}
-	n.promised = promise{}
+	n.pendingFreshness = freshnessPoint{}
 }
 
-// CurrentAt is the moment, by this node's own clock, as of which what it holds is surely current: a leader led a majority after
-// it, and all that had been acknowledged by then is committed here. The zero time: no such moment is known.
+// CurrentAt returns the time, on this node's own clock, as of which its state is known to be current: a leader led a majority
+// after it, and everything acknowledged by then is committed here. It returns the zero time if no such time is known.
 func (n *Node) CurrentAt() time.Time {
 	switch {
-	case n.role == Leader && n.leads():
-		return n.majorityAt
+	case n.role == Leader && n.committedInTerm():
+		return n.majorityRoundAt
 	case n.role == Leader || n.leader == "":
 		return time.Time{}
 	}
-	return n.confirmed
+	return n.currentAsOf
 }
 
-// Fresh tells whether what this node holds is no older than the span.
-func (n *Node) Fresh(span time.Duration) bool {
+// Fresh reports whether this node's state was current less than maxAge ago.
+func (n *Node) Fresh(maxAge time.Duration) bool {
 	at := n.CurrentAt()
-	return !at.IsZero() && n.now.Before(at.Add(span))
+	return !at.IsZero() && n.now.Before(at.Add(maxAge))
 }
--- a/internal/cdn/consensus/replication.go
+++ b/internal/cdn/consensus/replication.go
@@ -6,127 +6,134 @@
 )
 
 const (
-	batchEntries = 256       // of one message at most
-	batchBytes   = 128 << 10 // as well
-	windowBytes  = 1 << 20   // that may be under way to one peer
-	ahead        = 4096      // entries that may be proposed and not committed
+	maxBatchEntries  = 256       // entries in one message
+	maxBatchBytes    = 128 << 10 // entry data in one message
+	maxInFlightBytes = 1 << 20   // entry data sent to one peer and not acknowledged; a further batch waits once it is reached
+	maxUncommitted   = 4096      // entries proposed and not committed; further proposals are refused
 )
 
-// sent is a batch on its way: the last entry of it, and its size.
-type sent struct {
-	last  uint64
-	bytes int
+// inFlightBatch is a batch of entries sent to a peer and not acknowledged yet.
+type inFlightBatch struct {
+	last  uint64 // index of its last entry
+	bytes int    // size of its entry data
 }
 
-func (p *progress) underWay() (bytes int) {
-	for _, s := range p.window {
-		bytes += s.bytes
+// inFlightBytes returns the size of the entry data that the peer has not acknowledged yet.
+func (p *progress) inFlightBytes() (bytes int) {
+	for _, batch := range p.inFlight {
+		bytes += batch.bytes
 	}
 	return bytes
 }
 
-// restart goes on from what a peer says that it holds.
-func (p *progress) restart(held uint64) {
-	p.next, p.window = held+1, nil
-	p.match = min(p.match, held) // if it has lost what it had, it says so itself
+// resetTo restarts replication after the last entry that the peer may hold.
+func (p *progress) resetTo(held uint64) {
+	p.next, p.inFlight = held+1, nil
+	p.match = min(p.match, held) // lower than before only if the peer itself reports that it has lost entries
 }
 
-// answered notes what a peer holds on disk.
-func (p *progress) answered(match uint64) {
+// acknowledge records that the peer holds all entries up to match on disk.
+func (p *progress) acknowledge(match uint64) {
 	p.match = max(p.match, match)
 	p.next = max(p.next, p.match+1)
-	p.window = slices.DeleteFunc(p.window, func(s sent) bool { return s.last <= p.match })
+	p.inFlight = slices.DeleteFunc(p.inFlight, func(batch inFlightBatch) bool { return batch.last <= p.match })
 }
 
-// append adds an entry to the leader's log.
-func (n *Node) append(e Entry) uint64 {
-	e.Index, e.Term = n.last()+1, n.hard.Term
+// appendEntry adds an entry to the leader's log and returns its index.
+func (n *Node) appendEntry(e Entry) uint64 {
+	e.Index, e.Term = n.lastIndex()+1, n.hard.Term
 	n.entries = append(n.entries, e)
 	n.markUnsaved(e.Index)
 	if e.Membership != nil {
-		n.refresh()
-		n.trackMembers()
+		n.refreshMembership()
+		n.updatePeers()
 	}
 	return e.Index
 }
 
-// markUnsaved notes that entries from an index on are to be saved.
+// markUnsaved records that the entries from an index on have to be saved.
 func (n *Node) markUnsaved(index uint64) {
-	if n.unsaved == 0 || index < n.unsaved {
-		n.unsaved = index
+	if n.firstUnsaved == 0 || index < n.firstUnsaved {
+		n.firstUnsaved = index
 	}
-	n.saved = min(n.saved, index-1)
+	n.savedIndex = min(n.savedIndex, index-1)
 }
 
-// Propose adds a change. Its fate is known when the entry of this index is committed: with this term it is this one.
+// Propose appends data to the log as a new entry. The proposal has succeeded once an entry with the returned index and term is
+// committed, and has failed if the entry committed at that index has another term. It returns false if the node is not the
+// leader or too many entries are uncommitted.
 func (n *Node) Propose(data []byte) (index, term uint64, ok bool) {
-	if n.role != Leader || n.last()-n.commit > ahead {
+	if n.role != Leader || n.lastIndex()-n.commitIndex > maxUncommitted {
 		return 0, 0, false
 	}
-	return n.append(Entry{Data: data}), n.hard.Term, true
+	return n.appendEntry(Entry{Data: data}), n.hard.Term, true
 }
 
-// Flush lets the leader tell its followers of what was proposed, after a batch, and begins the round of barriers asked for.
+// Flush sends the entries proposed since the last call to the followers, so that proposals are batched. If read barriers wait
+// for a new heartbeat round it begins that round instead, which sends the entries as well.
 func (n *Node) Flush() {
-	if k := len(n.barriers); k > 0 && n.barriers[k-1].round > n.round {
+	if k := len(n.barriers); k > 0 && n.barriers[k-1].round > n.currentRound {
 		n.beginRound()
 	} else if n.role == Leader {
-		n.eachPeer(func(p *progress) { n.replicate(p, false) })
+		n.forEachPeer(func(p *progress) { n.replicate(p, false) })
 	}
 }
 
-// replicate sends what a follower lacks; always: a heartbeat if it lacks nothing.
-func (n *Node) replicate(p *progress, always bool) {
-	if p.next <= n.offset || p.transfer != nil {
-		n.sendPiece(p, always)
+// replicate sends a peer the entries or the piece of a snapshot that it lacks. If there is nothing to send, or too much is in
+// flight, it sends a heartbeat if asked to, and otherwise nothing.
+func (n *Node) replicate(p *progress, heartbeat bool) {
+	if p.next <= n.offset || p.outgoingSnapshot != nil {
+		n.sendSnapshotPiece(p, heartbeat)
 		return
 	}
-	a := &Append{Contact: n.contact(p), PrevIndex: p.next - 1, Commit: n.commit}
+	a := &Append{Contact: n.newContact(p), PrevIndex: p.next - 1, Commit: n.commitIndex}
 	a.PrevTerm, _ = n.term(a.PrevIndex)
-	if p.next <= n.last() && p.underWay() < windowBytes {
-		entries, bytes := n.batch(p.next, batchBytes)
+	if p.next <= n.lastIndex() && p.inFlightBytes() < maxInFlightBytes {
+		entries, bytes := n.batch(p.next, maxBatchBytes)
 		a.Entries = slices.Clone(entries)
 		p.next += uint64(len(entries))
-		p.window = append(p.window, sent{p.next - 1, bytes})
-	} else if !always {
+		p.inFlight = append(p.inFlight, inFlightBatch{p.next - 1, bytes})
+	} else if !heartbeat {
 		return
 	}
 	n.send(p.Member, Message{Append: a})
 }
 
-// Saved tells that all that Ready named is on disk.
+// Saved tells the node that everything in the Readys taken so far is on disk.
 func (n *Node) Saved() {
-	if n.unsaved == 0 {
-		n.saved = n.last()
+	if n.firstUnsaved == 0 {
+		n.savedIndex = n.lastIndex()
 	} else {
-		n.saved = max(n.saved, n.unsaved-1)
+		n.savedIndex = max(n.savedIndex, n.firstUnsaved-1)
 	}
 	if n.role == Leader {
-		n.advance()
+		n.advanceCommit()
 	}
 }
 
-// advance commits what a majority has on disk, of each set that votes. An entry of an older term is committed with one of this term alone.
-func (n *Node) advance() {
-	most := n.quorumReached(n.saved, func(p *progress) uint64 { return p.match })
-	if t, ok := n.term(most); !ok || most <= n.commit || t != n.hard.Term {
+// advanceCommit moves the commit index to the last entry that a majority of each voter set has on disk. An entry of an older
+// term is committed only together with one of the current term.
+func (n *Node) advanceCommit() {
+	quorumIndex := n.quorumValue(n.savedIndex, func(p *progress) uint64 { return p.match })
+	if t, ok := n.term(quorumIndex); !ok || quorumIndex <= n.commitIndex || t != n.hard.Term {
 		return
 	}
-	n.commit = most
-	n.eachPeer(func(p *progress) { n.replicate(p, true) }) // they hand it on to those who wait for news
-	if n.membershipAt <= n.commit && !n.membership.Contains(n.self.ID) {
-		n.follow("", "") // it led a change to a membership that it is not in
+	n.commitIndex = quorumIndex
+	n.forEachPeer(func(p *progress) { n.replicate(p, true) }) // at once: followers pass commits on to waiting clients
+	if n.membershipIndex <= n.commitIndex && !n.membership.Contains(n.self.ID) {
+		n.becomeFollower("", "") // this node has led the change that removed it
 	}
 }
 
-// quorumReached is the highest value that a majority of each set has reached.
-func (n *Node) quorumReached(own uint64, of func(*progress) uint64) uint64 {
+// quorumValue returns the highest value that a majority of each voter set has reached. The value of this node is ownValue,
+// that of a peer is returned by peerValue, and that of any other member is 0.
+func (n *Node) quorumValue(ownValue uint64, peerValue func(*progress) uint64) uint64 {
 	value := func(id string) uint64 {
 		if id == n.self.ID {
-			return own
+			return ownValue
 		}
 		if p := n.peers[id]; p != nil {
-			return of(p)
+			return peerValue(p)
 		}
 		return 0
 	}
@@ -137,6 +144,7 @@
 	return reached
 }
 
+// majorityValue returns the highest value that a majority of the members has reached.
 func majorityValue(members []Member, value func(id string) uint64) uint64 {
 	if len(members) == 0 {
 		return 0
@@ -149,11 +157,12 @@
 	return values[len(values)-majority(len(values))]
 }
 
-// leads tells whether the leader has committed something of its own term: before that its commit may be old.
-func (n *Node) leads() bool { t, _ := n.term(n.commit); return t == n.hard.Term }
+// committedInTerm reports whether an entry of the current term is committed. Until then a new leader's commit index may be
+// behind entries that its predecessor has committed.
+func (n *Node) committedInTerm() bool { t, _ := n.term(n.commitIndex); return t == n.hard.Term }
 
-// eachPeer goes through the peers in one order, so that a simulation comes out the same each time.
-func (n *Node) eachPeer(do func(*progress)) {
+// forEachPeer calls do for every peer in a fixed order, so that simulations are reproducible.
+func (n *Node) forEachPeer(do func(*progress)) {
 	for _, id := range sortedIDs(n.peers) {
 		do(n.peers[id])
 	}
@@ -161,43 +170,44 @@
 
 func sortedIDs(peers map[string]*progress) []string { return slices.Sorted(maps.Keys(peers)) }
 
-// hearLeader notes that a leader of the present term was heard; false if it is to be passed over.
-func (n *Node) hearLeader(m Message, c Contact) bool {
+// observeLeader records a message from the leader of the current term. It returns false if the message must be ignored.
+func (n *Node) observeLeader(m Message, c Contact) bool {
 	if n.role == Leader {
-		return false // two leaders of one term: it can't be, and nothing of it is taken
+		return false // two leaders in one term can't occur; ignore the other one
 	}
 	if n.role != Follower || n.leader != m.From {
-		n.follow(m.From, m.Addr)
+		n.becomeFollower(m.From, m.Addr)
 	}
-	n.heard, n.deadline = n.now, n.now.Add(n.electionTime())
-	n.confirm(c)
+	n.leaderHeardAt, n.deadline = n.now, n.now.Add(n.electionTimeout())
+	n.confirmFreshness(c)
 	return true
 }
 
-// onAppend follows a leader of the present term.
+// onAppend handles entries and heartbeats from the leader of the current term.
 func (n *Node) onAppend(m Message) {
 	a := m.Append
-	if !n.hearLeader(m, a.Contact) {
+	if !n.observeLeader(m, a.Contact) {
 		return
 	}
 	leader := Member{m.From, m.Addr}
 	if t, ok := n.term(a.PrevIndex); (!ok || t != a.PrevTerm) && a.PrevIndex > n.snap.Index {
-		n.send(leader, Message{Appended: &Appended{Answer: n.answer(a.Contact), Rejected: true, Match: n.lastAlike(a)}})
+		n.send(leader, Message{Appended: &Appended{Answer: n.newAnswer(a.Contact), Rejected: true, Match: n.lastPossibleMatch(a)}})
 		return
 	}
 	for _, e := range a.Entries {
-		n.takeEntry(e)
+		n.storeEntry(e)
 	}
 	lastNew := a.PrevIndex + uint64(len(a.Entries))
-	n.commit = max(n.commit, min(a.Commit, lastNew))
-	n.meetPromise()
-	n.send(leader, Message{Appended: &Appended{Answer: n.answer(a.Contact), Match: max(lastNew, n.snap.Index)}})
+	n.commitIndex = max(n.commitIndex, min(a.Commit, lastNew))
+	n.updateFreshness()
+	n.send(leader, Message{Appended: &Appended{Answer: n.newAnswer(a.Contact), Match: max(lastNew, n.snap.Index)}})
 }
 
-// lastAlike is the last entry that may be held alike, where the one before an Append's entries is not: a term at a time.
-func (n *Node) lastAlike(a *Append) uint64 {
-	index := min(n.last(), a.PrevIndex-1)
-	for index > n.commit {
+// lastPossibleMatch returns the index of the last entry that may match the leader's log, given that the entry before an Append's
+// entries does not. It skips all entries of newer terms at once.
+func (n *Node) lastPossibleMatch(a *Append) uint64 {
+	index := min(n.lastIndex(), a.PrevIndex-1)
+	for index > n.commitIndex {
 		if t, _ := n.term(index); t <= a.PrevTerm {
 			break
 		}
@@ -206,55 +216,58 @@
 	return index
 }
 
-// takeEntry puts a leader's entry in its place. One that is held stays; one that differs goes, with all behind it, but never one that is committed.
-func (n *Node) takeEntry(e Entry) {
-	if e.Index <= n.snap.Index || e.Index <= n.commit {
+// storeEntry adds an entry from the leader. If another term's entry is held at its index, that entry and all after it are
+// dropped, but never a committed one.
+func (n *Node) storeEntry(e Entry) {
+	if e.Index <= n.snap.Index || e.Index <= n.commitIndex {
 		return
 	}
 	if t, ok := n.term(e.Index); ok && t == e.Term {
 		return
 	} else if ok {
-		n.cut(e.Index)
-		n.refresh()
+		n.truncateFrom(e.Index)
+		n.refreshMembership()
 	}
 	n.entries = append(n.entries, e)
 	n.markUnsaved(e.Index)
 	if e.Membership != nil {
-		n.refresh()
+		n.refreshMembership()
 	}
 }
 
-func (n *Node) onAppended(m Message) {
-	p := n.heardPeer(m, m.Appended.Answer)
+// onAppendReply handles a follower's reply to an Append.
+func (n *Node) onAppendReply(m Message) {
+	p := n.recordAnswer(m, m.Appended.Answer)
 	if p == nil {
 		return
 	}
 	if m.Appended.Rejected {
-		p.restart(min(m.Appended.Match, max(p.next, 2)-2))
+		p.resetTo(min(m.Appended.Match, max(p.next, 2)-2))
 		n.replicate(p, false)
 	} else {
-		p.answered(m.Appended.Match)
-		if p.transfer != nil && p.match >= p.transfer.snap.Index {
-			p.transfer = nil
+		p.acknowledge(m.Appended.Match)
+		if p.outgoingSnapshot != nil && p.match >= p.outgoingSnapshot.snap.Index {
+			p.outgoingSnapshot = nil
 		}
-		if p.next <= n.last() {
+		if p.next <= n.lastIndex() {
 			n.replicate(p, false)
 		}
-		n.advance()
+		n.advanceCommit()
 	}
-	n.settleRounds()
+	n.completeRounds()
 }
 
-// heardPeer notes what goes with every answer; nil if it is none of this leader's followers.
-func (n *Node) heardPeer(m Message, a Answer) *progress {
+// recordAnswer updates a peer's progress with what every reply contains. It returns nil if this node is not the leader or does
+// not know the sender.
+func (n *Node) recordAnswer(m Message, a Answer) *progress {
 	p := n.peers[m.From]
 	if n.role != Leader || p == nil {
 		return nil
 	}
-	p.heard, p.Addr = n.now, m.Addr
-	p.round = max(p.round, a.Round)
-	if p.latest = a.Sent; p.stampRound == 0 { // one at a time, or it would be replaced before a round confirms it
-		p.stamp, p.stampRound = a.Sent, n.round+1
+	p.heardAt, p.Addr = n.now, m.Addr
+	p.answeredRound = max(p.answeredRound, a.Round)
+	if p.latestTimestamp = a.Sent; p.pendingRound == 0 { // one timestamp at a time: a newer one would replace it before a round confirms it
+		p.pendingTimestamp, p.pendingRound = a.Sent, n.currentRound+1
 	}
 	if n.Attended != nil && len(a.Seen) > 0 {
 		n.Attended(a.Seen)
--- a/internal/cdn/consensus/snapshots.go
+++ b/internal/cdn/consensus/snapshots.go
@@ -2,91 +2,95 @@
 
 import "time"
 
-// This file brings a snapshot to a follower that lacks entries which the log no longer holds: piece by piece, one under way
-// at a time, from where it broke off. What is on its way stays the same though the log is compacted meanwhile, so that one
-// that is slow catches up while changes go on.
+// This file sends a snapshot to a follower that needs entries which the log no longer holds. It is sent piece by piece, one in
+// flight at a time, and resumes where it was interrupted. A transfer keeps its snapshot even if the log is compacted meanwhile,
+// so that a slow follower catches up while changes continue.
 
-const snapshotMost = 256 << 20 // bytes; a larger one is not taken
+// maxSnapshotBytes is the size above which a node refuses to receive a snapshot.
+const maxSnapshotBytes = 256 << 20
 
-// transfer is a snapshot on its way to a peer.
-type transfer struct {
+// outgoingSnapshot is a snapshot that is being sent to a peer.
+type outgoingSnapshot struct {
 	snap   Snapshot
-	offset int       // held by the receiver
-	sentAt time.Time // when the piece there was last sent; zero: it was not
+	offset int       // number of bytes that the receiver holds
+	sentAt time.Time // when the piece at offset was last sent; zero: not yet
 }
 
-// incoming is a snapshot on its way here.
-type incoming struct {
+// incomingSnapshot is a snapshot that is being received.
+type incomingSnapshot struct {
 	from        string
 	index, term uint64
 	size        int
 	data        []byte
 }
 
-// sendPiece sends the next piece, or the last one again after a while, or as a heartbeat none.
-func (n *Node) sendPiece(p *progress, always bool) {
-	t := p.transfer
+// sendSnapshotPiece sends the piece at the receiver's offset if it has not been sent for an election timeout. Otherwise it
+// sends a heartbeat if asked to.
+func (n *Node) sendSnapshotPiece(p *progress, heartbeat bool) {
+	t := p.outgoingSnapshot
 	if t == nil {
-		t = &transfer{snap: n.snap}
-		p.transfer, p.window = t, nil
+		t = &outgoingSnapshot{snap: n.snap}
+		p.outgoingSnapshot, p.inFlight = t, nil
 	}
-	piece := &SnapshotPiece{Contact: n.contact(p), Index: t.snap.Index, LastTerm: t.snap.Term, Membership: t.snap.Membership,
+	piece := &SnapshotPiece{Contact: n.newContact(p), Index: t.snap.Index, LastTerm: t.snap.Term, Membership: t.snap.Membership,
 		Size: len(t.snap.Data), Offset: t.offset}
 	if n.now.Sub(t.sentAt) > n.timing.Election {
 		t.sentAt = n.now
 		piece.Data = t.snap.Data[t.offset:min(t.offset+n.limits.PieceBytes, len(t.snap.Data))]
-	} else if !always {
+	} else if !heartbeat {
 		return
 	}
 	n.send(p.Member, Message{Piece: piece})
 }
 
-// onPiece takes a piece that continues what is held of the snapshot; any other one only tells the leader where to go on.
-func (n *Node) onPiece(m Message) {
+// onSnapshotPiece adds a piece that continues the part of the snapshot received so far. The reply to any other piece tells the
+// leader where to resume.
+func (n *Node) onSnapshotPiece(m Message) {
 	s := m.Piece
-	if !n.hearLeader(m, s.Contact) {
+	if !n.observeLeader(m, s.Contact) {
 		return
 	}
 	leader := Member{m.From, m.Addr}
-	if t, ok := n.term(s.Index); s.Index <= n.commit || ok && t == s.LastTerm { // held already, and what follows it may have been promised
-		n.commit = max(n.commit, min(s.Index, n.last()))
-		n.incoming = nil
-		n.send(leader, Message{Appended: &Appended{Answer: n.answer(s.Contact), Match: n.commit}})
+	if t, ok := n.term(s.Index); s.Index <= n.commitIndex || ok && t == s.LastTerm { // held already, with entries that may be acknowledged
+		n.commitIndex = max(n.commitIndex, min(s.Index, n.lastIndex()))
+		n.incomingSnapshot = nil
+		n.send(leader, Message{Appended: &Appended{Answer: n.newAnswer(s.Contact), Match: n.commitIndex}})
 		return
 	}
-	if in := n.incoming; in == nil || in.from != m.From || in.index != s.Index || in.term != s.LastTerm || in.size != s.Size {
-		n.incoming = &incoming{from: m.From, index: s.Index, term: s.LastTerm, size: s.Size}
+	if in := n.incomingSnapshot; in == nil || in.from != m.From || in.index != s.Index || in.term != s.LastTerm || in.size != s.Size {
+		n.incomingSnapshot = &incomingSnapshot{from: m.From, index: s.Index, term: s.LastTerm, size: s.Size}
 	}
-	in := n.incoming
-	if s.Offset == len(in.data) && s.Size <= snapshotMost {
+	in := n.incomingSnapshot
+	if s.Offset == len(in.data) && s.Size <= maxSnapshotBytes {
 		in.data = append(in.data, s.Data...)
 	}
 	if len(in.data) == in.size {
-		n.install(Snapshot{Index: s.Index, Term: s.LastTerm, Membership: s.Membership, Data: in.data})
-		n.send(leader, Message{Appended: &Appended{Answer: n.answer(s.Contact), Match: s.Index}})
+		n.installSnapshot(Snapshot{Index: s.Index, Term: s.LastTerm, Membership: s.Membership, Data: in.data})
+		n.send(leader, Message{Appended: &Appended{Answer: n.newAnswer(s.Contact), Match: s.Index}})
 		return
 	}
-	n.send(leader, Message{PieceTaken: &PieceTaken{Answer: n.answer(s.Contact), Index: s.Index, Offset: len(in.data)}})
+	n.send(leader, Message{PieceTaken: &PieceTaken{Answer: n.newAnswer(s.Contact), Index: s.Index, Offset: len(in.data)}})
 }
 
-// install puts a received snapshot in the place of all that is held.
-func (n *Node) install(s Snapshot) {
+// installSnapshot replaces the whole log by a received snapshot.
+func (n *Node) installSnapshot(s Snapshot) {
 	n.log = newLog(s, nil)
-	n.commit, n.taken, n.saved, n.unsaved = s.Index, s.Index, s.Index, 0
-	n.received, n.incoming = &s, nil
-	n.meetPromise()
-	n.refresh()
+	n.commitIndex, n.deliveredIndex, n.savedIndex, n.firstUnsaved = s.Index, s.Index, s.Index, 0
+	n.receivedSnapshot, n.incomingSnapshot = &s, nil
+	n.updateFreshness()
+	n.refreshMembership()
 }
 
-func (n *Node) onPieceTaken(m Message) {
-	p := n.heardPeer(m, m.PieceTaken.Answer)
+// onSnapshotPieceReply continues a transfer where the receiver's data ends.
+func (n *Node) onSnapshotPieceReply(m Message) {
+	p := n.recordAnswer(m, m.PieceTaken.Answer)
 	if p == nil {
 		return
 	}
-	if t := p.transfer; t != nil && t.snap.Index == m.PieceTaken.Index && m.PieceTaken.Offset <= len(t.snap.Data) &&
+	if t := p.outgoingSnapshot; t != nil && t.snap.Index == m.PieceTaken.Index && m.PieceTaken.Offset <= len(t.snap.Data) &&
 		(m.PieceTaken.Offset != t.offset || t.sentAt.IsZero()) {
 		t.offset, t.sentAt = m.PieceTaken.Offset, time.Time{}
-		n.sendPiece(p, false)
+		n.sendSnapshotPiece(p, false)
 	}
-	n.settleRounds()
+	n.completeRounds()
 }
