--- a/internal/cdn/consensus/membership.go
+++ b/internal/cdn/consensus/membership.go
@@ -213,7 +213,7 @@
 	n.replicate(p, true)
 }
 
-// Leave starts this node's departure: until Left returns true, the node hands leadership over if it has it, and keeps asking the
+// Leave starts this node's departure: until it may stop, the node hands leadership over if it has it, and keeps asking the
 // leader to remove it.
 func (n *Node) Leave() {
 	n.leaving = true
@@ -272,7 +272,7 @@
 	}
 }
 
-// replaceBySmallerSet implements Weaknesses.ReplaceBySmallerSet, for tests that show what joint memberships prevent: it removes
+// replaceBySmallerSet implements the fault ReplaceBySmallerSet, for tests that show what joint memberships prevent: it removes
 // the old ID first and adds the new one afterwards, so that the membership has one voter less in between.
 func (n *Node) replaceBySmallerSet() {
 	for _, id := range sortedIDs(n.peers) {
--- a/internal/cdn/raftlog/raftlog.go
+++ b/internal/cdn/raftlog/raftlog.go
@@ -49,8 +49,8 @@
 }
 
 // Open reads the journal in a directory. The returned journal accepts no saves before it is renewed by Begin or Renew, since how
-// the previous process ended is unknown. For an empty directory, Held has no ID. If the disk has corrupted synced data, Held has
-// no ID either, and lost is the name of the file that was set aside.
+// the previous process ended is unknown. For an empty directory, held.ID is empty. If the disk has corrupted synced data,
+// held.ID is empty as well, and lost is the name of the file that was set aside.
 func Open(files Files) (j *Journal, held Held, lost string, err error) {
 	j = &Journal{files: files}
 	generations, err := j.listGenerations()
