--- a/internal/cdn/upstream/conn.go
+++ b/internal/cdn/upstream/conn.go
@@ -16,145 +16,147 @@
 	"cedarmast/internal/socket"
 )
 
-// conn is one connection to a server. It is used by one goroutine at a time, and lies in the pool between.
+// conn is a connection to a server. One goroutine uses it at a time; between requests it is idle in the pool.
 type conn struct {
 	net.Conn
-	r    *bufio.Reader
-	pool *exchange.Pool
-	once sync.Once
-	idle time.Time // since when; zero for a new one
+	reader    *bufio.Reader
+	pool      *exchange.Pool
+	closeOnce sync.Once
+	idleSince time.Time // when it became idle; zero for a new connection
 }
 
-// Acquire is the pool's question whether the connection is still good.
+// Acquire reports whether the idle connection is still open and has no unread bytes. The pool calls it before reuse.
 func (c *conn) Acquire() bool { return socket.Peek(c.Conn) == socket.Quiet }
 
-// Close closes it and gives its room back, once.
+// Close closes the connection and releases its slot in the pool. Later calls do nothing.
 func (c *conn) Close() error {
 	var err error
-	c.once.Do(func() { err = c.Conn.Close(); c.pool.Release() })
+	c.closeOnce.Do(func() { err = c.Conn.Close(); c.pool.Release() })
 	return err
 }
 
-// response is a server's whole answer.
+// response is a complete response of a server.
 type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-var errEarly = errors.New("the connection ended before the request was whole")
+var errConnClosedEarly = errors.New("connection closed before the request was complete")
 
-// sending is how far a request has come on its way to a server. From begun on it may have run.
-type sending int
+// sendProgress is how far a request got on its way to a server. From maybeSent on it may have run.
+type sendProgress int
 
 const (
-	notBegun sending = iota // its last byte has surely not left
-	untaken                 // its order was told that it may leave, and it was not taken
-	begun                   // it may have left
-	written
+	notSent         sendProgress = iota // its last byte was certainly not sent
+	lastByteRefused                     // it was counted as sent, but the connection did not accept its last byte
+	maybeSent                           // its last byte may have been sent
+	fullySent                           // all of it was handed to the connection
 )
 
-var errStopped = errors.New("stopped before it was sent")
+var errNotSent = errors.New("request not sent")
 
-// write writes the request, in the name of a sender if there is one. Its order is asked before the last byte may leave. Of what may run once that byte follows a moment later, so that
-// a connection that the server has dropped shows while the request surely has not run. Of what is finished though its caller leaves, the watch
-// for that ends with the last byte.
-func (c *conn) write(a *exchange.Attempt, o *Order, sender string, watch func() bool) (sending, error) {
+// write writes the request, with a header that names the tenant if there is one, and rechecks the permission before the last byte. The
+// last byte of a once-only request is held back for lastByteDelay, so that a connection that the server has dropped is detected while
+// the request certainly has not run. If the attempt is to finish although its caller is cancelled, stopWatch is called before the last
+// byte, so that a cancellation no longer closes the connection.
+func (c *conn) write(a *exchange.Attempt, o *Order, tenant string, stopWatch func() bool) (sendProgress, error) {
 	head := make([]byte, 0, 512)
 	head = fmt.Appendf(head, "%s %s HTTP/1.1\r\n", a.Method, a.Target)
 	for name, values := range a.Header {
-		if sender != "" && (name == HeaderKey || name == HeaderSender) { // the client's own
+		if tenant != "" && (name == HeaderKey || name == HeaderSender) { // sent by the client itself: not passed on
 			continue
 		}
 		for _, v := range values {
 			head = append(append(append(append(head, name...), ": "...), v...), "\r\n"...)
 		}
 	}
-	if sender != "" {
-		head = fmt.Appendf(head, "%s: %s\r\n", HeaderSender, sender)
+	if tenant != "" {
+		head = fmt.Appendf(head, "%s: %s\r\n", HeaderSender, tenant)
 	}
-	left := max(time.Until(a.Due).Milliseconds(), 1)
+	timeLeft := max(time.Until(a.Due).Milliseconds(), 1)
 	if o.ID != "" {
 		head = fmt.Appendf(head, "%s: %s\r\n", HeaderID, o.ID)
 	}
-	head = fmt.Appendf(head, "%s: %d\r\n%s: %s\r\n", HeaderLeft, left, HeaderFor, a.Server)
+	head = fmt.Appendf(head, "%s: %d\r\n%s: %s\r\n", HeaderLeft, timeLeft, HeaderFor, a.Server)
 	if len(a.Body) > 0 || a.Method != http.MethodGet && a.Method != http.MethodHead {
 		head = fmt.Appendf(head, "Content-Length: %d\r\n", len(a.Body))
 	}
 	head = append(head, "\r\n"...)
-	all := append(head, a.Body...)
+	pending := append(head, a.Body...)
 	if o.OnceOnly {
-		if _, err := c.Conn.Write(all[:len(all)-1]); err != nil {
-			return notBegun, err
+		if _, err := c.Conn.Write(pending[:len(pending)-1]); err != nil {
+			return notSent, err
 		}
-		time.Sleep(commitAfter)
+		time.Sleep(lastByteDelay)
 		if state := socket.Peek(c.Conn); state == socket.Closed || state == socket.Unread {
-			return notBegun, errEarly
+			return notSent, errConnClosedEarly
 		}
-		all = all[len(all)-1:]
+		pending = pending[len(pending)-1:]
 	}
-	if err := o.confirm(sender); err != nil {
-		return notBegun, fmt.Errorf("%w: %w", errStopped, err)
+	if err := o.recheckPermit(tenant); err != nil {
+		return notSent, fmt.Errorf("%w: %w", errNotSent, err)
 	}
-	if o.policy() == departure.Finish && !watch() || !o.begin(sender, a.Due) {
-		return notBegun, errStopped
+	if o.policy() == departure.Finish && !stopWatch() || !o.beginAttempt(tenant, a.Due) {
+		return notSent, errNotSent
 	}
-	_, err := c.Conn.Write(all)
+	_, err := c.Conn.Write(pending)
 	switch {
 	case err == nil:
-		return written, nil
-	case o.OnceOnly && errors.Is(err, syscall.EPIPE): // the one byte was not taken
-		o.neverBegun()
-		return untaken, err
+		return fullySent, nil
+	case o.OnceOnly && errors.Is(err, syscall.EPIPE): // the last byte was not accepted
+		o.uncountAttempt()
+		return lastByteRefused, err
 	}
-	return begun, err
+	return maybeSent, err
 }
 
-// readBody reads a body. Nothing but the attempt's own end bounds its time: a server's silence is no reason to end an answer sooner. Of what may
-// be repeated the decisions send a second copy meanwhile, where the budget allows one.
+// readBody reads a response's body. Only the attempt's deadline bounds the time: a server that stalls does not end the response
+// sooner. For a repeatable request the balancer sends a second attempt in the meantime, if the retry budget allows one.
 func readBody(resp *http.Response, method string) ([]byte, error) {
 	if resp.ContentLength > 0 && method != http.MethodHead {
 		body := make([]byte, resp.ContentLength)
 		_, err := io.ReadFull(resp.Body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
-	if err == nil && len(body) > maxBody {
-		err = fmt.Errorf("a body of more than %d bytes", maxBody)
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes+1))
+	if err == nil && len(body) > maxBodyBytes {
+		err = fmt.Errorf("response body larger than %d bytes", maxBodyBytes)
 	}
 	return body, err
 }
 
-// read reads the answer that carries the id, passing over answers to earlier requests. Keep tells whether the connection may
-// be used again. An answer without a length ends with its connection and is whole then, unless the connection was reset.
-func (c *conn) read(a *exchange.Attempt, id string) (got response, keep bool, err error) {
-	keep = true
-	for range maxSurplus {
-		resp, err := http.ReadResponse(c.r, &http.Request{Method: a.Method})
+// readResponse reads the response that carries the request id and skips responses to earlier requests. Reusable tells whether the
+// connection may carry another request. A response without a length ends with its connection, and is complete unless the connection
+// was reset.
+func (c *conn) readResponse(a *exchange.Attempt, id string) (result response, reusable bool, err error) {
+	reusable = true
+	for range maxStaleResponses {
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: a.Method})
 		if err != nil {
-			return got, false, err
+			return result, false, err
 		}
 		if resp.StatusCode < 200 {
 			continue
 		}
-		if resp.ContentLength > maxBody {
-			return got, false, fmt.Errorf("a body of %d bytes", resp.ContentLength)
+		if resp.ContentLength > maxBodyBytes {
+			return result, false, fmt.Errorf("response body of %d bytes is too large", resp.ContentLength)
 		}
 		body, err := readBody(resp, a.Method)
 		if err != nil {
-			return got, false, fmt.Errorf("body: %w", err)
+			return result, false, fmt.Errorf("reading the body: %w", err)
 		}
-		if id == "" { // servers tell no id then, and what may follow could be told from nothing
-			keep = false
+		if id == "" { // without an id a surplus response could not be told from the next request's
+			reusable = false
 		} else if len(resp.Header[HeaderID]) != 1 || resp.Header[HeaderID][0] != id {
-			keep = false // an answer to an earlier request stood in the place of this one's
+			reusable = false // a response to an earlier request came in its place
 			if resp.Close {
-				return got, false, errors.New("an answer to another request, and no more")
+				return result, false, errors.New("connection closed after a response to another request")
 			}
 			continue
 		}
-		keep = keep && !resp.Close && c.r.Buffered() == 0
-		return response{resp.StatusCode, EndToEnd(resp.Header), body}, keep, nil
+		reusable = reusable && !resp.Close && c.reader.Buffered() == 0
+		return response{resp.StatusCode, EndToEnd(resp.Header), body}, reusable, nil
 	}
-	return got, false, errors.New("only answers to other requests")
+	return result, false, errors.New("only responses to other requests")
 }
--- a/internal/cdn/upstream/headers.go
+++ b/internal/cdn/upstream/headers.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// The headers that servers and clients speak, in canonical form.
+// Header names of the protocol between clients, routers and servers, in canonical form.
 const (
-	HeaderID       = "Try-Id"
-	HeaderLeft     = "Time-Left"
-	HeaderStamp    = "Postmark"
-	HeaderFor      = "Addressee"
-	HeaderNotRun   = "Not-Delivered"
+	HeaderID       = "Try-Id"        // request id, chosen by the client and repeated in the response
+	HeaderLeft     = "Time-Left"     // time until the request's deadline, in milliseconds
+	HeaderStamp    = "Postmark"      // marks a success response as genuine
+	HeaderFor      = "Addressee"     // id of the server that the request is meant for
+	HeaderNotRun   = "Not-Delivered" // present if the server did not process the request
 	HeaderLoad     = "Load"
-	HeaderLabels   = "Labels"
+	HeaderLabels   = "Labels" // cache labels of the object, separated by spaces
 	HeaderServerID = "Server-Id"
-	HeaderKey      = "Key"    // a client's, never shown to a server
-	HeaderSender   = "Sender" // the tenant that holds the client's key, as servers are told
+	HeaderKey      = "Key"    // the client's API key, never passed to a server
+	HeaderSender   = "Sender" // the tenant that owns the client's key, as passed to servers
 )
 
-// StatusKey is where a reply's header holds the server's status: no header has such a name.
+// StatusKey is the key under which a reply's header holds the server's status. No real header can have this name.
 const StatusKey = ":status"
 
-// hopByHop are the headers that belong to one connection, or to one request alone.
+// hopByHop holds the headers that apply to one connection or to one request only.
 var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 	"Expect": true, HeaderID: true, HeaderLeft: true, HeaderFor: true}
 
-// EndToEnd removes from a head what is not to be passed on.
+// EndToEnd removes the hop-by-hop headers from h, in place, and returns h.
 func EndToEnd(h http.Header) http.Header {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
--- a/internal/cdn/upstream/origin_request.go
+++ b/internal/cdn/upstream/origin_request.go
@@ -10,123 +10,126 @@
 	"cedarmast/internal/exchange"
 )
 
-// Order is what a request adds for its attempts, kept until its answer is out.
+// Order holds what all attempts of one request share, until the request is answered.
 type Order struct {
-	// ID is a client's Try-Id: an answer is told by it from one to another request that comes late. Servers tell no id that no
-	// client has sent, so what is asked without one goes over a connection of its own.
+	// ID is the client's request id (Try-Id). It tells the response from a late one to another request. Servers repeat an id only if
+	// the client sent one, so a request without an id uses a connection of its own.
 	ID       string
-	OnceOnly bool
-	Stamped  bool              // a success without stamp is none
-	Keep     bool              // its answer becomes a copy: what was sent is finished though its caller has left
-	Caller   *departure.Caller // whom it is for
-	// Permit is asked right before an attempt connects, and again before its last byte leaves: it names the tenant that the request runs for,
-	// empty for none, or says why it must not run. nil: nobody need be asked.
-	Permit func() (sender string, err error)
-	// Account hears of what servers may have begun for a sender; nil: nobody counts it.
+	OnceOnly bool              // the request must not run twice
+	Stamped  bool              // a success response without a stamp is invalid
+	Keep     bool              // the response may be cached: an attempt that was sent is finished even if its caller is cancelled
+	Caller   *departure.Caller // who waits for the response; nil if nobody can cancel
+	// Permit is called before an attempt connects and again before its last byte is sent. It returns the tenant on whose behalf the
+	// request runs, empty for none, or an error if the request must not run. If nil, no permission is needed.
+	Permit func() (tenant string, err error)
+	// Account counts the attempts that servers may have started for a tenant. If nil, they are not counted.
 	Account Account
 
-	mu   sync.Mutex
-	last *exchange.Reply  // the last answer of a server that ran it and failed
-	sent int              // times that it went to a server: it may have run there
-	not  int              // of them, those that a server said not to have run
-	deny error            // why it was not sent last time; nil once it was sent again
-	by   balance.ServerID // who answered
-	took time.Duration    // from its sending to its answer, whole
+	mu          sync.Mutex
+	lastFailure *exchange.Reply  // the last error response of a server that ran the request
+	sentCount   int              // attempts sent to a server, which may have run the request
+	notRunCount int              // those of them that a server reported as not run
+	denyErr     error            // why the last attempt was not permitted; nil if it was
+	server      balance.ServerID // the server that responded last
+	latency     time.Duration    // from sending to the complete response
 }
 
-// Account counts a request for what is reported of its tenant.
+// Account counts a request's attempts for its tenant's usage report.
 type Account interface {
-	Begun(sender string) // an attempt leaves for a server, which may begin it
-	NotRun()             // a server has surely not begun an attempt that left
+	Begun(tenant string) // an attempt is being sent to a server, which may run it
+	NotRun()             // an attempt that was counted as sent was certainly not run
 }
 
-// Server is who gave the answer that was taken, or the last one.
+// Server returns the server of the response that was used, or of the last one.
 func (o *Order) Server() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return string(o.by)
+	return string(o.server)
 }
 
-// Took is how long that server took.
+// Took returns how long that server took, from sending the request to its complete response.
 func (o *Order) Took() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.took
+	return o.latency
 }
 
-// Failure returns the last failure that a server itself answered; nil if there is none.
+// Failure returns the last error response that a server itself gave, nil if there is none.
 func (o *Order) Failure() *exchange.Reply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.last
+	return o.lastFailure
 }
 
-// MayHaveRun tells whether a server may have begun the request.
+// MayHaveRun reports whether a server may have started to run the request.
 func (o *Order) MayHaveRun() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.sent > 0
+	return o.sentCount > 0
 }
 
-// SurelyNotRun tells whether no server has begun the request: it went to none, or to such alone as have said so.
+// SurelyNotRun reports whether certainly no server has run the request: it was sent to none, or only to servers that reported that
+// they did not run it.
 func (o *Order) SurelyNotRun() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.sent == o.not
+	return o.sentCount == o.notRunCount
 }
 
-// notRun notes that a server has said not to have run what it was sent.
-func (o *Order) notRun() {
+// recordNotRun records that a server reported that it did not run an attempt that it was sent.
+func (o *Order) recordNotRun() {
 	o.mu.Lock()
-	o.not++
+	o.notRunCount++
 	o.mu.Unlock()
-	o.neverBegun()
+	o.uncountAttempt()
 }
 
-// Denied is why the last attempt was not let go to a server; nil if it was.
+// Denied returns why the last attempt was not permitted, nil if it was.
 func (o *Order) Denied() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.deny
+	return o.denyErr
 }
 
-// ErrSenderChanged is why an attempt is not sent whose key has moved to another tenant since its head was written.
-var ErrSenderChanged = errors.New("the key has moved to another tenant")
+// ErrSenderChanged is returned for an attempt that is not sent because the client's key was moved to another tenant after the
+// request's header was written.
+var ErrSenderChanged = errors.New("the client key was moved to another tenant")
 
-// permit asks for whom the request may run now, and notes why it must not.
-func (o *Order) permit() (sender string, err error) {
+// checkPermit asks Permit for the tenant on whose behalf the request may run now, and records an error.
+func (o *Order) checkPermit() (tenant string, err error) {
 	if o.Permit == nil {
 		return "", nil
 	}
-	sender, err = o.Permit()
-	o.denied(err)
-	return sender, err
+	tenant, err = o.Permit()
+	o.setDenied(err)
+	return tenant, err
 }
 
-// confirm asks once more, before the last byte may leave of what was written for a sender.
-func (o *Order) confirm(sender string) error {
-	now, err := o.permit()
-	if err == nil && now != sender {
+// recheckPermit asks Permit again before the last byte is sent of a request that was written for the given tenant.
+func (o *Order) recheckPermit(tenant string) error {
+	current, err := o.checkPermit()
+	if err == nil && current != tenant {
 		err = ErrSenderChanged
-		o.denied(err)
+		o.setDenied(err)
 	}
 	return err
 }
 
-func (o *Order) denied(err error) {
+// setDenied records why the attempt was not permitted; nil if it was.
+func (o *Order) setDenied(err error) {
 	o.mu.Lock()
-	o.deny = err
+	o.denyErr = err
 	o.mu.Unlock()
 }
 
-// Sent is how often it went to a server.
+// Sent returns how many attempts were sent to a server.
 func (o *Order) Sent() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.sent
+	return o.sentCount
 }
 
-// policy is what becomes of an attempt whose caller leaves: what may run once, and what becomes a copy, is finished.
+// policy returns what happens to an attempt whose caller is cancelled: once-only and cacheable requests are finished.
 func (o *Order) policy() departure.Policy {
 	if o.OnceOnly || o.Keep {
 		return departure.Finish
@@ -134,23 +137,24 @@
 	return departure.BreakOff
 }
 
-// neverBegun takes an attempt that left out of the account again.
-func (o *Order) neverBegun() {
+// uncountAttempt takes an attempt that was counted as sent out of the tenant's usage again.
+func (o *Order) uncountAttempt() {
 	if o.Account != nil {
 		o.Account.NotRun()
 	}
 }
 
-// begin is called before a request's last byte may leave. It is false if the caller has left: then that byte must not.
-func (o *Order) begin(sender string, due time.Time) bool {
+// beginAttempt is called before a request's last byte is sent, and counts the attempt as sent. If it returns false, the caller is
+// cancelled and the byte must not be sent.
+func (o *Order) beginAttempt(tenant string, due time.Time) bool {
 	if !o.Caller.Begin(o.policy(), due) {
 		return false
 	}
 	o.mu.Lock()
-	o.sent++
+	o.sentCount++
 	o.mu.Unlock()
 	if o.Account != nil {
-		o.Account.Begun(sender)
+		o.Account.Begun(tenant)
 	}
 	return true
 }
--- a/internal/cdn/upstream/upstream.go
+++ b/internal/cdn/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream carries out attempts at servers in the form that they speak: it writes a request once, says for which server
-// it is meant, and judges by stamp, length and id what comes back. It sends nothing a second time by itself.
+// Package upstream sends request attempts to origin servers over HTTP/1.1. It writes a request once, names the server that it is
+// meant for, and validates the response by its stamp, length and request id. It never retries by itself.
 package upstream
 
 import (
@@ -22,65 +22,66 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of this package's errors; they name the step and the server.
+// Error is the class of this package's errors. Each message names the step that failed and the server.
 var Error = errs.Class("upstream")
 
 const (
-	connectWithin = 350 * time.Millisecond
-	commitAfter   = 1500 * time.Microsecond // the last byte of what may run once is kept back so long
-	maxHead       = 32 << 10
-	maxBody       = 64 << 20
-	maxSurplus    = 4 // answers to earlier requests that are passed over
-	userTimeout   = 18
+	connectTimeout    = 350 * time.Millisecond
+	lastByteDelay     = 1500 * time.Microsecond // how long the last byte of a once-only request is held back
+	maxHeaderBytes    = 32 << 10
+	maxBodyBytes      = 64 << 20
+	maxStaleResponses = 4  // responses to earlier requests that are skipped on one connection
+	tcpUserTimeout    = 18 // TCP_USER_TIMEOUT of Linux
 )
 
-// IdleFor is how long an idle connection is kept where servers have enough of them; they close them after 10 s.
+// IdleFor is how long an idle connection is kept, unless connections to the server are scarce. Servers close idle connections after 10 s.
 const IdleFor = 8 * time.Second
 
-// Sender carries out attempts.
+// Sender sends attempts to servers. It implements exchange.Sender.
 type Sender struct {
 	Pool   *exchange.Pool
 	Counts *exchange.Counters
 
-	mu     sync.Mutex
-	orders map[*exchange.Exchange]*Order
+	mu       sync.Mutex
+	requests map[*exchange.Exchange]*Order
 }
 
-// NewSender returns a sender with its own pool of so many connections.
-func NewSender(most int, counts *exchange.Counters) *Sender {
-	return &Sender{Pool: exchange.NewPool(most, IdleFor, counts), Counts: counts,
-		orders: map[*exchange.Exchange]*Order{}}
+// NewSender returns a sender with its own pool of at most so many connections.
+func NewSender(maxConns int, counters *exchange.Counters) *Sender {
+	return &Sender{Pool: exchange.NewPool(maxConns, IdleFor, counters), Counts: counters,
+		requests: map[*exchange.Exchange]*Order{}}
 }
 
-// Begin notes an exchange's order before it is submitted, End lets it go.
+// Begin registers what the exchange's attempts share. It must be called before the exchange is submitted.
 func (s *Sender) Begin(x *exchange.Exchange, o *Order) {
 	s.mu.Lock()
-	s.orders[x] = o
+	s.requests[x] = o
 	s.mu.Unlock()
 }
 
-// End lets an exchange's order go.
+// End removes a registered exchange.
 func (s *Sender) End(x *exchange.Exchange) {
 	s.mu.Lock()
-	delete(s.orders, x)
+	delete(s.requests, x)
 	s.mu.Unlock()
 }
 
-// Send begins an attempt.
+// Send starts an attempt in its own goroutine, which reports the result to the attempt.
 func (s *Sender) Send(a *exchange.Attempt) {
 	s.mu.Lock()
-	o := s.orders[a.Exchange]
+	o := s.requests[a.Exchange]
 	s.mu.Unlock()
-	go s.run(a, o)
+	go s.runAttempt(a, o)
 }
 
-func (s *Sender) run(a *exchange.Attempt, o *Order) {
+// runAttempt carries out an attempt and reports its result, also after a panic.
+func (s *Sender) runAttempt(a *exchange.Attempt, o *Order) {
 	defer func() {
-		if p := recover(); p != nil { // one that may have run
+		if p := recover(); p != nil { // the request may have run
 			a.End(exchange.Reply{Result: balance.Unknown, Err: Error.New("panic: %v", p)})
 		}
 	}()
-	if o == nil { // answered and let go meanwhile
+	if o == nil { // the exchange was answered and removed in the meantime
 		a.End(exchange.Reply{Result: balance.Moot})
 		return
 	}
@@ -88,101 +89,105 @@
 	a.End(r)
 }
 
-func (s *Sender) connect(ctx context.Context, a *exchange.Attempt, careful, alone bool) (*conn, error) {
-	place := a.Server
-	if alone { // nothing lies there: none of these connections is kept
-		place += "#alone"
+// connect takes an idle connection to the attempt's server from the pool, or dials one. For a once-only request, connections
+// that have been idle for too long to be reliable are passed over. A dedicated connection is never shared with other requests.
+func (s *Sender) connect(ctx context.Context, a *exchange.Attempt, onceOnly, dedicated bool) (*conn, error) {
+	poolKey := a.Server
+	if dedicated { // no idle connections exist under this key: dedicated ones are never put back
+		poolKey += "#alone"
 	}
-	got, err := s.Pool.Get(ctx, place, a.Address, careful, connectWithin)
+	pooled, err := s.Pool.Get(ctx, poolKey, a.Address, onceOnly, connectTimeout)
 	if err != nil {
 		return nil, err
 	}
-	if c, ok := got.(*conn); ok && c != nil {
+	if c, ok := pooled.(*conn); ok && c != nil {
 		return c, nil
 	}
 	s.Counts.Dials.Add(1)
-	begun := time.Now()
-	dialer := net.Dialer{Timeout: connectWithin, KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
+	started := time.Now()
+	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
-			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, userTimeout, 3000) // a cut shows by the deadline at the latest
+			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, 3000) // ms; reports a network cut by the request's deadline at the latest
 		})
 	}}
-	nc, err := dialer.DialContext(ctx, "tcp", a.Address)
-	a.Connect = time.Since(begun)
+	netConn, err := dialer.DialContext(ctx, "tcp", a.Address)
+	a.Connect = time.Since(started)
 	if err != nil {
 		s.Pool.Release()
 		return nil, err
 	}
-	return &conn{Conn: nc, r: bufio.NewReaderSize(nc, 4<<10), pool: s.Pool}, nil
+	return &conn{Conn: netConn, reader: bufio.NewReaderSize(netConn, 4<<10), pool: s.Pool}, nil
 }
 
-// attempt sends the request and judges what comes. Whatever is returned as never run has surely not run.
+// attempt sends the request, reads the response and classifies it. A result that says that the request never ran is returned only
+// if that is certain.
 func (s *Sender) attempt(a *exchange.Attempt, o *Order) exchange.Reply {
 	ctx, release := Bind(a.Context, o.Caller)
 	defer release()
 	if o.Caller.Left() {
-		return unsent(a, departure.ErrLeft)
+		return notSentReply(a, departure.ErrLeft)
 	}
-	sender, err := o.permit()
+	tenant, err := o.checkPermit()
 	if err != nil {
-		return unsent(a, err)
+		return notSentReply(a, err)
 	}
 	c, err := s.connect(ctx, a, o.OnceOnly, o.ID == "")
 	if err != nil {
-		if cause := Withdrawal(ctx); cause != nil { // no fault of the server's
-			return unsent(a, cause)
+		if cause := Withdrawal(ctx); cause != nil { // not the server's fault
+			return notSentReply(a, cause)
 		}
 		return exchange.Reply{Result: balance.NoConnect, Err: Error.New("connecting to %s: %w", a.Server, err)}
 	}
 	start := time.Now()
 	if !a.Due.After(start) {
 		s.Pool.Put(a.Server, a.Address, c, start)
-		return unsent(a, errNoTime)
+		return notSentReply(a, errDeadlinePassed)
 	}
-	idle := time.Duration(0)
-	if !c.idle.IsZero() {
-		idle = start.Sub(c.idle)
+	idleTime := time.Duration(0)
+	if !c.idleSince.IsZero() {
+		idleTime = start.Sub(c.idleSince)
 	}
 	c.SetDeadline(a.Due)
-	watch := context.AfterFunc(ctx, func() { c.Close() })
-	sent, err := c.write(a, o, sender, watch)
-	if sent != notBegun {
+	stopWatch := context.AfterFunc(ctx, func() { c.Close() })
+	progress, err := c.write(a, o, tenant, stopWatch)
+	if progress != notSent {
 		defer o.Caller.End(o.policy())
 	}
-	var got response
-	keep := false
+	var resp response
+	reusable := false
 	if err == nil {
-		got, keep, err = c.read(a, o.ID)
+		resp, reusable, err = c.readResponse(a, o.ID)
 	}
-	untouched := watch() || o.policy() == departure.Finish // nobody has closed the connection meanwhile
+	stillOpen := stopWatch() || o.policy() == departure.Finish // the connection was not closed by a cancellation
 	if err != nil {
 		c.Close()
-		return s.failed(ctx, a, sent, start, idle, err)
+		return s.failureReply(ctx, a, progress, start, idleTime, err)
 	}
 	s.Pool.Heard(a.Server, time.Now())
-	s.Pool.Used(idle, true)
+	s.Pool.Used(idleTime, true)
 	o.mu.Lock()
-	o.by, o.took = a.Server, time.Since(start)
+	o.server, o.latency = a.Server, time.Since(start)
 	o.mu.Unlock()
-	if keep && untouched {
+	if reusable && stillOpen {
 		c.SetDeadline(time.Time{})
-		c.idle = time.Now()
-		s.Pool.Put(a.Server, a.Address, c, c.idle)
+		c.idleSince = time.Now()
+		s.Pool.Put(a.Server, a.Address, c, c.idleSince)
 	} else {
 		c.Close()
 	}
-	return s.judge(a, o, got)
+	return s.classifyResponse(a, o, resp)
 }
 
-// Bind returns a context that ends with the attempt's time, its withdrawal or its caller's leave, with the cause.
+// Bind returns a context that ends at the attempt's deadline, or when the attempt or its caller is cancelled, and carries the cause.
+// The returned function releases it.
 func Bind(attempt context.Context, caller *departure.Caller) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(attempt)
-	left := caller.Context()
-	stop := context.AfterFunc(left, func() { cancel(context.Cause(left)) })
+	callerCtx := caller.Context()
+	stop := context.AfterFunc(callerCtx, func() { cancel(context.Cause(callerCtx)) })
 	return ctx, func() { stop(); cancel(nil) }
 }
 
-// Withdrawal returns why nobody waits for an attempt any more, though its time is not over; nil if somebody does.
+// Withdrawal returns the cause if the attempt was cancelled before its deadline, nil otherwise.
 func Withdrawal(ctx context.Context) error {
 	if ctx.Err() == context.Canceled {
 		return context.Cause(ctx)
@@ -190,26 +195,26 @@
 	return nil
 }
 
-var errNoTime = errors.New("no time is left")
+var errDeadlinePassed = errors.New("deadline exceeded before sending")
 
-// unsent is the reply of an attempt that has surely not run, through no fault of its server.
-func unsent(a *exchange.Attempt, cause error) exchange.Reply {
+// notSentReply is the reply of an attempt that was certainly not sent, for a reason that is not the server's fault.
+func notSentReply(a *exchange.Attempt, cause error) exchange.Reply {
 	return exchange.Reply{Result: balance.Moot, Err: Error.New("sending to %s: %w", a.Server, cause)}
 }
 
-// failed is what becomes of an attempt that brought no answer, whose connection is closed. That its caller has left tells nothing about the
-// server, nor about how long connections may rest.
-func (s *Sender) failed(ctx context.Context, a *exchange.Attempt, sent sending, start time.Time, idle time.Duration, err error) exchange.Reply {
+// failureReply classifies an attempt that got no response and whose connection is closed. A cancellation by the caller says nothing
+// about the server, nor about how long connections may be idle, so neither is recorded as failed then.
+func (s *Sender) failureReply(ctx context.Context, a *exchange.Attempt, progress sendProgress, start time.Time, idleTime time.Duration, err error) exchange.Reply {
 	cause := Withdrawal(ctx)
 	switch {
-	case errors.Is(err, errStopped), cause != nil && sent < begun:
-		return unsent(a, cmp.Or(cause, err))
+	case errors.Is(err, errNotSent), cause != nil && progress < maybeSent:
+		return notSentReply(a, cmp.Or(cause, err))
 	case cause != nil:
 		return exchange.Reply{Result: balance.Cancelled, Err: Error.New("at %s: %w", a.Server, cause)}
-	case sent < written:
-		s.Pool.Used(idle, false)
+	case progress < fullySent:
+		s.Pool.Used(idleTime, false)
 		result := balance.Reset
-		if sent < begun {
+		if progress < maybeSent {
 			result = balance.NoConnect
 		}
 		return exchange.Reply{Result: result, Err: Error.New("writing to %s: %w", a.Server, err)}
@@ -222,33 +227,33 @@
 		s.Pool.Silent(a.Server, start)
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, io.EOF):
 		result = balance.Reset
-		if time.Since(start) < connectWithin/4 {
-			s.Pool.Used(idle, false)
+		if time.Since(start) < connectTimeout/4 {
+			s.Pool.Used(idleTime, false)
 		}
 	}
 	return exchange.Reply{Result: result, Err: Error.New("reading from %s: %w", a.Server, err)}
 }
 
-// judge is the one place where it is decided what an answer means.
-func (s *Sender) judge(a *exchange.Attempt, o *Order, got response) exchange.Reply {
-	notRun := got.header.Get(HeaderNotRun) != ""
-	if notRun || got.status == http.StatusMisdirectedRequest {
-		o.notRun()
+// classifyResponse decides what a response means. No other code does.
+func (s *Sender) classifyResponse(a *exchange.Attempt, o *Order, resp response) exchange.Reply {
+	notRun := resp.header.Get(HeaderNotRun) != ""
+	if notRun || resp.status == http.StatusMisdirectedRequest {
+		o.recordNotRun()
 	}
-	r := exchange.Reply{Result: balance.OK, Header: got.header, Body: got.body}
-	got.header[StatusKey] = []string{strconv.Itoa(got.status)}
+	reply := exchange.Reply{Result: balance.OK, Header: resp.header, Body: resp.body}
+	resp.header[StatusKey] = []string{strconv.Itoa(resp.status)}
 	switch {
-	case got.status == http.StatusMisdirectedRequest:
-		return exchange.Reply{Result: balance.NoConnect, Err: Error.New("%s: another server has its address", a.Server)}
+	case resp.status == http.StatusMisdirectedRequest:
+		return exchange.Reply{Result: balance.NoConnect, Err: Error.New("%s: its address now belongs to another server", a.Server)}
 	case notRun:
-		return exchange.Reply{Result: balance.Full, Err: Error.New("%s turned it away with %d", a.Server, got.status)}
-	case got.status >= 200 && got.status < 300 && (o.Stamped && got.header.Get(HeaderStamp) == "" || got.header.Get("Content-Encoding") != ""):
-		return exchange.Reply{Result: balance.Spoilt, Err: Error.New("%s: a success without its stamp", a.Server)}
-	case got.status >= 500:
+		return exchange.Reply{Result: balance.Full, Err: Error.New("%s rejected the request unprocessed with status %d", a.Server, resp.status)}
+	case resp.status >= 200 && resp.status < 300 && (o.Stamped && resp.header.Get(HeaderStamp) == "" || resp.header.Get("Content-Encoding") != ""):
+		return exchange.Reply{Result: balance.Spoilt, Err: Error.New("%s: success response without a valid stamp", a.Server)}
+	case resp.status >= 500:
 		o.mu.Lock()
-		o.last = &exchange.Reply{Header: r.Header, Body: r.Body}
+		o.lastFailure = &exchange.Reply{Header: reply.Header, Body: reply.Body}
 		o.mu.Unlock()
-		return exchange.Reply{Result: balance.Errored, Err: Error.New("%s answered %d", a.Server, got.status)}
+		return exchange.Reply{Result: balance.Errored, Err: Error.New("%s responded with status %d", a.Server, resp.status)}
 	}
-	return r
+	return reply
 }
--- a/internal/cdn/upstream/usage_test.go
+++ b/internal/cdn/upstream/usage_test.go
@@ -9,26 +9,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// counted is an account that notes what it hears.
-type counted struct{ begun, not int }
+// countingAccount is an Account that counts the calls.
+type countingAccount struct{ started, notRun int }
 
-func (c *counted) Begun(string) { c.begun++ }
-func (c *counted) NotRun()      { c.not++ }
+func (c *countingAccount) Begun(string) { c.started++ }
+func (c *countingAccount) NotRun()      { c.notRun++ }
 
-// What a server says not to have run is taken out of the account again.
-func TestWhatWasNotRunIsTakenOut(t *testing.T) {
+// An attempt that the server reports as not run, by its header or with status 421, is taken out of the tenant's usage again.
+func TestNotRunAttemptIsUncounted(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		head   string
 		not    int
-	}{{200, stamp, 0}, {503, "Not-Delivered: 1\r\n", 1}, {421, "", 1}, {500, "", 0}} {
-		address := server(t, func(_ int, r *http.Request, _ string) string {
-			return text(c.status, r.Header.Get(HeaderID), c.head, "x")
+	}{{200, stampHeader, 0}, {503, "Not-Delivered: 1\r\n", 1}, {421, "", 1}, {500, "", 0}} {
+		address := fakeServer(t, func(_ int, r *http.Request, _ string) string {
+			return rawResponse(c.status, r.Header.Get(HeaderID), c.head, "x")
 		})
-		account := &counted{}
+		account := &countingAccount{}
 		o := &Order{ID: "try-1", Account: account, Permit: func() (string, error) { return "wax", nil }}
 		attemptWith(t.Context(), NewSender(8, &exchange.Counters{}), o, address, http.Header{"Host": {"a"}})
-		assert.Equal(t, *account, counted{1, c.not}, "%d", c.status)
+		assert.Equal(t, *account, countingAccount{1, c.not}, "%d", c.status)
 		assert.Equal(t, o.SurelyNotRun(), c.not == 1, "%d", c.status)
 	}
 }
