--- a/internal/cdn/departure/departure.go
+++ b/internal/cdn/departure/departure.go
@@ -1,8 +1,8 @@
-// Package departure keeps account of callers that leave before they have their answer, and of the attempts that are made for
-// them. A caller is whoever waits for work: a client, a neighbour's call, or all who wait for one gathered fetch.
+// Package departure tracks callers that disconnect or cancel before they have their response, and the attempts that are made for
+// them. A caller is whoever waits for work: a client, a call from a neighbour process, or all waiters of one coalesced fetch.
 //
-// Its invariant: once a leave has been noted no attempt is sent for that caller, and what is under way ends: within EndWithin
-// where it is broken off, by the request's own deadline where it is finished. Every breach is counted; see Ledger.Violations.
+// Invariant: once a caller is cancelled, no attempt is sent for it any more, and attempts in flight end: within EndWithin if they are
+// aborted, by the request's own deadline if they are finished. Every violation is counted; see Violations.
 package departure
 
 import (
@@ -12,66 +12,67 @@
 	"time"
 )
 
-// ErrLeft is the cause of a context's end when its caller has left.
-var ErrLeft = errors.New("the caller has left")
+// ErrLeft is the cause of the cancellation of a caller's context when the caller was cancelled.
+var ErrLeft = errors.New("caller cancelled the request")
 
-// EndWithin bounds the time from a leave to the end of what is broken off: closing a connection, a turn of the decisions and the
-// wait for a share of the processor, each some milliseconds on a machine that is not overloaded. Two processes one after the other and
-// the way between them stay under half a second.
+// EndWithin is the maximum time from a caller's cancellation to the end of its aborted attempts. It covers closing a connection, a
+// turn of the balancer's event loop and scheduling delay, each some milliseconds on a machine that is not overloaded. Two processes
+// in a row and the network between them stay under half a second.
 const EndWithin = 200 * time.Millisecond
 
-// deadlineSlack is how far past its deadline an attempt that is finished may be seen to end.
+// deadlineSlack is how long after its deadline an attempt that is being finished may still end without counting as late.
 const deadlineSlack = 200 * time.Millisecond
 
-// Policy says what becomes of an attempt that was sent when its caller leaves.
+// Policy is what happens to an attempt in flight when its caller is cancelled.
 type Policy int
 
 // The policies.
 const (
-	BreakOff Policy = iota // it may run again, and nobody else needs its answer
-	Finish                 // it must not run again, or its answer becomes a copy for others
+	BreakOff Policy = iota // abort: the request may run again, and nobody else needs its response
+	Finish                 // let it finish: the request must not run twice, or its response will be cached
 )
 
-// Caller is one caller and the attempts under way for it. It is safe for use by many goroutines. A nil Caller stands for the
-// process's own account: nobody waits who could leave.
+// Caller is one caller and its attempts in flight. It is safe for concurrent use. A nil Caller stands for the process itself: there
+// is nobody who could cancel.
 type Caller struct {
-	ledger  *Ledger
-	figures *figures
-	parent  context.Context
-	stop    func() bool
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-
-	mu        sync.Mutex
-	leftAt    time.Time     // zero while it waits
-	stoodAt   time.Duration // for how long the process had stood still by then
-	open      int           // attempts that were sent and have not ended
-	finishing int           // of them, those with the policy Finish
-	finished  bool          // such a one was under way when the caller left
-	due       time.Time     // the latest deadline of those
-	closed    bool
+	tracker   *Ledger
+	stats     *callerStats
+	parent    context.Context
+	stopWatch func() bool
+	ctx       context.Context
+	cancelCtx context.CancelCauseFunc
+
+	mu             sync.Mutex
+	cancelledAt    time.Time     // when it was cancelled; zero until then
+	stallAtCancel  time.Duration // total stall time of the process at that moment
+	inFlight       int           // attempts in flight
+	finishing      int           // those of them with the policy Finish
+	hadFinishing   bool          // an attempt with the policy Finish was in flight when the caller was cancelled
+	latestDeadline time.Time     // latest deadline of the attempts with the policy Finish
+	closed         bool
 }
 
-// Kind is who a caller is.
+// Kind is the kind of a caller.
 type Kind string
 
 // The kinds of callers.
 const (
 	Client    Kind = "client"
 	Neighbour Kind = "neighbour" // another process of the network
-	Waiters   Kind = "waiters"   // of a gathered fetch, taken together
+	Waiters   Kind = "waiters"   // of a coalesced fetch, taken together
 )
 
-// Open notes a caller of a route that waits from now on. It has left when the parent context ends before Close.
-func (l *Ledger) Open(parent context.Context, kind Kind, route string) *Caller {
-	c := &Caller{ledger: l, figures: l.figuresOf(subject{kind, route}), parent: parent}
-	c.ctx, c.cancel = context.WithCancelCause(context.Background())
-	c.figures.inHand.Add(1)
-	c.stop = context.AfterFunc(parent, c.Leave)
+// Open starts tracking a caller that waits for a response on a route. It is cancelled if the parent context ends before Close.
+func (t *Ledger) Open(parent context.Context, kind Kind, route string) *Caller {
+	c := &Caller{tracker: t, stats: t.statsFor(statsKey{kind, route}), parent: parent}
+	c.ctx, c.cancelCtx = context.WithCancelCause(context.Background())
+	c.stats.waiting.Add(1)
+	c.stopWatch = context.AfterFunc(parent, c.Leave)
 	return c
 }
 
-// Context ends when the caller leaves or is let go. All that is done for it before an attempt is sent ends with it.
+// Context returns a context that ends when the caller is cancelled or closed. All work for the caller up to sending an attempt must
+// use it.
 func (c *Caller) Context() context.Context {
 	if c == nil {
 		return context.Background()
@@ -79,44 +80,45 @@
 	return c.ctx
 }
 
-// Leave notes that the caller waits no longer. Only the first call counts.
+// Leave cancels the caller: it no longer waits. Only the first call has an effect.
 func (c *Caller) Leave() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leave(time.Now())
+	c.cancelLocked(time.Now())
 }
 
-// leave is the one place where a caller goes from waiting to left. The caller of it holds the lock.
-func (c *Caller) leave(now time.Time) {
-	if !c.leftAt.IsZero() || c.closed {
+// cancelLocked cancels the caller, if it still waits; no other code does. c.mu must be held.
+func (c *Caller) cancelLocked(now time.Time) {
+	if !c.cancelledAt.IsZero() || c.closed {
 		return
 	}
-	c.ledger.note(c, now) // before the standstills are read: it begins to look for them
-	c.leftAt, c.stoodAt = now, c.ledger.standstill.until(now)
-	c.finished = c.finishing > 0
-	c.figures.left.Add(1)
-	c.cancel(ErrLeft)
+	c.tracker.trackCancelled(c, now) // starts the stall detector, so before the stall time is read
+	c.cancelledAt, c.stallAtCancel = now, c.tracker.stalls.totalAt(now)
+	c.hadFinishing = c.finishing > 0
+	c.stats.cancelled.Add(1)
+	c.cancelCtx(ErrLeft)
 }
 
-// Left tells whether the caller has left.
+// Left reports whether the caller was cancelled.
 func (c *Caller) Left() bool {
 	if c == nil {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.hasLeft()
+	return c.detectCancelled()
 }
 
-// hasLeft also sees an end of the parent context that no goroutine has brought yet. The caller of it holds the lock.
-func (c *Caller) hasLeft() bool {
-	if c.leftAt.IsZero() && c.parent.Err() != nil {
-		c.leave(time.Now())
+// detectCancelled reports whether the caller was cancelled. It also detects an end of the parent context whose callback has not run
+// yet. c.mu must be held.
+func (c *Caller) detectCancelled() bool {
+	if c.cancelledAt.IsZero() && c.parent.Err() != nil {
+		c.cancelLocked(time.Now())
 	}
-	return !c.leftAt.IsZero()
+	return !c.cancelledAt.IsZero()
 }
 
-// Finishing tells whether an attempt that is to be finished is under way.
+// Finishing reports whether an attempt with the policy Finish is in flight.
 func (c *Caller) Finishing() bool {
 	if c == nil {
 		return false
@@ -126,89 +128,91 @@
 	return c.finishing > 0
 }
 
-// Begin asks whether an attempt may be sent now: not for one that has left, nor for one that has its answer. A leave comes either before it, and nothing is sent, or after it, and finds the
-// attempt under way. Each attempt that may be sent is to be ended.
-func (c *Caller) Begin(policy Policy, due time.Time) bool {
+// Begin reports whether an attempt may be sent now, and counts it as in flight if so. It may not if the caller was cancelled or closed.
+// A cancellation either precedes the call, and nothing is sent, or follows it and finds the attempt in flight. The end of every attempt
+// that may be sent must be reported.
+func (c *Caller) Begin(policy Policy, deadline time.Time) bool {
 	if c == nil {
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.hasLeft() || c.closed {
+	if c.detectCancelled() || c.closed {
 		return false
 	}
-	c.checkBegun()
-	c.open++
+	c.reportIfCancelled()
+	c.inFlight++
 	if policy == Finish {
 		c.finishing++
-		if due.After(c.due) {
-			c.due = due
+		if deadline.After(c.latestDeadline) {
+			c.latestDeadline = deadline
 		}
 	}
-	c.figures.attempts.Add(1)
+	c.stats.attemptsInFlight.Add(1)
 	return true
 }
 
-// checkBegun is the first half of the invariant.
-func (c *Caller) checkBegun() {
-	if !c.leftAt.IsZero() {
-		c.figures.begunAfter.Add(1)
-		c.ledger.tell(Breach{Kind: c.figures.kind, Route: c.figures.route, Begun: true, After: time.Since(c.leftAt)})
+// reportIfCancelled reports a violation of the first half of the invariant, that no attempt is sent after the caller's cancellation.
+func (c *Caller) reportIfCancelled() {
+	if !c.cancelledAt.IsZero() {
+		c.stats.begunAfterCancel.Add(1)
+		c.tracker.report(Breach{Kind: c.stats.kind, Route: c.stats.route, Begun: true, After: time.Since(c.cancelledAt)})
 	}
 }
 
-// End notes that an attempt that was begun has ended.
+// End records that an attempt in flight has ended.
 func (c *Caller) End(policy Policy) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open--
+	c.inFlight--
 	if policy == Finish {
 		c.finishing--
 	}
-	c.figures.attempts.Add(-1)
-	if c.leftAt.IsZero() {
+	c.stats.attemptsInFlight.Add(-1)
+	if c.cancelledAt.IsZero() {
 		return
 	}
-	c.figures.endedAfter.Add(1)
-	c.settle(time.Now())
+	c.stats.endedAfterCancel.Add(1)
+	c.recordEnd(time.Now())
 }
 
-// Close lets the caller go: it has its answer, or nobody is there to take one.
+// Close ends the tracking of the caller: it has its response, or can no longer receive one.
 func (c *Caller) Close() {
-	c.stop()
+	c.stopWatch()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	c.figures.inHand.Add(-1)
-	if c.leftAt.IsZero() {
-		c.cancel(nil)
+	c.stats.waiting.Add(-1)
+	if c.cancelledAt.IsZero() {
+		c.cancelCtx(nil)
 		return
 	}
-	c.settle(time.Now())
+	c.recordEnd(time.Now())
 }
 
-// settle notes the end of all that was under way for a caller that has left. The caller of it holds the lock.
-func (c *Caller) settle(now time.Time) {
-	if !c.closed || c.open > 0 {
+// recordEnd records when the last attempt of a cancelled caller ended, once the caller is closed and nothing is in flight. c.mu must
+// be held.
+func (c *Caller) recordEnd(now time.Time) {
+	if !c.closed || c.inFlight > 0 {
 		return
 	}
-	c.figures.lastEnd.observe(now.Sub(c.leftAt))
-	if late := now.Sub(c.bound(now)); late > 0 {
-		c.figures.endedLate.Add(1)
-		c.ledger.tell(Breach{Kind: c.figures.kind, Route: c.figures.route, After: now.Sub(c.leftAt), Late: late, Finished: c.finished})
+	c.stats.cancelToLastEnd.observe(now.Sub(c.cancelledAt))
+	if overrun := now.Sub(c.endDeadline(now)); overrun > 0 {
+		c.stats.endedLate.Add(1)
+		c.tracker.report(Breach{Kind: c.stats.kind, Route: c.stats.route, After: now.Sub(c.cancelledAt), Late: overrun, Finished: c.hadFinishing})
 	}
-	c.ledger.drop(c)
+	c.tracker.untrack(c)
 }
 
-// bound is the second half of the invariant: when all that is under way for a caller that has left should have ended. The caller of it holds
-// the lock.
-func (c *Caller) bound(now time.Time) time.Time {
-	bound := c.leftAt.Add(EndWithin)
-	if c.finished && c.due.Add(deadlineSlack).After(bound) {
-		bound = c.due.Add(deadlineSlack)
+// endDeadline returns the time by which all attempts of a cancelled caller must have ended: the second half of the invariant. Time in
+// which the process stalled after the cancellation is added. c.mu must be held.
+func (c *Caller) endDeadline(now time.Time) time.Time {
+	deadline := c.cancelledAt.Add(EndWithin)
+	if c.hadFinishing && c.latestDeadline.Add(deadlineSlack).After(deadline) {
+		deadline = c.latestDeadline.Add(deadlineSlack)
 	}
-	return bound.Add(c.ledger.standstill.until(now) - c.stoodAt)
+	return deadline.Add(c.tracker.stalls.totalAt(now) - c.stallAtCancel)
 }
--- a/internal/cdn/departure/departure_test.go
+++ b/internal/cdn/departure/departure_test.go
@@ -9,56 +9,56 @@
 	"gotest.tools/v3/assert"
 )
 
-// Every order in which a leave, attempts and the end of a caller can come: whether each attempt may be sent, and what is counted. A leave and
-// an attempt's begin never cross: one of the two is first.
-func TestEveryOrderOfLeavesAndAttempts(t *testing.T) {
+// Every order of cancellation, attempts and the caller's close: whether each attempt may be sent, and what is counted. A cancellation
+// and an attempt's begin are never concurrent: one of them is first.
+func TestEveryOrderOfCancellationAndAttempts(t *testing.T) {
 	const (
 		begin, beginFinish, end, endFinish = "begin", "begin to finish", "end", "end finished"
-		leave, parentEnds, closes          = "leave", "parent ends", "close"
+		callerCancels, parentEnds, closes  = "leave", "parent ends", "close"
 	)
 	cases := []struct {
 		name             string
 		steps            []string
 		sent             int // attempts that may be sent
 		left, endedAfter int64
-		finishing, ended bool // at the end: something is finished still; the context has ended
+		finishing, ended bool // at the end: an attempt is still finishing; the context has ended
 	}{
 		{"answered", []string{begin, end, closes}, 1, 0, 0, false, true},
-		{"leaves before anything is sent", []string{leave, begin, closes}, 0, 1, 0, false, true},
-		{"leaves under way", []string{begin, leave, end, closes}, 1, 1, 1, false, true},
-		{"leaves between two tries", []string{begin, end, leave, begin, closes}, 1, 1, 0, false, true},
-		{"leaves under what is finished", []string{beginFinish, leave, closes}, 1, 1, 0, true, true},
-		{"what is finished ends", []string{beginFinish, leave, endFinish, beginFinish, closes}, 1, 1, 1, false, true},
-		{"leaves twice", []string{begin, leave, leave, end, closes}, 1, 1, 1, false, true},
-		{"leaves after its answer", []string{begin, end, closes, leave}, 1, 0, 0, false, true},
+		{"leaves before anything is sent", []string{callerCancels, begin, closes}, 0, 1, 0, false, true},
+		{"leaves under way", []string{begin, callerCancels, end, closes}, 1, 1, 1, false, true},
+		{"leaves between two tries", []string{begin, end, callerCancels, begin, closes}, 1, 1, 0, false, true},
+		{"leaves under what is finished", []string{beginFinish, callerCancels, closes}, 1, 1, 0, true, true},
+		{"what is finished ends", []string{beginFinish, callerCancels, endFinish, beginFinish, closes}, 1, 1, 1, false, true},
+		{"leaves twice", []string{begin, callerCancels, callerCancels, end, closes}, 1, 1, 1, false, true},
+		{"leaves after its answer", []string{begin, end, closes, callerCancels}, 1, 0, 0, false, true},
 		{"the parent's end is seen at once", []string{parentEnds, begin}, 0, 1, 0, false, true},
-		{"two under way", []string{begin, begin, leave, end, end, closes}, 2, 1, 2, false, true},
+		{"two under way", []string{begin, begin, callerCancels, end, end, closes}, 2, 1, 2, false, true},
 		{"begins after its caller's answer", []string{begin, end, closes, begin}, 1, 0, 0, false, true},
 		{"an attempt outlives its caller's answer", []string{begin, begin, end, closes, end}, 2, 0, 0, false, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			l := NewLedger()
+			tracker := NewLedger()
 			parent, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			caller := l.Open(parent, Client, "r")
-			sent, due := 0, time.Now().Add(time.Minute)
-			may := func(p Policy) {
-				if caller.Begin(p, due) {
+			caller := tracker.Open(parent, Client, "r")
+			sent, deadline := 0, time.Now().Add(time.Minute)
+			tryBegin := func(p Policy) {
+				if caller.Begin(p, deadline) {
 					sent++
 				}
 			}
 			for _, step := range c.steps {
 				switch step {
 				case begin:
-					may(BreakOff)
+					tryBegin(BreakOff)
 				case beginFinish:
-					may(Finish)
+					tryBegin(Finish)
 				case end:
 					caller.End(BreakOff)
 				case endFinish:
 					caller.End(Finish)
-				case leave:
+				case callerCancels:
 					caller.Leave()
 				case parentEnds:
 					cancel()
@@ -66,109 +66,110 @@
 					caller.Close()
 				}
 			}
-			f := l.figuresOf(subject{Client, "r"})
+			f := tracker.statsFor(statsKey{Client, "r"})
 			assert.Equal(t, sent, c.sent)
-			assert.Equal(t, f.left.Load(), c.left)
-			assert.Equal(t, f.endedAfter.Load(), c.endedAfter)
+			assert.Equal(t, f.cancelled.Load(), c.left)
+			assert.Equal(t, f.endedAfterCancel.Load(), c.endedAfter)
 			assert.Equal(t, caller.Finishing(), c.finishing)
 			assert.Equal(t, caller.Context().Err() != nil, c.ended)
-			assert.Equal(t, l.Violations(), int64(0))
+			assert.Equal(t, tracker.Violations(), int64(0))
 		})
 	}
 }
 
-// The invariant convicts: an attempt that is sent after the leave, one that ends past its bound, and one that never ends. What is finished has
-// the request's own time.
-func TestTheInvariantConvicts(t *testing.T) {
-	l := NewLedger()
+// Violations are detected: an attempt that is sent after the cancellation, one that ends too late, and one that never ends. An attempt
+// with the policy Finish has until the request's own deadline.
+func TestViolationsAreDetected(t *testing.T) {
+	tracker := NewLedger()
 	past := time.Now().Add(-2 * EndWithin)
 	open := func() *Caller {
-		c := l.Open(t.Context(), Client, "r")
+		c := tracker.Open(t.Context(), Client, "r")
 		assert.Assert(t, c.Begin(BreakOff, time.Now().Add(time.Minute)))
 		c.Leave()
 		return c
 	}
 	c := open()
-	c.checkBegun()
-	assert.Equal(t, l.Violations(), int64(1), "begun after the leave")
+	c.reportIfCancelled()
+	assert.Equal(t, tracker.Violations(), int64(1), "begun after the cancellation")
 	c.Close()
 	c.End(BreakOff)
-	assert.Equal(t, l.Violations(), int64(1), "it ended in time")
+	assert.Equal(t, tracker.Violations(), int64(1), "it ended in time")
 
 	c = open()
-	c.leftAt = past
-	assert.Equal(t, l.Overdue(time.Now()), 1, "under way past its bound")
+	c.cancelledAt = past
+	assert.Equal(t, tracker.Overdue(time.Now()), 1, "in flight past the allowed end")
 	c.Close()
 	c.End(BreakOff)
-	assert.Equal(t, l.Overdue(time.Now()), 0)
-	assert.Equal(t, l.Violations(), int64(2), "it ended late")
+	assert.Equal(t, tracker.Overdue(time.Now()), 0)
+	assert.Equal(t, tracker.Violations(), int64(2), "it ended late")
 
-	c = l.Open(t.Context(), Client, "r")
+	c = tracker.Open(t.Context(), Client, "r")
 	assert.Assert(t, c.Begin(Finish, time.Now().Add(time.Minute)))
 	c.Leave()
-	c.leftAt = past
+	c.cancelledAt = past
 	c.Close()
-	assert.Equal(t, l.Overdue(time.Now()), 0, "it may take its request's time")
-	l.standstill.end() // the two minutes pass without one
-	assert.Equal(t, l.Overdue(time.Now().Add(2*time.Minute)), 1, "and no more")
+	assert.Equal(t, tracker.Overdue(time.Now()), 0, "it may take until the request's deadline")
+	tracker.stalls.stop() // no stall during the two minutes
+	assert.Equal(t, tracker.Overdue(time.Now().Add(2*time.Minute)), 1, "but no longer")
 	c.End(Finish)
-	assert.Equal(t, l.Violations(), int64(2))
-	assert.Equal(t, testutil.CollectAndCount(l), 2+len(metrics))
+	assert.Equal(t, tracker.Violations(), int64(2))
+	assert.Equal(t, testutil.CollectAndCount(tracker), 2+len(metrics))
 }
 
-// A process that was stopped has its time anew: what was under way could not end meanwhile. A standstill before the leave gives none.
-func TestAStandstillIsNoBreach(t *testing.T) {
-	l, at := NewLedger(), time.Now()
-	l.pulse = func() {} // the test's own times
-	l.standstill.begin(at)
-	l.standstill.pulse(at.Add(10 * time.Second)) // before
-	c := l.Open(t.Context(), Client, "r")
-	assert.Assert(t, c.Begin(BreakOff, at.Add(time.Hour)))
+// Time in which the process was stopped after a cancellation does not count against its attempts, which could not end in it. A stall
+// before the cancellation adds no time.
+func TestStallIsNoViolation(t *testing.T) {
+	tracker, start := NewLedger(), time.Now()
+	tracker.runDetector = func() {} // the test calls tick itself
+	tracker.stalls.start(start)
+	tracker.stalls.tick(start.Add(10 * time.Second)) // before the cancellation
+	c := tracker.Open(t.Context(), Client, "r")
+	assert.Assert(t, c.Begin(BreakOff, start.Add(time.Hour)))
 	c.mu.Lock()
-	c.leave(at.Add(10*time.Second + pulseEvery))
+	c.cancelLocked(start.Add(10*time.Second + tickInterval))
 	c.mu.Unlock()
-	late := at.Add(15 * time.Second)
-	assert.Equal(t, l.Overdue(late), 0, "not noted yet")
-	l.standstill.pulse(late)
-	assert.Equal(t, l.Overdue(late.Add(EndWithin/2)), 0)
+	late := start.Add(15 * time.Second)
+	assert.Equal(t, tracker.Overdue(late), 0, "the stall is not recorded by a tick yet")
+	tracker.stalls.tick(late)
+	assert.Equal(t, tracker.Overdue(late.Add(EndWithin/2)), 0)
 	for n := range 4 {
-		l.standstill.pulse(late.Add(time.Duration(n+1) * pulseEvery))
+		tracker.stalls.tick(late.Add(time.Duration(n+1) * tickInterval))
 	}
-	assert.Equal(t, l.Overdue(late.Add(2*pulseEvery)), 0, "the whole span between two pulses counts: the standstill may have begun right after the first")
-	assert.Equal(t, l.Overdue(late.Add(4*pulseEvery)), 1, "it runs again, and nothing ends")
+	assert.Equal(t, tracker.Overdue(late.Add(2*tickInterval)), 0, "the whole time between two ticks counts: the stall may have started right after the first")
+	assert.Equal(t, tracker.Overdue(late.Add(4*tickInterval)), 1, "the process runs again, but the attempt does not end")
 }
 
-// A process looks for standstills while something is under way for a caller that has left, and is woken by nothing else.
-func TestPulsesWhileSomethingIsUnderWay(t *testing.T) {
-	l, begun := NewLedger(), make(chan struct{}, 1)
-	l.pulse = func() { begun <- struct{}{} }
-	c := l.Open(t.Context(), Client, "r")
+// The stall detector runs only while something is in flight for a cancelled caller.
+func TestStallDetectorRunsOnlyWhileNeeded(t *testing.T) {
+	tracker, started := NewLedger(), make(chan struct{}, 1)
+	tracker.runDetector = func() { started <- struct{}{} }
+	c := tracker.Open(t.Context(), Client, "r")
 	assert.Assert(t, c.Begin(BreakOff, time.Now().Add(time.Minute)))
-	assert.Assert(t, !l.pulsing && l.standstill.last.IsZero(), "it waits still")
+	assert.Assert(t, !tracker.detecting && tracker.stalls.lastTick.IsZero(), "the caller still waits")
 	c.Leave()
-	<-begun
-	assert.Assert(t, !l.endPulses(), "its attempt is under way")
+	<-started
+	assert.Assert(t, !tracker.stopIfIdle(), "its attempt is in flight")
 	c.Close()
 	c.End(BreakOff)
-	assert.Assert(t, l.endPulses() && !l.pulsing && l.standstill.last.IsZero())
+	assert.Assert(t, tracker.stopIfIdle() && !tracker.detecting && tracker.stalls.lastTick.IsZero())
 }
 
-// Routes past a bound share their figures.
-func TestFiguresAreBounded(t *testing.T) {
-	l := NewLedger()
-	for i := range 2 * mostSubjects {
-		l.Open(t.Context(), Client, string(rune('a'+i))).Close()
+// Routes beyond maxStatsKeys share their counters.
+func TestStatsKeysAreBounded(t *testing.T) {
+	tracker := NewLedger()
+	for i := range 2 * maxStatsKeys {
+		tracker.Open(t.Context(), Client, string(rune('a'+i))).Close()
 	}
-	assert.Equal(t, len(l.all), mostSubjects+1)
+	assert.Equal(t, len(tracker.byKey), maxStatsKeys+1)
 }
 
-// What the account of one request with one attempt costs.
+// BenchmarkCaller measures the cost of tracking one request with one attempt.
 func BenchmarkCaller(b *testing.B) {
-	l, due := NewLedger(), time.Now().Add(time.Hour)
+	tracker, deadline := NewLedger(), time.Now().Add(time.Hour)
 	for b.Loop() {
 		parent, cancel := context.WithCancel(b.Context())
-		c := l.Open(parent, Client, "r")
-		c.Begin(BreakOff, due)
+		c := tracker.Open(parent, Client, "r")
+		c.Begin(BreakOff, deadline)
 		c.End(BreakOff)
 		c.Close()
 		cancel()
--- a/internal/cdn/departure/stall_detector.go
+++ b/internal/cdn/departure/stall_detector.go
@@ -6,52 +6,53 @@
 )
 
 const (
-	// pulseEvery is how often the time is noted while something is under way for a caller that has left.
-	pulseEvery = 100 * time.Millisecond
-	// pulseSlack is how late a pulse may come before it counts as a standstill.
-	pulseSlack = 50 * time.Millisecond
+	// tickInterval is the interval of the stall detector's ticks while attempts of cancelled callers are in flight.
+	tickInterval = 100 * time.Millisecond
+	// tickSlack is how late a tick may come before it counts as a stall.
+	tickSlack = 50 * time.Millisecond
 )
 
-// standstill adds up for how long the process was stopped, or had no share of the processor, between begin and end. The zero value has not
-// begun and knows of none.
-type standstill struct {
-	mu   sync.Mutex
-	last time.Time
-	sum  time.Duration
+// stallDetector adds up the time in which the process was stopped, or got no CPU time, between start and stop. The zero value is not
+// started and has measured no stall.
+type stallDetector struct {
+	mu       sync.Mutex
+	lastTick time.Time
+	total    time.Duration
 }
 
-// begin begins to look: what was before is of no interest.
-func (s *standstill) begin(now time.Time) {
+// start starts the measurement. Earlier stalls are not counted.
+func (s *stallDetector) start(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last = now
+	s.lastTick = now
 }
 
-// end ends it until the next begin.
-func (s *standstill) end() {
+// stop stops the measurement until the next start.
+func (s *stallDetector) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last = time.Time{}
+	s.lastTick = time.Time{}
 }
 
-func (s *standstill) pulse(now time.Time) {
+// tick records that the process runs at the given time, and adds a stall since the last tick.
+func (s *stallDetector) tick(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sum += s.late(now)
-	s.last = now
+	s.total += s.currentStall(now)
+	s.lastTick = now
 }
 
-// until is the sum up to a moment, with the standstill that has not been noted yet.
-func (s *standstill) until(now time.Time) time.Duration {
+// totalAt returns the total stall time up to now, with a current stall that no tick has recorded yet.
+func (s *stallDetector) totalAt(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sum + s.late(now)
+	return s.total + s.currentStall(now)
 }
 
-// late is the time since the last pulse, if the next one would come too late now: the standstill may have begun right after that one. The
-// caller holds the lock.
-func (s *standstill) late(now time.Time) time.Duration {
-	if since := now.Sub(s.last); !s.last.IsZero() && since > pulseEvery+pulseSlack {
+// currentStall returns the whole time since the last tick if the next one is already late, because the stall may have started right
+// after that tick; otherwise 0. s.mu must be held.
+func (s *stallDetector) currentStall(now time.Time) time.Duration {
+	if since := now.Sub(s.lastTick); !s.lastTick.IsZero() && since > tickInterval+tickSlack {
 		return since
 	}
 	return 0
--- a/internal/cdn/departure/tracker.go
+++ b/internal/cdn/departure/tracker.go
@@ -9,134 +9,136 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// mostSubjects is how many have figures of their own; the routes of later ones share those of otherRoutes.
+// maxStatsKeys is the maximum number of keys with statistics of their own. Later routes share those of otherRoutes.
 const (
-	mostSubjects = 256
+	maxStatsKeys = 256
 	otherRoutes  = "other"
 )
 
-// Ledger is a process's account of its callers, by kind and route. It is a prometheus.Collector: figures are put into words only when
-// they are asked for.
+// Ledger tracks the callers of a process and counts them by kind and route. It is a prometheus.Collector that creates its metrics
+// only when they are collected.
 type Ledger struct {
-	OnBreach func(Breach) // called where the invariant is broken; set before use, may be nil
+	OnBreach func(Breach) // called on each violation of the invariant; set before use, may be nil
 
-	mu  sync.RWMutex
-	all map[subject]*figures
+	mu    sync.RWMutex
+	byKey map[statsKey]*callerStats
 
-	leavingMu sync.Mutex
-	leaving   map[*Caller]struct{} // that have left and for whom something is still under way
-	pulsing   bool                 // the process looks for standstills
-	pulse     func()               // looks for them, while something is under way
+	cancelledMu sync.Mutex
+	cancelled   map[*Caller]struct{} // cancelled callers that are not closed or have attempts in flight
+	detecting   bool                 // the stall detector is running
+	runDetector func()               // runs the stall detector, while cancelled callers remain; replaced in tests
 
-	standstill standstill
+	stalls stallDetector
 }
 
-// Breach is one breach of the invariant.
+// Breach is a violation of the invariant.
 type Breach struct {
 	Kind     Kind
 	Route    string
-	Begun    bool          // an attempt was sent after its caller had left; else something ended late
-	After    time.Duration // from the leave
-	Late     time.Duration // past the bound
-	Finished bool          // what was under way was to be finished
+	Begun    bool          // an attempt was sent after its caller's cancellation; if false, an attempt ended late
+	After    time.Duration // since the caller's cancellation
+	Late     time.Duration // past the allowed end
+	Finished bool          // an attempt with the policy Finish was in flight at the cancellation
 }
 
-// mostLogged is how many breaches a process logs; all are counted.
-const mostLogged = 50
+// maxLogged is the maximum number of violations that a process logs. All are counted.
+const maxLogged = 50
 
-// LogBreaches logs breaches.
-func (l *Ledger) LogBreaches(log hclog.Logger) {
+// LogBreaches logs each violation from now on, at most maxLogged.
+func (t *Ledger) LogBreaches(log hclog.Logger) {
 	var logged atomic.Int64
-	l.OnBreach = func(b Breach) {
-		if logged.Add(1) <= mostLogged {
-			log.Warn("work for a caller that had left", "caller", b.Kind, "route", b.Route, "begun", b.Begun, "after", b.After, "late", b.Late, "finished", b.Finished)
+	t.OnBreach = func(b Breach) {
+		if logged.Add(1) <= maxLogged {
+			log.Warn("attempt outlived its cancelled caller", "caller", b.Kind, "route", b.Route, "begun", b.Begun, "after", b.After, "late", b.Late, "finished", b.Finished)
 		}
 	}
 }
 
-func (l *Ledger) tell(b Breach) {
-	if l.OnBreach != nil {
-		l.OnBreach(b)
+// report passes a violation to OnBreach.
+func (t *Ledger) report(b Breach) {
+	if t.OnBreach != nil {
+		t.OnBreach(b)
 	}
 }
 
-// subject is whose figures are kept apart.
-type subject struct {
+// statsKey identifies callers that are counted together.
+type statsKey struct {
 	kind  Kind
 	route string
 }
 
-// figures are one subject's.
-type figures struct {
-	subject
-	inHand, attempts      atomic.Int64
-	left, endedAfter      atomic.Int64
-	begunAfter, endedLate atomic.Int64 // breaches of the invariant
-	lastEnd               histogram
+// callerStats holds the counters of one statsKey.
+type callerStats struct {
+	statsKey
+	waiting, attemptsInFlight   atomic.Int64
+	cancelled, endedAfterCancel atomic.Int64
+	begunAfterCancel, endedLate atomic.Int64 // violations of the invariant
+	cancelToLastEnd             histogram
 }
 
-// NewLedger returns an empty account.
+// NewLedger returns a ledger without callers.
 func NewLedger() *Ledger {
-	l := &Ledger{all: map[subject]*figures{}, leaving: map[*Caller]struct{}{}}
-	l.pulse = l.pulseWhileLeaving
-	return l
+	t := &Ledger{byKey: map[statsKey]*callerStats{}, cancelled: map[*Caller]struct{}{}}
+	t.runDetector = t.detectStalls
+	return t
 }
 
-// note keeps a caller that has left until nothing is under way for it. While there are any the process looks for standstills, from that
-// caller's leave on; else nothing wakes it.
-func (l *Ledger) note(c *Caller, now time.Time) {
-	l.leavingMu.Lock()
-	defer l.leavingMu.Unlock()
-	l.leaving[c] = struct{}{} // bounded by what is under way
-	if !l.pulsing {
-		l.pulsing = true
-		l.standstill.begin(now)
-		go l.pulse()
+// trackCancelled keeps a cancelled caller until it is closed and nothing is in flight for it. The stall detector runs from the first
+// such caller's cancellation until none remains; otherwise no timer runs.
+func (t *Ledger) trackCancelled(c *Caller, now time.Time) {
+	t.cancelledMu.Lock()
+	defer t.cancelledMu.Unlock()
+	t.cancelled[c] = struct{}{} // bounded by the number of attempts in flight
+	if !t.detecting {
+		t.detecting = true
+		t.stalls.start(now)
+		go t.runDetector()
 	}
 }
 
-// pulseWhileLeaving notes the time as long as something is under way for a caller that has left.
-func (l *Ledger) pulseWhileLeaving() {
-	turn := time.NewTicker(pulseEvery)
-	defer turn.Stop()
-	for range turn.C {
-		l.standstill.pulse(time.Now())
-		if l.endPulses() {
+// detectStalls runs the stall detector's ticks until no cancelled caller remains.
+func (t *Ledger) detectStalls() {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	for range ticker.C {
+		t.stalls.tick(time.Now())
+		if t.stopIfIdle() {
 			return
 		}
 	}
 }
 
-// endPulses ends the pulses if nothing is under way any more.
-func (l *Ledger) endPulses() bool {
-	l.leavingMu.Lock()
-	defer l.leavingMu.Unlock()
-	if len(l.leaving) > 0 {
+// stopIfIdle stops the stall detector if no cancelled caller remains, and reports whether it did.
+func (t *Ledger) stopIfIdle() bool {
+	t.cancelledMu.Lock()
+	defer t.cancelledMu.Unlock()
+	if len(t.cancelled) > 0 {
 		return false
 	}
-	l.pulsing = false
-	l.standstill.end()
+	t.detecting = false
+	t.stalls.stop()
 	return true
 }
 
-func (l *Ledger) drop(c *Caller) {
-	l.leavingMu.Lock()
-	defer l.leavingMu.Unlock()
-	delete(l.leaving, c)
+// untrack removes a cancelled caller that has ended.
+func (t *Ledger) untrack(c *Caller) {
+	t.cancelledMu.Lock()
+	defer t.cancelledMu.Unlock()
+	delete(t.cancelled, c)
 }
 
-// Overdue is how many callers have left for whom something is under way past its bound.
-func (l *Ledger) Overdue(now time.Time) int {
-	l.leavingMu.Lock()
-	all := make([]*Caller, 0, len(l.leaving))
-	for c := range l.leaving {
-		all = append(all, c)
+// Overdue returns the number of cancelled callers that still have something in flight past the allowed end.
+func (t *Ledger) Overdue(now time.Time) int {
+	t.cancelledMu.Lock()
+	callers := make([]*Caller, 0, len(t.cancelled))
+	for c := range t.cancelled {
+		callers = append(callers, c)
 	}
-	l.leavingMu.Unlock()
+	t.cancelledMu.Unlock()
 	n := 0
-	for _, c := range all {
+	for _, c := range callers {
 		c.mu.Lock()
-		if now.After(c.bound(now)) && !(c.closed && c.open == 0) {
+		if now.After(c.endDeadline(now)) && !(c.closed && c.inFlight == 0) {
 			n++
 		}
 		c.mu.Unlock()
@@ -144,98 +146,102 @@
 	return n
 }
 
-// Violations counts the breaches of the package's invariant: attempts that were sent after their caller had left, and callers for whom
-// something was or is under way past its bound.
-func (l *Ledger) Violations() int64 {
-	return l.sum(func(f *figures) *atomic.Int64 { return &f.begunAfter }) +
-		l.sum(func(f *figures) *atomic.Int64 { return &f.endedLate }) + int64(l.Overdue(time.Now()))
+// Violations returns the number of violations of the package's invariant: attempts that were sent after their caller's cancellation,
+// and callers for which something was or is in flight past the allowed end.
+func (t *Ledger) Violations() int64 {
+	return t.sum(func(f *callerStats) *atomic.Int64 { return &f.begunAfterCancel }) +
+		t.sum(func(f *callerStats) *atomic.Int64 { return &f.endedLate }) + int64(t.Overdue(time.Now()))
 }
 
-func (l *Ledger) figuresOf(s subject) *figures {
-	l.mu.RLock()
-	f := l.all[s]
-	l.mu.RUnlock()
-	if f != nil {
-		return f
+// statsFor returns the counters of a key, and creates them if need be.
+func (t *Ledger) statsFor(key statsKey) *callerStats {
+	t.mu.RLock()
+	stats := t.byKey[key]
+	t.mu.RUnlock()
+	if stats != nil {
+		return stats
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.all) >= mostSubjects {
-		s.route = otherRoutes
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.byKey) >= maxStatsKeys {
+		key.route = otherRoutes
 	}
-	if f = l.all[s]; f == nil {
-		f = &figures{subject: s}
-		l.all[s] = f
+	if stats = t.byKey[key]; stats == nil {
+		stats = &callerStats{statsKey: key}
+		t.byKey[key] = stats
 	}
-	return f
+	return stats
 }
 
-// bounds are the upper bounds of the histogram's buckets, in seconds.
-var bounds = [...]float64{0.005, 0.025, 0.1, 0.25, 0.5, 1, 2.5, 10}
+// bucketBounds are the upper bounds of the histogram's buckets, in seconds.
+var bucketBounds = [...]float64{0.005, 0.025, 0.1, 0.25, 0.5, 1, 2.5, 10}
 
-// histogram counts spans. The zero value is empty.
+// histogram counts durations. The zero value is empty.
 type histogram struct {
 	mu      sync.Mutex
-	buckets [len(bounds)]uint64 // spans up to each bound
+	buckets [len(bucketBounds)]uint64 // durations up to each bound; cumulative
 	count   uint64
 	sum     float64
 }
 
+// observe counts a duration.
 func (h *histogram) observe(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	seconds := d.Seconds()
 	h.count++
 	h.sum += seconds
-	for i, bound := range bounds {
+	for i, bound := range bucketBounds {
 		if seconds <= bound {
 			h.buckets[i]++
 		}
 	}
 }
 
-func (h *histogram) read() (count uint64, sum float64, buckets map[float64]uint64) {
+// snapshot returns the count and sum of all durations, in seconds, and the cumulative count for each bucket bound.
+func (h *histogram) snapshot() (count uint64, sum float64, buckets map[float64]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	buckets = make(map[float64]uint64, len(bounds))
-	for i, bound := range bounds {
+	buckets = make(map[float64]uint64, len(bucketBounds))
+	for i, bound := range bucketBounds {
 		buckets[bound] = h.buckets[i]
 	}
 	return h.count, h.sum, buckets
 }
 
-// metric is one family of figures.
+// metric describes one exported counter or gauge.
 type metric struct {
 	desc *prometheus.Desc
 	kind prometheus.ValueType
-	read func(*figures) *atomic.Int64
+	read func(*callerStats) *atomic.Int64
 }
 
-func describe(name, help string) *prometheus.Desc {
+// newDesc describes a metric with the labels caller and route.
+func newDesc(name, help string) *prometheus.Desc {
 	return prometheus.NewDesc("cedarmast_"+name, help, []string{"caller", "route"}, nil)
 }
 
 var (
 	metrics = []metric{
-		{describe("requests_in_hand", "Requests that wait for their answer."), prometheus.GaugeValue,
-			func(f *figures) *atomic.Int64 { return &f.inHand }},
-		{describe("attempts_in_flight", "Attempts that were sent and have not ended."), prometheus.GaugeValue,
-			func(f *figures) *atomic.Int64 { return &f.attempts }},
-		{describe("callers_left_total", "Callers that left before they had their answer."), prometheus.CounterValue,
-			func(f *figures) *atomic.Int64 { return &f.left }},
-		{describe("attempts_begun_after_leave_total", "Attempts that were sent after their caller had left."), prometheus.CounterValue,
-			func(f *figures) *atomic.Int64 { return &f.begunAfter }},
-		{describe("attempts_ended_after_leave_total", "Attempts that ended after their caller had left."), prometheus.CounterValue,
-			func(f *figures) *atomic.Int64 { return &f.endedAfter }},
-		{describe("work_ended_late_total", "Callers that left and for whom something was under way past its bound."), prometheus.CounterValue,
-			func(f *figures) *atomic.Int64 { return &f.endedLate }},
+		{newDesc("requests_in_hand", "Requests that wait for their answer."), prometheus.GaugeValue,
+			func(f *callerStats) *atomic.Int64 { return &f.waiting }},
+		{newDesc("attempts_in_flight", "Attempts that were sent and have not ended."), prometheus.GaugeValue,
+			func(f *callerStats) *atomic.Int64 { return &f.attemptsInFlight }},
+		{newDesc("callers_left_total", "Callers that left before they had their answer."), prometheus.CounterValue,
+			func(f *callerStats) *atomic.Int64 { return &f.cancelled }},
+		{newDesc("attempts_begun_after_leave_total", "Attempts that were sent after their caller had left."), prometheus.CounterValue,
+			func(f *callerStats) *atomic.Int64 { return &f.begunAfterCancel }},
+		{newDesc("attempts_ended_after_leave_total", "Attempts that ended after their caller had left."), prometheus.CounterValue,
+			func(f *callerStats) *atomic.Int64 { return &f.endedAfterCancel }},
+		{newDesc("work_ended_late_total", "Callers that left and for whom something was under way past its bound."), prometheus.CounterValue,
+			func(f *callerStats) *atomic.Int64 { return &f.endedLate }},
 	}
 	overdueDesc = prometheus.NewDesc("cedarmast_work_overdue", "Callers that have left and for whom something is under way past its bound.", nil, nil)
-	lastEndDesc = describe("leave_to_last_end_seconds", "Time from a caller's leave to the end of the last attempt for it.")
+	lastEndDesc = newDesc("leave_to_last_end_seconds", "Time from a caller's leave to the end of the last attempt for it.")
 )
 
 // Describe implements prometheus.Collector.
-func (l *Ledger) Describe(out chan<- *prometheus.Desc) {
+func (t *Ledger) Describe(out chan<- *prometheus.Desc) {
 	for _, m := range metrics {
 		out <- m.desc
 	}
@@ -244,27 +250,30 @@
 }
 
 // Collect implements prometheus.Collector.
-func (l *Ledger) Collect(out chan<- prometheus.Metric) {
-	out <- prometheus.MustNewConstMetric(overdueDesc, prometheus.GaugeValue, float64(l.Overdue(time.Now())))
-	l.mu.RLock()
-	defer l.mu.RUnlock()
-	for s, f := range l.all {
+func (t *Ledger) Collect(out chan<- prometheus.Metric) {
+	out <- prometheus.MustNewConstMetric(overdueDesc, prometheus.GaugeValue, float64(t.Overdue(time.Now())))
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	for key, stats := range t.byKey {
 		for _, m := range metrics {
-			out <- prometheus.MustNewConstMetric(m.desc, m.kind, float64(m.read(f).Load()), string(s.kind), s.route)
+			out <- prometheus.MustNewConstMetric(m.desc, m.kind, float64(m.read(stats).Load()), string(key.kind), key.route)
 		}
-		count, sum, buckets := f.lastEnd.read()
-		out <- prometheus.MustNewConstHistogram(lastEndDesc, count, sum, buckets, string(s.kind), s.route)
+		count, sum, buckets := stats.cancelToLastEnd.snapshot()
+		out <- prometheus.MustNewConstHistogram(lastEndDesc, count, sum, buckets, string(key.kind), key.route)
 	}
 }
 
-// Left is how many callers have left, over all routes.
-func (l *Ledger) Left() int64 { return l.sum(func(f *figures) *atomic.Int64 { return &f.left }) }
+// Left returns the number of callers that were cancelled, over all kinds and routes.
+func (t *Ledger) Left() int64 {
+	return t.sum(func(f *callerStats) *atomic.Int64 { return &f.cancelled })
+}
 
-func (l *Ledger) sum(of func(*figures) *atomic.Int64) (all int64) {
-	l.mu.RLock()
-	defer l.mu.RUnlock()
-	for _, f := range l.all {
-		all += of(f).Load()
+// sum adds up one counter over all keys.
+func (t *Ledger) sum(counter func(*callerStats) *atomic.Int64) (total int64) {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	for _, stats := range t.byKey {
+		total += counter(stats).Load()
 	}
-	return all
+	return total
 }
