--- a/internal/cdn/halfclose/halfclose.go
+++ b/internal/cdn/halfclose/halfclose.go
@@ -1,9 +1,9 @@
-// Package halfclose tells a client that has closed its connection from one that has only ended its sending side. Both look alike: the
-// connection brings no more bytes. The first waits for no answer, and work for it is to end; the second still does.
+// Package halfclose distinguishes a client that has closed its connection from one that has only shut down its sending side. Both look
+// alike: reading returns EOF. The first no longer waits for its response, and work for it should be cancelled; the second still waits.
 //
-// HTTP lets a server send interim answers at any time (RFC 9110, 15.2). One that comes to a closed connection is answered with a reset, so that
-// the next one can't be sent any more; a client that waits passes it over. A client that speaks HTTP/1.0 knows no interim answers: its end is
-// taken for its leave.
+// HTTP lets a server send interim responses at any time (RFC 9110, 15.2). A closed connection answers one with a reset, so that the
+// next write fails; a client that waits ignores it. An HTTP/1.0 client does not know interim responses: its EOF is taken for a
+// disconnect.
 package halfclose
 
 import (
@@ -19,39 +19,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// probe is sent to see whether anybody is there.
+// probe is the interim response that is sent to see whether the client is still connected.
 var probe = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
 var (
-	interimStart = []byte("HTTP/1.1 1")
-	oldProtocol  = []byte(" HTTP/1.0\r\n")
+	interimPrefix = []byte("HTTP/1.1 1")
+	http10Marker  = []byte(" HTTP/1.0\r\n")
 )
 
-// probePauses are the waits after each probe; clients commonly bear five interim answers. After the last one, 0, the connection is looked at
-// without a further probe until the request is answered.
+// probePauses are the waits after each probe; clients commonly accept five interim responses. The last value, 0, means that the
+// connection is polled without a further probe until the request is answered.
 var probePauses = [...]time.Duration{25 * time.Millisecond, 75 * time.Millisecond, 150 * time.Millisecond, 0}
 
-// brokenLook is how often a connection is looked at for the answer to a probe, which may take its time over a slow way.
-const brokenLook = 25 * time.Millisecond
+// resetPollInterval is the interval at which a connection is polled for the reset that a probe causes. It arrives late on a slow network.
+const resetPollInterval = 25 * time.Millisecond
 
-// earlyLook is how often a connection is looked at whose client has sent more before its answer: nobody reads it meanwhile.
-const earlyLook = 50 * time.Millisecond
+// pipelinedPollInterval is the interval at which a connection is polled whose client has sent more bytes before its response. Nobody
+// reads from it in the meantime.
+const pipelinedPollInterval = 50 * time.Millisecond
 
-// Conn is a client's connection under an http.Server. While a request is in hand that server waits for one byte more, and takes the end of the
-// bytes for the client's leave; here that end is told only once the client has left.
+// Conn is a client connection under an http.Server. While a request is being handled, that server reads one more byte and takes EOF for
+// the client's disconnect. Conn returns EOF from that read only once the client has really disconnected.
 type Conn struct {
 	net.Conn
 
-	mu        sync.Mutex
-	answering bool          // the answer to the request in hand has begun: writing it shows whether the client is there
-	old       bool          // the client speaks HTTP/1.0
-	early     chan struct{} // closed to end the watch over a connection whose client has sent more; nil without one
-	onLeave   func()
-	woken     chan struct{} // holds a word when a waiting read is to end
-	closed    bool
+	mu           sync.Mutex
+	responding   bool          // the final response has started: writing it shows whether the client is connected
+	isHTTP10     bool          // the client uses HTTP/1.0
+	stopPoll     chan struct{} // closed to stop polling a connection whose client has sent more; nil if none is polled
+	onDisconnect func()
+	interrupt    chan struct{} // signals a waiting read to return
+	closed       bool
 }
 
-// Listen wraps the connections of a listener.
+// Listen returns a listener that wraps each accepted connection in a Conn.
 func Listen(l net.Listener) net.Listener { return listener{l} }
 
 type listener struct{ net.Listener }
@@ -64,84 +65,86 @@
 	return New(c), nil
 }
 
-// New wraps a client's connection.
-func New(c net.Conn) *Conn { return &Conn{Conn: c, woken: make(chan struct{}, 1)} }
+// New wraps a client connection.
+func New(c net.Conn) *Conn { return &Conn{Conn: c, interrupt: make(chan struct{}, 1)} }
 
-// OnLeave names what is called, once, when the client of the request in hand leaves after it has sent more: an http.Server can't see that. It
-// holds until the next request.
+// OnLeave sets a function that is called, once, if the client of the current request disconnects after it has sent more bytes: an
+// http.Server can't detect that. It is cleared at the next request.
 func (c *Conn) OnLeave(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.onLeave = f
+	c.onDisconnect = f
 }
 
-// Read reads as an http.Server does: one byte while a request is in hand, more otherwise.
+// Read implements net.Conn. It relies on how an http.Server reads: with a buffer of one byte while a request is being handled, with a
+// larger one otherwise.
 func (c *Conn) Read(b []byte) (int, error) {
-	waiting := len(b) == 1
-	if !waiting {
-		c.next()
+	backgroundRead := len(b) == 1
+	if !backgroundRead {
+		c.startRequest()
 	}
 	n, err := c.Conn.Read(b)
 	switch {
-	case waiting && n > 0:
-		c.watchEarly()
-	case waiting && errors.Is(err, io.EOF):
-		return 0, c.ended()
+	case backgroundRead && n > 0:
+		c.watchPipelined()
+	case backgroundRead && errors.Is(err, io.EOF):
+		return 0, c.waitForDisconnect()
 	case n > 0:
-		c.note(b[:n])
+		c.detectHTTP10(b[:n])
 	}
 	return n, err
 }
 
-// next begins a request: the answer to the one before it is out.
-func (c *Conn) next() {
+// startRequest resets the state for the next request, once the previous one is answered.
+func (c *Conn) startRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answering, c.onLeave = false, nil
-	c.endWatch()
+	c.responding, c.onDisconnect = false, nil
+	c.stopPolling()
 	select {
-	case <-c.woken: // of the request before
+	case <-c.interrupt: // signal for the previous request
 	default:
 	}
 }
 
-func (c *Conn) note(bytesRead []byte) {
-	if bytes.Contains(bytesRead, oldProtocol) {
+// detectHTTP10 records that the client uses HTTP/1.0.
+func (c *Conn) detectHTTP10(bytesRead []byte) {
+	if bytes.Contains(bytesRead, http10Marker) {
 		c.mu.Lock()
-		c.old = true
+		c.isHTTP10 = true
 		c.mu.Unlock()
 	}
 }
 
-// Write writes, and notes when an answer begins.
+// Write implements net.Conn, and records when a final response starts.
 func (c *Conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	if !bytes.HasPrefix(b, interimStart) {
-		c.answering = true
+	if !bytes.HasPrefix(b, interimPrefix) {
+		c.responding = true
 	}
 	c.mu.Unlock()
 	return c.Conn.Write(b)
 }
 
-// SetReadDeadline also ends a read that waits to see whether the client has left.
+// SetReadDeadline implements net.Conn. A deadline in the past also ends a read that waits to see whether the client disconnects.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && !t.After(time.Now()) {
-		c.wake()
+		c.interruptRead()
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Close closes the connection.
+// Close closes the connection and stops polling it.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	c.closed = true
-	c.endWatch()
+	c.stopPolling()
 	c.mu.Unlock()
-	c.wake()
+	c.interruptRead()
 	return c.Conn.Close()
 }
 
-// SyscallConn lets the connection be asked about.
+// SyscallConn implements syscall.Conn, for polling the underlying socket.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -150,36 +153,37 @@
 	return sc.SyscallConn()
 }
 
-func (c *Conn) wake() {
+// interruptRead makes a waiting read return.
+func (c *Conn) interruptRead() {
 	select {
-	case c.woken <- struct{}{}:
+	case c.interrupt <- struct{}{}:
 	default:
 	}
 }
 
-// ended returns io.EOF once the client has left, and a timeout when the read is to end before.
-func (c *Conn) ended() error {
-	if c.left(c.woken) {
+// waitForDisconnect returns io.EOF once the client has disconnected, or a timeout error if the read is interrupted before.
+func (c *Conn) waitForDisconnect() error {
+	if c.disconnects(c.interrupt) {
 		return io.EOF
 	}
 	return os.ErrDeadlineExceeded
 }
 
-// left tells whether a client whose bytes have ended leaves before the word to stop.
-func (c *Conn) left(stop <-chan struct{}) bool {
-	look := time.NewTicker(brokenLook)
-	defer look.Stop()
-	for _, pause := range probePauses {
-		if !c.present() {
+// disconnects probes a client that sent EOF, and reports whether it disconnects before stop is signalled.
+func (c *Conn) disconnects(stop <-chan struct{}) bool {
+	ticker := time.NewTicker(resetPollInterval)
+	defer ticker.Stop()
+	for _, wait := range probePauses {
+		if !c.sendProbe() {
 			return true
 		}
-		for until := time.Now().Add(pause); pause == 0 || time.Now().Before(until); {
+		for end := time.Now().Add(wait); wait == 0 || time.Now().Before(end); {
 			select {
-			case <-look.C:
+			case <-ticker.C:
 			case <-stop:
 				return false
 			}
-			if _, broken := c.peerEnded(); broken {
+			if _, broken := c.pollPeer(); broken {
 				return true
 			}
 		}
@@ -187,60 +191,62 @@
 	return false
 }
 
-// present sends a probe; false if nobody is there to take it.
-func (c *Conn) present() bool {
+// sendProbe sends a probe and reports whether the client may still be connected.
+func (c *Conn) sendProbe() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.answering: // the answer's own bytes are the probe
+	case c.responding: // the response's own bytes serve as the probe
 		return true
-	case c.old:
+	case c.isHTTP10:
 		return false
 	}
 	_, err := c.Conn.Write(probe)
 	return err == nil
 }
 
-// watchEarly looks after a connection that nobody reads while a request is in hand.
-func (c *Conn) watchEarly() {
+// watchPipelined starts polling a connection that nobody reads from while a request is being handled.
+func (c *Conn) watchPipelined() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.early == nil && !c.closed {
-		c.early = make(chan struct{})
-		go c.lookEarly(c.early)
+	if c.stopPoll == nil && !c.closed {
+		c.stopPoll = make(chan struct{})
+		go c.pollPipelined(c.stopPoll)
 	}
 }
 
-// endWatch ends that. The caller holds the lock.
-func (c *Conn) endWatch() {
-	if c.early != nil {
-		close(c.early)
-		c.early = nil
+// stopPolling stops the polling that watchPipelined started. c.mu must be held.
+func (c *Conn) stopPolling() {
+	if c.stopPoll != nil {
+		close(c.stopPoll)
+		c.stopPoll = nil
 	}
 }
 
-func (c *Conn) lookEarly(stop <-chan struct{}) {
-	turn := time.NewTicker(earlyLook)
-	defer turn.Stop()
+// pollPipelined polls the connection until it disconnects or stop is closed, and calls onDisconnect after a disconnect.
+func (c *Conn) pollPipelined(stop <-chan struct{}) {
+	ticker := time.NewTicker(pipelinedPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-turn.C:
+		case <-ticker.C:
 		}
-		ended, broken := c.peerEnded()
+		ended, broken := c.pollPeer()
 		if !ended && !broken {
 			continue
 		}
-		if broken || c.left(stop) {
-			c.tellLeave(stop)
+		if broken || c.disconnects(stop) {
+			c.notifyDisconnect(stop)
 		}
 		return
 	}
 }
 
-// peerEnded asks the system whether the peer has ended its side, also behind bytes that nobody has read, or the connection is broken.
-func (c *Conn) peerEnded() (ended, broken bool) {
+// pollPeer asks the system whether the peer has shut down its sending side, even if unread bytes precede the EOF, and whether the
+// connection is broken.
+func (c *Conn) pollPeer() (ended, broken bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false, false
@@ -255,16 +261,16 @@
 	return ended, broken || err != nil
 }
 
-// tellLeave calls what was named, unless the request has been answered meanwhile.
-func (c *Conn) tellLeave(stop <-chan struct{}) {
+// notifyDisconnect calls onDisconnect, unless the request has been answered in the meantime.
+func (c *Conn) notifyDisconnect(stop <-chan struct{}) {
 	c.mu.Lock()
-	f := c.onLeave
+	f := c.onDisconnect
 	select {
 	case <-stop:
 		f = nil
 	default:
 	}
-	c.onLeave = nil
+	c.onDisconnect = nil
 	c.mu.Unlock()
 	if f != nil {
 		f()
--- a/internal/cdn/objectcache/objectcache.go
+++ b/internal/cdn/objectcache/objectcache.go
@@ -1,5 +1,5 @@
-// Package objectcache keeps copies of objects: for how long each may be handed on, what a purge ends, and which are let go when
-// memory runs out. It does no I/O and has no clock; its methods may be called from many goroutines.
+// Package objectcache is a cache of objects with expiry, purges by path or label, refresh before expiry and LRU eviction. It does no
+// I/O and has no clock. Its methods may be called from many goroutines.
 package objectcache
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Key names an object: where a client asks for it, as it is written in the request line, and the service that has it.
+// Key identifies an object: its service, and the host, path and query with which a client requests it, as in the request line.
 type Key struct{ Service, Host, Path, Query string }
 
-// Target is the request line's.
+// Target returns the target of the request line: the path with the query.
 func (k Key) Target() string {
 	if k.Query != "" {
 		return k.Path + "?" + k.Query
@@ -23,53 +23,54 @@
 	return k.Path
 }
 
-// Hash maps a key to a number, by FNV-1a: the same at every router.
+// Hash returns the key's FNV-1a hash, which is the same on every router.
 func (k Key) Hash() uint64 {
 	h := uint64(14695981039346656037)
 	for _, part := range [...]string{k.Service, k.Host, k.Path, k.Query} {
 		for i := range len(part) {
 			h = (h ^ uint64(part[i])) * 1099511628211
 		}
-		h *= 1099511628211 // as a byte of zero between the parts
+		h *= 1099511628211 // hashes a zero byte between the parts
 	}
 	return h
 }
 
-// Copy is a whole object as a server gave it. It is not changed once it is stored.
+// Copy is a cache entry: a complete object as a server returned it. Its exported fields must not change once it is stored.
 type Copy struct {
-	Header http.Header // end to end, without what belongs to one request
+	Header http.Header // end-to-end headers, without those that belong to one request
 	Body   []byte
 	ETag   string
 	Labels []string
-	Shelf  time.Duration // how long it may be handed on
-	At     time.Time     // when the server was asked for it, or last said that it has not changed
-	Index  uint64        // of the common history as the server was asked
-	Lent   bool          // by the cache router that the key belongs to: that one asks the servers in time, not this one
+	Shelf  time.Duration // time to live, from the request to the server or the last validation
+	At     time.Time     // when it was requested from the server, or last confirmed as unchanged
+	Index  uint64        // index of the replicated log when the server was asked
+	Lent   bool          // fetched from the cache router that owns the key: the owner refreshes it, not this router
 
-	For Asker // whom it was fetched for
+	For Asker // the request that it was fetched for
 
-	by     Asker // the last request that it answered, without its id once a server has seen that; the cache's
-	wanted int   // times that it is yet to be asked about before it ends; the cache's
+	requester     Asker // the last request that it served; ID is cleared once a server has seen it; guarded by Cache.mu
+	refreshesLeft int   // refreshes that remain until it is requested again; guarded by Cache.mu
 }
 
-// Asker is a client's request for an object. Its id and its key belong together: a server is shown the one with the tenant of the other.
+// Asker identifies a client's request for an object. ID and ClientKey belong together: a server gets the id with that key's tenant.
 type Asker struct {
 	ID        string // the client's Try-Id
-	ClientKey string // empty on a route that needs none
+	ClientKey string // empty on a route that needs no key
 }
 
-// Renewed is the copy as a server has confirmed it.
-func (x *Copy) Renewed(at time.Time, index uint64, shelf time.Duration) *Copy {
-	return &Copy{Header: x.Header, Body: x.Body, ETag: x.ETag, Labels: x.Labels, Shelf: shelf, At: at, Index: index, Lent: x.Lent, For: x.For}
+// Renewed returns the entry as revalidated by a server: with a new time, log index and time to live.
+func (e *Copy) Renewed(at time.Time, index uint64, shelf time.Duration) *Copy {
+	return &Copy{Header: e.Header, Body: e.Body, ETag: e.ETag, Labels: e.Labels, Shelf: shelf, At: at, Index: index, Lent: e.Lent, For: e.For}
 }
 
-// wantedFor is how often a copy is asked about before its end after it was wanted last: twice covers what is wanted once in
-// two shelf times.
-const wantedFor = 2
+// refreshesPerUse is how many times an entry is refreshed after it was last requested. Two cover an object that is requested once in
+// every two lifetimes.
+const refreshesPerUse = 2
 
-func (x *Copy) size() int64 {
-	n := int64(len(x.Body)) + 512
-	for name, values := range x.Header {
+// size estimates the entry's memory in bytes.
+func (e *Copy) size() int64 {
+	n := int64(len(e.Body)) + 512
+	for name, values := range e.Header {
 		n += int64(len(name)) + 32
 		for _, v := range values {
 			n += int64(len(v))
@@ -78,176 +79,178 @@
 	return n
 }
 
-// Grade says what a copy is good for.
+// Grade says how fresh a cache entry is.
 type Grade int
 
-// The grades, the best first.
+// The values, from the freshest.
 const (
 	Fresh    Grade = iota
-	Ageing         // good, but it is time to ask the server whether it has changed
-	Stale          // good for nothing but to be asked about
-	NotThere       // there is none
+	Ageing         // may be served, but it is time to revalidate it with the server
+	Stale          // may only be revalidated
+	NotThere       // not in the cache
 )
 
-// Cache holds copies within a number of bytes.
+// Cache holds entries up to a total size in bytes.
 type Cache struct {
-	most int64
-
-	mu     sync.Mutex
-	lru    *simplelru.LRU[Key, *Copy]
-	bytes  int64
-	places map[place]map[Key]struct{}
-	labels map[string]map[Key]struct{}
-	purges []purge // the last ones: what was asked for before one is not stored after it
-	dues   dues    // of copies stored, also of some that are gone
-	floor  uint64  // purges up to this index have been forgotten
-	Counts Counts  // under mu
+	maxBytes int64
+
+	mu             sync.Mutex
+	lru            *simplelru.LRU[Key, *Copy]
+	bytes          int64
+	byPath         map[pathKey]map[Key]struct{}
+	byLabel        map[string]map[Key]struct{}
+	recentPurges   []purge      // the latest ones, oldest first: an object requested before a purge is not stored after it
+	refreshes      refreshQueue // refresh times of stored entries, and of some that were removed
+	forgottenIndex uint64       // purges up to this index are no longer remembered
+	Counts         Counts       // guarded by mu
 }
 
-// Counts are what happened to copies.
+// Counts holds counters of entries: stored, evicted for memory, purged, and not stored because a purge arrived during the fetch.
 type Counts struct{ Stored, Dropped, Purged, Late int64 }
 
-type place struct{ host, path string }
+type pathKey struct{ host, path string }
 
 type purge struct {
 	index uint64
-	place
-	tag string
+	pathKey
+	label string
 }
 
 const (
-	mostCopies = 1 << 20
-	mostPurges = 4096
+	maxEntries = 1 << 20
+	maxPurges  = 4096
 )
 
-// New returns an empty cache of so many bytes.
-func New(most int64) *Cache {
-	c := &Cache{most: most, places: map[place]map[Key]struct{}{}, labels: map[string]map[Key]struct{}{}}
-	c.lru, _ = simplelru.NewLRU[Key, *Copy](mostCopies, nil) // fails for no size alone
+// New returns an empty cache for at most so many bytes.
+func New(maxBytes int64) *Cache {
+	c := &Cache{maxBytes: maxBytes, byPath: map[pathKey]map[Key]struct{}{}, byLabel: map[string]map[Key]struct{}{}}
+	c.lru, _ = simplelru.NewLRU[Key, *Copy](maxEntries, nil) // fails only for a size that is not positive
 	return c
 }
 
-// Get returns the copy of a key and its grade. Slack is how long past its shelf time it may still be handed on while the
-// server is being asked. By is the client's request that is to be answered with it; without an id it stands for none.
-func (c *Cache) Get(k Key, now time.Time, slack time.Duration, by Asker) (*Copy, Grade) {
+// Get returns the entry of a key and its freshness. Slack is how long after its expiry it may still be served while it is revalidated.
+// By is the client's request that the entry will answer; without an id it stands for no request.
+func (c *Cache) Get(k Key, now time.Time, slack time.Duration, requester Asker) (*Copy, Grade) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x, grade := c.look(k, now, slack)
-	if grade == Fresh || grade == Ageing {
-		x.wanted = wantedFor
-		if by.ID != "" {
-			x.by = by
+	entry, freshness := c.lookup(k, now, slack)
+	if freshness == Fresh || freshness == Ageing {
+		entry.refreshesLeft = refreshesPerUse
+		if requester.ID != "" {
+			entry.requester = requester
 		}
 	}
-	return x, grade
+	return entry, freshness
 }
 
-// Peek is Get for whom nobody wants the copy: it is not asked about again for that.
+// Peek is like Get, but does not count as a request for the entry, so that it is not refreshed again because of it.
 func (c *Cache) Peek(k Key, now time.Time, slack time.Duration) (*Copy, Grade) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.look(k, now, slack)
+	return c.lookup(k, now, slack)
 }
 
-// look finds a copy. The caller holds the lock.
-func (c *Cache) look(k Key, now time.Time, slack time.Duration) (*Copy, Grade) {
-	x, ok := c.lru.Get(k)
+// lookup finds an entry and its freshness. c.mu must be held.
+func (c *Cache) lookup(k Key, now time.Time, slack time.Duration) (*Copy, Grade) {
+	entry, ok := c.lru.Get(k)
 	if !ok {
 		return nil, NotThere
 	}
-	return x, x.grade(now, slack)
+	return entry, entry.freshness(now, slack)
 }
 
-func (x *Copy) grade(now time.Time, slack time.Duration) Grade {
-	switch age := now.Sub(x.At); {
-	case age < x.ripe():
+// freshness returns the entry's freshness at the given time. Slack is as in Get.
+func (e *Copy) freshness(now time.Time, slack time.Duration) Grade {
+	switch age := now.Sub(e.At); {
+	case age < e.refreshAge():
 		return Fresh
-	case age < x.Shelf+slack:
+	case age < e.Shelf+slack:
 		return Ageing
 	}
 	return Stale
 }
 
-// ripe is the age at which it is time to ask the server.
-func (x *Copy) ripe() time.Duration { return x.Shelf * 3 / 4 }
+// refreshAge is the age from which the entry should be revalidated.
+func (e *Copy) refreshAge() time.Duration { return e.Shelf * 3 / 4 }
 
-// due is when a copy is to be asked about.
-type due struct {
+// refresh is the time at which an entry is to be revalidated.
+type refresh struct {
 	at time.Time
 	Key
 	*Copy
 }
 
-// dues are ordered by their times.
-type dues []due
+// refreshQueue is a heap of refreshes, ordered by time.
+type refreshQueue []refresh
 
-func (d dues) Len() int           { return len(d) }
-func (d dues) Less(i, j int) bool { return d[i].at.Before(d[j].at) }
-func (d dues) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *dues) Push(x any)        { *d = append(*d, x.(due)) }
-func (d *dues) Pop() any {
+func (d refreshQueue) Len() int           { return len(d) }
+func (d refreshQueue) Less(i, j int) bool { return d[i].at.Before(d[j].at) }
+func (d refreshQueue) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d *refreshQueue) Push(x any)        { *d = append(*d, x.(refresh)) }
+func (d *refreshQueue) Pop() any {
 	last := (*d)[len(*d)-1]
-	(*d)[len(*d)-1] = due{}
+	(*d)[len(*d)-1] = refresh{}
 	*d = (*d)[:len(*d)-1]
 	return last
 }
 
-// Ripe is a copy that is wanted and about to end.
+// Ripe is an entry that was requested lately and is about to expire.
 type Ripe struct {
 	Key
 	*Copy
-	By Asker // a request that it has answered; without an id if a server may have seen that
+	By Asker // a request that the entry has served; without an id if a server may have seen the id
 }
 
-// Due returns copies that it is time to ask about, each once, and passes over those that nobody has wanted lately.
-func (c *Cache) Due(now time.Time, most int) (all []Ripe) {
+// Due returns up to limit entries that should be revalidated now, each once. Entries that were not requested lately are skipped.
+func (c *Cache) Due(now time.Time, limit int) (candidates []Ripe) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.dues) > 0 && len(all) < most && !c.dues[0].at.After(now) {
-		d := heap.Pop(&c.dues).(due)
-		if x, ok := c.lru.Peek(d.Key); ok && x == d.Copy && x.wanted > 0 {
-			all = append(all, Ripe{d.Key, x, x.by})
-			x.by.ID = ""
+	for len(c.refreshes) > 0 && len(candidates) < limit && !c.refreshes[0].at.After(now) {
+		next := heap.Pop(&c.refreshes).(refresh)
+		if entry, ok := c.lru.Peek(next.Key); ok && entry == next.Copy && entry.refreshesLeft > 0 {
+			candidates = append(candidates, Ripe{next.Key, entry, entry.requester})
+			entry.requester.ID = ""
 		}
 	}
-	return all
+	return candidates
 }
 
-// Put stores a copy, unless a purge that names it has come since its server was asked.
-func (c *Cache) Put(k Key, x *Copy) bool {
+// Put stores an entry and reports whether it did. It does not if a purge of the object arrived after the server was asked, if a newer
+// entry is stored, or if the entry is larger than a quarter of the cache.
+func (c *Cache) Put(k Key, entry *Copy) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if x.Index < c.floor || c.ended(k, x) {
+	if entry.Index < c.forgottenIndex || c.purgedSince(k, entry) {
 		c.Counts.Late++
 		return false
 	}
-	x.by = Asker{ClientKey: x.For.ClientKey}
-	size := x.size()
-	if size > c.most/4 {
+	entry.requester = Asker{ClientKey: entry.For.ClientKey}
+	size := entry.size()
+	if size > c.maxBytes/4 {
 		return false
 	}
 	if old, ok := c.lru.Peek(k); ok {
-		if old.At.After(x.At) { // asked for later, stored sooner
+		if old.At.After(entry.At) { // the stored one was requested later
 			return false
 		}
 		c.remove(k, old)
-		x.wanted = max(old.wanted-1, 0)
-		if old.by.ID != "" && old.by.ID != x.For.ID { // answered meanwhile, and not by a server
-			x.by = old.by
+		entry.refreshesLeft = max(old.refreshesLeft-1, 0)
+		if old.requester.ID != "" && old.requester.ID != entry.For.ID { // a request that was served from the cache in the meantime: no server has seen its id
+			entry.requester = old.requester
 		}
 	} else {
-		x.wanted = wantedFor
+		entry.refreshesLeft = refreshesPerUse
 	}
-	c.lru.Add(k, x)
-	if !x.Lent {
-		heap.Push(&c.dues, due{x.At.Add(x.ripe()), k, x})
+	c.lru.Add(k, entry)
+	if !entry.Lent {
+		heap.Push(&c.refreshes, refresh{entry.At.Add(entry.refreshAge()), k, entry})
 	}
 	c.bytes += size
-	index(c.places, place{k.Host, k.Path}, k)
-	for _, label := range x.Labels {
-		index(c.labels, label, k)
+	addToIndex(c.byPath, pathKey{k.Host, k.Path}, k)
+	for _, label := range entry.Labels {
+		addToIndex(c.byLabel, label, k)
 	}
-	for c.bytes > c.most {
+	for c.bytes > c.maxBytes {
 		k, old, ok := c.lru.GetOldest()
 		if !ok {
 			break
@@ -259,15 +262,15 @@
 	return true
 }
 
-// ended tells whether a purge after the copy's index names it.
-func (c *Cache) ended(k Key, x *Copy) bool {
-	for i := len(c.purges) - 1; i >= 0 && c.purges[i].index > x.Index; i-- {
-		p := c.purges[i]
-		if p.tag == "" && p.place == (place{k.Host, k.Path}) {
+// purgedSince reports whether a purge after the entry's log index matches it.
+func (c *Cache) purgedSince(k Key, entry *Copy) bool {
+	for i := len(c.recentPurges) - 1; i >= 0 && c.recentPurges[i].index > entry.Index; i-- {
+		p := c.recentPurges[i]
+		if p.label == "" && p.pathKey == (pathKey{k.Host, k.Path}) {
 			return true
 		}
-		for _, label := range x.Labels {
-			if p.tag != "" && label == p.tag {
+		for _, label := range entry.Labels {
+			if p.label != "" && label == p.label {
 				return true
 			}
 		}
@@ -275,61 +278,64 @@
 	return false
 }
 
-func index[K comparable](all map[K]map[Key]struct{}, at K, k Key) {
-	if all[at] == nil {
-		all[at] = map[Key]struct{}{}
+// addToIndex adds a key to an index.
+func addToIndex[K comparable](index map[K]map[Key]struct{}, value K, k Key) {
+	if index[value] == nil {
+		index[value] = map[Key]struct{}{}
 	}
-	all[at][k] = struct{}{}
+	index[value][k] = struct{}{}
 }
 
-func unindex[K comparable](all map[K]map[Key]struct{}, at K, k Key) {
-	if delete(all[at], k); len(all[at]) == 0 {
-		delete(all, at)
+// removeFromIndex removes a key from an index.
+func removeFromIndex[K comparable](index map[K]map[Key]struct{}, value K, k Key) {
+	if delete(index[value], k); len(index[value]) == 0 {
+		delete(index, value)
 	}
 }
 
-func (c *Cache) remove(k Key, x *Copy) {
+// remove removes an entry from the cache and its indexes. c.mu must be held.
+func (c *Cache) remove(k Key, entry *Copy) {
 	c.lru.Remove(k)
-	c.bytes -= x.size()
-	unindex(c.places, place{k.Host, k.Path}, k)
-	for _, label := range x.Labels {
-		unindex(c.labels, label, k)
+	c.bytes -= entry.size()
+	removeFromIndex(c.byPath, pathKey{k.Host, k.Path}, k)
+	for _, label := range entry.Labels {
+		removeFromIndex(c.byLabel, label, k)
 	}
 }
 
-// Purge ends the use of copies of a path, or of those with a tag, as the history's entry of that index orders.
+// Purge removes the entries of a path, or those with a label (tag), that were requested before the log entry of the given index.
 func (c *Cache) Purge(index uint64, host, path, tag string) {
 	host = strings.ToLower(host)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.purges = append(c.purges, purge{index, place{host, path}, tag})
-	if len(c.purges) > mostPurges {
-		c.floor = c.purges[0].index
-		c.purges = c.purges[1:]
+	c.recentPurges = append(c.recentPurges, purge{index, pathKey{host, path}, tag})
+	if len(c.recentPurges) > maxPurges {
+		c.forgottenIndex = c.recentPurges[0].index
+		c.recentPurges = c.recentPurges[1:]
 	}
-	named := c.labels[tag]
+	matching := c.byLabel[tag]
 	if tag == "" {
-		named = c.places[place{host, path}]
+		matching = c.byPath[pathKey{host, path}]
 	}
-	for k := range named {
-		if x, ok := c.lru.Peek(k); ok && x.Index < index {
+	for k := range matching {
+		if entry, ok := c.lru.Peek(k); ok && entry.Index < index {
 			c.Counts.Purged++
-			c.remove(k, x)
+			c.remove(k, entry)
 		}
 	}
 }
 
-// Forget drops all copies: purges up to the index may have been missed.
+// Forget removes all entries, because purges up to the given log index may have been missed.
 func (c *Cache) Forget(index uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lru.Purge()
-	clear(c.places)
-	clear(c.labels)
-	c.bytes, c.purges, c.floor, c.dues = 0, nil, index, nil
+	clear(c.byPath)
+	clear(c.byLabel)
+	c.bytes, c.recentPurges, c.forgottenIndex, c.refreshes = 0, nil, index, nil
 }
 
-// Size is how many copies there are, and their bytes.
+// Size returns the number of entries and their size in bytes.
 func (c *Cache) Size() (copies int, bytes int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cdn/objectcache/objectcache_test.go
+++ b/internal/cdn/objectcache/objectcache_test.go
@@ -28,7 +28,7 @@
 	assert.Equal(t, got, NotThere)
 }
 
-// A purge ends copies that were asked for before it, also one that comes in later; what was asked for after it stays.
+// A purge removes entries that were requested before it, also one that is stored only after it. Entries requested after it stay.
 func TestPurges(t *testing.T) {
 	cases := []struct {
 		name            string
@@ -58,10 +58,10 @@
 	}
 }
 
-// Purges that are no longer remembered count for everything asked for before them.
+// A purge that is no longer remembered applies to every object that was requested before it.
 func TestForgottenPurges(t *testing.T) {
 	c := New(1 << 20)
-	for i := range uint64(mostPurges + 10) {
+	for i := range uint64(maxPurges + 10) {
 		c.Purge(100+i, "other", "/", "")
 	}
 	assert.Assert(t, !c.Put(key, object(50, t0)))
@@ -79,50 +79,50 @@
 	}
 	n, bytes := c.Size()
 	assert.Assert(t, bytes <= 64<<10 && n > 50, "%d %d", n, bytes)
-	assert.Equal(t, len(c.places), n)
-	assert.Equal(t, len(c.labels["red"]), n)
+	assert.Equal(t, len(c.byPath), n)
+	assert.Equal(t, len(c.byLabel["red"]), n)
 	assert.Assert(t, !c.Put(key, &Copy{Body: make([]byte, 40<<10)}))
 }
 
-// What is wanted is asked about before it ends, under a request that it answered; what nobody wants is let go after two times.
+// A requested entry is refreshed before it expires, on behalf of a request that it served. Without requests it is refreshed twice.
 func TestDue(t *testing.T) {
 	c := New(1 << 20)
 	c.Put(key, object(1, t0))
 	c.Get(key, t0.Add(time.Second), 0, Asker{"try-1", "key-1"})
-	c.Get(key, t0.Add(time.Second), 0, Asker{}) // for no client: it takes nobody's place
+	c.Get(key, t0.Add(time.Second), 0, Asker{}) // for no client: the requester stays
 	assert.Equal(t, len(c.Due(t0.Add(14*time.Second), 9)), 0)
-	at := t0
-	for turn, by := range []Asker{{"try-1", "key-1"}, {"", "key-1"}} { // the id goes to a server once, and the key stays with it
-		at = at.Add(15 * time.Second)
-		all := c.Due(at, 9)
-		assert.Equal(t, len(all), 1, "turn %d", turn)
-		assert.Equal(t, all[0].By, by)
-		assert.Equal(t, len(c.Due(at, 9)), 0, "once each")
-		again := all[0].Copy.Renewed(at, 1, 20*time.Second)
-		again.For = by
-		c.Put(key, again)
+	now := t0
+	for round, by := range []Asker{{"try-1", "key-1"}, {"", "key-1"}} { // the id goes to a server only once, the client key each time
+		now = now.Add(15 * time.Second)
+		due := c.Due(now, 9)
+		assert.Equal(t, len(due), 1, "turn %d", round)
+		assert.Equal(t, due[0].By, by)
+		assert.Equal(t, len(c.Due(now, 9)), 0, "each is returned once")
+		renewed := due[0].Copy.Renewed(now, 1, 20*time.Second)
+		renewed.For = by
+		c.Put(key, renewed)
 	}
-	assert.Equal(t, len(c.Due(at.Add(15*time.Second), 9)), 0)
-	lent := object(1, at)
+	assert.Equal(t, len(c.Due(now.Add(15*time.Second), 9)), 0)
+	lent := object(1, now)
 	lent.Lent = true
 	c.Put(Key{Path: "lent"}, lent)
-	c.Get(Key{Path: "lent"}, at, 0, Asker{ID: "try-2"})
-	assert.Equal(t, len(c.Due(at.Add(time.Hour), 9)), 0, "its owner sees to it")
-	fetched := object(1, at)
+	c.Get(Key{Path: "lent"}, now, 0, Asker{ID: "try-2"})
+	assert.Equal(t, len(c.Due(now.Add(time.Hour), 9)), 0, "its owner refreshes it")
+	fetched := object(1, now)
 	fetched.For = Asker{"try-3", "key-3"}
 	c.Put(Key{Path: "new"}, fetched)
-	assert.Equal(t, c.Due(at.Add(15*time.Second), 9)[0].By, Asker{ClientKey: "key-3"}, "nobody has wanted it but the one it was fetched for")
+	assert.Equal(t, c.Due(now.Add(15*time.Second), 9)[0].By, Asker{ClientKey: "key-3"}, "only the request that it was fetched for has asked for it")
 	older := object(1, t0)
-	assert.Assert(t, !c.Put(key, older), "an older answer that comes late replaces nothing")
+	assert.Assert(t, !c.Put(key, older), "an older response that arrives late replaces nothing")
 }
 
-// An id goes to a server once, whoever has it sent: as a refresh, or as the fetch of the one who wanted the copy himself.
-func TestAnIDIsSentOnce(t *testing.T) {
+// A request id is sent to a server only once, either with a refresh or with the fetch for that request itself.
+func TestRequestIDIsSentOnce(t *testing.T) {
 	cases := []struct {
 		name       string
-		wants      Asker // while the copy is asked about for try-1
-		fetchedFor Asker // whom the next copy is fetched for
-		want       Asker // for whom that one is asked about
+		wants      Asker // requests the entry while it is refreshed for try-1
+		fetchedFor Asker // the request that the next entry is fetched for
+		want       Asker // the request that the next entry is refreshed for
 	}{
 		{"nobody wants it meanwhile", Asker{}, Asker{"try-1", "key-1"}, Asker{"", "key-1"}},
 		{"somebody does", Asker{"try-2", "key-2"}, Asker{"try-1", "key-1"}, Asker{"try-2", "key-2"}},
--- a/internal/cdn/peersampling/peersampling.go
+++ b/internal/cdn/peersampling/peersampling.go
@@ -1,6 +1,6 @@
-// Package peersampling is how cache routers know one another without anybody knowing all: each keeps a small partial view and now
-// and then exchanges half of it with the neighbour that it has known for longest. Who does not answer falls out of the views
-// within a few rounds. It does no I/O; the host carries the exchanges.
+// Package peersampling implements gossip-based peer sampling for cache routers. No router knows all others: each keeps a small partial
+// view and periodically exchanges half of it with the neighbour that has the oldest entry. Neighbours that do not answer disappear
+// from the views within a few rounds. The package does no I/O; the caller transports the exchanges.
 package peersampling
 
 import (
@@ -9,43 +9,43 @@
 	"sync"
 )
 
-// Neighbour is an entry of a view.
+// Neighbour is an entry of a view. It is sent to other routers.
 type Neighbour struct {
 	Address string
-	Age     int    // rounds since it was heard of from itself
-	Index   uint64 // of the common history, as it last said
+	Age     int    // rounds since the neighbour itself sent this entry
+	Index   uint64 // its index of the replicated log, as it last reported
 }
 
-// View is a partial view. Its methods may be called from many goroutines.
+// View is a router's partial view of the other routers. Its methods may be called from many goroutines.
 type View struct {
-	self string
-	most int
+	self       string
+	maxEntries int
 
-	mu  sync.Mutex
-	rng *rand.Rand
-	all []Neighbour
+	mu      sync.Mutex
+	rng     *rand.Rand
+	entries []Neighbour
 }
 
-// New returns the view of a router that knows nobody, with so many entries at most.
-func New(self string, most int, seed uint64) *View {
-	return &View{self: self, most: most, rng: rand.New(rand.NewPCG(seed, 1))}
+// New returns an empty view, of at most so many entries, for the router with the address self. Seed seeds its random choices.
+func New(self string, maxEntries int, seed uint64) *View {
+	return &View{self: self, maxEntries: maxEntries, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// Meet adds addresses that are known from elsewhere while there is room, as at a start.
+// Meet adds addresses from another source, for example at the start, while the view is not full.
 func (v *View) Meet(addresses ...string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, a := range addresses {
-		if len(v.all) < v.most {
-			v.add(Neighbour{Address: a}, nil)
+	for _, address := range addresses {
+		if len(v.entries) < v.maxEntries {
+			v.add(Neighbour{Address: address}, nil)
 		}
 	}
 }
 
-// Neighbours are the addresses in the view, those with the newest history first.
-func (v *View) Neighbours() (all []string) {
+// Neighbours returns the addresses in the view, those with the highest log index first.
+func (v *View) Neighbours() (addresses []string) {
 	v.mu.Lock()
-	sorted := slices.Clone(v.all)
+	sorted := slices.Clone(v.entries)
 	v.mu.Unlock()
 	slices.SortStableFunc(sorted, func(a, b Neighbour) int {
 		switch {
@@ -57,79 +57,81 @@
 		return a.Age - b.Age
 	})
 	for _, n := range sorted {
-		all = append(all, n.Address)
+		addresses = append(addresses, n.Address)
 	}
-	return all
+	return addresses
 }
 
-// Begin ages the view and takes out the entry that is to be asked: one that does not answer is gone with it. The offer is what
-// it is sent, this router among it. Empty: nobody is known.
-func (v *View) Begin(index uint64) (ask string, offer []Neighbour) {
+// Begin starts an exchange. It ages all entries and removes the oldest one, whose address is returned as the target: if the target does
+// not answer, it is gone from the view. The offer, which includes this router, is to be sent to it. The target is empty if the view is.
+func (v *View) Begin(index uint64) (target string, offer []Neighbour) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(v.all) == 0 {
+	if len(v.entries) == 0 {
 		return "", nil
 	}
 	oldest := 0
-	for i := range v.all {
-		v.all[i].Age++
-		if v.all[i].Age > v.all[oldest].Age {
+	for i := range v.entries {
+		v.entries[i].Age++
+		if v.entries[i].Age > v.entries[oldest].Age {
 			oldest = i
 		}
 	}
-	ask = v.all[oldest].Address
-	v.all = slices.Delete(v.all, oldest, oldest+1)
-	return ask, append(v.sample(v.most/2-1), Neighbour{Address: v.self, Index: index})
+	target = v.entries[oldest].Address
+	v.entries = slices.Delete(v.entries, oldest, oldest+1)
+	return target, append(v.sample(v.maxEntries/2-1), Neighbour{Address: v.self, Index: index})
 }
 
-// Answer takes another's offer and returns this router's own.
+// Answer merges another router's offer into the view and returns this router's own offer.
 func (v *View) Answer(offer []Neighbour, index uint64) []Neighbour {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	mine := append(v.sample(v.most/2-1), Neighbour{Address: v.self, Index: index})
-	v.merge(offer, mine)
-	return mine
+	own := append(v.sample(v.maxEntries/2-1), Neighbour{Address: v.self, Index: index})
+	v.merge(offer, own)
+	return own
 }
 
-// End takes the answer to what Begin offered.
+// End merges the answer to this router's own offer, which is passed as offered.
 func (v *View) End(answer, offered []Neighbour) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.merge(answer, offered)
 }
 
-// sample draws entries, each at most once.
+// sample returns up to n distinct random entries.
 func (v *View) sample(n int) []Neighbour {
-	drawn := slices.Clone(v.all)
+	drawn := slices.Clone(v.entries)
 	v.rng.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
 	return drawn[:max(min(n, len(drawn)), 0)]
 }
 
-// merge takes entries on; where there is no room they replace those that were sent away. An offer over the bound is cut.
+// merge adds entries; in a full view they replace entries that were sent away. An offer longer than the view's maximum is truncated.
 func (v *View) merge(offer, sent []Neighbour) {
-	for _, n := range offer[:min(len(offer), v.most)] {
+	for _, n := range offer[:min(len(offer), v.maxEntries)] {
 		v.add(n, sent)
 	}
 }
 
+// add adds an entry, or updates the index and age of a known one. In a full view it replaces an entry of sent, or is dropped if there
+// is none.
 func (v *View) add(n Neighbour, sent []Neighbour) {
 	if n.Address == v.self || n.Address == "" {
 		return
 	}
-	for i, old := range v.all {
+	for i, old := range v.entries {
 		if old.Address == n.Address {
-			v.all[i].Index = max(old.Index, n.Index)
-			v.all[i].Age = min(old.Age, n.Age)
+			v.entries[i].Index = max(old.Index, n.Index)
+			v.entries[i].Age = min(old.Age, n.Age)
 			return
 		}
 	}
-	if len(v.all) < v.most {
-		v.all = append(v.all, n)
+	if len(v.entries) < v.maxEntries {
+		v.entries = append(v.entries, n)
 		return
 	}
-	for i, old := range v.all {
+	for i, old := range v.entries {
 		if slices.ContainsFunc(sent, func(s Neighbour) bool { return s.Address == old.Address }) {
-			v.all[i] = n
+			v.entries[i] = n
 			return
 		}
 	}
--- a/internal/cdn/peersampling/peersampling_test.go
+++ b/internal/cdn/peersampling/peersampling_test.go
@@ -8,76 +8,76 @@
 	"gotest.tools/v3/assert"
 )
 
-// From a chain in which each knows one other, views become a mesh that stays in one piece when half of the routers are gone, and
-// the dead fall out of it.
-func TestViews(t *testing.T) {
-	const n, most = 200, 10
-	all := map[string]*View{}
+// Starting from a chain in which each router knows one other, the views become a mesh that stays connected when half of the routers
+// fail, and the failed ones disappear from the views.
+func TestViewsStayConnected(t *testing.T) {
+	const n, maxEntries = 200, 10
+	views := map[string]*View{}
 	name := func(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/100, i%100) }
 	for i := range n {
-		all[name(i)] = New(name(i), most, uint64(i))
+		views[name(i)] = New(name(i), maxEntries, uint64(i))
 		if i > 0 {
-			all[name(i)].Meet(name(i - 1))
+			views[name(i)].Meet(name(i - 1))
 		}
 	}
 	rng := rand.New(rand.NewPCG(4, 4))
 	round := func() {
 		for _, i := range rng.Perm(n) {
-			v := all[name(i)]
+			v := views[name(i)]
 			if v == nil {
 				continue
 			}
-			ask, offer := v.Begin(uint64(i))
-			if other := all[ask]; other != nil {
+			target, offer := v.Begin(uint64(i))
+			if other := views[target]; other != nil {
 				v.End(other.Answer(offer, 7), offer)
 			}
 		}
 	}
-	reached := func() int {
+	reachable := func() int {
 		start := ""
 		for i := range n {
-			if all[name(i)] != nil {
+			if views[name(i)] != nil {
 				start = name(i)
 				break
 			}
 		}
-		seen, front := map[string]bool{start: true}, []string{start}
-		for len(front) > 0 {
-			for _, to := range all[front[0]].Neighbours() {
-				if all[to] != nil && !seen[to] {
+		seen, queue := map[string]bool{start: true}, []string{start}
+		for len(queue) > 0 {
+			for _, to := range views[queue[0]].Neighbours() {
+				if views[to] != nil && !seen[to] {
 					seen[to] = true
-					front = append(front, to)
+					queue = append(queue, to)
 				}
 			}
-			front = front[1:]
+			queue = queue[1:]
 		}
 		return len(seen)
 	}
 	for range 30 {
 		round()
 	}
-	assert.Equal(t, reached(), n)
+	assert.Equal(t, reachable(), n)
 	for i := 0; i < n; i += 2 {
-		delete(all, name(i))
+		delete(views, name(i))
 	}
-	assert.Equal(t, reached(), n/2)
+	assert.Equal(t, reachable(), n/2)
 	for range 40 {
 		round()
 	}
-	assert.Equal(t, reached(), n/2)
+	assert.Equal(t, reachable(), n/2)
 	dead := 0
-	for _, v := range all {
-		assert.Assert(t, len(v.Neighbours()) <= most)
+	for _, v := range views {
+		assert.Assert(t, len(v.Neighbours()) <= maxEntries)
 		for _, to := range v.Neighbours() {
-			if all[to] == nil {
+			if views[to] == nil {
 				dead++
 			}
 		}
 	}
-	assert.Assert(t, dead < n/2*most/50, "%d entries of dead routers", dead)
+	assert.Assert(t, dead < n/2*maxEntries/50, "%d entries of dead routers", dead)
 }
 
-// What a neighbour sends is bounded and can't fill the view with nothing.
+// An oversized offer is truncated, and its empty addresses or the router's own are not added to the view.
 func TestOffersAreBounded(t *testing.T) {
 	v := New("a", 8, 1)
 	var flood []Neighbour
@@ -86,6 +86,6 @@
 	}
 	v.Answer(append([]Neighbour{{Address: ""}, {Address: "a"}}, flood...), 1)
 	assert.Assert(t, len(v.Neighbours()) <= 8)
-	ask, offer := v.Begin(5)
-	assert.Assert(t, ask != "" && len(offer) <= 4)
+	target, offer := v.Begin(5)
+	assert.Assert(t, target != "" && len(offer) <= 4)
 }
