--- a/internal/cdn/bootconfig/bootconfig.go
+++ b/internal/cdn/bootconfig/bootconfig.go
@@ -1,5 +1,5 @@
-// Package bootconfig reads and checks the settings file that the platform gives a process: lines of the form a.b=value. A fault
-// names its key and ends the start; keys that nobody here knows pass.
+// Package bootconfig reads and validates the settings file that the platform gives a process. The file has lines of the form
+// a.b=value. An error names its key and prevents the start; unknown keys are ignored.
 package bootconfig
 
 import (
@@ -21,77 +21,78 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("settings")
 
-// EnvPath names the variable that holds the path of the settings file.
+// EnvPath is the environment variable that holds the path of the settings file.
 const EnvPath = "CEDARMAST_CONFIG"
 
-// Ports of a machine that the system's processes use among themselves, counted from the first of its spare ones.
+// Ports that processes of the network use among themselves, as offsets from the machine's first spare port.
 const (
 	ConfigStorePort = iota
 	EdgePort
-	portsNeeded
+	internalPorts
 )
 
-// Settings is what a process is told. Times are durations, addresses are IP:port.
+// Settings holds a process's settings. Addresses are IP:port.
 type Settings struct {
 	Node, Role, IP, Zone, Region, DataDir string
-	FirstStart                            bool // the whole system starts for the first time
+	FirstStart                            bool // the whole network starts for the first time
 	MemoryMB, FileHandles                 int
 	Serves                                []string
-	Cores, LinkMbps                       float64 // of the machine: what a process of it may use of a core, and its link
-	Counter, Readiness, Control           string  // what is listened on; empty: not served
-	SparePort                             int     // the first
+	Cores, LinkMbps                       float64 // CPU cores that the process may use; bandwidth of the machine's link in Mbit/s
+	Counter, Readiness, Control           string  // listen addresses for clients, readiness probes and the control API; empty: not served
+	SparePort                             int     // first spare port of each machine
 	Seeds                                 []string
-	Named                                 *Seeds        // those that the file names by now; nil: Seeds
-	Heartbeat                             time.Duration // in which servers tell of themselves
+	Named                                 *Seeds        // the seeds that the file names at present; nil: Seeds
+	Heartbeat                             time.Duration // interval at which servers send heartbeats
 	Bounds                                Bounds
 	Platform                              Platform
-	Metrics                               string // PORT/PATH where figures are told; empty: nowhere. From the command line
+	Metrics                               string // PORT/PATH of the metrics endpoint, from the command line; empty: none
 }
 
-// Seeds are the core machines that the settings file names, which may change while a process runs: one that was cut off while all of the core
-// was exchanged finds the new one by no other way.
-type Seeds struct{ now atomic.Pointer[[]string] }
+// Seeds holds the addresses of the core machines that the settings file names. It may change while a process runs: a process that was
+// partitioned while all core machines were replaced has no other way to find the new ones.
+type Seeds struct{ current atomic.Pointer[[]string] }
 
-// Set takes a new list.
-func (s *Seeds) Set(all []string) { s.now.Store(&all) }
+// Set replaces the list.
+func (s *Seeds) Set(addresses []string) { s.current.Store(&addresses) }
 
-// SeedsNow are the seeds that the settings file names by now.
+// SeedsNow returns the seeds that the settings file names at present.
 func (s Settings) SeedsNow() []string {
 	if s.Named != nil {
-		if now := s.Named.now.Load(); now != nil {
-			return *now
+		if current := s.Named.current.Load(); current != nil {
+			return *current
 		}
 	}
 	return s.Seeds
 }
 
-// Bounds are the figures of the rules, as the operators gave them.
+// Bounds holds the limits and time bounds that the operators set.
 type Bounds struct {
 	Contact, Drain, Grace, Edition, Purge, StaleSlack time.Duration
-	Revoke                                            time.Duration // after a key's removal is acknowledged no machine runs requests with it; 0: no such bound
-	CeilingWindow                                     time.Duration
-	CeilingExcess                                     float64
-	RetryRatio, RetrySlack                            float64
-	Tolerate                                          int // machines that count whose loss at once must be borne
+	// Revoke is the longest time that machines run requests with a key after its removal is acknowledged; 0: no bound.
+	Revoke                 time.Duration
+	CeilingWindow          time.Duration
+	CeilingExcess          float64
+	RetryRatio, RetrySlack float64
+	Tolerate               int // number of core machines whose simultaneous loss must be survived
 }
 
-// Platform is the operators' platform, which is called for the duties that it names.
+// Platform holds the settings of the operators' platform API, which is called for the duties that it names.
 type Platform struct {
-	Address      string   // IP:port; empty: there is none
-	Duties       []string // calls that fall to one machine at a time
-	DutyPerS     float64  // such calls a second that it takes from all machines together
+	Address      string   // IP:port; empty: no platform
+	Duties       []string // calls that one machine at a time makes for the whole network
+	DutyPerS     float64  // maximum rate of these calls per second, over all machines
 	ReportWindow time.Duration
-	UsageDelay   time.Duration // after a window's end its report is due
-	Lease        time.Duration // within which two holders of a duty must not act by turns
+	UsageDelay   time.Duration // time from the end of a window until its report is due
+	Lease        time.Duration // minimum time between two holders of a duty, so that they never act in turn
 }
 
-// UsageDuty is the duty to report the tenants' requests.
+// UsageDuty is the duty to report the tenants' usage.
 const UsageDuty = "usage"
 
-// ReportsUsage tells whether the tenants' requests are to be reported to the platform.
+// ReportsUsage reports whether the tenants' usage is to be sent to the platform.
 func (p Platform) ReportsUsage() bool { return p.Address != "" && slices.Contains(p.Duties, UsageDuty) }
 
-// Read reads and checks a settings file.
+// Read reads and validates a settings file.
 func Read(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -100,10 +101,10 @@
 	return Parse(string(text))
 }
 
-// Parse checks the text of a settings file. All faults are told at once.
+// Parse parses and validates the text of a settings file. The error lists all invalid keys.
 func Parse(text string) (Settings, error) {
-	k := koanf.New("\x00") // keys are flat: a value may stand at a key and below it
-	flat := map[string]any{}
+	k := koanf.New("\x00") // keys are flat: both a.b and a.b.c may have a value
+	values := map[string]any{}
 	lines := bufio.NewScanner(strings.NewReader(text))
 	lines.Buffer(nil, 1<<20)
 	for n := 1; lines.Scan(); n++ {
@@ -113,87 +114,91 @@
 		}
 		key, value, ok := strings.Cut(line, "=")
 		if !ok {
-			return Settings{}, Error.New("line %d: no equals sign", n)
+			return Settings{}, Error.New("line %d: missing '='", n)
 		}
-		flat[strings.TrimSpace(key)] = strings.TrimSpace(value)
+		values[strings.TrimSpace(key)] = strings.TrimSpace(value)
 	}
 	if err := lines.Err(); err != nil {
 		return Settings{}, Error.Wrap(err)
 	}
-	if err := k.Load(confmap.Provider(flat, "\x00"), nil); err != nil {
+	if err := k.Load(confmap.Provider(values, "\x00"), nil); err != nil {
 		return Settings{}, Error.Wrap(err)
 	}
 	r := reader{k: k}
 	s := Settings{
-		Node: r.text("self.node"), Role: k.String("self.role"), IP: r.ip("self.ip"), Zone: r.text("self.zone"),
-		Serves: list(k.String("self.serves")), Region: k.String("self.region"), DataDir: k.String("self.data_dir"),
-		FirstStart: r.truth("self.first_start"),
-		MemoryMB:   r.whole("self.allowances.memory_mb", 256), FileHandles: r.whole("self.allowances.file_handles", 1024),
+		Node: r.required("self.node"), Role: k.String("self.role"), IP: r.ip("self.ip"), Zone: r.required("self.zone"),
+		Serves: splitList(k.String("self.serves")), Region: k.String("self.region"), DataDir: k.String("self.data_dir"),
+		FirstStart: r.boolean("self.first_start"),
+		MemoryMB:   r.positiveInt("self.allowances.memory_mb", 256), FileHandles: r.positiveInt("self.allowances.file_handles", 1024),
 		Cores:    r.number("self.allowances.cpu_share", 1) * max(r.number("self.allowances.cores", 1), 1),
 		LinkMbps: r.number("self.allowances.link_mbps", 1000),
 		Counter:  r.address("network.listen_on.counter"), Readiness: r.address("network.listen_on.readiness"),
 		Control: r.address("network.listen_on.control_dock"), Seeds: r.seeds("network.seed_nodes"),
 		SparePort: r.ports("network.spare_ports"),
-		Heartbeat: r.span("yard.heartbeat", 1500*time.Millisecond),
-		Bounds: Bounds{Contact: r.span("tariff.timetable.contact", 3*time.Second),
-			Drain: r.span("tariff.timetable.drain", 2*time.Second), Grace: r.span("tariff.timetable.grace", 6*time.Second),
-			Edition: r.span("tariff.timetable.edition_time", 2*time.Second),
-			Purge:   r.span("tariff.timetable.purge", 2*time.Second), StaleSlack: r.span("tariff.timetable.stale_slack", 2*time.Second),
-			CeilingWindow: r.span("tariff.timetable.ceiling_window", 5*time.Second),
+		Heartbeat: r.duration("yard.heartbeat", 1500*time.Millisecond),
+		Bounds: Bounds{Contact: r.duration("tariff.timetable.contact", 3*time.Second),
+			Drain: r.duration("tariff.timetable.drain", 2*time.Second), Grace: r.duration("tariff.timetable.grace", 6*time.Second),
+			Edition: r.duration("tariff.timetable.edition_time", 2*time.Second),
+			Purge:   r.duration("tariff.timetable.purge", 2*time.Second), StaleSlack: r.duration("tariff.timetable.stale_slack", 2*time.Second),
+			CeilingWindow: r.duration("tariff.timetable.ceiling_window", 5*time.Second),
 			CeilingExcess: r.number("tariff.timetable.ceiling_excess", 1.1),
 			RetryRatio:    r.number("tariff.timetable.retry_ratio", 0.2), RetrySlack: r.number("tariff.timetable.retry_slack", 30),
-			Tolerate: r.whole("tariff.tolerate.machines", 1)},
+			Tolerate: r.positiveInt("tariff.tolerate.machines", 1)},
 	}
-	if r.truth("tariff.timetable.revocation_global") {
-		s.Bounds.Revoke = r.span("tariff.timetable.revoke", usualRevoke)
+	if r.boolean("tariff.timetable.revocation_global") {
+		s.Bounds.Revoke = r.duration("tariff.timetable.revoke", defaultRevoke)
 	}
 	s.Platform = r.platform()
-	return s, r.faults.Err()
+	return s, r.errors.Err()
 }
 
 const (
-	usualRevoke       = 5 * time.Second
-	usualDutyPerS     = 10
-	usualReportWindow = 5 * time.Second
-	usualUsageDelay   = 10 * time.Second
-	usualLease        = 3 * time.Second
+	defaultRevoke       = 5 * time.Second
+	defaultDutyPerS     = 10
+	defaultReportWindow = 5 * time.Second
+	defaultUsageDelay   = 10 * time.Second
+	defaultLease        = 3 * time.Second
 )
 
-// platform reads how the platform is called.
+// platform reads the settings of the platform API.
 func (r *reader) platform() Platform {
-	return Platform{Address: r.address("yard.yard_api.address"), Duties: list(r.k.String("yard.yard_api.duties")),
-		DutyPerS:     r.number("yard.yard_api.duty_per_s", usualDutyPerS),
-		ReportWindow: max(r.span("tariff.timetable.report_window", usualReportWindow), time.Second),
-		UsageDelay:   r.span("tariff.timetable.usage_delay", usualUsageDelay),
-		Lease:        r.span("tariff.timetable.lease", usualLease)}
+	return Platform{Address: r.address("yard.yard_api.address"), Duties: splitList(r.k.String("yard.yard_api.duties")),
+		DutyPerS:     r.number("yard.yard_api.duty_per_s", defaultDutyPerS),
+		ReportWindow: max(r.duration("tariff.timetable.report_window", defaultReportWindow), time.Second),
+		UsageDelay:   r.duration("tariff.timetable.usage_delay", defaultUsageDelay),
+		Lease:        r.duration("tariff.timetable.lease", defaultLease)}
 }
 
-// reader takes values out and collects the faults.
+// reader reads values and collects the errors.
 type reader struct {
 	k      *koanf.Koanf
-	faults errs.Group
+	errors errs.Group
 }
 
-func (r *reader) fault(key, format string, args ...any) {
-	r.faults.Add(Error.New("%s: %s", key, fmt.Sprintf(format, args...)))
+// addError records an error of a key.
+func (r *reader) addError(key, format string, args ...any) {
+	r.errors.Add(Error.New("%s: %s", key, fmt.Sprintf(format, args...)))
 }
 
-func (r *reader) text(key string) string {
+// required reads a text that must not be empty.
+func (r *reader) required(key string) string {
 	v := r.k.String(key)
 	if v == "" {
-		r.fault(key, "missing")
+		r.addError(key, "missing")
 	}
 	return v
 }
 
+// ip reads a required IP address.
 func (r *reader) ip(key string) string {
-	v := r.text(key)
+	v := r.required(key)
 	if v != "" && net.ParseIP(v) == nil {
-		r.fault(key, "%q is no IP address", v)
+		r.addError(key, "%q is not an IP address", v)
 	}
 	return v
 }
 
+// address reads an optional IP:port.
 func (r *reader) address(key string) string {
 	v := r.k.String(key)
 	if v != "" {
@@ -202,83 +207,90 @@
 	return v
 }
 
+// checkAddress records an error if v is not a valid IP:port.
 func (r *reader) checkAddress(key, v string) {
 	host, port, err := net.SplitHostPort(v)
-	n, bad := strconv.Atoi(port)
-	if err != nil || net.ParseIP(host) == nil || bad != nil || n < 1 || n > 65535 {
-		r.fault(key, "%q is no address", v)
+	n, portErr := strconv.Atoi(port)
+	if err != nil || net.ParseIP(host) == nil || portErr != nil || n < 1 || n > 65535 {
+		r.addError(key, "%q is not an IP:port address", v)
 	}
 }
 
-func (r *reader) seeds(key string) (all []string) {
-	for v := range strings.SplitSeq(r.text(key), ",") {
+// seeds reads a required list of IP:port, separated by commas.
+func (r *reader) seeds(key string) (addresses []string) {
+	for v := range strings.SplitSeq(r.required(key), ",") {
 		if v = strings.TrimSpace(v); v != "" {
 			r.checkAddress(key, v)
-			all = append(all, v)
+			addresses = append(addresses, v)
 		}
 	}
-	return all
+	return addresses
 }
 
+// ports reads a port range FIRST,LAST of at least portsNeeded ports and returns the first one.
 func (r *reader) ports(key string) int {
-	from, to, _ := strings.Cut(r.text(key), ",")
-	a, bad1 := strconv.Atoi(strings.TrimSpace(from))
-	b, bad2 := strconv.Atoi(strings.TrimSpace(to))
-	if bad1 != nil || bad2 != nil || a < 1 || b > 65535 || b-a+1 < portsNeeded {
-		r.fault(key, "two ports expected, with %d at least from the first to the second", portsNeeded)
+	firstText, lastText, _ := strings.Cut(r.required(key), ",")
+	first, firstErr := strconv.Atoi(strings.TrimSpace(firstText))
+	last, lastErr := strconv.Atoi(strings.TrimSpace(lastText))
+	if firstErr != nil || lastErr != nil || first < 1 || last > 65535 || last-first+1 < internalPorts {
+		r.addError(key, "expected FIRST,LAST: a range of at least %d ports", internalPorts)
 	}
-	return a
+	return first
 }
 
-func (r *reader) truth(key string) bool {
+// boolean reads an optional boolean; false if unset.
+func (r *reader) boolean(key string) bool {
 	v := r.k.String(key)
 	if v == "" {
 		return false
 	}
-	b, err := strconv.ParseBool(v)
+	value, err := strconv.ParseBool(v)
 	if err != nil {
-		r.fault(key, "%q is neither true nor false", v)
+		r.addError(key, "%q is not a boolean", v)
 	}
-	return b
+	return value
 }
 
-func (r *reader) whole(key string, unset int) int {
+// positiveInt reads an optional positive integer.
+func (r *reader) positiveInt(key string, defaultValue int) int {
 	v := r.k.String(key)
 	if v == "" {
-		return unset
+		return defaultValue
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil || n <= 0 {
-		r.fault(key, "%q is no whole number above 0", v)
+		r.addError(key, "%q is not a positive integer", v)
 	}
 	return n
 }
 
-func (r *reader) number(key string, unset float64) float64 {
+// number reads an optional number that is not negative.
+func (r *reader) number(key string, defaultValue float64) float64 {
 	v := r.k.String(key)
 	if v == "" {
-		return unset
+		return defaultValue
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || n < 0 {
-		r.fault(key, "%q is no number", v)
+		r.addError(key, "%q is not a non-negative number", v)
 	}
 	return n
 }
 
-func (r *reader) span(key string, unset time.Duration) time.Duration {
+// duration reads an optional duration.
+func (r *reader) duration(key string, defaultValue time.Duration) time.Duration {
 	v := r.k.String(key)
 	if v == "" {
-		return unset
+		return defaultValue
 	}
 	d, err := Span(v)
 	if err != nil {
-		r.fault(key, "%v", err)
+		r.addError(key, "%v", err)
 	}
 	return d
 }
 
-// Span reads a time with its unit, ms or s: 1500ms, 2.5s.
+// Span parses a duration in ms or s, such as 1500ms or 2.5s.
 func Span(text string) (time.Duration, error) {
 	unit, number := time.Millisecond, strings.TrimSuffix(text, "ms")
 	if number == text {
@@ -293,17 +305,18 @@
 	return time.Duration(n * float64(unit)), nil
 }
 
-// HostOf is the IP of an address that was checked.
+// HostOf returns the IP of a validated address.
 func HostOf(address string) string {
 	host, _, _ := net.SplitHostPort(address)
 	return host
 }
 
-// Inner is the address at which a machine's config store or edge is reached by the system's other processes.
+// Inner returns the address at which the network's processes reach the config store (ConfigStorePort) or edge (EdgePort) of a machine.
 func (s Settings) Inner(ip string, port int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.SparePort+port))
 }
 
-func list(text string) []string {
+// splitList splits a list at commas and spaces.
+func splitList(text string) []string {
 	return strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' })
 }
--- a/internal/cdn/bootconfig/bootconfig_test.go
+++ b/internal/cdn/bootconfig/bootconfig_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const whole = `self.node=counter-1
+const validSettings = `self.node=counter-1
 self.ip=10.1.0.35
 self.zone=z
 self.first_start=true
@@ -27,7 +27,7 @@
 `
 
 func TestSettings(t *testing.T) {
-	s, err := Parse(whole)
+	s, err := Parse(validSettings)
 	assert.NilError(t, err)
 	assert.Equal(t, s.Heartbeat, 1500*time.Millisecond)
 	assert.Equal(t, s.Bounds.Contact, 3*time.Second)
@@ -47,15 +47,15 @@
 		{"link_mbps=8.6", "link_mbps=wide", "self.allowances.link_mbps"},
 	}
 	for _, c := range cases {
-		_, err := Parse(strings.Replace(whole, c.old, c.new, 1))
+		_, err := Parse(strings.Replace(validSettings, c.old, c.new, 1))
 		assert.ErrorContains(t, err, c.key)
 	}
 	_, err = Parse("self.ip=x\n")
 	assert.ErrorContains(t, err, "self.zone")
-	assert.ErrorContains(t, err, "self.ip") // all at once
+	assert.ErrorContains(t, err, "self.ip") // all errors at once
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(whole)
+	f.Add(validSettings)
 	f.Fuzz(func(t *testing.T, text string) { Parse(text) })
 }
--- a/internal/cdn/httproute/httproute.go
+++ b/internal/cdn/httproute/httproute.go
@@ -1,5 +1,5 @@
-// Package httproute matches calls by a tree: one level for the method, one for each part of the path. A part in braces matches
-// anything and is handed over.
+// Package httproute routes HTTP requests by method and path. Paths are matched segment by segment; a segment in braces matches any text,
+// which is passed to the handler.
 package httproute
 
 import (
@@ -7,62 +7,62 @@
 	"strings"
 )
 
-// Handler answers a call; part is what stood at the braces.
-type Handler func(w http.ResponseWriter, r *http.Request, part string)
+// Handler handles a request; param is the path segment that matched the braces, empty if there are none.
+type Handler func(w http.ResponseWriter, r *http.Request, param string)
 
-// Tree is a tree of matchers. It is filled before it is used.
+// Tree is a node of the routing tree, and the http.Handler of the tree below it. Routes must be added before it serves requests.
 type Tree struct {
 	children map[string]*Tree
-	any      *Tree
+	wildcard *Tree
 	handlers map[string]Handler
 }
 
-// On adds a call, as in On("PUT", "/servers/{id}", h).
-func (t *Tree) On(method, path string, h Handler) *Tree {
-	at := t
-	for part := range strings.SplitSeq(strings.Trim(path, "/"), "/") {
-		next := &at.any
-		if !strings.HasPrefix(part, "{") {
-			if at.children == nil {
-				at.children = map[string]*Tree{}
+// On adds a route for a method and a path such as /servers/{id}, and returns the tree.
+func (m *Tree) On(method, path string, h Handler) *Tree {
+	node := m
+	for segment := range strings.SplitSeq(strings.Trim(path, "/"), "/") {
+		next := &node.wildcard
+		if !strings.HasPrefix(segment, "{") {
+			if node.children == nil {
+				node.children = map[string]*Tree{}
 			}
-			if at.children[part] == nil {
-				at.children[part] = &Tree{}
+			if node.children[segment] == nil {
+				node.children[segment] = &Tree{}
 			}
-			at = at.children[part]
+			node = node.children[segment]
 			continue
 		}
 		if *next == nil {
 			*next = &Tree{}
 		}
-		at = *next
+		node = *next
 	}
-	if at.handlers == nil {
-		at.handlers = map[string]Handler{}
+	if node.handlers == nil {
+		node.handlers = map[string]Handler{}
 	}
-	at.handlers[method] = h
-	return t
+	node.handlers[method] = h
+	return m
 }
 
-// ServeHTTP answers with the handler that matches, 404 or 405.
-func (t *Tree) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	at, held := t, ""
-	for part := range strings.SplitSeq(strings.Trim(r.URL.Path, "/"), "/") {
-		next := at.children[part]
-		if next == nil && at.any != nil && part != "" {
-			next, held = at.any, part
+// ServeHTTP calls the matching handler. It responds with 404 if no path matches, or 405 if the path has no handler for the method.
+func (m *Tree) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	node, param := m, ""
+	for segment := range strings.SplitSeq(strings.Trim(r.URL.Path, "/"), "/") {
+		next := node.children[segment]
+		if next == nil && node.wildcard != nil && segment != "" {
+			next, param = node.wildcard, segment
 		}
 		if next == nil {
 			http.Error(w, "no such call", http.StatusNotFound)
 			return
 		}
-		at = next
+		node = next
 	}
-	h := at.handlers[r.Method]
+	h := node.handlers[r.Method]
 	switch {
 	case h != nil:
-		h(w, r, held)
-	case at.handlers == nil:
+		h(w, r, param)
+	case node.handlers == nil:
 		http.Error(w, "no such call", http.StatusNotFound)
 	default:
 		http.Error(w, "not with this method", http.StatusMethodNotAllowed)
--- a/internal/cdn/metrics/metrics.go
+++ b/internal/cdn/metrics/metrics.go
@@ -1,5 +1,4 @@
-// Package metrics tells a process's own figures as text, in the format of Prometheus, to whoever asks at the port and path that the
-// command line names.
+// Package metrics serves a process's metrics in the Prometheus text format, at the port and path given on the command line.
 package metrics
 
 import (
@@ -23,17 +22,17 @@
 var Error = errs.Class("metrics")
 
 const (
-	headerWithin = 2 * time.Second
-	idleFor      = 15 * time.Second
+	readHeaderTimeout = 2 * time.Second
+	idleTimeout       = 15 * time.Second
 )
 
-// Place is where figures are told.
+// Place is the port and path of the metrics endpoint.
 type Place struct {
 	Port int
-	Path string // with its first slash
+	Path string // with the leading slash
 }
 
-// ParsePlace reads PORT/PATH.
+// ParsePlace parses PORT/PATH.
 func ParsePlace(text string) (Place, error) {
 	port, path, ok := strings.Cut(text, "/")
 	n, err := strconv.Atoi(port)
@@ -43,29 +42,29 @@
 	return Place{Port: n, Path: "/" + path}, nil
 }
 
-// Serve tells the collectors' figures, and the process's own of processor time and memory, at the settings' place until the context ends. Without a place it does nothing. A place that
-// can't be listened at is logged, and the process goes on: figures are not worth an outage.
-func Serve(ctx context.Context, set bootconfig.Settings, log hclog.Logger, collectors ...prometheus.Collector) {
-	if set.Metrics == "" {
+// Serve serves the collectors' metrics, and those of the process's CPU time and memory, at the endpoint in the settings until the context
+// ends. Without an endpoint it does nothing. If it can't listen, it only logs the error: missing metrics are not worth an outage.
+func Serve(ctx context.Context, settings bootconfig.Settings, log hclog.Logger, collectors ...prometheus.Collector) {
+	if settings.Metrics == "" {
 		return
 	}
-	place, err := ParsePlace(set.Metrics)
+	endpoint, err := ParsePlace(settings.Metrics)
 	if err != nil {
-		log.Error("no figures are told", "err", err)
+		log.Error("metrics are not served", "err", err)
 		return
 	}
-	l, err := net.Listen("tcp", net.JoinHostPort(set.IP, strconv.Itoa(place.Port)))
+	listener, err := net.Listen("tcp", net.JoinHostPort(settings.IP, strconv.Itoa(endpoint.Port)))
 	if err != nil {
-		log.Error("no figures are told", "err", err)
+		log.Error("metrics are not served", "err", err)
 		return
 	}
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors...)
-	registry.MustRegister(promcollectors.NewProcessCollector(promcollectors.ProcessCollectorOpts{})) // processor seconds, memory, descriptors
+	registry.MustRegister(promcollectors.NewProcessCollector(promcollectors.ProcessCollectorOpts{})) // CPU, memory, descriptors
 	mux := http.NewServeMux()
-	mux.Handle(place.Path, promhttp.HandlerFor(registry, promhttp.HandlerOpts{DisableCompression: true}))
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerWithin, IdleTimeout: idleFor,
+	mux.Handle(endpoint.Path, promhttp.HandlerFor(registry, promhttp.HandlerOpts{DisableCompression: true}))
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})}
 	context.AfterFunc(ctx, func() { server.Close() })
-	go server.Serve(l)
+	go server.Serve(listener)
 }
--- a/internal/cdn/process/process.go
+++ b/internal/cdn/process/process.go
@@ -1,4 +1,4 @@
-// Package process is what the system's programs share at their start: the command line, the settings, the log, the end.
+// Package process contains what the network's programs share: command line, settings, log, signals and exit status.
 package process
 
 import (
@@ -17,32 +17,32 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Program is one of the system's programs.
+// Program is one of the network's programs.
 type Program struct {
 	Name, Usage string
 	Run         func(ctx context.Context, set bootconfig.Settings, log hclog.Logger) error
 }
 
-const watchEvery = 5 * time.Second
+const settingsPollInterval = 5 * time.Second
 
-// Main is the program's whole main. Its status is 2 for a fault of the command line or the settings, 1 for one later on.
+// Main parses the command line and runs the program. The exit status is 2 if the settings are missing or invalid, 1 for other errors.
 func Main(p Program) {
 	settings := &cli.StringFlag{Name: "settings", Usage: "path of the settings file", Sources: cli.EnvVars(bootconfig.EnvPath)}
-	level := &cli.StringFlag{Name: "log", Usage: "least level that is logged: trace, debug, info, warn, error", Value: "info"}
-	figures := &cli.StringFlag{Name: "metrics", Usage: "PORT/PATH at which the process tells its figures; none if left out",
+	logLevel := &cli.StringFlag{Name: "log", Usage: "minimum log level: trace, debug, info, warn, error", Value: "info"}
+	metricsFlag := &cli.StringFlag{Name: "metrics", Usage: "PORT/PATH at which the process serves its metrics; not served if left out",
 		Validator: func(text string) error { _, err := metrics.ParsePlace(text); return err }}
-	root := &cli.Command{Name: p.Name, Usage: p.Usage, Flags: []cli.Flag{settings, level}, Commands: []*cli.Command{
-		{Name: "run", Usage: "serve until SIGTERM", Flags: []cli.Flag{figures}, Action: func(ctx context.Context, c *cli.Command) error {
+	root := &cli.Command{Name: p.Name, Usage: p.Usage, Flags: []cli.Flag{settings, logLevel}, Commands: []*cli.Command{
+		{Name: "run", Usage: "serve until SIGTERM", Flags: []cli.Flag{metricsFlag}, Action: func(ctx context.Context, c *cli.Command) error {
 			return p.run(ctx, c.String("settings"), c.String("log"), c.String("metrics"))
 		}},
-		{Name: "check", Usage: "check a settings file and end", Action: func(_ context.Context, c *cli.Command) error {
+		{Name: "check", Usage: "check a settings file and exit", Action: func(_ context.Context, c *cli.Command) error {
 			if _, err := bootconfig.Read(c.String("settings")); err != nil {
 				return cli.Exit(err.Error(), 2)
 			}
 			fmt.Println("good")
 			return nil
 		}},
-		{Name: "version", Usage: "tell which build this is", Action: func(context.Context, *cli.Command) error {
+		{Name: "version", Usage: "print the build", Action: func(context.Context, *cli.Command) error {
 			fmt.Println(build.Line(p.Name))
 			return nil
 		}},
@@ -53,29 +53,30 @@
 	}
 }
 
-func (p Program) run(ctx context.Context, path, level, figures string) error {
+// run reads the settings and runs the program until it ends or SIGTERM or SIGINT arrives.
+func (p Program) run(ctx context.Context, path, level, metricsEndpoint string) error {
 	if path == "" {
 		return cli.Exit("no settings file: set "+bootconfig.EnvPath+" or --settings", 2)
 	}
-	set, err := bootconfig.Read(path)
+	settings, err := bootconfig.Read(path)
 	if err != nil {
 		return cli.Exit(err.Error(), 2)
 	}
 	log := hclog.New(&hclog.LoggerOptions{Name: p.Name, Level: hclog.LevelFromString(level), Output: os.Stderr, DisableTime: true})
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	set.Named, set.Metrics = new(bootconfig.Seeds), figures
-	go watch(ctx, path, set, log)
-	if err := p.Run(ctx, set, log); err != nil {
+	settings.Named, settings.Metrics = new(bootconfig.Seeds), metricsEndpoint
+	go watchSettings(ctx, path, settings, log)
+	if err := p.Run(ctx, settings, log); err != nil {
 		log.Error("ended", "err", err)
 		return cli.Exit(err.Error(), 1)
 	}
 	return nil
 }
 
-// watch looks when the settings file has changed, by a signal or without one. Other seeds are taken at once; what a process is told about
-// itself holds for its life. A file that can't be read or is faulty changes nothing.
-func watch(ctx context.Context, path string, set bootconfig.Settings, log hclog.Logger) {
+// watchSettings rereads the settings file on SIGHUP and periodically. Changed seeds take effect at once; other settings only at the
+// next start. A file that is unreadable or invalid is ignored.
+func watchSettings(ctx context.Context, path string, settings bootconfig.Settings, log hclog.Logger) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	for {
@@ -83,17 +84,17 @@
 		case <-ctx.Done():
 			return
 		case <-hup:
-		case <-time.After(watchEvery):
+		case <-time.After(settingsPollInterval):
 		}
-		now, err := bootconfig.Read(path)
+		updated, err := bootconfig.Read(path)
 		if err != nil {
-			log.Warn("settings file not taken", "err", err)
+			log.Warn("ignoring invalid settings file", "err", err)
 			continue
 		}
-		if fmt.Sprint(now.Seeds) != fmt.Sprint(set.Seeds) {
-			log.Info("other seeds are named", "seeds", now.Seeds)
-			set.Seeds = now.Seeds
-			set.Named.Set(now.Seeds)
+		if fmt.Sprint(updated.Seeds) != fmt.Sprint(settings.Seeds) {
+			log.Info("seeds changed", "seeds", updated.Seeds)
+			settings.Seeds = updated.Seeds
+			settings.Named.Set(updated.Seeds)
 		}
 	}
 }
--- a/internal/cdn/programs/programs.go
+++ b/internal/cdn/programs/programs.go
@@ -1,4 +1,4 @@
-// Package programs lets a test binary play the network's three programs, so that tests on real processes need no build beside their own.
+// Package programs lets a test binary run as one of the network's three programs, so that tests with real processes need no other build.
 package programs
 
 import (
@@ -10,14 +10,14 @@
 	"cedarmast/internal/cdn/registry"
 )
 
-// variable names the program that a test binary is to play.
-const variable = "LOCALNET_PROGRAM"
+// programVariable is the environment variable that names the program to run as.
+const programVariable = "LOCALNET_PROGRAM"
 
-// Play plays the program that the environment names; false if it names none.
+// Play runs the program that the environment names, and returns false if it names none.
 func Play() bool {
-	all := map[string]process.Program{"configstore": {Name: "configstore", Run: configstore.Run}, "registry": {Name: "registry", Run: registry.Run},
+	byName := map[string]process.Program{"configstore": {Name: "configstore", Run: configstore.Run}, "registry": {Name: "registry", Run: registry.Run},
 		"edge": {Name: "edge", Run: edge.Run}}
-	p, ok := all[os.Getenv(variable)]
+	p, ok := byName[os.Getenv(programVariable)]
 	if !ok {
 		return false
 	}
@@ -26,7 +26,7 @@
 	return true
 }
 
-// Line is the command line by which this binary plays a program.
+// Line returns the command line that runs this binary as the named program.
 func Line(name string) []string {
-	return []string{"/usr/bin/env", variable + "=" + name, os.Args[0]}
+	return []string{"/usr/bin/env", programVariable + "=" + name, os.Args[0]}
 }
