--- a/internal/cdn/bootconfig/bootconfig.go
+++ b/internal/cdn/bootconfig/bootconfig.go
@@ -28,7 +28,7 @@
 const (
 	ConfigStorePort = iota
 	EdgePort
-	internalPorts
+	internalPorts // number of these ports
 )
 
 // Settings holds a process's settings. Addresses are IP:port.
@@ -67,9 +67,13 @@
 
 // Bounds holds the limits and time bounds that the operators set.
 type Bounds struct {
+	// Contact is how long a machine may be without a confirmed state before it counts as out of touch. Grace is the time that a
+	// process has to shut down. Edition is the time after which every router in touch must know an acknowledged configuration.
+	// StaleSlack is how long after its expiry an object may still be served.
 	Contact, Drain, Grace, Edition, Purge, StaleSlack time.Duration
 	// Revoke is the longest time that machines run requests with a key after its removal is acknowledged; 0: no bound.
-	Revoke                 time.Duration
+	Revoke time.Duration
+	// The rate of requests to a service, measured over CeilingWindow, may exceed its ceiling by the factor CeilingExcess.
 	CeilingWindow          time.Duration
 	CeilingExcess          float64
 	RetryRatio, RetrySlack float64
--- a/internal/cdn/departure/departure_test.go
+++ b/internal/cdn/departure/departure_test.go
@@ -24,17 +24,17 @@
 		finishing, ended bool // at the end: an attempt is still finishing; the context has ended
 	}{
 		{"answered", []string{begin, end, closes}, 1, 0, 0, false, true},
-		{"leaves before anything is sent", []string{callerCancels, begin, closes}, 0, 1, 0, false, true},
-		{"leaves under way", []string{begin, callerCancels, end, closes}, 1, 1, 1, false, true},
-		{"leaves between two tries", []string{begin, end, callerCancels, begin, closes}, 1, 1, 0, false, true},
-		{"leaves under what is finished", []string{beginFinish, callerCancels, closes}, 1, 1, 0, true, true},
-		{"what is finished ends", []string{beginFinish, callerCancels, endFinish, beginFinish, closes}, 1, 1, 1, false, true},
-		{"leaves twice", []string{begin, callerCancels, callerCancels, end, closes}, 1, 1, 1, false, true},
-		{"leaves after its answer", []string{begin, end, closes, callerCancels}, 1, 0, 0, false, true},
-		{"the parent's end is seen at once", []string{parentEnds, begin}, 0, 1, 0, false, true},
-		{"two under way", []string{begin, begin, callerCancels, end, end, closes}, 2, 1, 2, false, true},
-		{"begins after its caller's answer", []string{begin, end, closes, begin}, 1, 0, 0, false, true},
-		{"an attempt outlives its caller's answer", []string{begin, begin, end, closes, end}, 2, 0, 0, false, true},
+		{"cancelled before anything is sent", []string{callerCancels, begin, closes}, 0, 1, 0, false, true},
+		{"cancelled with an attempt in flight", []string{begin, callerCancels, end, closes}, 1, 1, 1, false, true},
+		{"cancelled between two attempts", []string{begin, end, callerCancels, begin, closes}, 1, 1, 0, false, true},
+		{"cancelled with a finishing attempt", []string{beginFinish, callerCancels, closes}, 1, 1, 0, true, true},
+		{"the finishing attempt ends", []string{beginFinish, callerCancels, endFinish, beginFinish, closes}, 1, 1, 1, false, true},
+		{"cancelled twice", []string{begin, callerCancels, callerCancels, end, closes}, 1, 1, 1, false, true},
+		{"cancelled after its response", []string{begin, end, closes, callerCancels}, 1, 0, 0, false, true},
+		{"the end of the parent context is detected at once", []string{parentEnds, begin}, 0, 1, 0, false, true},
+		{"two attempts in flight", []string{begin, begin, callerCancels, end, end, closes}, 2, 1, 2, false, true},
+		{"attempt begins after its caller is closed", []string{begin, end, closes, begin}, 1, 0, 0, false, true},
+		{"attempt ends after its caller is closed", []string{begin, begin, end, closes, end}, 2, 0, 0, false, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/cdn/halfclose/halfclose_test.go
+++ b/internal/cdn/halfclose/halfclose_test.go
@@ -49,7 +49,7 @@
 	cases := []struct {
 		name, sends, early string // early: sent while the request is being handled
 		then               func(*net.TCPConn)
-		left               bool
+		disconnects        bool
 	}{
 		{"stays", get("/1", "HTTP/1.1"), "", stays, false},
 		{"closes", get("/1", "HTTP/1.1"), "", closes, true},
@@ -81,7 +81,7 @@
 			assert.Equal(t, <-h.started, "/1")
 			io.WriteString(conn, c.early)
 			c.then(conn)
-			if c.left {
+			if c.disconnects {
 				select {
 				case <-h.disconnected:
 				case <-time.After(400 * time.Millisecond):
--- a/internal/cdn/objectcache/objectcache.go
+++ b/internal/cdn/objectcache/objectcache.go
@@ -59,8 +59,8 @@
 }
 
 // Renewed returns the entry as revalidated by a server: with a new time, log index and time to live.
-func (e *Copy) Renewed(at time.Time, index uint64, shelf time.Duration) *Copy {
-	return &Copy{Header: e.Header, Body: e.Body, ETag: e.ETag, Labels: e.Labels, Shelf: shelf, At: at, Index: index, Lent: e.Lent, For: e.For}
+func (e *Copy) Renewed(at time.Time, index uint64, ttl time.Duration) *Copy {
+	return &Copy{Header: e.Header, Body: e.Body, ETag: e.ETag, Labels: e.Labels, Shelf: ttl, At: at, Index: index, Lent: e.Lent, For: e.For}
 }
 
 // refreshesPerUse is how many times an entry is refreshed after it was last requested. Two cover an object that is requested once in
@@ -129,7 +129,7 @@
 }
 
 // Get returns the entry of a key and its freshness. Slack is how long after its expiry it may still be served while it is revalidated.
-// By is the client's request that the entry will answer; without an id it stands for no request.
+// Requester is the client's request that the entry will answer; without an id it stands for no request.
 func (c *Cache) Get(k Key, now time.Time, slack time.Duration, requester Asker) (*Copy, Grade) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,14 +183,14 @@
 // refreshQueue is a heap of refreshes, ordered by time.
 type refreshQueue []refresh
 
-func (d refreshQueue) Len() int           { return len(d) }
-func (d refreshQueue) Less(i, j int) bool { return d[i].at.Before(d[j].at) }
-func (d refreshQueue) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *refreshQueue) Push(x any)        { *d = append(*d, x.(refresh)) }
-func (d *refreshQueue) Pop() any {
-	last := (*d)[len(*d)-1]
-	(*d)[len(*d)-1] = refresh{}
-	*d = (*d)[:len(*d)-1]
+func (q refreshQueue) Len() int           { return len(q) }
+func (q refreshQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
+func (q refreshQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *refreshQueue) Push(x any)        { *q = append(*q, x.(refresh)) }
+func (q *refreshQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	(*q)[len(*q)-1] = refresh{}
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
@@ -235,7 +235,8 @@
 		}
 		c.remove(k, old)
 		entry.refreshesLeft = max(old.refreshesLeft-1, 0)
-		if old.requester.ID != "" && old.requester.ID != entry.For.ID { // a request that was served from the cache in the meantime: no server has seen its id
+		// A request was served from the cache in the meantime, so no server has seen its id.
+		if old.requester.ID != "" && old.requester.ID != entry.For.ID {
 			entry.requester = old.requester
 		}
 	} else {
@@ -303,18 +304,18 @@
 	}
 }
 
-// Purge removes the entries of a path, or those with a label (tag), that were requested before the log entry of the given index.
-func (c *Cache) Purge(index uint64, host, path, tag string) {
+// Purge removes the entries of a path, or those with a label, if one is given, that were requested before the log entry of the given index.
+func (c *Cache) Purge(index uint64, host, path, label string) {
 	host = strings.ToLower(host)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.recentPurges = append(c.recentPurges, purge{index, pathKey{host, path}, tag})
+	c.recentPurges = append(c.recentPurges, purge{index, pathKey{host, path}, label})
 	if len(c.recentPurges) > maxPurges {
 		c.forgottenIndex = c.recentPurges[0].index
 		c.recentPurges = c.recentPurges[1:]
 	}
-	matching := c.byLabel[tag]
-	if tag == "" {
+	matching := c.byLabel[label]
+	if label == "" {
 		matching = c.byPath[pathKey{host, path}]
 	}
 	for k := range matching {
@@ -336,7 +337,7 @@
 }
 
 // Size returns the number of entries and their size in bytes.
-func (c *Cache) Size() (copies int, bytes int64) {
+func (c *Cache) Size() (entries int, bytes int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lru.Len(), c.bytes
--- a/internal/cdn/objectcache/objectcache_test.go
+++ b/internal/cdn/objectcache/objectcache_test.go
@@ -17,7 +17,7 @@
 	return &Copy{Body: []byte("body"), ETag: `"1"`, Labels: []string{"red", "big"}, Shelf: 20 * time.Second, At: at, Index: index}
 }
 
-func TestGrades(t *testing.T) {
+func TestFreshness(t *testing.T) {
 	c := New(1 << 20)
 	c.Put(key, object(1, t0))
 	for after, want := range map[time.Duration]Grade{0: Fresh, 14 * time.Second: Fresh, 15 * time.Second: Ageing, 21 * time.Second: Ageing, 22 * time.Second: Stale} {
@@ -39,10 +39,10 @@
 		{"its tag", "", "", "red", true}, {"its other tag", "", "", "big", true}, {"another tag", "", "", "blue", false},
 	}
 	for _, c := range cases {
-		for _, when := range []string{"stored", "on its way", "asked for after it"} {
+		for _, when := range []string{"stored", "on its way", "requested after it"} {
 			cache := New(1 << 20)
 			index := uint64(5)
-			if when == "asked for after it" {
+			if when == "requested after it" {
 				index = 7
 			}
 			if when == "stored" {
@@ -124,10 +124,10 @@
 		fetchedFor Asker // the request that the next entry is fetched for
 		want       Asker // the request that the next entry is refreshed for
 	}{
-		{"nobody wants it meanwhile", Asker{}, Asker{"try-1", "key-1"}, Asker{"", "key-1"}},
-		{"somebody does", Asker{"try-2", "key-2"}, Asker{"try-1", "key-1"}, Asker{"try-2", "key-2"}},
-		{"the one it is fetched for then", Asker{"try-2", "key-2"}, Asker{"try-2", "key-2"}, Asker{"", "key-2"}},
-		{"another one fetches it first", Asker{}, Asker{"try-3", "key-3"}, Asker{"", "key-3"}},
+		{"no request in the meantime", Asker{}, Asker{"try-1", "key-1"}, Asker{"", "key-1"}},
+		{"another request in the meantime", Asker{"try-2", "key-2"}, Asker{"try-1", "key-1"}, Asker{"try-2", "key-2"}},
+		{"a request in the meantime, which fetches it", Asker{"try-2", "key-2"}, Asker{"try-2", "key-2"}, Asker{"", "key-2"}},
+		{"another request fetches it first", Asker{}, Asker{"try-3", "key-3"}, Asker{"", "key-3"}},
 	}
 	for _, c := range cases {
 		cache := New(1 << 20)
--- a/internal/cdn/upstream/cancellation_test.go
+++ b/internal/cdn/upstream/cancellation_test.go
@@ -35,7 +35,7 @@
 func TestCancellationAtEveryStage(t *testing.T) {
 	type kind struct{ once, keep bool }
 	safe, once, cacheable := kind{}, kind{once: true}, kind{keep: true}
-	const before, working, withdrawn = "before it is sent", "while the server works", "withdrawn while the server works"
+	const before, working, attemptCancelled = "before it is sent", "while the server works", "attempt cancelled while the server works"
 	cases := []struct {
 		kind   kind
 		moment string
@@ -49,12 +49,12 @@
 		{safe, working, balance.Cancelled, 1, 0},
 		{once, working, balance.OK, 1, 1},
 		{cacheable, working, balance.OK, 1, 1},
-		{safe, withdrawn, balance.Cancelled, 1, 0},
-		{once, withdrawn, balance.OK, 1, 1},
+		{safe, attemptCancelled, balance.Cancelled, 1, 0},
+		{once, attemptCancelled, balance.OK, 1, 1},
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%+v %s", c.kind, c.moment), func(t *testing.T) {
-			ledger := departure.NewLedger()
+			tracker := departure.NewLedger()
 			callerCtx, cancelCaller := context.WithCancel(t.Context())
 			defer cancelCaller()
 			attemptCtx, cancelAttempt := context.WithCancelCause(t.Context())
@@ -62,7 +62,7 @@
 			ran, release := 0, make(chan struct{})
 			address := fakeServer(t, func(_ int, r *http.Request, _ string) string {
 				ran++
-				if c.moment == withdrawn {
+				if c.moment == attemptCancelled {
 					cancelAttempt(exchange.ErrWithdrawn)
 				} else {
 					cancelCaller()
@@ -74,7 +74,7 @@
 				return ""
 			})
 			s := NewSender(8, &exchange.Counters{})
-			o := &Order{ID: "try-1", OnceOnly: c.kind.once, Keep: c.kind.keep, Stamped: true, Caller: ledger.Open(callerCtx, departure.Client, "r")}
+			o := &Order{ID: "try-1", OnceOnly: c.kind.once, Keep: c.kind.keep, Stamped: true, Caller: tracker.Open(callerCtx, departure.Client, "r")}
 			if c.moment == before {
 				cancelCaller()
 			}
@@ -86,7 +86,7 @@
 			assert.Equal(t, o.Sent(), c.ran)
 			assert.Equal(t, s.Counts.IdleConnections.Load(), c.idle)
 			assert.Equal(t, s.Counts.ServerConnections.Load(), c.idle, "each slot of the pool is released once")
-			assert.Equal(t, ledger.Violations(), int64(0))
+			assert.Equal(t, tracker.Violations(), int64(0))
 		})
 	}
 }
--- a/internal/cdn/upstream/permit_test.go
+++ b/internal/cdn/upstream/permit_test.go
@@ -17,23 +17,23 @@
 func TestPermits(t *testing.T) {
 	errKeyRemoved := errors.New("the key is gone")
 	type permitResult struct {
-		sender string
+		tenant string
 		err    error
 	}
 	cases := []struct {
 		name     string
-		words    []permitResult // returned by Permit, in order
+		results  []permitResult // returned by Permit, in order
 		want     balance.Result
 		received string // headers of the tenant and of the client as the server received them
 		dials    int64
 	}{
-		{"nobody need be asked", nil, balance.OK, "Sender [me], Key [k-1]", 1},
+		{"no permission needed", nil, balance.OK, "Sender [me], Key [k-1]", 1},
 		{"a route that needs no key", []permitResult{{"", nil}, {"", nil}}, balance.OK, "Sender [me], Key [k-1]", 1},
 		{"a tenant", []permitResult{{"wax", nil}, {"wax", nil}}, balance.OK, "Sender [wax], Key []", 1},
 		{"refused before it connects", []permitResult{{"", errKeyRemoved}}, balance.Moot, "", 0},
-		{"refused before its last byte leaves", []permitResult{{"wax", nil}, {"", errKeyRemoved}}, balance.Moot, "", 1},
-		{"moved before its last byte leaves", []permitResult{{"wax", nil}, {"ink", nil}}, balance.Moot, "", 1},
-		{"without a key before its last byte leaves", []permitResult{{"wax", nil}, {"", nil}}, balance.Moot, "", 1},
+		{"refused before its last byte is sent", []permitResult{{"wax", nil}, {"", errKeyRemoved}}, balance.Moot, "", 1},
+		{"key moved before its last byte is sent", []permitResult{{"wax", nil}, {"ink", nil}}, balance.Moot, "", 1},
+		{"no tenant before its last byte is sent", []permitResult{{"wax", nil}, {"", nil}}, balance.Moot, "", 1},
 	}
 	for _, c := range cases {
 		for _, once := range []bool{false, true} {
@@ -45,16 +45,16 @@
 				})
 				s, calls := NewSender(8, &exchange.Counters{}), 0
 				o := &Order{ID: "try-1", OnceOnly: once, Stamped: true}
-				if c.words != nil {
+				if c.results != nil {
 					o.Permit = func() (string, error) {
 						calls++
-						return c.words[calls-1].sender, c.words[calls-1].err
+						return c.results[calls-1].tenant, c.results[calls-1].err
 					}
 				}
 				got := attemptWith(t.Context(), s, o, address, http.Header{"Host": {"a"}, "Sender": {"me"}, "Key": {"k-1"}})
 				assert.Equal(t, got.Result, c.want, "%v", got.Err)
 				assert.Equal(t, received, c.received)
-				assert.Equal(t, calls, len(c.words))
+				assert.Equal(t, calls, len(c.results))
 				assert.Equal(t, o.Sent() > 0, c.want == balance.OK)
 				assert.Equal(t, s.Counts.Dials.Load(), c.dials)
 				assert.Equal(t, s.Counts.ServerConnections.Load(), s.Counts.IdleConnections.Load(), "slots of the pool are released")
--- a/internal/cdn/upstream/upstream.go
+++ b/internal/cdn/upstream/upstream.go
@@ -107,7 +107,8 @@
 	started := time.Now()
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
-			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, 3000) // ms; reports a network cut by the request's deadline at the latest
+			// In milliseconds, so that a network partition is detected by the request's deadline at the latest.
+			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, 3000)
 		})
 	}}
 	netConn, err := dialer.DialContext(ctx, "tcp", a.Address)
--- a/internal/cdn/upstream/upstream_test.go
+++ b/internal/cdn/upstream/upstream_test.go
@@ -135,10 +135,10 @@
 
 // Every way in which an attempt can end, for repeatable and once-only requests, on a new and on a reused idle connection: what the
 // client gets, and how many complete requests reach servers. A once-only request is sent a second time only if the first attempt
-// certainly has not run. The row "half an answer, then silence" fails if a body's time is bounded by less than the attempt's.
+// certainly has not run. The row "half a response, then a stall" fails if a body's time is bounded by less than the attempt's.
 func TestEveryAttemptOutcome(t *testing.T) {
 	goodResponse := rawResponse(200, "ID", stampHeader, "fine")
-	const stalls = "half an answer, then silence"
+	const stalled = "half a response, then a stall"
 	halfResponse := strings.Replace(goodResponse, "Content-Length: 4", "Content-Length: 9", 1)
 	cases := []struct {
 		name           string
@@ -147,28 +147,28 @@
 		safeN, onceN   int
 	}{
 		{"good", goodResponse, "0 fine", "0 fine", 1, 1},
-		{"good, and the end of the connection", goodResponse + thenClose, "0 fine", "0 fine", 1, 1},
-		{"turned away", rawResponse(503, "ID", "Not-Delivered: 1\r\n", ""), "0 fine", "0 fine", 2, 2},
-		{"another server has the address", rawResponse(421, "ID", "", ""), "0 fine", "0 fine", 2, 2},
-		{"it ran and failed", rawResponse(500, "ID", stampHeader, "no"), "0 fine", "2 no", 2, 1},
-		{"a success without a stamp", rawResponse(200, "ID", "", "fake"), "0 fine", "2 ", 2, 1},
+		{"good, then closed", goodResponse + thenClose, "0 fine", "0 fine", 1, 1},
+		{"rejected unprocessed", rawResponse(503, "ID", "Not-Delivered: 1\r\n", ""), "0 fine", "0 fine", 2, 2},
+		{"misdirected: the address belongs to another server", rawResponse(421, "ID", "", ""), "0 fine", "0 fine", 2, 2},
+		{"server error", rawResponse(500, "ID", stampHeader, "no"), "0 fine", "2 no", 2, 1},
+		{"success without a stamp", rawResponse(200, "ID", "", "fake"), "0 fine", "2 ", 2, 1},
 		{"encoded", rawResponse(200, "ID", stampHeader+"Content-Encoding: gzip\r\n", "fake"), "0 fine", "2 ", 2, 1},
-		{"half an answer, then closed", halfResponse + thenClose, "0 fine", "2 ", 2, 1},
-		{"half an answer, then reset", halfResponse + thenReset, "0 fine", "2 ", 2, 1},
-		{stalls, halfResponse, "0 fine", "2 ", 2, 1},
+		{"half a response, then closed", halfResponse + thenClose, "0 fine", "2 ", 2, 1},
+		{"half a response, then reset", halfResponse + thenReset, "0 fine", "2 ", 2, 1},
+		{stalled, halfResponse, "0 fine", "2 ", 2, 1},
 		{"without a length, then closed", "HTTP/1.1 200 X\r\nTry-Id: ID\r\n" + stampHeader + "\r\nfine" + thenClose, "0 fine", "0 fine", 1, 1},
 		{"without a length, then reset", "HTTP/1.1 200 X\r\nTry-Id: ID\r\n" + stampHeader + "\r\nfi" + thenReset, "0 fine", "2 ", 2, 1},
-		{"no answer at all", "nonsense\r\n\r\n", "0 fine", "2 ", 2, 1},
-		{"an earlier request's answer in its place", rawResponse(200, "other", stampHeader, "fake") + goodResponse, "0 fine", "0 fine", 1, 1},
-		{"an earlier request's answer alone, then closed", rawResponse(200, "other", stampHeader, "fake") + thenClose, "0 fine", "2 ", 2, 1},
-		{"a second answer behind it", goodResponse + rawResponse(200, "ID", stampHeader, "fake"), "0 fine", "0 fine", 1, 1},
-		{"closed before its answer", thenClose, "0 fine", "2 ", 2, 1},
-		{"reset before its answer", thenReset, "0 fine", "2 ", 2, 1},
+		{"malformed response", "nonsense\r\n\r\n", "0 fine", "2 ", 2, 1},
+		{"response to an earlier request first", rawResponse(200, "other", stampHeader, "fake") + goodResponse, "0 fine", "0 fine", 1, 1},
+		{"response to an earlier request only, then closed", rawResponse(200, "other", stampHeader, "fake") + thenClose, "0 fine", "2 ", 2, 1},
+		{"second response after it", goodResponse + rawResponse(200, "ID", stampHeader, "fake"), "0 fine", "0 fine", 1, 1},
+		{"closed before the response", thenClose, "0 fine", "2 ", 2, 1},
+		{"reset before the response", thenReset, "0 fine", "2 ", 2, 1},
 	}
 	for _, c := range cases {
 		for _, onceOnly := range []bool{false, true} {
 			for _, reused := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s, once %v, rested %v", c.name, onceOnly, reused), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, once only %v, reused connection %v", c.name, onceOnly, reused), func(t *testing.T) {
 					t.Parallel()
 					effect, want, wantRuns := balance.Safe, c.safe, c.safeN
 					if onceOnly {
@@ -195,7 +195,7 @@
 					o := &Order{ID: "try-7", OnceOnly: onceOnly, Stamped: true}
 					started := time.Now()
 					a := sendRequest(t, s, l, o)
-					assert.Assert(t, c.name != stalls || !onceOnly || time.Since(started) > requestTimeout*9/10, "ended early because the server stalled")
+					assert.Assert(t, c.name != stalled || !onceOnly || time.Since(started) > requestTimeout*9/10, "ended early because the server stalled")
 					body := string(a.Body)
 					if f := o.Failure(); a.Kind != exchange.Served && f != nil {
 						body = string(f.Body)
