--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -11,11 +11,11 @@
 	"cedarmast/internal/exchange"
 )
 
-// answer writes a final answer.
-func (c *clientConn) answer(a exchange.Answer, last bool) bool {
+// writeAnswer writes the final answer of an exchange. It returns false if the connection must be closed.
+func (c *clientConn) writeAnswer(a exchange.Answer, last bool) bool {
 	switch {
 	case a.Kind == exchange.Served && a.Rest != nil:
-		return c.passOn(a, last)
+		return c.streamAnswer(a, last)
 	case a.Kind == exchange.Served:
 		return c.write(http.StatusOK, a.Header, a.Body, last)
 	case a.Kind == exchange.Refused:
@@ -26,6 +26,7 @@
 	return c.write(http.StatusBadGateway, nil, nil, last)
 }
 
+// retryAfter returns a Retry-After header in decimal seconds, or nil if d is not positive.
 func retryAfter(d time.Duration) http.Header {
 	if d <= 0 {
 		return nil
@@ -33,12 +34,13 @@
 	return http.Header{"Retry-After": {strconv.FormatFloat(d.Seconds(), 'f', 3, 64)}}
 }
 
-// bad answers a message that breaks the protocol and closes.
-func (c *clientConn) bad(err error) bool {
-	if n := c.side.Counts.BadRequests.Add(1); n%badLogged == 1 { // a flood of them is not to fill the log
-		c.side.Log.Warn("bad request", "err", err, "client", c.RemoteAddr(), "so_far", n)
+// rejectRequest answers a request that violates the protocol and closes the connection. It always returns false.
+func (c *clientConn) rejectRequest(err error) bool {
+	// The log is sampled: a flood of bad requests must not fill it.
+	if n := c.frontend.Counts.BadRequests.Add(1); n%badRequestLogInterval == 1 {
+		c.frontend.Log.Warn("bad request", "err", err, "client", c.RemoteAddr(), "so_far", n)
 	}
-	if !c.enter(leaving) {
+	if !c.setState(stateRejected) {
 		return false
 	}
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
@@ -47,57 +49,58 @@
 		header["Allow"] = []string{"GET, PUT"}
 	}
 	if status == http.StatusServiceUnavailable {
-		header["Retry-After"] = retryAfter(comeAgainAfter)["Retry-After"]
+		header["Retry-After"] = retryAfter(rejectRetryAfter)["Retry-After"]
 	}
 	c.write(status, header, []byte(err.Error()+"\n"), true)
 	c.linger()
 	return false
 }
 
-// linger ends the router's side and reads on for a moment before the close, for a close over unread bytes would take
-// the answer back. A body that was refused by its length may be long in coming; so many of them are waited for.
+// linger shuts down the write side and discards input for a short time before the close: closing a socket with unread
+// bytes resets the connection, and the client could lose the answer. The rest of a body that was refused because of its
+// length may take long to arrive; at most maxDrains connections wait for it at a time.
 func (c *clientConn) linger() {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	conn, ok := c.Conn.(interface{ CloseWrite() error })
+	if !ok || conn.CloseWrite() != nil {
 		return
 	}
-	patience, most := lingerFor, int64(lingerMost)
-	if c.coming > 0 {
+	timeout, limit := lingerTimeout, int64(maxLingerBytes)
+	if c.refusedLength > 0 {
 		select {
-		case c.side.draining <- struct{}{}:
-			defer func() { <-c.side.draining }()
-			patience, most = drainFor, min(c.coming, drainMost)
+		case c.frontend.drainSlots <- struct{}{}:
+			defer func() { <-c.frontend.drainSlots }()
+			timeout, limit = drainTimeout, min(c.refusedLength, maxDrainBytes)
 		default:
 		}
 	}
-	c.SetReadDeadline(time.Now().Add(patience))
-	io.Copy(io.Discard, io.LimitReader(c.Conn, most))
+	c.SetReadDeadline(time.Now().Add(timeout))
+	io.Copy(io.Discard, io.LimitReader(c.Conn, limit))
 }
 
-// own answers what is asked of the router itself.
-func (c *clientConn) own(req *http.Request, last bool) bool {
+// serveStatus answers requests to the router's own endpoints, /health/... and /stats.
+func (c *clientConn) serveStatus(req *http.Request, last bool) bool {
 	plain := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	switch {
 	case req.Method != http.MethodGet:
 		return c.write(http.StatusMethodNotAllowed, http.Header{"Allow": {"GET"}}, nil, last)
 	case req.URL.Path == "/health/live":
 		return c.write(http.StatusOK, plain, []byte("live\n"), last)
-	case req.URL.Path == "/health/ready" && c.side.Ready.Load() && !c.side.closing.Load():
+	case req.URL.Path == "/health/ready" && c.frontend.Ready.Load() && !c.frontend.closing.Load():
 		return c.write(http.StatusOK, plain, []byte("ready\n"), last)
 	case req.URL.Path == "/health/ready":
 		return c.write(http.StatusServiceUnavailable, plain, []byte("not ready\n"), last)
 	case req.URL.Path == "/stats":
-		return c.write(http.StatusOK, http.Header{"Content-Type": {"application/json"}}, c.side.Counts.JSON(), last)
+		return c.write(http.StatusOK, http.Header{"Content-Type": {"application/json"}}, c.frontend.Counts.JSON(), last)
 	}
 	return c.write(http.StatusNotFound, plain, []byte("not found\n"), last)
 }
 
-// passOn writes a long answer as it comes. Where it breaks the client's connection ends short of what was said, so that the
-// client can tell.
-func (c *clientConn) passOn(a exchange.Answer, last bool) bool {
-	last = last || c.turnAway || c.side.closing.Load()
-	chunked := a.Length < 0 && !c.old
-	last = last || a.Length < 0 && c.old // it ends with its connection
+// streamAnswer writes a long answer as it arrives from the server. If the answer breaks off, the client's connection is
+// closed before the announced length or the final chunk, so that the client can tell.
+func (c *clientConn) streamAnswer(a exchange.Answer, last bool) bool {
+	last = last || c.reject || c.frontend.closing.Load()
+	chunked := a.Length < 0 && !c.http10
+	last = last || a.Length < 0 && c.http10 // without a length or chunks the body ends with the connection
 	head := fmt.Appendf(make([]byte, 0, 512), "HTTP/1.1 %d %s\r\n", http.StatusOK, http.StatusText(http.StatusOK))
 	head = appendHeader(head, a.Header)
 	if a.Length >= 0 {
@@ -110,21 +113,21 @@
 	}
 	head = append(head, "\r\n"...)
 	c.writing = true
-	err := c.writeOn(head, a.Body, chunked)
-	buf := make([]byte, restMost/2)
+	err := c.writeStreamPart(head, a.Body, chunked)
+	buf := make([]byte, maxPipeBuffer/2)
 	for err == nil {
-		n, ended := a.Rest.Read(buf)
+		n, readErr := a.Rest.Read(buf)
 		if n > 0 {
-			err = c.writeOn(nil, buf[:n], chunked)
+			err = c.writeStreamPart(nil, buf[:n], chunked)
 		}
-		if err == nil && ended != nil {
-			err = ended
+		if err == nil && readErr != nil {
+			err = readErr
 		}
 	}
 	if err != io.EOF {
-		c.side.Log.Debug("long answer cut short", "err", err, "client", c.RemoteAddr())
+		c.frontend.Log.Debug("streamed answer aborted", "err", err, "client", c.RemoteAddr())
 		if tcp, ok := c.Conn.(interface{ SetLinger(int) error }); ok {
-			tcp.SetLinger(0) // an orderly end could be taken for the answer's
+			tcp.SetLinger(0) // send a reset: an orderly close could be taken for the end of the answer
 		}
 		return false
 	}
@@ -137,8 +140,9 @@
 	return !last
 }
 
-// writeOn writes a part of a long answer. A client may be slow; it is given up when it takes nothing for a while.
-func (c *clientConn) writeOn(head, part []byte, chunked bool) error {
+// writeStreamPart writes one part of a streamed answer, as a chunk if chunked. It fails if a slow client does not accept
+// the part within streamWriteTimeout.
+func (c *clientConn) writeStreamPart(head, part []byte, chunked bool) error {
 	if chunked && len(part) > 0 {
 		head = fmt.Appendf(head, "%x\r\n", len(part))
 	}
@@ -146,14 +150,14 @@
 	if chunked && len(part) > 0 {
 		parts = append(parts, []byte("\r\n"))
 	}
-	c.SetWriteDeadline(time.Now().Add(partPatience))
+	c.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
 	_, err := parts.WriteTo(c.Conn)
 	return err
 }
 
-// write writes an answer; false ends the connection.
+// write writes a complete response. It returns false if the connection must be closed.
 func (c *clientConn) write(status int, header http.Header, body []byte, last bool) bool {
-	last = last || c.turnAway || c.side.closing.Load()
+	last = last || c.reject || c.frontend.closing.Load()
 	head := make([]byte, 0, 256)
 	head = fmt.Appendf(head, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 	head = appendHeader(head, header)
@@ -163,9 +167,9 @@
 	}
 	head = append(head, "\r\n"...)
 	c.writing = true
-	c.SetWriteDeadline(time.Now().Add(writePatience))
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := writeMessage(c.Conn, head, body); err != nil {
-		c.side.Log.Debug("answer not taken", "err", err, "client", c.RemoteAddr())
+		c.frontend.Log.Debug("writing the answer failed", "err", err, "client", c.RemoteAddr())
 		return false
 	}
 	c.writing = false
--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -10,14 +10,14 @@
 	"syscall"
 )
 
-// ReadCall reads one operator's call whole, under the same strict reading as a client's request. What its body says is
-// of no use and is dropped.
+// ReadCall reads one operator's request, with the same strict checks as a client's request. The body is read and
+// discarded.
 func ReadCall(r *bufio.Reader) (*http.Request, error) {
-	text, err := awaitHead(r, maxEmptyLines)
+	head, err := awaitHead(r, maxEmptyLines)
 	if err != nil {
 		return nil, err
 	}
-	frame, err := checkHead(text, onceInRequest)
+	frame, err := checkHead(head, singleRequestHeaders)
 	if err != nil {
 		return nil, err
 	}
@@ -26,10 +26,10 @@
 	}
 	req, err := http.ReadRequest(r)
 	if err != nil {
-		return nil, badf(http.StatusBadRequest, "malformed call: %v", err)
+		return nil, badRequestf(http.StatusBadRequest, "malformed call: %v", err)
 	}
 	if req.ProtoMajor != 1 {
-		return nil, badf(http.StatusBadRequest, "%.20q is not spoken", req.Proto)
+		return nil, badRequestf(http.StatusBadRequest, "%.20q is not spoken", req.Proto)
 	}
 	if n, err := io.Copy(io.Discard, io.LimitReader(req.Body, maxBody+1)); err != nil {
 		return nil, err
@@ -39,7 +39,7 @@
 	return req, nil
 }
 
-// IsBad tells a message that breaks the protocol from a connection that ended or fell silent.
+// IsBad reports whether err is a protocol violation, rather than the end of the connection or a timeout.
 func IsBad(err error) bool {
 	return err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, net.ErrClosed) &&
 		!errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, os.ErrDeadlineExceeded)
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -15,68 +15,70 @@
 	"cedarmast/internal/socket"
 )
 
-// Taker takes requests; exchange.Loop is one.
+// Taker handles requests; exchange.Loop implements it.
 type Taker interface {
+	// Submit starts an exchange and sets its deadline.
 	Submit(x *exchange.Exchange)
+	// Depart reports that the client of an exchange no longer waits for the answer.
 	Depart(x *exchange.Exchange)
 }
 
-// Clients serves client connections.
+// Clients accepts and serves client connections. Use NewClients to create one.
 type Clients struct {
 	Taker  Taker
 	Counts *exchange.Counters
 	Log    *slog.Logger
-	Most   int                     // connections open at once; past that idle ones are given up, then new ones turned away
-	Knows  func(class string) bool // nil: every class is known
-	Long   *exchange.Budget        // of requests over the usual bound; nil: none is taken
-	Ready  atomic.Bool
-
-	mu       sync.Mutex
-	open     map[*clientConn]struct{}
-	ids      map[string]bool // of the requests in hand
-	draining chan struct{}   // holds as many as read on after a body that is too long
-	closing  atomic.Bool
-	wg       sync.WaitGroup
-	shutting chan struct{} // closed with the idle connections
+	Most   int                     // open connections; over it, idle ones are closed, then the requests of new ones refused
+	Knows  func(class string) bool // reports whether a service class is configured; nil: any class is accepted
+	Long   *exchange.Budget        // memory for request bodies over maxBody, in bytes; nil: these are refused
+	Ready  atomic.Bool             // what /health/ready reports
+
+	mu          sync.Mutex
+	conns       map[*clientConn]struct{}
+	inFlightIDs map[string]bool // ids of the requests in flight
+	drainSlots  chan struct{}   // semaphore of the connections that discard the rest of a refused body
+	closing     atomic.Bool
+	wg          sync.WaitGroup
+	shutdown    chan struct{} // closed by CloseIdle
 }
 
 const (
-	headPatience   = 2500 * time.Millisecond // for the rest of a head whose first byte has come
-	bodyPatience   = 2 * time.Second         // for a body, and by its length on top
-	bodyRate       = 32 << 10                // bytes a second that a body must keep up, half of what the slowest clients do
-	writePatience  = 5 * time.Second         // for a client to take an answer
-	partPatience   = 10 * time.Second        // to take a part of a long one
-	idlePatience   = 20 * time.Second        // for a client's next request
-	leastIdle      = 2 * time.Second         // a client may count on so much
-	hardlyIdle     = 50 * time.Millisecond   // but for this little while a request would be turned away
-	freshPatience  = 2 * time.Second         // for a new connection's first byte
-	freshFor       = 100 * time.Millisecond  // the same while descriptors are short: who connects has a request to send
-	turnAwayFor    = time.Second             // for the request of one that is turned away
-	graceForFirst  = 200 * time.Millisecond
-	overdueSlack   = 30 * time.Millisecond
-	slowFor        = 250 * time.Millisecond  // in which a request's rest is awaited while descriptors are short
-	lastPatience   = 1500 * time.Millisecond // for the rest of a head once the router stops
-	badLogged      = 100                     // of so many bad requests one is logged
-	maxPeeks       = 16                      // connections that are looked at to give one up
-	lingerFor      = 200 * time.Millisecond
-	lingerMost     = 1 << 20
-	drainFor       = 2 * time.Second // for the rest of a body that was refused by its length
-	drainMost      = 64 << 20
-	maxDrains      = 4                      // at once; the others get the short way
-	comeAgainAfter = 100 * time.Millisecond // what one that is turned away for want of room is told
-	idlePart       = 3                      // of Most, that idle connections may be
-	turnAwayPart   = 8                      // connections over Most, as a part of it, that are kept open to be turned away
+	headTimeout             = 2500 * time.Millisecond // for the rest of a request head after its first byte
+	bodyTimeout             = 2 * time.Second         // for a request body, plus its length / minBodyRate
+	minBodyRate             = 32 << 10                // bytes per second; half the rate of the slowest clients
+	writeTimeout            = 5 * time.Second         // for a client to accept a complete answer
+	streamWriteTimeout      = 10 * time.Second        // for a client to accept one part of a streamed answer
+	idleTimeout             = 20 * time.Second        // for the next request on a kept-alive connection
+	softMinIdle             = 2 * time.Second         // idle connections are kept this long while others can be closed
+	hardMinIdle             = 50 * time.Millisecond   // idle connections are kept this long even if a request is refused for it
+	firstByteTimeout        = 2 * time.Second         // for the first byte on a new connection
+	atLimitFirstByteTimeout = 100 * time.Millisecond  // the same at the limit: clients connect to send a request
+	rejectTimeout           = time.Second             // for the request on a connection over the limit, which is then refused
+	firstRequestGrace       = 200 * time.Millisecond  // at shutdown, for the first request on a new connection
+	overdueSlack            = 30 * time.Millisecond   // past an exchange's deadline, after which the loop counts as hung
+	atLimitReadTimeout      = 250 * time.Millisecond  // for the rest of a request at the connection limit
+	shutdownHeadTimeout     = 1500 * time.Millisecond // for the rest of a request head during shutdown
+	badRequestLogInterval   = 100                     // one of this many bad requests is logged
+	maxPeeks                = 16                      // connections examined to find one to close
+	lingerTimeout           = 200 * time.Millisecond  // for unread input before a close
+	maxLingerBytes          = 1 << 20                 // bytes
+	drainTimeout            = 2 * time.Second         // for the rest of a body that was refused because of its length
+	maxDrainBytes           = 64 << 20                // bytes
+	maxDrains               = 4                       // at a time; other connections linger for lingerTimeout
+	rejectRetryAfter        = 100 * time.Millisecond  // Retry-After at the connection limit or with the body budget exhausted
+	idleDivisor             = 3                       // idle connections may be this fraction of Most
+	rejectDivisor           = 8                       // connections over Most kept open to refuse their requests: this fraction of it
 )
 
-// NewClients returns a client side that is not ready yet.
-func NewClients(taker Taker, counts *exchange.Counters, log *slog.Logger, most int) *Clients {
-	return &Clients{Taker: taker, Counts: counts, Log: log, Most: most, open: map[*clientConn]struct{}{},
-		ids: map[string]bool{}, draining: make(chan struct{}, maxDrains), shutting: make(chan struct{})}
+// NewClients returns a Clients that allows maxConns open connections. It does not report ready yet.
+func NewClients(handler Taker, counts *exchange.Counters, log *slog.Logger, maxConns int) *Clients {
+	return &Clients{Taker: handler, Counts: counts, Log: log, Most: maxConns, conns: map[*clientConn]struct{}{},
+		inFlightIDs: map[string]bool{}, drainSlots: make(chan struct{}, maxDrains), shutdown: make(chan struct{})}
 }
 
 // Serve accepts connections until the listener is closed.
 func (s *Clients) Serve(l net.Listener) {
-	wait := time.Millisecond
+	backoff := time.Millisecond
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -84,145 +86,150 @@
 				return
 			}
 			s.Log.Warn("accepting failed", "err", err, "open", s.Counts.ClientsOpen.Load())
-			s.giveUpIdle() // it may be for want of descriptors
-			time.Sleep(wait)
-			wait = min(2*wait, 50*time.Millisecond)
+			s.evictIdle() // accept may have failed for lack of file descriptors
+			time.Sleep(backoff)
+			backoff = min(2*backoff, 50*time.Millisecond)
 			continue
 		}
-		wait = time.Millisecond
+		backoff = time.Millisecond
 		s.Counts.ClientsAccepted.Add(1)
 		s.admit(c)
 	}
 }
 
-// admit starts a connection. Over the limit the one that has been idle for longest goes; if none is, this one is
-// turned away as soon as its request has come, for the machine has accepted it already.
+// admit starts serving a connection. Over the limit the connection that has been idle longest is closed; if none is idle,
+// the request of the new one is refused as soon as it has arrived, since the kernel has accepted the connection already.
 func (s *Clients) admit(c net.Conn) {
-	in := &timedReader{Conn: c}
-	conn := &clientConn{Conn: c, side: s, in: in, r: bufio.NewReaderSize(in, maxHead), arrived: make(chan arrival),
-		resume: make(chan struct{}), gone: make(chan struct{}), since: time.Now(), accepted: time.Now()}
+	input := &timedReader{Conn: c}
+	conn := &clientConn{Conn: c, frontend: s, input: input, reader: bufio.NewReaderSize(input, maxHead),
+		firstBytes: make(chan firstByte), resume: make(chan struct{}), done: make(chan struct{}),
+		stateSince: time.Now(), acceptedAt: time.Now()}
 	s.mu.Lock()
-	s.open[conn] = struct{}{}
-	open, most := len(s.open), s.Most
+	s.conns[conn] = struct{}{}
+	open, maxConns := len(s.conns), s.Most
 	s.mu.Unlock()
 	s.Counts.ClientsOpen.Store(int64(open))
-	if open > most && !s.giveUpIdle() {
-		conn.turnAway = true
+	if open > maxConns && !s.evictIdle() {
+		conn.reject = true
 		s.Counts.ClientsTurnedAway.Add(1)
 	}
 	s.wg.Add(1)
 	go conn.serve()
-	for s.Counts.ClientsOpen.Load() > int64(most+max(most/turnAwayPart, 2)) { // those turned away go quickly
-		s.giveUpIdle()
+	// Wait while too many are over the limit; connections whose request is refused close quickly.
+	for s.Counts.ClientsOpen.Load() > int64(maxConns+max(maxConns/rejectDivisor, 2)) {
+		s.evictIdle()
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (s *Clients) drop(c *clientConn) {
+// removeConn unregisters a connection whose serve method returns.
+func (s *Clients) removeConn(c *clientConn) {
 	s.mu.Lock()
-	delete(s.open, c)
-	s.Counts.ClientsOpen.Store(int64(len(s.open)))
+	delete(s.conns, c)
+	s.Counts.ClientsOpen.Store(int64(len(s.conns)))
 	s.mu.Unlock()
 	s.wg.Done()
 }
 
-// trimIdle closes idle connections over a part of the limit. Clients may hold only so many connections themselves; those
-// that ask once and stay would keep the others from ever getting one.
-func (s *Clients) trimIdle() {
+// closeExcessIdle closes idle connections over a fraction of the limit. A client may hold only a limited number of
+// connections itself; clients that send one request and stay connected would keep others from getting a connection.
+func (s *Clients) closeExcessIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var all []*clientConn
-	for c := range s.open {
-		if c.phase == idle {
-			all = append(all, c)
+	var idleConns []*clientConn
+	for c := range s.conns {
+		if c.state == stateIdle {
+			idleConns = append(idleConns, c)
 		}
 	}
-	over := len(all) - max(s.Most/idlePart, 1)
-	if over <= 0 {
+	excess := len(idleConns) - max(s.Most/idleDivisor, 1)
+	if excess <= 0 {
 		return
 	}
-	slices.SortFunc(all, byOrder)
-	for _, c := range all {
-		if over > 0 && c.mayGo() && socket.Peek(c.Conn) != socket.Unread {
-			c.giveUp()
-			over--
+	slices.SortFunc(idleConns, compareEvictionOrder)
+	for _, c := range idleConns {
+		if excess > 0 && c.evictable() && socket.Peek(c.Conn) != socket.Unread {
+			c.evict()
+			excess--
 		}
 	}
 }
 
-// byOrder sorts connections by the order in which they are given up.
-func byOrder(a, b *clientConn) int {
-	return cmp.Or(cmp.Compare(a.order(), b.order()), a.since.Compare(b.since))
+// compareEvictionOrder sorts connections by eviction rank, the longest in their state first.
+func compareEvictionOrder(a, b *clientConn) int {
+	return cmp.Or(cmp.Compare(a.evictionRank(), b.evictionRank()), a.stateSince.Compare(b.stateSince))
 }
 
-// claim books the id of a request in hand; false if another one has it.
-func (s *Clients) claim(id string) bool {
+// reserveID registers the id of a request in flight. It returns false if another request in flight has the same id.
+func (s *Clients) reserveID(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ids[id] {
+	if s.inFlightIDs[id] {
 		return false
 	}
-	s.ids[id] = true
+	s.inFlightIDs[id] = true
 	return true
 }
 
-func (s *Clients) release(id string) {
+// releaseID unregisters the id of a request that is no longer in flight.
+func (s *Clients) releaseID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.ids, id)
+	delete(s.inFlightIDs, id)
 }
 
-// giveUpIdle closes one connection that has no whole request in hand; false if there is none. Those that were
-// refused go first, then those that never said a request, then those that are slow to, then the idle, and those that
-// have hardly been idle last, the oldest of each kind first. Where bytes have come that were not read yet it is the router that is slow.
-func (s *Clients) giveUpIdle() bool {
+// evictIdle closes one connection without a complete request; false if there is none. Rejected connections are closed
+// first, then those that have sent nothing, then those that are slow to send a request, then idle ones, and last those
+// that have been idle for a short time, the longest in their state first. A connection with unread input is kept: it is
+// the router that is slow then.
+func (s *Clients) evictIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var may []*clientConn
-	for c := range s.open {
-		if c.mayGo() {
-			may = append(may, c)
+	var candidates []*clientConn
+	for c := range s.conns {
+		if c.evictable() {
+			candidates = append(candidates, c)
 		}
 	}
-	slices.SortFunc(may, byOrder)
-	for _, c := range may[:min(len(may), maxPeeks)] {
-		if c.phase == leaving || socket.Peek(c.Conn) != socket.Unread {
-			c.giveUp()
+	slices.SortFunc(candidates, compareEvictionOrder)
+	for _, c := range candidates[:min(len(candidates), maxPeeks)] {
+		if c.state == stateRejected || socket.Peek(c.Conn) != socket.Unread {
+			c.evict()
 			return true
 		}
 	}
 	return false
 }
 
-// SetMost changes the limit. Connections over a lower one go as they fall idle and others come.
-func (s *Clients) SetMost(most int) {
+// SetMost changes the connection limit. Connections over a lower limit are closed when they are idle and new ones arrive.
+func (s *Clients) SetMost(maxConns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Most = most
+	s.Most = maxConns
 }
 
-// Serving tells whether clients may come.
+// Serving reports whether the router is ready for clients and not shutting down.
 func (s *Clients) Serving() bool { return s.Ready.Load() && !s.closing.Load() }
 
-// Finish makes every answer from now on the last of its connection.
+// Finish makes every further answer close its connection.
 func (s *Clients) Finish() { s.closing.Store(true) }
 
-// CloseIdle closes the connections that have no request in hand; the others follow with their answers.
+// CloseIdle closes the connections without a request in flight; the others are closed after their answers.
 func (s *Clients) CloseIdle() {
 	s.closing.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.open {
-		if c.phase == reading {
-			c.SetReadDeadline(time.Now().Add(lastPatience))
+	for c := range s.conns {
+		if c.state == stateReading {
+			c.SetReadDeadline(time.Now().Add(shutdownHeadTimeout))
 		}
 	}
 	select {
-	case <-s.shutting:
+	case <-s.shutdown:
 	default:
-		close(s.shutting)
+		close(s.shutdown)
 	}
 }
 
-// Wait waits until all connections are done with.
+// Wait waits until all connections are closed.
 func (s *Clients) Wait() { s.wg.Wait() }
--- a/internal/wire/client_test.go
+++ b/internal/wire/client_test.go
@@ -21,42 +21,42 @@
 	"cedarmast/internal/standin"
 )
 
-// discardConn is a connection that takes everything and brings nothing.
+// discardConn discards everything that is written to it.
 type discardConn struct{ net.Conn }
 
 func (discardConn) Write(p []byte) (int, error)     { return len(p), nil }
 func (discardConn) SetReadDeadline(time.Time) error { return nil }
 
-// taker stands for the loop: the test sees what was submitted and who departed.
-type taker struct {
+// fakeLoop is a Taker that passes submitted exchanges and disconnected clients to the test.
+type fakeLoop struct {
 	submitted, departed chan *exchange.Exchange
-	due                 time.Duration
+	timeout             time.Duration
 }
 
-func (t *taker) Submit(x *exchange.Exchange) {
-	x.Due = time.Now().Add(t.due)
+func (t *fakeLoop) Submit(x *exchange.Exchange) {
+	x.Due = time.Now().Add(t.timeout)
 	t.submitted <- x
 }
-func (t *taker) Depart(x *exchange.Exchange) { t.departed <- x }
+func (t *fakeLoop) Depart(x *exchange.Exchange) { t.departed <- x }
 
-// settled is an exchange that has its answer already, which only the loop can give.
-type side struct {
+// testFrontend is a Clients that serves a local listener, with a fakeLoop behind it unless the test has its own Taker.
+type testFrontend struct {
 	*Clients
-	*taker
+	*fakeLoop
 	address string
 }
 
-func newSide(t *testing.T, most int, handler Taker) *side {
+func newTestFrontend(t *testing.T, maxConns int, handler Taker) *testFrontend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	tk := &taker{submitted: make(chan *exchange.Exchange, 100), departed: make(chan *exchange.Exchange, 100), due: time.Second}
+	loop := &fakeLoop{submitted: make(chan *exchange.Exchange, 100), departed: make(chan *exchange.Exchange, 100), timeout: time.Second}
 	if handler == nil {
-		handler = tk
+		handler = loop
 	}
-	s := &side{NewClients(handler, &exchange.Counters{}, slog.New(slog.DiscardHandler), most), tk, l.Addr().String()}
+	s := &testFrontend{NewClients(handler, &exchange.Counters{}, slog.New(slog.DiscardHandler), maxConns), loop, l.Addr().String()}
 	s.Ready.Store(true)
 	done := make(chan struct{})
 	go func() { s.Serve(l); close(done) }()
@@ -69,13 +69,13 @@
 	return s
 }
 
-// client is one connection of a client.
-type client struct {
+// testClient is a client's connection.
+type testClient struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func (s *side) connect(t *testing.T) *client {
+func (s *testFrontend) dial(t *testing.T) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", s.address)
 	if err != nil {
@@ -83,26 +83,26 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	return &client{c, bufio.NewReader(c)}
+	return &testClient{c, bufio.NewReader(c)}
 }
 
-// getOne is a good request with the next id.
-func getOne() string { return getAs(fmt.Sprint("id", ids.Add(1))) }
+// newGetRequest returns a valid request with a new id.
+func newGetRequest() string { return getRequestWithID(fmt.Sprint("id", nextID.Add(1))) }
 
-var ids atomic.Int64
+var nextID atomic.Int64
 
-func getAs(id string) string {
+func getRequestWithID(id string) string {
 	return "GET /read/k HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: " + id + "\r\nX-Service-Class: read\r\nX-Time-Left: 900m\r\n\r\n"
 }
 
-func (c *client) say(t *testing.T, text string) {
+func (c *testClient) send(t *testing.T, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (c *client) hear(t *testing.T) (*http.Response, string) {
+func (c *testClient) receive(t *testing.T) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -115,35 +115,35 @@
 	return resp, string(body)
 }
 
-func TestOwnPages(t *testing.T) {
-	s := newSide(t, 10, nil)
-	c := s.connect(t)
+func TestStatusEndpoints(t *testing.T) {
+	s := newTestFrontend(t, 10, nil)
+	c := s.dial(t)
 	s.Ready.Store(false)
 	for _, q := range []struct {
 		method, path string
 		status       int
 	}{{"GET", "/health/live", 200}, {"GET", "/health/ready", 503}, {"GET", "/health/else", 404}, {"GET", "/stats", 200},
 		{"PUT", "/stats", 405}} {
-		c.say(t, q.method+" "+q.path+" HTTP/1.1\r\nHost: b\r\n\r\n")
-		if resp, body := c.hear(t); resp.StatusCode != q.status || q.path == "/stats" && q.status == 200 &&
+		c.send(t, q.method+" "+q.path+" HTTP/1.1\r\nHost: b\r\n\r\n")
+		if resp, body := c.receive(t); resp.StatusCode != q.status || q.path == "/stats" && q.status == 200 &&
 			!strings.Contains(body, `"accepted": 1`) {
 			t.Errorf("%s %s: %d %s", q.method, q.path, resp.StatusCode, body)
 		}
 	}
 	s.Ready.Store(true)
-	c.say(t, "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n")
-	if resp, _ := c.hear(t); resp.StatusCode != 200 {
+	c.send(t, "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n")
+	if resp, _ := c.receive(t); resp.StatusCode != 200 {
 		t.Errorf("ready: %d", resp.StatusCode)
 	}
 }
 
-func TestRequestIsReadWhole(t *testing.T) {
-	s := newSide(t, 10, nil)
-	c := s.connect(t)
+func TestRequestReadInSmallPieces(t *testing.T) {
+	s := newTestFrontend(t, 10, nil)
+	c := s.dial(t)
 	text := "PUT /tally-add/k%201?x=1 HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: 1\r\nX-Account: acme\r\nX-Time-Left: 250m\r\n" +
 		"Idempotency-Key: 9\r\nContent-Length: 5\r\n\r\nvalue"
-	for _, b := range []byte(text) { // in the smallest pieces
-		c.say(t, string(b))
+	for _, b := range []byte(text) { // one byte at a time
+		c.send(t, string(b))
 	}
 	x := <-s.submitted
 	if x.Class != "tally-add" || x.Tenant != "acme" || !x.Write || x.Key != hashKey("k%201") || !x.HasKey ||
@@ -153,8 +153,8 @@
 	}
 }
 
-// What breaks the protocol gets one 4xx and a close, and nothing of it goes on. The good request that each is made
-// from is taken.
+// A request that violates the protocol is answered with one error status (4xx or 505), its connection is closed, and
+// nothing of it is submitted. The valid request that most cases are derived from is accepted.
 func TestBadMessages(t *testing.T) {
 	head := "PUT /w/k HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: 1\r\nX-Service-Class: w\r\nX-Time-Left: 900m\r\n"
 	good := head + "Content-Length: 5\r\n\r\nvalue"
@@ -178,7 +178,7 @@
 		"no host":               {with("Host: b\r\n", ""), 400},
 		"no time":               {with("X-Time-Left: 900m\r\n", ""), 400},
 		"bad time":              {with("900m", "soon"), 400},
-		"unknown class":         {with("w\r\n", "x\r\n"), 400}, // it is not the path's
+		"unknown class":         {with("w\r\n", "x\r\n"), 400}, // differs from the class in the path
 		"unknown class in both": {strings.ReplaceAll(strings.Replace(good, "/w/", "/x/", 1), "Class: w", "Class: x"), 404},
 		"unknown method":        {with("PUT", "DELETE"), 405},
 		"target is no path":     {with("/w/k", "http://b/w/k"), 400},
@@ -201,51 +201,51 @@
 		"many at once":          {strings.Repeat(good, 100), 400},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSide(t, 10, nil)
+			s := newTestFrontend(t, 10, nil)
 			s.Knows = func(class string) bool { return class == "w" }
-			c := s.connect(t)
-			c.say(t, bad.text)
-			if resp, _ := c.hear(t); resp.StatusCode != bad.status || !resp.Close {
+			c := s.dial(t)
+			c.send(t, bad.text)
+			if resp, _ := c.receive(t); resp.StatusCode != bad.status || !resp.Close {
 				t.Errorf("status %d, close %v", resp.StatusCode, resp.Close)
 			}
 			if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
 				t.Errorf("not closed: %v", err)
 			}
 			if len(s.submitted) != 0 || s.Counts.BadRequests.Load() != 1 {
-				t.Error("it was taken for a request")
+				t.Error("it was submitted as a request")
 			}
 		})
 	}
-	s := newSide(t, 10, nil)
-	s.connect(t).say(t, good)
+	s := newTestFrontend(t, 10, nil)
+	s.dial(t).send(t, good)
 	if x := <-s.submitted; string(x.Body) != "value" {
-		t.Errorf("the good one was read as %+v", x.Request)
+		t.Errorf("the valid request was read as %+v", x.Request)
 	}
 }
 
-// A client that connects and says nothing, or never ends what it says, is let go soon, with an error if it said
-// anything; it would hold memory and a descriptor for as long as it likes.
-func TestSilentClientsAreLetGo(t *testing.T) {
-	s := newSide(t, 10, nil)
-	begun := time.Now()
-	silent, half := s.connect(t), s.connect(t)
-	half.say(t, "GET /read/k HTTP/1.1\r\nHo")
+// A client that connects and sends nothing, or never completes its request, is disconnected after a timeout, with status
+// 408 if it has sent anything. Without the timeout it would hold memory and a file descriptor for any length of time.
+func TestSilentClientsTimeOut(t *testing.T) {
+	s := newTestFrontend(t, 10, nil)
+	started := time.Now()
+	silent, half := s.dial(t), s.dial(t)
+	half.send(t, "GET /read/k HTTP/1.1\r\nHo")
 	if _, err := silent.r.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the silent one: %v", err)
 	}
-	if resp, _ := half.hear(t); resp.StatusCode != 408 {
+	if resp, _ := half.receive(t); resp.StatusCode != 408 {
 		t.Errorf("half a request: %d", resp.StatusCode)
 	}
-	if took := time.Since(begun); took > 2900*time.Millisecond {
+	if took := time.Since(started); took > 2900*time.Millisecond {
 		t.Errorf("it took %v", took)
 	}
 }
 
-// A body of many megabytes is refused by its length; the client, which sends on at full speed, gets its answer all
-// the same: a close over what it sent would reset the connection and take the answer back.
+// A body of many megabytes is refused because of its length. The client, which keeps sending at full speed, still gets the
+// answer: closing the socket with unread input would reset the connection, and the answer would be lost.
 func TestLongBodyIsRefusedOnItsHead(t *testing.T) {
-	s := newSide(t, 10, nil)
-	c := s.connect(t)
+	s := newTestFrontend(t, 10, nil)
+	c := s.dial(t)
 	const length = 8 << 20
 	fmt.Fprintf(c, "PUT /w/k HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: 1\r\nX-Time-Left: 900m\r\nContent-Length: %d\r\n\r\n", length)
 	piece := make([]byte, 64<<10)
@@ -254,42 +254,43 @@
 			t.Fatalf("after %d bytes: %v", sent, err)
 		}
 	}
-	if resp, _ := c.hear(t); resp.StatusCode != 413 || !resp.Close {
+	if resp, _ := c.receive(t); resp.StatusCode != 413 || !resp.Close {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// The id of a request in hand is not taken a second time, and the first one keeps it; afterwards it is free.
-func TestIDInHand(t *testing.T) {
-	s := newSide(t, 10, nil)
-	first, second := s.connect(t), s.connect(t)
-	first.say(t, getAs("x"))
-	x := <-s.submitted
-	second.say(t, getAs("x"))
-	if resp, _ := second.hear(t); resp.StatusCode != 409 || !resp.Close {
+// A second request with the id of a request in flight is rejected, and the first one is not affected. After the first
+// answer the id can be used again.
+func TestDuplicateIDInFlight(t *testing.T) {
+	s := newTestFrontend(t, 10, nil)
+	first, second := s.dial(t), s.dial(t)
+	first.send(t, getRequestWithID("x"))
+	inFlight := <-s.submitted
+	second.send(t, getRequestWithID("x"))
+	if resp, _ := second.receive(t); resp.StatusCode != 409 || !resp.Close {
 		t.Errorf("the second: %d", resp.StatusCode)
 	}
-	x.Settle(exchange.Answer{Kind: exchange.Served, Body: []byte("v")})
-	if resp, body := first.hear(t); resp.StatusCode != 200 || body != "v" {
+	inFlight.Settle(exchange.Answer{Kind: exchange.Served, Body: []byte("v")})
+	if resp, body := first.receive(t); resp.StatusCode != 200 || body != "v" {
 		t.Errorf("the first: %d %q", resp.StatusCode, body)
 	}
-	standin.Eventually(t, "the id is free", func() bool { // once the answer is written, which its client may see before
+	standin.Eventually(t, "the id is free", func() bool { // released after the answer is written, so the client may see the answer first
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return len(s.ids) == 0
+		return len(s.inFlightIDs) == 0
 	})
-	third := s.connect(t)
-	third.say(t, getAs("x"))
+	third := s.dial(t)
+	third.send(t, getRequestWithID("x"))
 	(<-s.submitted).Settle(exchange.Answer{Kind: exchange.Served})
-	if resp, _ := third.hear(t); resp.StatusCode != 200 {
+	if resp, _ := third.receive(t); resp.StatusCode != 200 {
 		t.Errorf("afterwards: %d", resp.StatusCode)
 	}
 }
 
-func TestClientGoneWhileItWaits(t *testing.T) {
-	s := newSide(t, 10, nil)
-	c := s.connect(t)
-	c.say(t, getOne())
+func TestClientDisconnectsWhileWaiting(t *testing.T) {
+	s := newTestFrontend(t, 10, nil)
+	c := s.dial(t)
+	c.send(t, newGetRequest())
 	x := <-s.submitted
 	c.Close()
 	select {
@@ -298,20 +299,20 @@
 			t.Error("another one departed")
 		}
 	case <-time.After(time.Second):
-		t.Fatal("nobody noticed")
+		t.Fatal("the disconnect was not noticed")
 	}
-	standin.Eventually(t, "the connection is let go", func() bool { return s.Counts.ClientsOpen.Load() == 0 })
+	standin.Eventually(t, "the connection is closed", func() bool { return s.Counts.ClientsOpen.Load() == 0 })
 }
 
-// More that comes before the answer ends the exchange: the length was wrong, or it is no usual client. The router does
-// not guess what was meant, and serves none of it.
-func TestMoreBeforeTheAnswer(t *testing.T) {
-	s := newSide(t, 10, nil)
-	c := s.connect(t)
-	c.say(t, getOne())
+// Input before the answer ends the exchange: the body length was wrong, or the client pipelines requests. The router does
+// not guess which, and serves none of them.
+func TestPipelinedRequestRejected(t *testing.T) {
+	s := newTestFrontend(t, 10, nil)
+	c := s.dial(t)
+	c.send(t, newGetRequest())
 	x := <-s.submitted
-	c.say(t, getOne())
-	if resp, _ := c.hear(t); resp.StatusCode != 400 || !resp.Close {
+	c.send(t, newGetRequest())
+	if resp, _ := c.receive(t); resp.StatusCode != 400 || !resp.Close {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	if gone := <-s.departed; gone != x {
@@ -319,13 +320,13 @@
 	}
 }
 
-// If the loop hangs the client still gets its answer, as a failure that promises nothing.
-func TestAnswerThoughTheLoopHangs(t *testing.T) {
-	s := newSide(t, 10, nil)
-	s.due = 20 * time.Millisecond
-	c := s.connect(t)
-	c.say(t, getOne())
-	if resp, _ := c.hear(t); resp.StatusCode != 504 {
+// If the loop does not answer, the client still gets a response: 504, which does not say whether the request was processed.
+func TestAnswerWhenLoopHangs(t *testing.T) {
+	s := newTestFrontend(t, 10, nil)
+	s.timeout = 20 * time.Millisecond
+	c := s.dial(t)
+	c.send(t, newGetRequest())
+	if resp, _ := c.receive(t); resp.StatusCode != 504 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	<-s.departed
@@ -334,68 +335,69 @@
 	}
 }
 
-// A panic ends its connection alone, and its request gets an answer.
+// A panic closes only the connection it occurred on, and its request is answered.
 func TestPanicOnAConnection(t *testing.T) {
-	s := newSide(t, 10, panicky{})
-	c := s.connect(t)
-	c.say(t, getOne())
-	if resp, _ := c.hear(t); resp.StatusCode != 502 {
+	s := newTestFrontend(t, 10, panickingHandler{})
+	c := s.dial(t)
+	c.send(t, newGetRequest())
+	if resp, _ := c.receive(t); resp.StatusCode != 502 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	c = s.connect(t)
-	c.say(t, "GET /health/live HTTP/1.1\r\nHost: b\r\n\r\n")
-	if resp, _ := c.hear(t); resp.StatusCode != 200 || s.Counts.Panics.Load() != 1 {
+	c = s.dial(t)
+	c.send(t, "GET /health/live HTTP/1.1\r\nHost: b\r\n\r\n")
+	if resp, _ := c.receive(t); resp.StatusCode != 200 || s.Counts.Panics.Load() != 1 {
 		t.Errorf("then: status %d, %d panics", resp.StatusCode, s.Counts.Panics.Load())
 	}
 }
 
-type panicky struct{}
+type panickingHandler struct{}
 
-func (panicky) Submit(*exchange.Exchange) { panic("boom") }
-func (panicky) Depart(*exchange.Exchange) {}
+func (panickingHandler) Submit(*exchange.Exchange) { panic("boom") }
+func (panickingHandler) Depart(*exchange.Exchange) {}
 
-// Over the limit idle connections go, the oldest first; rather than that a request is turned away those go as well that
-// have hardly been idle, of them the ones that have asked once. When all are busy the new one's request is refused.
+// Over the limit idle connections are closed, the oldest first. If a request would be refused otherwise, connections that
+// have been idle for a short time are closed too, first those with one request so far. If all are busy, the request on the
+// new connection is refused.
 func TestClientLimit(t *testing.T) {
-	s := newSide(t, 4, nil)
-	var all []*client
+	s := newTestFrontend(t, 4, nil)
+	var conns []*testClient
 	for i := range 4 {
-		c := s.connect(t)
-		for range 1 + min(1, i%3) { // the first and the last ask once
-			c.say(t, "GET /health/live HTTP/1.1\r\nHost: b\r\n\r\n")
-			c.hear(t)
+		c := s.dial(t)
+		for range 1 + min(1, i%3) { // the first and the last send one request, the others two
+			c.send(t, "GET /health/live HTTP/1.1\r\nHost: b\r\n\r\n")
+			c.receive(t)
 		}
-		all = append(all, c)
+		conns = append(conns, c)
 		time.Sleep(2 * time.Millisecond)
 	}
-	time.Sleep(2 * hardlyIdle)
-	isClosed := func(c *client, patience time.Duration) bool {
-		c.SetReadDeadline(time.Now().Add(patience))
+	time.Sleep(2 * hardMinIdle)
+	isClosed := func(c *testClient, timeout time.Duration) bool {
+		c.SetReadDeadline(time.Now().Add(timeout))
 		_, err := c.r.ReadByte()
 		c.SetReadDeadline(time.Time{})
 		return errors.Is(err, io.EOF)
 	}
-	for _, goes := range []int{0, 3} {
-		c := s.connect(t)
-		c.say(t, getOne())
+	for _, evicted := range []int{0, 3} {
+		c := s.dial(t)
+		c.send(t, newGetRequest())
 		<-s.submitted
-		for i, old := range all {
-			want, patience := i == goes || i == 0, 50*time.Millisecond
-			if want { // on a busy machine it takes a while
-				patience = 5 * time.Second
+		for i, old := range conns {
+			want, timeout := i == evicted || i == 0, 50*time.Millisecond
+			if want { // on a busy machine the close may take a while
+				timeout = 5 * time.Second
 			}
-			if isClosed(old, patience) != want {
+			if isClosed(old, timeout) != want {
 				t.Errorf("connection %d closed: %v", i, !want)
 			}
 		}
 	}
-	for _, c := range all[1:3] {
-		c.say(t, getOne())
+	for _, c := range conns[1:3] {
+		c.send(t, newGetRequest())
 		<-s.submitted
 	}
-	last := s.connect(t)
-	last.say(t, getOne())
-	if resp, _ := last.hear(t); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || !resp.Close {
+	last := s.dial(t)
+	last.send(t, newGetRequest())
+	if resp, _ := last.receive(t); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || !resp.Close {
 		t.Errorf("over the limit: %d %v", resp.StatusCode, resp.Header)
 	}
 	if s.Counts.ClientsTurnedAway.Load() != 1 {
@@ -403,60 +405,61 @@
 	}
 }
 
-// Clients that ask once and keep their connections do not hold more than a part of them: the oldest go, and one that
-// asks again and again stays.
-func TestIdleConnectionsAreAPart(t *testing.T) {
-	s := newSide(t, 12, nil)
-	ask := func(c *client) {
-		c.say(t, "GET /health/live HTTP/1.1\r\nHost: b\r\n\r\n")
-		c.hear(t)
+// Clients that send one request and keep the connection open may hold only a fraction of the connections: the oldest are
+// closed, and one with regular requests is kept.
+func TestIdleConnectionsLimited(t *testing.T) {
+	s := newTestFrontend(t, 12, nil)
+	sendRequest := func(c *testClient) {
+		c.send(t, "GET /health/live HTTP/1.1\r\nHost: b\r\n\r\n")
+		c.receive(t)
 	}
-	usual := s.connect(t)
-	ask(usual)
+	active := s.dial(t)
+	sendRequest(active)
 	for range 9 {
-		ask(s.connect(t))
-		time.Sleep(hardlyIdle + 10*time.Millisecond)
-		ask(usual)
+		sendRequest(s.dial(t))
+		time.Sleep(hardMinIdle + 10*time.Millisecond)
+		sendRequest(active)
 	}
-	time.Sleep(hardlyIdle)
-	ask(usual)
-	standin.Eventually(t, "few are left", func() bool { return s.Counts.ClientsOpen.Load() <= 12/idlePart+1 })
-	ask(usual)
+	time.Sleep(hardMinIdle)
+	sendRequest(active)
+	standin.Eventually(t, "the excess idle connections are closed", func() bool { return s.Counts.ClientsOpen.Load() <= 12/idleDivisor+1 })
+	sendRequest(active)
 }
 
-// Connections that say nothing give way to a client that does, also while it is the newest one over the limit.
-func TestSilentConnectionsGiveWay(t *testing.T) {
-	s := newSide(t, 16, &fixed{answers: []exchange.Answer{{Kind: exchange.Served, Body: []byte("v")}}})
+// Connections that send nothing are closed for a client that sends a request, also if its connection is the newest one over
+// the limit.
+func TestSilentConnectionsEvicted(t *testing.T) {
+	s := newTestFrontend(t, 16, &cannedAnswers{answers: []exchange.Answer{{Kind: exchange.Served, Body: []byte("v")}}})
 	for range 16 {
-		s.connect(t)
+		s.dial(t)
 	}
-	c := s.connect(t)
-	time.Sleep(freshFor + 50*time.Millisecond)
-	c.say(t, getOne())
-	if resp, body := c.hear(t); resp.StatusCode != 200 || body != "v" {
+	c := s.dial(t)
+	time.Sleep(atLimitFirstByteTimeout + 50*time.Millisecond)
+	c.send(t, newGetRequest())
+	if resp, body := c.receive(t); resp.StatusCode != 200 || body != "v" {
 		t.Errorf("got %d %q", resp.StatusCode, body)
 	}
 }
 
-// Clients that begin a request and never end it do not keep others out.
-func TestSlowClientsGiveWay(t *testing.T) {
-	r := newRig(t, standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") }).Address)
-	s := newSide(t, 5, r)
+// Clients that never complete their requests do not keep others from being served.
+func TestSlowClientsEvicted(t *testing.T) {
+	r := newTestRouter(t, standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") }).Address)
+	s := newTestFrontend(t, 5, r)
 	for range 5 {
-		s.connect(t).say(t, "GET /read/k HTTP/1.1\r\nHo")
+		s.dial(t).send(t, "GET /read/k HTTP/1.1\r\nHo")
 	}
-	time.Sleep(slowFor + 50*time.Millisecond)
+	time.Sleep(atLimitReadTimeout + 50*time.Millisecond)
 	for range 4 {
-		c := s.connect(t)
-		c.say(t, getOne())
-		if resp, body := c.hear(t); resp.StatusCode != 200 || body != "v" {
+		c := s.dial(t)
+		c.send(t, newGetRequest())
+		if resp, body := c.receive(t); resp.StatusCode != 200 || body != "v" {
 			t.Errorf("got %d %q", resp.StatusCode, body)
 		}
 	}
 }
 
-// A connection whose bytes lie unread is not slow, the router is: it is not given up.
-func TestUnreadRequestIsNotGivenUp(t *testing.T) {
+// A connection with unread input is not evicted, since it is the router that is slow.
+func TestUnreadRequestNotEvicted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -473,24 +476,25 @@
 	}
 	defer near.Close()
 	s := NewClients(nil, &exchange.Counters{}, slog.New(slog.DiscardHandler), 1)
-	c := &clientConn{Conn: near, side: s, in: &timedReader{}, phase: reading, since: time.Now().Add(-time.Minute)} // and nobody reads
-	s.open[c] = struct{}{}
-	io.WriteString(far, getOne())
+	// No goroutine reads from this connection.
+	c := &clientConn{Conn: near, frontend: s, input: &timedReader{}, state: stateReading, stateSince: time.Now().Add(-time.Minute)}
+	s.conns[c] = struct{}{}
+	io.WriteString(far, newGetRequest())
 	standin.Eventually(t, "the request is there", func() bool { return socket.Peek(near) == socket.Unread })
-	if s.giveUpIdle() {
-		t.Fatal("given up though the router is the slow one")
+	if s.evictIdle() {
+		t.Fatal("evicted although there is unread input")
 	}
-	if _, err := io.ReadFull(near, make([]byte, len(getOne()))); err != nil {
+	if _, err := io.ReadFull(near, make([]byte, len(newGetRequest()))); err != nil {
 		t.Fatal(err)
 	}
-	if !s.giveUpIdle() {
-		t.Error("kept though the client is silent")
+	if !s.evictIdle() {
+		t.Error("kept although the client has sent nothing more")
 	}
 }
 
-// A request that has been read is answered, also where its connection was given up before serve could run: on a busy core
-// the watcher has its bytes long before, and neither the system nor the connection's phase shows them.
-func TestReadRequestOutlivesGivingUp(t *testing.T) {
+// A request that has been read is answered even if its connection was evicted before serve could run: on a busy core watch
+// may have read the bytes long before, and neither the kernel nor the connection's state shows them.
+func TestReadRequestAnsweredAfterEviction(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -505,18 +509,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewClients(&fixed{answers: []exchange.Answer{{Kind: exchange.Served, Body: []byte("v")}}}, &exchange.Counters{},
+	s := NewClients(&cannedAnswers{answers: []exchange.Answer{{Kind: exchange.Served, Body: []byte("v")}}}, &exchange.Counters{},
 		slog.New(slog.DiscardHandler), 1)
-	c := &clientConn{Conn: near, side: s, in: &timedReader{}, r: bufio.NewReaderSize(near, maxHead), arrived: make(chan arrival),
-		resume: make(chan struct{}), gone: make(chan struct{}), phase: idle, answered: true,
-		since: time.Now().Add(-time.Minute), accepted: time.Now().Add(-time.Minute)}
-	s.open[c] = struct{}{}
-	io.WriteString(far, getOne())
-	if _, err := c.r.Peek(1); err != nil { // as the watcher does, and now it loses its core
+	c := &clientConn{Conn: near, frontend: s, input: &timedReader{}, reader: bufio.NewReaderSize(near, maxHead),
+		firstBytes: make(chan firstByte), resume: make(chan struct{}), done: make(chan struct{}), state: stateIdle, answered: true,
+		stateSince: time.Now().Add(-time.Minute), acceptedAt: time.Now().Add(-time.Minute)}
+	s.conns[c] = struct{}{}
+	io.WriteString(far, newGetRequest())
+	if _, err := c.reader.Peek(1); err != nil { // as watch does, and serve has not run yet
 		t.Fatal(err)
 	}
-	if !s.giveUpIdle() {
-		t.Fatal("nobody was given up")
+	if !s.evictIdle() {
+		t.Fatal("no connection was evicted")
 	}
 	s.wg.Add(1)
 	go c.serve()
@@ -529,33 +533,33 @@
 	s.Wait()
 }
 
-// A request that never ends does not keep a stopping router.
-func TestHalfRequestAtTheEnd(t *testing.T) {
-	s := newSide(t, 10, nil)
-	s.connect(t).say(t, "GET /read/k HTTP/1.1\r\nHo")
+// A request that is never completed does not delay a shutdown beyond the timeout.
+func TestPartialRequestAtShutdown(t *testing.T) {
+	s := newTestFrontend(t, 10, nil)
+	s.dial(t).send(t, "GET /read/k HTTP/1.1\r\nHo")
 	standin.Eventually(t, "it is being read", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for c := range s.open {
-			return c.phase == reading
+		for c := range s.conns {
+			return c.state == stateReading
 		}
 		return false
 	})
-	begun := time.Now()
+	started := time.Now()
 	s.CloseIdle()
 	s.Wait()
-	if took := time.Since(begun); took > 2*lastPatience {
-		t.Errorf("the end took %v", took)
+	if took := time.Since(started); took > 2*shutdownHeadTimeout {
+		t.Errorf("the shutdown took %v", took)
 	}
 }
 
-// fullListener says that there are no descriptors left, some times, before it accepts.
-type fullListener struct {
+// exhaustedListener fails its first calls of Accept with EMFILE: no file descriptors left.
+type exhaustedListener struct {
 	net.Listener
 	times int
 }
 
-func (l *fullListener) Accept() (net.Conn, error) {
+func (l *exhaustedListener) Accept() (net.Conn, error) {
 	if l.times > 0 {
 		l.times--
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -563,70 +567,70 @@
 	return l.Listener.Accept()
 }
 
-// Should the system itself run out of descriptors, idle connections go and accepting goes on.
+// If the process runs out of file descriptors, idle connections are closed and accepting continues.
 func TestAcceptWithoutDescriptors(t *testing.T) {
-	s := newSide(t, 10, nil)
-	idle := s.connect(t)
-	idle.say(t, "GET /health/live HTTP/1.1\r\nHost: b\r\n\r\n")
-	idle.hear(t)
-	time.Sleep(2 * hardlyIdle)
+	s := newTestFrontend(t, 10, nil)
+	idle := s.dial(t)
+	idle.send(t, "GET /health/live HTTP/1.1\r\nHost: b\r\n\r\n")
+	idle.receive(t)
+	time.Sleep(2 * hardMinIdle)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	go func() { s.Serve(&fullListener{l, 3}); close(done) }()
+	go func() { s.Serve(&exhaustedListener{l, 3}); close(done) }()
 	defer func() { l.Close(); <-done }()
 	if _, err := idle.r.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the idle connection: %v", err)
 	}
 	s.address = l.Addr().String()
-	c := s.connect(t)
-	c.say(t, "GET /health/live HTTP/1.1\r\nHost: b\r\n\r\n")
-	if resp, _ := c.hear(t); resp.StatusCode != 200 {
+	c := s.dial(t)
+	c.send(t, "GET /health/live HTTP/1.1\r\nHost: b\r\n\r\n")
+	if resp, _ := c.receive(t); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// Each final answer has its status; a refusal's advice is in decimal seconds, and none where none is given.
+// Each kind of answer has its status code. Retry-After is in decimal seconds, and left out if the answer has none.
 func TestFinalAnswers(t *testing.T) {
-	s := newSide(t, 10, &fixed{answers: []exchange.Answer{
+	s := newTestFrontend(t, 10, &cannedAnswers{answers: []exchange.Answer{
 		{Kind: exchange.Refused, RetryAfter: 150 * time.Millisecond}, {Kind: exchange.Refused},
 		{Kind: exchange.Failed}, {Kind: exchange.Failed, TimedOut: true}}})
-	c := s.connect(t)
+	c := s.dial(t)
 	for _, want := range []struct {
 		status int
 		advice string
 	}{{503, "0.150"}, {503, ""}, {502, ""}, {504, ""}} {
-		c.say(t, getOne())
-		if resp, body := c.hear(t); resp.StatusCode != want.status || resp.Header.Get("Retry-After") != want.advice || body != "" {
+		c.send(t, newGetRequest())
+		if resp, body := c.receive(t); resp.StatusCode != want.status || resp.Header.Get("Retry-After") != want.advice || body != "" {
 			t.Errorf("got %d %q, want %+v", resp.StatusCode, resp.Header.Get("Retry-After"), want)
 		}
 	}
 }
 
-// fixed answers each request with the next of its answers.
-type fixed struct{ answers []exchange.Answer }
+// cannedAnswers is a Taker that answers each request with the next of its answers.
+type cannedAnswers struct{ answers []exchange.Answer }
 
-func (f *fixed) Submit(x *exchange.Exchange) {
+func (f *cannedAnswers) Submit(x *exchange.Exchange) {
 	x.Due = time.Now().Add(time.Second)
 	x.Settle(f.answers[0])
 	f.answers = f.answers[1:]
 }
-func (*fixed) Depart(*exchange.Exchange) {}
+func (*cannedAnswers) Depart(*exchange.Exchange) {}
 
-func TestLastAnswersCloseTheirConnections(t *testing.T) {
-	r := newRig(t, standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") }).Address)
-	s := newSide(t, 10, r)
-	idle, busy := s.connect(t), s.connect(t)
-	for _, c := range []*client{idle, busy} {
-		c.say(t, getOne())
-		c.hear(t)
+func TestShutdownClosesConnectionsAfterAnswers(t *testing.T) {
+	r := newTestRouter(t, standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") }).Address)
+	s := newTestFrontend(t, 10, r)
+	idle, active := s.dial(t), s.dial(t)
+	for _, c := range []*testClient{idle, active} {
+		c.send(t, newGetRequest())
+		c.receive(t)
 	}
 	s.Finish()
-	busy.say(t, getOne())
-	if resp, body := busy.hear(t); resp.StatusCode != 200 || body != "v" || !resp.Close {
-		t.Errorf("after the end began: %d %q, close %v", resp.StatusCode, body, resp.Close)
+	active.send(t, newGetRequest())
+	if resp, body := active.receive(t); resp.StatusCode != 200 || body != "v" || !resp.Close {
+		t.Errorf("after Finish: %d %q, close %v", resp.StatusCode, body, resp.Close)
 	}
 	s.CloseIdle()
 	if _, err := idle.r.ReadByte(); !errors.Is(err, io.EOF) {
@@ -635,8 +639,8 @@
 	s.Wait()
 }
 
-// Many clients that come, ask, wait or leave: in the end no goroutine and no connection is left of them.
-func TestNothingIsLeftOfConnections(t *testing.T) {
+// After many clients have connected, sent requests and disconnected, no goroutine and no connection of theirs is left.
+func TestNoConnectionOrGoroutineLeaks(t *testing.T) {
 	before := runtime.NumGoroutine()
 	t.Run("work", func(t *testing.T) {
 		backend := standin.NewServer(t, func(r *standin.Request) bool {
@@ -648,8 +652,8 @@
 			}
 			return r.Answer(200, "v")
 		})
-		r := newRig(t, backend.Address)
-		s := newSide(t, 100, r)
+		r := newTestRouter(t, backend.Address)
+		s := newTestFrontend(t, 100, r)
 		var wg sync.WaitGroup
 		for i := range 60 {
 			wg.Go(func() {
@@ -661,9 +665,9 @@
 				defer c.Close()
 				br := bufio.NewReader(c)
 				for range 5 {
-					fmt.Fprint(c, getOne())
+					fmt.Fprint(c, newGetRequest())
 					if i%4 == 0 {
-						return // without waiting
+						return // disconnects without waiting for the answer
 					}
 					resp, err := http.ReadResponse(br, nil)
 					if err != nil {
@@ -675,82 +679,82 @@
 			})
 		}
 		wg.Wait()
-		standin.Eventually(t, "all clients are let go", func() bool { return s.Counts.ClientsOpen.Load() == 0 })
+		standin.Eventually(t, "all client connections are closed", func() bool { return s.Counts.ClientsOpen.Load() == 0 })
 	})
 	standin.Eventually(t, "all goroutines have ended", func() bool { return runtime.NumGoroutine() <= before })
 }
 
-// Long bodies are held up to the budget, sized or in chunks, from slow clients as well, and counted from their last byte;
-// what is over the budget or the bound is refused, and all is given back.
+// Long bodies are buffered within the budget, with a length or in chunks, also from slow clients, and the request's timeout
+// counts from the last byte. Bodies over the budget or the size limit are refused, and the budget is returned each time.
 func TestLongRequests(t *testing.T) {
-	s := newSide(t, 10, nil)
+	s := newTestFrontend(t, 10, nil)
 	s.Long = exchange.NewBudget(600 << 10)
-	whole := func() bool { return s.Long.Left() == 600<<10 }
+	budgetFull := func() bool { return s.Long.Left() == 600<<10 }
 	put := func(id, framing string) string {
 		return "PUT /once/k HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left: 900m\r\n" + framing + "\r\n\r\n"
 	}
 	body := strings.Repeat("0123456789abcdef", 200<<10>>4)
 	for i, framing := range []string{fmt.Sprintf("Content-Length: %d", len(body)), "Transfer-Encoding: chunked"} {
-		c := s.connect(t)
-		c.say(t, put(fmt.Sprint("long", i), framing))
-		begun := time.Now()
-		for at := 0; at < len(body); at += 50 << 10 {
+		c := s.dial(t)
+		c.send(t, put(fmt.Sprint("long", i), framing))
+		started := time.Now()
+		for offset := 0; offset < len(body); offset += 50 << 10 {
 			time.Sleep(100 * time.Millisecond)
-			if part := body[at:min(at+50<<10, len(body))]; i == 0 {
-				c.say(t, part)
+			if part := body[offset:min(offset+50<<10, len(body))]; i == 0 {
+				c.send(t, part)
 			} else {
-				c.say(t, fmt.Sprintf("%x\r\n%s\r\n", len(part), part))
+				c.send(t, fmt.Sprintf("%x\r\n%s\r\n", len(part), part))
 			}
 		}
 		if i == 1 {
-			c.say(t, "0\r\n\r\n")
+			c.send(t, "0\r\n\r\n")
 		}
 		x := <-s.submitted
-		if string(x.Body) != body || x.Arrived.Sub(begun) < 350*time.Millisecond {
-			t.Errorf("%s: %d bytes, counted from %v after the head", framing, len(x.Body), x.Arrived.Sub(begun))
+		if string(x.Body) != body || x.Arrived.Sub(started) < 350*time.Millisecond {
+			t.Errorf("%s: %d bytes, counted from %v after the head", framing, len(x.Body), x.Arrived.Sub(started))
 		}
-		if whole() {
-			t.Error("the body in hand has nothing of the budget")
+		if budgetFull() {
+			t.Error("the current body takes nothing of the budget")
 		}
 		x.Settle(exchange.Answer{Kind: exchange.Served, Body: []byte("v")})
-		if resp, _ := c.hear(t); resp.StatusCode != 200 {
+		if resp, _ := c.receive(t); resp.StatusCode != 200 {
 			t.Errorf("%s: %d", framing, resp.StatusCode)
 		}
-		standin.Eventually(t, "the budget is whole again", whole)
+		standin.Eventually(t, "the budget is returned", budgetFull)
 	}
-	other, _ := s.Long.Take(200 << 10) // another one has a part of it
+	other, _ := s.Long.Take(200 << 10) // part of the budget is in use
 	defer other()
 	for _, c := range []struct {
 		length, status int
-	}{{500 << 10, 503}, {601 << 10, 413}, {maxHeld + 1, 413}} {
-		conn := s.connect(t)
-		conn.say(t, put(fmt.Sprint("over", c.length), fmt.Sprintf("Content-Length: %d", c.length)))
+	}{{500 << 10, 503}, {601 << 10, 413}, {maxBufferedBody + 1, 413}} {
+		conn := s.dial(t)
+		conn.send(t, put(fmt.Sprint("over", c.length), fmt.Sprintf("Content-Length: %d", c.length)))
 		go io.WriteString(conn, strings.Repeat("x", c.length))
-		if resp, _ := conn.hear(t); resp.StatusCode != c.status || (resp.Header.Get("Retry-After") != "") != (c.status == 503) {
+		if resp, _ := conn.receive(t); resp.StatusCode != c.status || (resp.Header.Get("Retry-After") != "") != (c.status == 503) {
 			t.Errorf("%d bytes: %d", c.length, resp.StatusCode)
 		}
-		standin.Eventually(t, "what it had is given back", func() bool { return s.Long.Left() == 400<<10 })
+		standin.Eventually(t, "its part of the budget is returned", func() bool { return s.Long.Left() == 400<<10 })
 	}
 }
 
-// A body in the smallest pieces, slower than any client may be, is cut off; one at the slowest allowed rate is not.
+// A body that stalls is rejected after the timeout; one sent steadily above the minimum rate is not.
 func TestSlowBodies(t *testing.T) {
-	s := newSide(t, 10, nil)
+	s := newTestFrontend(t, 10, nil)
 	s.Long = exchange.NewBudget(1 << 20)
 	head := "PUT /once/k HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: %s\r\nX-Time-Left: 900m\r\nContent-Length: %d\r\n\r\n"
-	slow, still := s.connect(t), s.connect(t)
-	still.say(t, fmt.Sprintf(head, "still", 4000))
-	slow.say(t, fmt.Sprintf(head, "slow", 64<<10*3))
-	begun := time.Now()
-	fmt.Fprint(still, "x")
+	slow, stalled := s.dial(t), s.dial(t)
+	stalled.send(t, fmt.Sprintf(head, "still", 4000))
+	slow.send(t, fmt.Sprintf(head, "slow", 64<<10*3))
+	started := time.Now()
+	fmt.Fprint(stalled, "x")
 	go func() {
 		for range 3 * 8 {
 			io.WriteString(slow, strings.Repeat("x", 8<<10))
 			time.Sleep(125 * time.Millisecond)
 		}
 	}()
-	if resp, _ := still.hear(t); resp.StatusCode != 408 || time.Since(begun) > 2900*time.Millisecond {
-		t.Errorf("one that stops: %d after %v", resp.StatusCode, time.Since(begun))
+	if resp, _ := stalled.receive(t); resp.StatusCode != 408 || time.Since(started) > 2900*time.Millisecond {
+		t.Errorf("a stalled body: %d after %v", resp.StatusCode, time.Since(started))
 	}
 	if x := <-s.submitted; len(x.Body) != 64<<10*3 {
 		t.Errorf("%d bytes", len(x.Body))
--- a/internal/wire/clientconn.go
+++ b/internal/wire/clientconn.go
@@ -14,139 +14,142 @@
 	"cedarmast/internal/exchange"
 )
 
-// timedReader reads a connection and notes when bytes came last.
+// timedReader records the time of the last successful read from a connection.
 type timedReader struct {
 	net.Conn
-	last time.Time
+	lastRead time.Time
 }
 
+// Read reads from the connection and records the time if any bytes arrived.
 func (t *timedReader) Read(p []byte) (int, error) {
 	n, err := t.Conn.Read(p)
 	if n > 0 {
-		t.last = time.Now()
+		t.lastRead = time.Now()
 	}
 	return n, err
 }
 
-// arrival says that the next request's first byte has come, or why none will.
-type arrival struct {
+// firstByte reports when the first byte of the next request arrived, or the error that came instead.
+type firstByte struct {
 	at  time.Time
 	err error
 }
 
-// clientConn is one client's connection. Two goroutines serve it: one has the word, the other watches for the next
-// byte or the client's close whenever the first does not read.
+// clientConn is a client's connection. Two goroutines work on it: serve handles the requests, and watch waits for the next
+// byte or the client's close while serve does not read.
 type clientConn struct {
 	net.Conn
-	side    *Clients
-	in      *timedReader
-	r       *bufio.Reader
-	arrived chan arrival
-	resume  chan struct{} // the watcher may read again
-	gone    chan struct{} // closed when serve returns
+	frontend   *Clients
+	input      *timedReader
+	reader     *bufio.Reader
+	firstBytes chan firstByte
+	resume     chan struct{} // tells watch to read again
+	done       chan struct{} // closed when serve returns
 
-	watching bool      // serve's: the watcher has been let go on
-	accepted time.Time // serve's: the time that a client has to make itself understood counts from here
-	coming   int64     // serve's: the bytes of a body that was refused by its length
-	writing  bool      // serve's: an answer has been begun
-	answered bool      // serve's: a request has been
-	held     []func()  // serve's: give back what the body in hand has of the budget
-	old      bool      // serve's: the client speaks HTTP/1.0 and knows no chunks
-	turnAway bool
-	// Under side.mu:
-	phase phase
-	asked int       // requests, so far
-	since time.Time // of the phase
+	// Used by serve only:
+	watching      bool      // watch is waiting for a byte
+	acceptedAt    time.Time // the timeout for the first request counts from here
+	refusedLength int64     // length in bytes of a body that was refused because of it
+	writing       bool      // an answer has been started and is not complete
+	answered      bool      // at least one request has been answered
+	bodyReleases  []func()  // return to the budget what the current body takes of it
+	http10        bool      // the client speaks HTTP/1.0, without chunked encoding
+	reject        bool      // over the connection limit: the request is to be refused
+	// Guarded by frontend.mu:
+	state      connState
+	requests   int       // requests so far
+	stateSince time.Time // when the state was entered
 }
 
-// phase is what a connection is about.
-type phase int
+// connState is the state of a client connection.
+type connState int
 
 const (
-	fresh   phase = iota // no byte has come yet
-	reading              // a request has begun to come
-	inHand               // it has come whole and is not answered
-	idle                 // all that came is answered
-	leaving              // refused for good: what still comes is thrown away
-	givenUp              // asked to go for want of descriptors
+	stateNew      connState = iota // no byte has arrived yet
+	stateReading                   // a request has arrived in part
+	stateInFlight                  // a complete request is not answered yet
+	stateIdle                      // all requests are answered
+	stateRejected                  // the request was rejected: further input is discarded
+	stateEvicted                   // told to close to make room for another connection
 )
 
-// order is in which connections are given up for others. Of those that have hardly been idle, which go rather than that
-// a request is turned away, the ones that have asked once go first: usual clients ask again.
-func (c *clientConn) order() int {
+// evictionRank is the order in which connections are closed to make room, lowest first. Connections that have been idle for
+// a short time are closed only when a request would be refused otherwise; of these, the ones with one request so far come
+// first, since usual clients send more than one.
+func (c *clientConn) evictionRank() int {
 	switch {
-	case c.phase == leaving:
+	case c.state == stateRejected:
 		return 0
-	case c.phase == fresh:
+	case c.state == stateNew:
 		return 1
-	case c.phase == reading:
+	case c.state == stateReading:
 		return 2
-	case time.Since(c.since) > leastIdle:
+	case time.Since(c.stateSince) > softMinIdle:
 		return 3
-	case c.asked <= 1:
+	case c.requests <= 1:
 		return 4
 	}
 	return 5
 }
 
-// mayGo tells whether the connection may be given up for another one. The caller holds side.mu.
-func (c *clientConn) mayGo() bool {
-	age := time.Since(c.since)
-	switch c.phase {
-	case leaving:
+// evictable reports whether the connection may be closed to make room for another one. The caller holds frontend.mu.
+func (c *clientConn) evictable() bool {
+	age := time.Since(c.stateSince)
+	switch c.state {
+	case stateRejected:
 		return true
-	case idle:
-		return age > hardlyIdle
-	case fresh:
-		return age > freshFor
-	case reading:
-		return age > slowFor
+	case stateIdle:
+		return age > hardMinIdle
+	case stateNew:
+		return age > atLimitFirstByteTimeout
+	case stateReading:
+		return age > atLimitReadTimeout
 	}
 	return false
 }
 
-// giveUp asks a connection to go: its reader stops waiting, and serve closes it. It is not closed from here, for on a
-// busy core its bytes may have been read already by a goroutine that has not run since; that request was taken and is
-// owed its answer. The caller holds side.mu.
-func (c *clientConn) giveUp() {
-	if c.phase == leaving {
+// evict tells a connection to close: its read ends with a timeout, and serve closes it. It is not closed from here: on a
+// busy core the watcher may have read a request that serve has not seen yet, and a request that has been read must be
+// answered. The caller holds frontend.mu.
+func (c *clientConn) evict() {
+	if c.state == stateRejected {
 		c.Close()
 	} else {
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
-	c.phase = givenUp
+	c.state = stateEvicted
 }
 
-// isGivenUp tells whether the connection has been asked to go.
-func (c *clientConn) isGivenUp() bool {
-	c.side.mu.Lock()
-	defer c.side.mu.Unlock()
-	return c.phase == givenUp
+// isEvicted reports whether the connection has been told to close.
+func (c *clientConn) isEvicted() bool {
+	c.frontend.mu.Lock()
+	defer c.frontend.mu.Unlock()
+	return c.state == stateEvicted
 }
 
-// enter begins a phase; false if the connection has been given up meanwhile and no request has come after all.
-func (c *clientConn) enter(p phase) bool {
-	c.side.mu.Lock()
-	defer c.side.mu.Unlock()
-	if c.phase == givenUp && p != reading && p != inHand {
+// setState enters a state. It returns false if the connection has been evicted, unless a request has arrived after all.
+func (c *clientConn) setState(next connState) bool {
+	c.frontend.mu.Lock()
+	defer c.frontend.mu.Unlock()
+	if c.state == stateEvicted && next != stateReading && next != stateInFlight {
 		return false
 	}
-	if c.phase, c.since = p, time.Now(); p == inHand {
-		c.asked++
+	if c.state, c.stateSince = next, time.Now(); next == stateInFlight {
+		c.requests++
 	}
 	return true
 }
 
-// serve answers one request after the other. A panic ends this connection alone.
+// serve handles the requests of the connection one after another. A panic closes this connection only.
 func (c *clientConn) serve() {
-	defer c.side.drop(c)
+	defer c.frontend.removeConn(c)
 	defer c.Close()
-	defer close(c.gone)
+	defer close(c.done)
 	defer func() {
 		if p := recover(); p != nil {
-			c.side.Counts.Panics.Add(1)
-			c.side.Log.Error("connection panicked", "panic", fmt.Sprint(p))
-			if !c.writing { // the request still gets its answer
+			c.frontend.Counts.Panics.Add(1)
+			c.frontend.Log.Error("connection panicked", "panic", fmt.Sprint(p))
+			if !c.writing { // the request must still be answered
 				c.write(http.StatusBadGateway, nil, nil, true)
 			}
 		}
@@ -154,25 +157,25 @@
 	c.watching = true
 	go c.watch()
 	for {
-		a, ok := c.next()
+		first, ok := c.awaitRequest()
 		if !ok {
 			return
 		}
-		if !c.enter(reading) || !c.one(a) || !c.enter(idle) {
+		if !c.setState(stateReading) || !c.handleRequest(first) || !c.setState(stateIdle) {
 			return
 		}
-		c.side.trimIdle()
+		c.frontend.closeExcessIdle()
 		c.answered = true
 	}
 }
 
-// watch waits for bytes on behalf of serve.
+// watch waits for the first byte of each request, or the end of the connection, and reports it to serve.
 func (c *clientConn) watch() {
 	for {
-		_, err := c.r.Peek(1)
+		_, err := c.reader.Peek(1)
 		select {
-		case c.arrived <- arrival{time.Now(), err}:
-		case <-c.gone:
+		case c.firstBytes <- firstByte{time.Now(), err}:
+		case <-c.done:
 			return
 		}
 		if err != nil {
@@ -180,132 +183,134 @@
 		}
 		select {
 		case <-c.resume:
-		case <-c.gone:
+		case <-c.done:
 			return
 		}
 	}
 }
 
-// next waits for the next request's first byte; none comes to a connection that is closed while idle.
-func (c *clientConn) next() (arrival, bool) {
+// awaitRequest waits for the first byte of the next request. It returns false if the connection ended, timed out or was shut
+// down first.
+func (c *clientConn) awaitRequest() (firstByte, bool) {
 	switch {
-	case c.turnAway:
-		c.SetReadDeadline(c.accepted.Add(turnAwayFor))
+	case c.reject:
+		c.SetReadDeadline(c.acceptedAt.Add(rejectTimeout))
 	case !c.answered:
-		c.SetReadDeadline(c.accepted.Add(freshPatience))
+		c.SetReadDeadline(c.acceptedAt.Add(firstByteTimeout))
 	default:
-		c.SetReadDeadline(time.Now().Add(idlePatience))
+		c.SetReadDeadline(time.Now().Add(idleTimeout))
 	}
-	c.goOn()
-	var a arrival
+	c.resumeWatch()
+	var first firstByte
 	select {
-	case a = <-c.arrived:
-	case <-c.side.shutting:
-		select { // a byte that came at the same moment counts, and a new connection's first request still does
-		case a = <-c.arrived:
-		case <-time.After(c.grace()):
-			return a, false
+	case first = <-c.firstBytes:
+	case <-c.frontend.shutdown:
+		select { // a request that arrives at the same moment is served, and so is the first one on a new connection
+		case first = <-c.firstBytes:
+		case <-time.After(c.shutdownGrace()):
+			return first, false
 		}
 	}
 	c.watching = false
-	return a, a.err == nil
+	return first, first.err == nil
 }
 
-// grace is how long a connection stays open for a request that may be on its way when the router stops.
-func (c *clientConn) grace() time.Duration {
+// shutdownGrace is how long a connection stays open at shutdown for a request that may be on its way.
+func (c *clientConn) shutdownGrace() time.Duration {
 	if c.answered {
 		return time.Millisecond
 	}
-	return graceForFirst
+	return firstRequestGrace
 }
 
-// goOn lets the watcher read, if it does not.
-func (c *clientConn) goOn() {
+// resumeWatch lets watch wait for the next byte, if it does not already.
+func (c *clientConn) resumeWatch() {
 	if !c.watching {
 		c.watching = true
 		c.resume <- struct{}{}
 	}
 }
 
-// one reads a request and sees to its answer; false ends the connection.
-func (c *clientConn) one(a arrival) bool {
-	patience := headPatience
-	if c.side.closing.Load() {
-		patience = lastPatience
+// handleRequest reads one request and answers it. It returns false if the connection must be closed.
+func (c *clientConn) handleRequest(first firstByte) bool {
+	timeout := headTimeout
+	if c.frontend.closing.Load() {
+		timeout = shutdownHeadTimeout
 	}
-	c.SetReadDeadline(time.Now().Add(patience))
-	req, request, err := c.read(a.at)
+	c.SetReadDeadline(time.Now().Add(timeout))
+	req, request, err := c.readRequest(first.at)
 	if err != nil {
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) ||
-			errors.Is(err, syscall.ECONNRESET) || errors.Is(err, os.ErrDeadlineExceeded) && c.isGivenUp() {
-			return false // the client has gone, or is too slow while descriptors are short
+			errors.Is(err, syscall.ECONNRESET) || errors.Is(err, os.ErrDeadlineExceeded) && c.isEvicted() {
+			return false // the client has disconnected, or was too slow at the connection limit
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			err = badf(http.StatusRequestTimeout, "the request did not come whole in time")
+			err = badRequestf(http.StatusRequestTimeout, "the request did not come whole in time")
 		}
-		return c.bad(err)
+		return c.rejectRequest(err)
 	}
 	c.SetReadDeadline(time.Time{})
-	if !c.enter(inHand) {
+	if !c.setState(stateInFlight) {
 		return false
 	}
-	if c.held != nil {
-		defer c.letBody()
+	if c.bodyReleases != nil {
+		defer c.releaseBody()
 	}
 	last := req.Close
-	c.old = !req.ProtoAtLeast(1, 1)
-	if isOwn(req) {
-		return c.own(req, last)
+	c.http10 = !req.ProtoAtLeast(1, 1)
+	if isStatusRequest(req) {
+		return c.serveStatus(req, last)
 	}
-	if !c.side.claim(request.ID) { // the other one keeps it, and is not disturbed
-		return c.bad(badf(http.StatusConflict, "%s: a request with this id is in hand", headerID))
+	if !c.frontend.reserveID(request.ID) { // the request in flight keeps the id and is not affected
+		return c.rejectRequest(badRequestf(http.StatusConflict, "%s: a request with this id is in hand", headerID))
 	}
-	defer c.side.release(request.ID)
-	c.side.Counts.Requests.Add(1)
-	if c.turnAway && c.side.giveUpIdle() { // another one has turned out to be silent, and this one is not
-		c.turnAway = false
+	defer c.frontend.releaseID(request.ID)
+	c.frontend.Counts.Requests.Add(1)
+	if c.reject && c.frontend.evictIdle() { // an idle connection can be closed after all
+		c.reject = false
 	}
-	if c.turnAway {
-		c.side.Counts.Refused.Add(1)
-		return c.write(http.StatusServiceUnavailable, retryAfter(comeAgainAfter), nil, true)
+	if c.reject {
+		c.frontend.Counts.Refused.Add(1)
+		return c.write(http.StatusServiceUnavailable, retryAfter(rejectRetryAfter), nil, true)
 	}
-	return c.exchange(exchange.New(request), last)
+	return c.awaitAnswer(exchange.New(request), last)
 }
 
-// exchange waits for the answer and for the client's close, whichever comes first.
-func (c *clientConn) exchange(x *exchange.Exchange, last bool) bool {
+// awaitAnswer submits an exchange and waits for its answer or for the client's close, whichever comes first. It returns
+// false if the connection must be closed.
+func (c *clientConn) awaitAnswer(x *exchange.Exchange, last bool) bool {
 	submitted := false
 	defer func() {
 		if p := recover(); p != nil {
 			if submitted {
-				c.side.Taker.Depart(x)
+				c.frontend.Taker.Depart(x)
 			}
 			panic(p)
 		}
 	}()
-	c.side.Taker.Submit(x)
+	c.frontend.Taker.Submit(x)
 	submitted = true
 	overdue := time.NewTimer(time.Until(x.Due) + overdueSlack)
 	defer overdue.Stop()
-	c.goOn()
+	c.resumeWatch()
 	for {
 		select {
 		case answer := <-x.Answer():
 			defer answer.Let()
-			return c.answer(answer, last)
-		case a := <-c.arrived:
-			if a.err != nil {
-				c.side.Taker.Depart(x)
+			return c.writeAnswer(answer, last)
+		case next := <-c.firstBytes:
+			if next.err != nil {
+				c.frontend.Taker.Depart(x)
 				return false
 			}
-			// More came before the answer: either the length was wrong, and what went on is not what the client
-			// meant, or it sends several at once. Neither is a usual client, and none of them is served.
+			// More input arrived before the answer: either the body length was wrong, and the request that was read is
+			// not what the client meant, or the client pipelines requests. Neither is supported, and none is served.
 			c.watching = false
-			c.side.Taker.Depart(x)
-			return c.bad(errMore)
-		case <-overdue.C: // the loop hangs
-			c.side.Counts.Overdue.Add(1)
-			c.side.Taker.Depart(x)
+			c.frontend.Taker.Depart(x)
+			return c.rejectRequest(errPipelined)
+		case <-overdue.C: // the loop did not answer in time
+			c.frontend.Counts.Overdue.Add(1)
+			c.frontend.Taker.Depart(x)
 			c.write(http.StatusGatewayTimeout, nil, nil, true)
 			return false
 		}
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -15,56 +15,57 @@
 	"cedarmast/internal/exchange"
 )
 
-// Discovery watches the server list. While it is silent or broken the list stays as it is and is asked for again.
+// Discovery watches the server list at the discovery service. While the service does not answer or its answers are
+// malformed, the known list stays in use and the call is retried with backoff.
 type Discovery struct {
 	Address string
-	Index   int64                    // of the list that is known already; Unknown if none is
-	Told    func()                   // called after each list that is told; may be nil
-	Listed  func(list exchange.List) // takes what is told, and a list of kind Failed for each failed call
+	Index   int64                    // of the list that is known already; Unknown if there is none
+	Told    func()                   // called after each list passed to Listed; may be nil
+	Listed  func(list exchange.List) // receives each list, and a list of kind Failed for each failed call
 	Clock   exchange.Clock
 	Counts  *exchange.Counters
 	Log     *slog.Logger
 
-	conn net.Conn
-	r    *bufio.Reader
-	kick chan struct{} // ends a backoff early
+	conn     net.Conn
+	reader   *bufio.Reader
+	retryNow chan struct{} // ends a backoff pause early
 }
 
-// Unknown is the index of a list that is not there; every other number may be one.
+// Unknown is the index while no list is known. Any other number, 0 included, may be the index of a list.
 const Unknown = -1
 
 const (
-	watchFor      = 2 * time.Second       // a connection may fall silent: nothing but the end of a wait shows it
-	firstWatchFor = 50 * time.Millisecond // what is newer comes at once: the first call tells whether any is
-	watchSlack    = time.Second           // for an answer past its wait
-	wholeSlack    = time.Second           // for the whole list, which has nothing to wait for
-	dialPatience  = time.Second
-	leastBackoff  = 50 * time.Millisecond // under the time in which a watch goes on
-	mostBackoff   = 3 * time.Second
-	eagerBackoff  = 200 * time.Millisecond // the most while no list is known: after a change of address it is urgent
-	maxList       = 8 << 20                // bytes
+	watchWait             = 2 * time.Second       // long-poll wait; a dead connection shows only when a wait has passed
+	firstWatchWait        = 50 * time.Millisecond // long-poll wait of the first call: a newer list is returned at once
+	watchSlack            = time.Second           // for an answer after the long-poll wait
+	fullListTimeout       = time.Second           // for a full list, which is returned without a wait
+	dialTimeout           = time.Second
+	minBackoff            = 50 * time.Millisecond // shorter than the time within which a watch must continue
+	maxBackoff            = 3 * time.Second
+	maxBackoffWithoutList = 200 * time.Millisecond // upper limit while no list is known, as after a change of the service's address
+	maxListBytes          = 8 << 20                // bytes
 )
 
-// NewDiscovery returns a watch that Run begins.
+// NewDiscovery returns a Discovery for the service at address. Run starts it.
 func NewDiscovery(address string) *Discovery {
-	return &Discovery{Address: address, kick: make(chan struct{}, 1)}
+	return &Discovery{Address: address, retryNow: make(chan struct{}, 1)}
 }
 
-// Subscribe asks for a call now, if the next one waits for a backoff to end.
+// Subscribe makes the next call at once if it is waiting for a backoff to end.
 func (d *Discovery) Subscribe() {
 	select {
-	case d.kick <- struct{}{}:
+	case d.retryNow <- struct{}{}:
 	default:
 	}
 }
 
-// Run watches until the context ends. Nothing is told after that.
+// Run watches the list until the context ends. Listed and Told are not called after that.
 func (d *Discovery) Run(ctx context.Context) {
-	defer d.hangUp()
-	wait, backoff, failing := firstWatchFor, leastBackoff, false
+	defer d.closeConn()
+	wait, backoff, failing := firstWatchWait, minBackoff, false
 	for ctx.Err() == nil {
-		asked := time.Now()
-		list, err := d.call(ctx, wait)
+		started := time.Now()
+		list, err := d.fetchList(ctx, wait)
 		if ctx.Err() != nil {
 			return
 		}
@@ -72,128 +73,131 @@
 			if failing {
 				d.Log.Info("discovery answers again", "index", list.Index)
 			}
-			wait, backoff, failing = watchFor, leastBackoff, false
+			wait, backoff, failing = watchWait, minBackoff, false
 			d.Counts.ListAnswers.Add(1)
-			news := d.take(list)
+			changed := d.deliverList(list)
 			if d.Told != nil {
 				d.Told()
 			}
-			if !news && time.Since(asked) < leastBackoff {
-				pauseFor(ctx, leastBackoff) // it does not wait as asked: no busy loop, and still one watch
+			if !changed && time.Since(started) < minBackoff {
+				sleepContext(ctx, minBackoff) // the service does not honour the long-poll wait: avoid a busy loop
 			}
 			continue
 		}
 		d.Counts.ListFailures.Add(1)
 		if !failing {
-			d.Log.Warn("discovery failed; the list stays as it is", "err", err)
+			d.Log.Warn("discovery failed; keeping the current list", "err", err)
 		}
 		failing = true
 		d.Listed(exchange.List{List: balance.List{Kind: balance.Failed}})
 		select {
-		case <-d.kick:
+		case <-d.retryNow:
 		default:
 		}
 		pause := backoff/2 + rand.N(backoff/2)
-		if backoff = min(2*backoff, mostBackoff); d.Index == Unknown {
-			backoff = min(backoff, eagerBackoff)
+		if backoff = min(2*backoff, maxBackoff); d.Index == Unknown {
+			backoff = min(backoff, maxBackoffWithoutList)
 		}
 		select {
 		case <-time.After(pause):
-		case <-d.kick:
-			time.Sleep(leastBackoff / 2) // whoever kicks, it is no busy loop
+		case <-d.retryNow:
+			time.Sleep(minBackoff / 2) // repeated calls of Subscribe must not cause a busy loop
 		case <-ctx.Done():
 		}
 	}
 }
 
-func pauseFor(ctx context.Context, d time.Duration) {
+// sleepContext sleeps for d or until the context ends.
+func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
-// take hands a list on and remembers where the watch goes on; it tells whether there was anything new.
-func (d *Discovery) take(e *Endpoints) bool {
+// deliverList passes a list to Listed and records its index for the next call. It reports whether the list had changed.
+func (d *Discovery) deliverList(list *Endpoints) bool {
 	kind := balance.Partial
-	if e.Snapshot {
+	if list.Snapshot {
 		kind = balance.Complete
 	}
-	news := e.Index != d.Index || len(e.Endpoints) > 0 && !e.Snapshot
-	if news {
-		d.Log.Info("list", "index", e.Index, "whole", e.Snapshot, "entries", len(e.Endpoints))
-		for _, p := range e.Endpoints {
-			if !e.Snapshot {
-				d.Log.Info("server listed", "server", p.Name, "status", p.Status, "since_ms", p.SinceMS,
-					"weight", p.Weight)
+	changed := list.Index != d.Index || len(list.Endpoints) > 0 && !list.Snapshot
+	if changed {
+		d.Log.Info("list", "index", list.Index, "whole", list.Snapshot, "entries", len(list.Endpoints))
+		for _, ep := range list.Endpoints {
+			if !list.Snapshot {
+				d.Log.Info("server listed", "server", ep.Name, "status", ep.Status, "since_ms", ep.SinceMS,
+					"weight", ep.Weight)
 			}
 		}
 	}
-	d.Index = e.Index
-	d.Listed(e.List(kind, d.Clock))
-	return news
+	d.Index = list.Index
+	d.Listed(list.List(kind, d.Clock))
+	return changed
 }
 
-// call makes one call on the connection that is kept, or on a new one. After a failure the connection is given up.
-func (d *Discovery) call(ctx context.Context, wait time.Duration) (list *Endpoints, err error) {
+// fetchList makes one call, on the kept connection or a new one, with a long-poll wait if a list is known. After a failure
+// the connection is closed.
+func (d *Discovery) fetchList(ctx context.Context, wait time.Duration) (list *Endpoints, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v", p)
 		}
 		if err != nil {
-			d.hangUp()
+			d.closeConn()
 		}
 	}()
 	if d.conn == nil {
-		dialer := net.Dialer{Timeout: dialPatience}
+		dialer := net.Dialer{Timeout: dialTimeout}
 		c, err := dialer.DialContext(ctx, "tcp", d.Address)
 		if err != nil {
 			return nil, err
 		}
-		d.conn, d.r = c, bufio.NewReaderSize(c, maxHead)
+		d.conn, d.reader = c, bufio.NewReaderSize(c, maxHead)
 	}
-	target, patience := "/registry/instances", wholeSlack
+	target, timeout := "/registry/instances", fullListTimeout
 	if d.Index != Unknown {
-		patience = wait + watchSlack
+		timeout = wait + watchSlack
 		target += fmt.Sprintf("?index=%d&wait=%d", d.Index, wait.Milliseconds())
 	}
 	conn := d.conn
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(timeout))
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	head := fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, d.Address)
 	if _, err := writeMessage(d.conn, head, nil); err != nil {
-		return nil, fmt.Errorf("asking for the list: %w", err)
+		return nil, fmt.Errorf("requesting the server list: %w", err)
 	}
-	if _, err := awaitHead(d.r, 0); err != nil {
-		return nil, fmt.Errorf("waiting for the list: %w", err)
+	if _, err := awaitHead(d.reader, 0); err != nil {
+		return nil, fmt.Errorf("waiting for the server list: %w", err)
 	}
-	resp, err := http.ReadResponse(d.r, nil)
+	resp, err := http.ReadResponse(d.reader, nil)
 	if err != nil {
-		return nil, fmt.Errorf("reading the list: %w", err)
+		return nil, fmt.Errorf("reading the server list: %w", err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxList+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("reading the list: %w", err)
+		return nil, fmt.Errorf("reading the server list: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		d.Index = Unknown // it may not know that version: the whole list will do
-		return nil, fmt.Errorf("asking for the list: status %d", resp.StatusCode)
+		d.Index = Unknown // the service may not know this version: fetch the full list next
+		return nil, fmt.Errorf("requesting the server list: status %d", resp.StatusCode)
 	}
-	if len(text) > maxList {
-		return nil, fmt.Errorf("reading the list: over %d bytes", maxList)
+	if len(body) > maxListBytes {
+		return nil, fmt.Errorf("reading the server list: over %d bytes", maxListBytes)
 	}
-	if list, err = ParseEndpoints(text); err != nil {
+	if list, err = ParseEndpoints(body); err != nil {
 		return nil, err
 	}
 	if resp.Close {
-		d.hangUp()
+		d.closeConn()
 	}
 	return list, nil
 }
 
-func (d *Discovery) hangUp() {
+// closeConn closes the kept connection, if there is one.
+func (d *Discovery) closeConn() {
 	if d.conn != nil {
 		d.conn.Close()
 		d.conn = nil
--- a/internal/wire/discovery_test.go
+++ b/internal/wire/discovery_test.go
@@ -17,7 +17,7 @@
 	"cedarmast/internal/standin"
 )
 
-func watch(t *testing.T, address string, index int64) (lists chan exchange.List, first chan struct{}) {
+func startWatch(t *testing.T, address string, index int64) (lists chan exchange.List, first chan struct{}) {
 	t.Helper()
 	lists, first = make(chan exchange.List, 1000), make(chan struct{})
 	d := NewDiscovery(address)
@@ -32,19 +32,19 @@
 		select {
 		case <-done:
 		case <-time.After(3 * time.Second):
-			t.Error("the watch does not end")
+			t.Error("Run does not return")
 		}
 	})
 	return lists, first
 }
 
-func next(t *testing.T, lists chan exchange.List) exchange.List {
+func nextList(t *testing.T, lists chan exchange.List) exchange.List {
 	t.Helper()
 	select {
 	case l := <-lists:
 		return l
 	case <-time.After(5 * time.Second):
-		t.Fatal("nothing told")
+		t.Fatal("no list was delivered")
 		return exchange.List{}
 	}
 }
@@ -54,8 +54,8 @@
 
 func TestWholeListThenChanges(t *testing.T) {
 	d := standin.NewDiscovery(t, 41, serverA)
-	lists, first := watch(t, d.Address, Unknown)
-	l := next(t, lists)
+	lists, first := startWatch(t, d.Address, Unknown)
+	l := nextList(t, lists)
 	want := balance.Entry{Server: "a", Kind: "box", Zone: "z", Cell: 3, Weight: 2, Started: balance.Time(5 * time.Second)}
 	if l.Kind != balance.Complete || l.Version != 41 || len(l.Entries) != 1 || l.Entries[0] != want || l.Addresses["a"] != "127.0.0.1:9" {
 		t.Errorf("got %+v", l)
@@ -64,15 +64,16 @@
 	drained := serverA
 	drained.Status = "DRAINING"
 	d.Change(drained)
-	if l = next(t, lists); l.Kind != balance.Partial || len(l.Entries) != 1 || l.Entries[0].State != balance.Draining {
+	if l = nextList(t, lists); l.Kind != balance.Partial || len(l.Entries) != 1 || l.Entries[0].State != balance.Draining {
 		t.Errorf("got %+v", l)
 	}
 }
 
-// A list of index 0 is a version like any other: it is watched, and nothing is fetched whole or in a busy loop.
+// A list with index 0 is a version like any other: changes since it are watched, without fetching the full list and without
+// a busy loop.
 func TestIndexZeroIsWatched(t *testing.T) {
 	d := standin.NewDiscovery(t, 0, serverA)
-	lists, first := watch(t, d.Address, 0)
+	lists, first := startWatch(t, d.Address, 0)
 	<-first
 	time.Sleep(150 * time.Millisecond)
 	for _, target := range d.Targets() {
@@ -87,29 +88,29 @@
 	if n := len(d.Targets()); n > 2 {
 		t.Errorf("%d calls in 0.2 s without news", n)
 	}
-	if l := next(t, lists); l.Kind != balance.Partial || len(l.Entries) != 0 {
+	if l := nextList(t, lists); l.Kind != balance.Partial || len(l.Entries) != 0 {
 		t.Errorf("got %+v", l)
 	}
 }
 
-// Broken discovery: each failure is said, the watch goes on from its version, and calls back off.
+// While discovery fails, each failure is reported to Listed and calls back off; afterwards the watch continues from its version.
 func TestBrokenDiscovery(t *testing.T) {
 	d := standin.NewDiscovery(t, 7, serverA)
-	lists, first := watch(t, d.Address, 7)
+	lists, first := startWatch(t, d.Address, 7)
 	<-first
-	next(t, lists)
+	nextList(t, lists)
 	d.CloseConns()
-	if l := next(t, lists); l.Kind != balance.Failed {
+	if l := nextList(t, lists); l.Kind != balance.Failed {
 		t.Errorf("got %+v", l)
 	}
 	drained := serverA
 	drained.Status = "DRAINING"
 	d.Change(drained)
-	if l := next(t, lists); l.Kind != balance.Partial || len(l.Entries) != 1 {
+	if l := nextList(t, lists); l.Kind != balance.Partial || len(l.Entries) != 1 {
 		t.Errorf("got %+v", l)
 	}
 	d.Break(500)
-	if l := next(t, lists); l.Kind != balance.Failed {
+	if l := nextList(t, lists); l.Kind != balance.Failed {
 		t.Errorf("got %+v", l)
 	}
 	time.Sleep(300 * time.Millisecond)
@@ -117,7 +118,7 @@
 		t.Errorf("%d failures in 0.3 s: no backoff", n)
 	}
 	d.Break(0)
-	for l := next(t, lists); l.Kind != balance.Complete; l = next(t, lists) { // whole after a refused version
+	for l := nextList(t, lists); l.Kind != balance.Complete; l = nextList(t, lists) { // a full list after the version was refused
 		if l.Kind != balance.Failed {
 			t.Fatalf("got %+v", l)
 		}
@@ -129,64 +130,64 @@
 		"no name": `{"endpoints":[{"status":"SERVING"}]}`, "no address": `{"endpoints":[{"name":"a","status":"SERVING"}]}`} {
 		t.Run(name, func(t *testing.T) {
 			s := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, body) })
-			lists, _ := watch(t, s.Address, Unknown)
-			if l := next(t, lists); l.Kind != balance.Failed {
+			lists, _ := startWatch(t, s.Address, Unknown)
+			if l := nextList(t, lists); l.Kind != balance.Failed {
 				t.Errorf("got %+v", l)
 			}
 		})
 	}
 }
 
-// The next call of a watch comes well within the time in which it goes on, on the same connection.
-func TestWatchGoesOn(t *testing.T) {
+// The calls of a watch follow one another without delay, on the same connection.
+func TestWatchReusesConnection(t *testing.T) {
 	d := standin.NewDiscovery(t, 1, serverA)
-	lists, first := watch(t, d.Address, 1)
+	lists, first := startWatch(t, d.Address, 1)
 	<-first
 	for range 5 {
 		d.Change(serverA)
-		next(t, lists)
+		nextList(t, lists)
 	}
 	if n := d.Accepted(); n != 1 {
 		t.Errorf("%d connections", n)
 	}
 }
 
-// A watch whose connection has fallen silent is begun anew on another one within seconds; what has changed meanwhile is
-// heard then. With waits of a minute a router would send to servers that have long gone.
-func TestSilentWatchIsBegunAnew(t *testing.T) {
+// A watch whose connection gets no more answers is restarted on another one within seconds, and then receives the changes
+// made meanwhile. With long-poll waits of a minute a router would keep sending to servers that are gone.
+func TestSilentWatchReconnects(t *testing.T) {
 	var first atomic.Bool
 	first.Store(true)
-	answers := standin.NewServer(t, func(r *standin.Request) bool {
+	discovery := standin.NewServer(t, func(r *standin.Request) bool {
 		if first.CompareAndSwap(true, false) {
 			return r.Answer(200, `{"index":1,"snapshot":false,"endpoints":[]}`)
 		}
-		if r.N > 1 { // the connection of the first call: not a word more
+		if r.N > 1 { // no more answers on the connection of the first call
 			io.Copy(io.Discard, r.Conn)
 			return false
 		}
 		return r.Answer(200, `{"index":2,"snapshot":false,"endpoints":[{"name":"a","address":"127.0.0.1:9","status":"DRAINING"}]}`)
 	})
-	lists, told := watch(t, answers.Address, 1)
+	lists, told := startWatch(t, discovery.Address, 1)
 	<-told
-	begun := time.Now()
+	started := time.Now()
 	for {
-		if l := next(t, lists); len(l.Entries) == 1 && l.Entries[0].State == balance.Draining {
+		if l := nextList(t, lists); len(l.Entries) == 1 && l.Entries[0].State == balance.Draining {
 			break
 		}
 	}
-	if took := time.Since(begun); took > 4*time.Second {
-		t.Errorf("heard after %v", took)
+	if took := time.Since(started); took > 4*time.Second {
+		t.Errorf("the change was received after %v", took)
 	}
 }
 
-func TestSilentDiscoveryIsLetGoAtTheEnd(t *testing.T) {
+func TestShutdownDuringSilentDiscovery(t *testing.T) {
 	s := standin.NewServer(t, func(r *standin.Request) bool { io.Copy(io.Discard, r.Conn); return false })
-	watch(t, s.Address, 1)
+	startWatch(t, s.Address, 1)
 	standin.Eventually(t, "a call", func() bool { return s.Requests() == 1 })
 }
 
-func TestPeersTellAndHear(t *testing.T) {
-	free := func() string {
+func TestPeersSendAndReceive(t *testing.T) {
+	freeAddress := func() string {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -194,11 +195,11 @@
 		defer c.Close()
 		return c.LocalAddr().String()
 	}
-	addresses := []string{free(), free()}
+	addresses := []string{freeAddress(), freeAddress()}
 	heard := make(chan string, 10)
 	var all []*Peers
-	for i, at := range addresses {
-		p, err := ListenPeers(at, addresses)
+	for i, address := range addresses {
+		p, err := ListenPeers(address, addresses)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -212,7 +213,7 @@
 		all = append(all, p)
 	}
 	all[0].Tell(1, []byte("hello"))
-	all[0].Tell(1, make([]byte, maxDatagram+1)) // too long: dropped, for it would void more than it tells
+	all[0].Tell(1, make([]byte, maxDatagram+1)) // too long: dropped
 	all[0].Tell(9, []byte("nobody"))
 	select {
 	case text := <-heard:
@@ -220,7 +221,7 @@
 			t.Errorf("heard %q", text)
 		}
 	case <-time.After(3 * time.Second):
-		t.Fatal("nothing heard")
+		t.Fatal("no message was received")
 	}
 	if n := all[0].Counts.PeersDropped.Load(); n != 2 {
 		t.Errorf("%d dropped", n)
@@ -231,9 +232,9 @@
 	}
 	defer stranger.Close()
 	stranger.Write([]byte("who?"))
-	standin.Eventually(t, "the stranger is passed over", func() bool { return all[1].Counts.PeersDropped.Load() == 1 })
+	standin.Eventually(t, "the datagram from an unknown address is dropped", func() bool { return all[1].Counts.PeersDropped.Load() == 1 })
 	if len(heard) != 0 {
-		t.Error("a stranger was heard")
+		t.Error("a message from an unknown address was received")
 	}
 	if _, err := ListenPeers("127.0.0.1:0", []string{"nonsense"}); err == nil || !strings.Contains(err.Error(), "peers[0]") {
 		t.Errorf("a bad peer: %v", err)
--- a/internal/wire/failure.go
+++ b/internal/wire/failure.go
@@ -10,46 +10,48 @@
 	"cedarmast/internal/exchange"
 )
 
-// Stage is how far an attempt had come when it ended.
+// Stage is the phase of an attempt in which it failed.
 type Stage int
 
 // The stages, in order.
 const (
 	Dialling Stage = iota // no connection yet
 	Writing               // the last byte is not written
-	Written               // the last byte is written; the server may have begun
-	Reading               // the first byte of the answer has come
+	Written               // the last byte is written; the server may have started processing
+	Reading               // the first byte of the response has arrived
 )
 
 var stageNames = [...]string{"dialling", "writing", "written", "reading"}
 
+// String returns the stage's name.
 func (s Stage) String() string { return stageNames[s] }
 
-// Failure is the error of an attempt: how far it came and what ended it.
+// Failure is the error of a failed attempt: the stage it had reached and the cause.
 type Failure struct {
 	Stage Stage
 	Cause error
 }
 
+// Error returns the stage and the cause.
 func (f *Failure) Error() string { return fmt.Sprintf("%v: %v", f.Stage, f.Cause) }
 
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// errMalformed is the cause where a server's answer can't be understood.
-var errMalformed = errors.New("malformed answer")
+// errMalformed is the cause of a failure if the server's response can't be parsed.
+var errMalformed = errors.New("malformed response")
 
-// errDue is the cause where the exchange's time ran out before the server had any of its own.
-var errDue = errors.New("due")
+// errDeadlinePassed is the cause if the exchange's deadline passed before there was a connection to the server.
+var errDeadlinePassed = errors.New("due")
 
-// Result is what the failure means to the decisions. That an attempt never ran is said only while its last byte is
-// surely unwritten.
+// Result returns the attempt result that the balancer gets. A result that says the attempt had no effect is returned only
+// if the last byte of the request was certainly not written.
 func (f *Failure) Result() balance.Result {
 	unwritten := f.Stage < Written
 	switch {
 	case unwritten && (errors.Is(f.Cause, exchange.ErrWithdrawn) || errors.Is(f.Cause, exchange.ErrNoRoom) ||
-		errors.Is(f.Cause, errDue)):
-		return balance.Moot // not the server's doing
+		errors.Is(f.Cause, errDeadlinePassed)):
+		return balance.Moot // not caused by the server
 	case unwritten:
 		return balance.NoConnect
 	case errors.Is(f.Cause, exchange.ErrWithdrawn):
@@ -57,7 +59,7 @@
 	case errors.Is(f.Cause, errMalformed), errors.Is(f.Cause, ErrBodyTooLarge), errors.Is(f.Cause, ErrHeadTooLarge):
 		return balance.Spoilt
 	case errors.Is(f.Cause, os.ErrDeadlineExceeded), errors.Is(f.Cause, context.DeadlineExceeded),
-		errors.Is(f.Cause, errDue):
+		errors.Is(f.Cause, errDeadlinePassed):
 		return balance.TimedOut
 	}
 	return balance.Reset
--- a/internal/wire/failure_test.go
+++ b/internal/wire/failure_test.go
@@ -13,8 +13,8 @@
 	"cedarmast/internal/exchange"
 )
 
-// How far an attempt came and what ended it give its result; never more is claimed than is known.
-func TestFailuresAndTheirResults(t *testing.T) {
+// The stage and the cause of a failure determine the attempt's result. A result never claims more than is known.
+func TestFailureResults(t *testing.T) {
 	for _, c := range []struct {
 		stage Stage
 		cause error
@@ -24,7 +24,7 @@
 		{Dialling, os.ErrDeadlineExceeded, balance.NoConnect},
 		{Dialling, exchange.ErrWithdrawn, balance.Moot},
 		{Dialling, exchange.ErrNoRoom, balance.Moot},
-		{Dialling, errDue, balance.Moot},
+		{Dialling, errDeadlinePassed, balance.Moot},
 		{Writing, syscall.EPIPE, balance.NoConnect},
 		{Writing, context.DeadlineExceeded, balance.NoConnect},
 		{Writing, exchange.ErrWithdrawn, balance.Moot},
@@ -32,7 +32,7 @@
 		{Written, syscall.ECONNRESET, balance.Reset},
 		{Written, context.DeadlineExceeded, balance.TimedOut},
 		{Written, exchange.ErrWithdrawn, balance.Cancelled},
-		{Written, exchange.ErrNoRoom, balance.Reset}, // out of place: the careful word
+		{Written, exchange.ErrNoRoom, balance.Reset}, // can't occur at this stage: the result that excludes least
 		{Reading, io.ErrUnexpectedEOF, balance.Reset},
 		{Reading, fmt.Errorf("%w: %w", errMalformed, io.EOF), balance.Spoilt},
 		{Reading, ErrBodyTooLarge, balance.Spoilt},
--- a/internal/wire/head.go
+++ b/internal/wire/head.go
@@ -9,76 +9,76 @@
 	"strconv"
 )
 
-// A head is checked here, byte by byte, before net/http parses it where it lies. http.ReadRequest and
-// http.ReadResponse take more than this router may: of a length beside chunks they drop the length, of equal lengths
-// they keep one, and they take bare line feeds for line ends. Whoever reads such a message otherwise finds another
-// message inside its body.
+// Message heads are validated here, in the read buffer, before net/http parses them. http.ReadRequest and
+// http.ReadResponse are too lenient for a proxy: with both Content-Length and chunked encoding they drop the length, of
+// equal lengths they keep one, and they accept bare line feeds as line ends. A peer that reads such a message differently
+// finds another message inside its body (request smuggling).
 
 const (
-	maxEmptyLines = 4  // before a request, which a client may leave behind its last one; none before an answer
-	maxLength     = 18 // digits of a length: a longer one is no size of anything
+	maxEmptyLines   = 4  // before a request, as some clients send them after a body; none before a response
+	maxLengthDigits = 18 // digits of a Content-Length
 )
 
-// errFraming is the cause where a head can't be read in one way alone.
+// errFraming is wrapped by the errors for heads that are malformed or ambiguous.
 var errFraming = errors.New("malformed head")
 
-// framing is what a head says of its body.
+// framing is what a head states about the message's body.
 type framing struct {
-	length  int64 // -1 if it says none
+	length  int64 // of the body in bytes; -1 if not stated
 	chunked bool
-	closes  bool // the connection ends with the message
+	closes  bool // Connection: close
 }
 
-// awaitHead waits until the buffer holds a whole head and returns it where it lies, valid until the next read. So many
-// empty lines before it are dropped.
-func awaitHead(r *bufio.Reader, empty int) ([]byte, error) {
-	for n, seen := 1, 0; ; {
-		if _, err := r.Peek(n); err != nil {
+// awaitHead waits until the buffer holds a complete head and returns it without consuming it. The slice is valid until the
+// next read. Up to maxEmpty empty lines before the head are discarded.
+func awaitHead(r *bufio.Reader, maxEmpty int) ([]byte, error) {
+	for needed, searched := 1, 0; ; {
+		if _, err := r.Peek(needed); err != nil {
 			if errors.Is(err, bufio.ErrBufferFull) {
 				return nil, ErrHeadTooLarge
 			}
-			if errors.Is(err, io.EOF) && n > 1 {
+			if errors.Is(err, io.EOF) && needed > 1 {
 				return nil, io.ErrUnexpectedEOF
 			}
 			return nil, err
 		}
-		text, _ := r.Peek(r.Buffered())
-		if text[0] == '\r' && len(text) == 1 {
-			n = 2
+		buffered, _ := r.Peek(r.Buffered())
+		if buffered[0] == '\r' && len(buffered) == 1 {
+			needed = 2
 			continue
 		}
-		if bytes.HasPrefix(text, []byte("\r\n")) {
-			if empty--; empty < 0 {
+		if bytes.HasPrefix(buffered, []byte("\r\n")) {
+			if maxEmpty--; maxEmpty < 0 {
 				return nil, fmt.Errorf("%w: empty lines", errFraming)
 			}
 			r.Discard(2)
-			n, seen = 1, 0
+			needed, searched = 1, 0
 			continue
 		}
-		from := max(seen-3, 0) // an end may have come in pieces
-		if i := bytes.Index(text[from:], []byte("\r\n\r\n")); i >= 0 {
-			return text[:from+i+4], nil
+		from := max(searched-3, 0) // the terminator may have arrived in pieces
+		if i := bytes.Index(buffered[from:], []byte("\r\n\r\n")); i >= 0 {
+			return buffered[:from+i+4], nil
 		}
-		if i := bytes.Index(text[from:], []byte("\n\n")); i >= 0 { // no use in waiting for more
+		if i := bytes.Index(buffered[from:], []byte("\n\n")); i >= 0 { // waiting for more input is of no use
 			return nil, fmt.Errorf("%w: bare line ends", errFraming)
 		}
-		seen = len(text)
-		if n = len(text) + 1; n > maxHead {
+		searched = len(buffered)
+		if needed = len(buffered) + 1; needed > maxHead {
 			return nil, ErrHeadTooLarge
 		}
 	}
 }
 
-// checkHead checks a whole head: its line ends, the form of each line, and that it states one length at most, well
-// formed and not beside chunks. Headers named in single may stand there once.
-func checkHead(text []byte, single map[string]bool) (framing, error) {
+// checkHead validates a complete head: its line ends, the syntax of each line, and that it has at most one Content-Length,
+// well formed and not together with chunked encoding. The headers in single may occur once only.
+func checkHead(head []byte, single map[string]bool) (framing, error) {
 	f := framing{length: -1}
-	line, rest, _ := bytes.Cut(text, []byte("\r\n"))
-	if len(line) == 0 || !plain(line) {
+	line, rest, _ := bytes.Cut(head, []byte("\r\n"))
+	if len(line) == 0 || !noControlBytes(line) {
 		return f, fmt.Errorf("%w: first line", errFraming)
 	}
-	var seen [16]string
-	met := seen[:0]
+	var seenBuf [16]string
+	seen := seenBuf[:0]
 	for {
 		if line, rest, _ = bytes.Cut(rest, []byte("\r\n")); len(line) == 0 {
 			if len(rest) > 0 {
@@ -87,18 +87,18 @@
 			return f, nil
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !isToken(name) || !plain(value) {
+		if !ok || !isToken(name) || !noControlBytes(value) {
 			return f, fmt.Errorf("%w: line %.40q", errFraming, line)
 		}
 		value = bytes.Trim(value, " \t")
-		key := headerKey(name)
+		key := canonicalName(name)
 		if single[key] {
-			for _, other := range met {
+			for _, other := range seen {
 				if other == key {
 					return f, fmt.Errorf("%w: %s twice", errFraming, key)
 				}
 			}
-			met = append(met, key)
+			seen = append(seen, key)
 		}
 		switch key {
 		case "Connection":
@@ -120,8 +120,8 @@
 	}
 }
 
-// headerKey is a header's name in canonical form.
-func headerKey(name []byte) string {
+// canonicalName returns a header's name in canonical form.
+func canonicalName(name []byte) string {
 	key := make([]byte, len(name))
 	upper := true
 	for i, b := range name {
@@ -136,15 +136,16 @@
 	return string(key)
 }
 
-// parseLength reads a length: digits and nothing else.
+// parseLength parses a Content-Length: digits only.
 func parseLength(text []byte) (int64, bool) {
-	if len(text) == 0 || len(text) > maxLength || !allDigits(text) {
+	if len(text) == 0 || len(text) > maxLengthDigits || !allDigits(text) {
 		return 0, false
 	}
 	n, err := strconv.ParseInt(string(text), 10, 64)
 	return n, err == nil
 }
 
+// allDigits reports whether text has no bytes but digits.
 func allDigits(text []byte) bool {
 	for _, b := range text {
 		if b < '0' || b > '9' {
@@ -154,8 +155,8 @@
 	return true
 }
 
-// plain tells whether a line has no control bytes but tabs.
-func plain(line []byte) bool {
+// noControlBytes reports whether a line has no control bytes other than tabs.
+func noControlBytes(line []byte) bool {
 	for _, b := range line {
 		if b < ' ' && b != '\t' || b == 0x7f {
 			return false
@@ -164,7 +165,7 @@
 	return true
 }
 
-// isToken tells whether a name is one of RFC 9110's tokens.
+// isToken reports whether a name is a token as defined by RFC 9110.
 func isToken(name []byte) bool {
 	for _, b := range name {
 		switch {
--- a/internal/wire/rules_test.go
+++ b/internal/wire/invariants_test.go
@@ -14,32 +14,32 @@
 	"cedarmast/internal/standin"
 )
 
-// ledger is what the servers have seen of each request.
-type ledger struct {
+// runLog counts how often the servers have run each request.
+type runLog struct {
 	mu  sync.Mutex
-	ran map[string]int // whole requests that were not turned away, by id
+	ran map[string]int // complete requests that were not rejected, by id
 }
 
-func (l *ledger) book(id string) {
+func (l *runLog) add(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ran[id]++
 }
 
-func (l *ledger) count(id string) int {
+func (l *runLog) count(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ran[id]
 }
 
-// Servers that answer, err, turn away, break at any point or say nothing, and clients that keep connections, repeat
-// them or leave: whatever happens, each request has one whole answer in time, the bytes are those of a server that saw
-// this request, and what must not run twice never does; nor is it refused once it may have run.
-func TestRulesUnderBreaks(t *testing.T) {
-	seen := &ledger{ran: map[string]int{}}
+// Servers answer, fail, reject, break off at any point or stall, and clients reuse connections, reconnect or disconnect.
+// Each request must get one complete answer in time, with the body of a server that received this request. A request that
+// must not run twice never does, and is not refused after it has run.
+func TestInvariantsUnderServerFailures(t *testing.T) {
+	runs := &runLog{ran: map[string]int{}}
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(1, 2))
-	draw := func(n int) int {
+	randIntN := func(n int) int {
 		mu.Lock()
 		defer mu.Unlock()
 		return rng.IntN(n)
@@ -48,12 +48,12 @@
 	for range 4 {
 		s := standin.NewServer(t, func(r *standin.Request) bool {
 			id := r.Header.Get(headerID)
-			kind := draw(20)
+			kind := randIntN(20)
 			if kind == 0 {
 				return r.Answer(503, "", "X-Unprocessed: 1")
 			}
-			seen.book(id)
-			time.Sleep(time.Duration(draw(10)) * time.Millisecond)
+			runs.add(id)
+			time.Sleep(time.Duration(randIntN(10)) * time.Millisecond)
 			switch kind {
 			case 1:
 				return false
@@ -67,16 +67,16 @@
 				return r.Answer(500, "no")
 			case 5:
 				r.Answer(200, id)
-				return false // closes an idle connection without a word
+				return false // closes the connection once it is idle
 			case 6:
-				time.Sleep(time.Duration(draw(600)) * time.Millisecond)
+				time.Sleep(time.Duration(randIntN(600)) * time.Millisecond)
 			}
 			return r.Answer(200, id)
 		})
 		addresses = append(addresses, s.Address)
 	}
-	r := newRig(t, addresses...)
-	s := newSide(t, 60, r)
+	r := newTestRouter(t, addresses...)
+	s := newTestFrontend(t, 60, r)
 	const clients, each = 20, 30
 	var wg sync.WaitGroup
 	for c := range clients {
@@ -97,29 +97,29 @@
 					}
 					br = bufio.NewReader(conn)
 				}
-				id, class := fmt.Sprintf("%d-%d", c, n), []string{"read", "once"}[draw(2)]
-				begun := time.Now()
+				id, class := fmt.Sprintf("%d-%d", c, n), []string{"read", "once"}[randIntN(2)]
+				started := time.Now()
 				fmt.Fprintf(conn, "PUT /%s/k%d HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: %s\r\nX-Time-Left: 500m\r\nContent-Length: 1\r\n\r\nv",
-					class, draw(50), id)
-				if draw(20) == 0 { // leaves
+					class, randIntN(50), id)
+				if randIntN(20) == 0 { // disconnects
 					conn.Close()
 					conn = nil
 					continue
 				}
-				conn.SetReadDeadline(begun.Add(2 * time.Second))
+				conn.SetReadDeadline(started.Add(2 * time.Second))
 				resp, err := http.ReadResponse(br, nil)
 				if err != nil {
-					t.Errorf("%s: no whole answer: %v", id, err)
+					t.Errorf("%s: no complete answer: %v", id, err)
 					conn.Close()
 					conn = nil
 					continue
 				}
 				body, err := io.ReadAll(resp.Body)
-				took := time.Since(begun)
-				ran := seen.count(id)
+				took := time.Since(started)
+				ran := runs.count(id)
 				switch {
 				case err != nil:
-					t.Errorf("%s: no whole answer: %v", id, err)
+					t.Errorf("%s: no complete answer: %v", id, err)
 				case took > 700*time.Millisecond:
 					t.Errorf("%s: answered after %v", id, took)
 				case resp.StatusCode == 200 && string(body) != id:
@@ -140,8 +140,8 @@
 	time.Sleep(50 * time.Millisecond)
 	for c := range clients {
 		for n := range each {
-			if id := fmt.Sprintf("%d-%d", c, n); seen.count(id) > rigSettings.MaxAttempts {
-				t.Errorf("%s: %d attempts", id, seen.count(id))
+			if id := fmt.Sprintf("%d-%d", c, n); runs.count(id) > testSettings.MaxAttempts {
+				t.Errorf("%s: %d attempts", id, runs.count(id))
 			}
 		}
 	}
--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -11,13 +11,14 @@
 	"cedarmast/internal/exchange"
 )
 
-// Endpoints is a server list in discovery's form.
+// Endpoints is a server list in the discovery service's JSON form.
 type Endpoints struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []endpoint `json:"endpoints"`
 }
 
+// endpoint is one server of the list.
 type endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -29,9 +30,10 @@
 	SinceMS int64   `json:"since_ms"`
 }
 
-var states = map[string]balance.State{"SERVING": balance.Up, "DRAINING": balance.Draining, "DELETED": balance.Gone}
+// stateByStatus maps the status of an endpoint to the balancer's state.
+var stateByStatus = map[string]balance.State{"SERVING": balance.Up, "DRAINING": balance.Draining, "DELETED": balance.Gone}
 
-// ParseEndpoints reads a list.
+// ParseEndpoints decodes and checks a list. With an error from Check it returns the list too.
 func ParseEndpoints(text []byte) (*Endpoints, error) {
 	var e Endpoints
 	if err := json.Unmarshal(text, &e); err != nil {
@@ -40,44 +42,44 @@
 	return &e, e.Check()
 }
 
-// Check names what is wrong with a list.
+// Check returns an error for the first invalid endpoint: no name, an unknown status, or no address unless DELETED.
 func (e *Endpoints) Check() error {
-	for i, p := range e.Endpoints {
-		switch _, known := states[p.Status]; {
-		case p.Name == "":
+	for i, ep := range e.Endpoints {
+		switch _, known := stateByStatus[ep.Status]; {
+		case ep.Name == "":
 			return fmt.Errorf("endpoint %d has no name", i)
 		case !known:
-			return fmt.Errorf("endpoint %q: unknown status %q", p.Name, p.Status)
-		case p.Address == "" && p.Status != "DELETED":
-			return fmt.Errorf("endpoint %q has no address", p.Name)
+			return fmt.Errorf("endpoint %q: unknown status %q", ep.Name, ep.Status)
+		case ep.Address == "" && ep.Status != "DELETED":
+			return fmt.Errorf("endpoint %q has no address", ep.Name)
 		}
 	}
 	return nil
 }
 
-// List is the list as the loop takes it.
+// List converts the list to the form that the exchange loop takes.
 func (e *Endpoints) List(kind balance.ListKind, clock exchange.Clock) exchange.List {
 	list := exchange.List{List: balance.List{Kind: kind, Version: e.Index},
 		Addresses: make(map[balance.ServerID]string, len(e.Endpoints))}
-	for _, p := range e.Endpoints {
-		id := balance.ServerID(p.Name)
-		list.Addresses[id] = p.Address
-		list.Entries = append(list.Entries, balance.Entry{Server: id, Kind: p.Type, Zone: p.Zone, Cell: p.Group,
-			Weight: p.Weight, Started: clock.Unix(p.SinceMS), State: states[p.Status]})
+	for _, ep := range e.Endpoints {
+		id := balance.ServerID(ep.Name)
+		list.Addresses[id] = ep.Address
+		list.Entries = append(list.Entries, balance.Entry{Server: id, Kind: ep.Type, Zone: ep.Zone, Cell: ep.Group,
+			Weight: ep.Weight, Started: clock.Unix(ep.SinceMS), State: stateByStatus[ep.Status]})
 	}
 	return list
 }
 
-// EndpointsOf is a whole list in discovery's form, in the order of names.
+// EndpointsOf converts a complete list to the discovery service's form, sorted by name.
 func EndpointsOf(l exchange.List) *Endpoints {
 	e := &Endpoints{Index: l.Version, Snapshot: true, Endpoints: []endpoint{}}
 	for _, entry := range l.Entries {
-		p := endpoint{Name: string(entry.Server), Address: l.Addresses[entry.Server], Zone: entry.Zone, Type: entry.Kind,
+		ep := endpoint{Name: string(entry.Server), Address: l.Addresses[entry.Server], Zone: entry.Zone, Type: entry.Kind,
 			Group: entry.Cell, Status: "SERVING", Weight: entry.Weight, SinceMS: int64(entry.Started) / int64(time.Millisecond)}
 		if entry.State == balance.Draining {
-			p.Status = "DRAINING"
+			ep.Status = "DRAINING"
 		}
-		e.Endpoints = append(e.Endpoints, p)
+		e.Endpoints = append(e.Endpoints, ep)
 	}
 	slices.SortFunc(e.Endpoints, func(a, b endpoint) int { return cmp.Compare(a.Name, b.Name) })
 	return e
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,5 +1,5 @@
-// Package wire is what a router speaks: HTTP/1.1 with clients, cache servers and discovery, datagrams with other
-// routers. The client side and the server side meet only in an exchange.Exchange.
+// Package wire implements the router's network protocols: HTTP/1.1 with clients, cache servers and the discovery service,
+// and UDP datagrams with other routers. The client side and the server side share nothing but exchange.Exchange.
 package wire
 
 import (
@@ -14,58 +14,59 @@
 	"time"
 )
 
-// The headers of the protocol, in canonical form.
+// Header names of the protocol, in canonical form.
 const (
-	headerID          = "X-Correlation-Id"
-	headerClass       = "X-Service-Class"
-	headerTenant      = "X-Account"
-	headerTimeLeft    = "X-Time-Left"
-	headerUnprocessed = "X-Unprocessed"
-	headerLookup      = "X-Lookup"
-	headerKeyed       = "Idempotency-Key"
-	headerLoad        = "X-Backend-Load"
+	headerID             = "X-Correlation-Id"
+	headerClass          = "X-Service-Class"
+	headerTenant         = "X-Account"
+	headerTimeLeft       = "X-Time-Left"
+	headerUnprocessed    = "X-Unprocessed"
+	headerLookup         = "X-Lookup"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerLoad           = "X-Backend-Load"
 )
 
+// Size limits of messages, in bytes.
 const (
-	maxHead = 8 << 10  // bytes of a message's head; the size of each connection's read buffer
-	maxBody = 64 << 10 // of its body, where it is held whole
-	maxHeld = 32 << 20 // of a request's body, which is held whole where the budget for long ones has room
-	maxLong = 64 << 20 // of a body that is passed on as it comes
+	maxHead         = 8 << 10  // head; the size of each connection's read buffer
+	maxBody         = 64 << 10 // body that is buffered whole
+	maxBufferedBody = 32 << 20 // request body that is buffered whole if the budget for long bodies has room
+	maxStreamedBody = 64 << 20 // response body that is streamed
 )
 
-// Errors of a message that breaks a bound.
+// Errors of messages over a size limit.
 var (
 	ErrHeadTooLarge = errors.New("head over the limit")
 	ErrBodyTooLarge = errors.New("body over the limit")
 )
 
-// readBody reads a body whole, within the bound. It leaves the body open: closing one that is not read to its end
-// would wait for the rest of it.
-func readBody(body io.Reader, length, most int64) ([]byte, error) {
-	if length > most {
+// readBody reads a complete body of at most limit bytes; length is -1 if unknown. It does not close the body: closing one
+// that is not read to its end would wait for the rest of it.
+func readBody(body io.Reader, length, limit int64) ([]byte, error) {
+	if length > limit {
 		return nil, ErrBodyTooLarge
 	}
 	if length == 0 {
 		return nil, nil
 	}
 	if length > 0 {
-		text := make([]byte, length)
-		_, err := io.ReadFull(body, text)
-		return text, err
+		content := make([]byte, length)
+		_, err := io.ReadFull(body, content)
+		return content, err
 	}
-	text, err := io.ReadAll(io.LimitReader(body, most+1))
-	if err == nil && int64(len(text)) > most {
+	content, err := io.ReadAll(io.LimitReader(body, limit+1))
+	if err == nil && int64(len(content)) > limit {
 		return nil, ErrBodyTooLarge
 	}
-	return text, err
+	return content, err
 }
 
-// hopByHop are the headers that belong to one connection, or that a writer states itself.
+// hopByHop are the headers that apply to one connection only, or that are set when a message is written.
 var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true,
 	"Upgrade": true, "Content-Length": true, "Expect": true}
 
-// endToEnd removes from a head what is not to be passed on.
+// endToEnd removes the headers that must not be forwarded, in place, and returns h.
 func endToEnd(h http.Header) http.Header {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -80,7 +81,7 @@
 	return h
 }
 
-// appendHeader writes out header lines again.
+// appendHeader appends the header lines of h.
 func appendHeader(head []byte, h http.Header) []byte {
 	for name, values := range h {
 		for _, value := range values {
@@ -90,26 +91,27 @@
 	return head
 }
 
+// appendLine appends one header line.
 func appendLine(head []byte, name, value string) []byte {
 	head = append(append(head, name...), ": "...)
 	return append(append(head, value...), "\r\n"...)
 }
 
-// writeMessage writes head and body at once and tells how many bytes the connection took.
+// writeMessage writes head and body in one call and returns the number of bytes written.
 func writeMessage(c net.Conn, head, body []byte) (written int64, err error) {
 	parts := net.Buffers{head, body}
 	return parts.WriteTo(c)
 }
 
-// parseTimeLeft reads a number with its unit: m for milliseconds or u for microseconds.
+// parseTimeLeft parses an X-Time-Left value: a number with its unit, m for milliseconds or u for microseconds.
 func parseTimeLeft(text string) (time.Duration, error) {
 	units := map[byte]time.Duration{'m': time.Millisecond, 'u': time.Microsecond}
 	if len(text) < 2 || units[text[len(text)-1]] == 0 {
 		return 0, fmt.Errorf("%s %.20q: a number and m or u expected", headerTimeLeft, text)
 	}
 	number, unit := text[:len(text)-1], units[text[len(text)-1]]
-	whole, part, _ := strings.Cut(number, ".")
-	if !allDigits([]byte(whole)) || !allDigits([]byte(part)) { // ParseFloat takes more: signs, powers, Inf
+	whole, fraction, _ := strings.Cut(number, ".")
+	if !allDigits([]byte(whole)) || !allDigits([]byte(fraction)) { // ParseFloat would accept signs, exponents and Inf
 		return 0, fmt.Errorf("%s %.20q: no number", headerTimeLeft, text)
 	}
 	n, err := strconv.ParseFloat(number, 64)
@@ -119,7 +121,7 @@
 	return time.Duration(n * float64(unit)), nil
 }
 
-// formatTimeLeft writes a time in microseconds, at least one.
+// formatTimeLeft formats an X-Time-Left value in microseconds, at least 1.
 func formatTimeLeft(d time.Duration) string {
 	return strconv.FormatInt(max(d.Microseconds(), 1), 10) + "u"
 }
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -68,7 +68,7 @@
 			t.Errorf("%s: %q %q", path, class, key)
 		}
 	}
-	// Every router maps a key alike, of whatever version it is: the published FNV-1a value of "a".
+	// Routers of all versions must hash a key alike. This is the published FNV-1a value of "a".
 	if got := hashKey("a"); got != 0xaf63dc4c8601ec8c {
 		t.Errorf("the hash has changed: %x", got)
 	}
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestBodiesAreBounded(t *testing.T) {
+func TestBodyLimits(t *testing.T) {
 	body := func(n int) io.Reader { return bytes.NewReader(make([]byte, n)) }
 	for _, c := range []struct {
 		n      int
@@ -96,8 +96,8 @@
 	}
 }
 
-// Whatever comes as a request, it is read within the bounds or found bad, and what is read can be written out and
-// read again as the same.
+// Any input is read as a request within the size limits or rejected, and a request that was read can be written out and
+// read again unchanged.
 func FuzzRequestHead(f *testing.F) {
 	for _, text := range []string{
 		"GET /read/7f HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: 1\r\nX-Time-Left: 480m\r\n\r\n",
@@ -110,37 +110,40 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		side := &Clients{}
-		c := &clientConn{side: side, Conn: discardConn{}, in: &timedReader{}, r: bufio.NewReaderSize(bytes.NewReader(text), maxHead)}
-		req, q, err := c.read(time.Now())
-		if err != nil || isOwn(req) {
+		frontend := &Clients{}
+		c := &clientConn{frontend: frontend, Conn: discardConn{}, input: &timedReader{},
+			reader: bufio.NewReaderSize(bytes.NewReader(text), maxHead)}
+		req, request, err := c.readRequest(time.Now())
+		if err != nil || isStatusRequest(req) {
 			return
 		}
-		if len(q.Body) > maxBody {
-			t.Fatalf("a body of %d bytes", len(q.Body))
+		if len(request.Body) > maxBody {
+			t.Fatalf("a body of %d bytes", len(request.Body))
 		}
-		if q.TimeLeft <= 0 || q.TimeLeft > time.Hour || q.ID == "" {
-			t.Fatalf("time left %v, id %q", q.TimeLeft, q.ID)
+		if request.TimeLeft <= 0 || request.TimeLeft > time.Hour || request.ID == "" {
+			t.Fatalf("time left %v, id %q", request.TimeLeft, request.ID)
 		}
-		head := writtenOut(q)
-		if frame, err := checkHead(head, onceInRequest); err != nil || frame.chunked || max(frame.length, 0) != int64(len(q.Body)) {
+		head := serializeHead(request)
+		if frame, err := checkHead(head, singleRequestHeaders); err != nil || frame.chunked ||
+			max(frame.length, 0) != int64(len(request.Body)) {
 			t.Fatalf("%q is written out as %q: %+v, %v", text, head, frame, err)
 		}
-		out := append(head, q.Body...)
-		again := &clientConn{side: side, Conn: discardConn{}, in: &timedReader{}, r: bufio.NewReaderSize(bytes.NewReader(out), 2*maxHead)}
-		_, q2, err := again.read(q.Arrived)
+		out := append(head, request.Body...)
+		again := &clientConn{frontend: frontend, Conn: discardConn{}, input: &timedReader{},
+			reader: bufio.NewReaderSize(bytes.NewReader(out), 2*maxHead)}
+		_, reread, err := again.readRequest(request.Arrived)
 		if err != nil {
 			t.Fatalf("%q is written out as %q: %v", text, out, err)
 		}
-		q2.TimeLeft = q.TimeLeft
-		if q.Target != q2.Target || q.Method != q2.Method || q.Key != q2.Key || q.Class != q2.Class ||
-			q.Tenant != q2.Tenant || !bytes.Equal(q.Body, q2.Body) {
-			t.Fatalf("%+v became %+v", q, q2)
+		reread.TimeLeft = request.TimeLeft
+		if request.Target != reread.Target || request.Method != reread.Method || request.Key != reread.Key ||
+			request.Class != reread.Class || request.Tenant != reread.Tenant || !bytes.Equal(request.Body, reread.Body) {
+			t.Fatalf("%+v became %+v", request, reread)
 		}
 	})
 }
 
-// Whatever a server answers, it is read within the bounds or is an error.
+// Any input is read as a response within the size limits or is an error.
 func FuzzAnswerHead(f *testing.F) {
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv", "HTTP/1.1 100 \r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nv\r\n0\r\n\r\n", "HTTP/1.1 503 x\r\n\r\n", "x\r\n\r\n",
@@ -148,7 +151,7 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		a, body := readAnswer(bufio.NewReaderSize(bytes.NewReader(text), maxHead))
+		a, body := readResponse(bufio.NewReaderSize(bytes.NewReader(text), maxHead))
 		if body != nil && (a.err != nil || a.body != nil || a.length >= 0 && a.length <= maxBody) {
 			t.Fatalf("a body to come, and %+v", a)
 		}
@@ -156,13 +159,13 @@
 			t.Fatalf("status %d with %d bytes", a.status, len(a.body))
 		}
 		if a.err != nil && a.err.Error() == "" {
-			t.Fatal("an error without words")
+			t.Fatal("an error with an empty message")
 		}
 	})
 }
 
-func writtenOut(q exchange.Request) []byte {
-	x := exchange.New(q)
-	x.Due = q.Arrived.Add(time.Second)
-	return requestHead(x, q.Arrived)
+func serializeHead(request exchange.Request) []byte {
+	x := exchange.New(request)
+	x.Due = request.Arrived.Add(time.Second)
+	return requestHead(x, request.Arrived)
 }
--- a/internal/wire/peers.go
+++ b/internal/wire/peers.go
@@ -11,43 +11,44 @@
 	"cedarmast/internal/socket"
 )
 
-// maxDatagram is the longest message between routers.
+// maxDatagram is the size limit of a message between routers, in bytes.
 const maxDatagram = 256
 
-// Peers sends and hears messages between routers. They may be lost.
+// Peers sends and receives UDP messages between routers. Messages may be lost.
 type Peers struct {
-	Heard  func(from int, content []byte) // from is the peer's number
+	Heard  func(from int, content []byte) // called for each message received; from is the peer's number
 	Counts *exchange.Counters
 
-	conn  *net.UDPConn
-	peers []netip.AddrPort // by number
-	known map[netip.AddrPort]int
-	queue chan datagram
-	done  chan struct{} // closed when Run returns
+	conn    *net.UDPConn
+	peers   []netip.AddrPort       // by number
+	numbers map[netip.AddrPort]int // a peer's number by its address
+	queue   chan datagram          // to be sent
+	done    chan struct{}          // closed when Run returns
 }
 
+// datagram is a message to be sent.
 type datagram struct {
 	to      netip.AddrPort
 	content []byte
 }
 
-// ListenPeers opens the socket. The peers stand in the order of their numbers, this router among them.
+// ListenPeers opens the UDP socket at listen. peers are the addresses of all routers, including this one, by number.
 func ListenPeers(listen string, peers []string) (*Peers, error) {
-	p := &Peers{known: map[netip.AddrPort]int{}, queue: make(chan datagram, 256),
+	p := &Peers{numbers: map[netip.AddrPort]int{}, queue: make(chan datagram, 256),
 		done: make(chan struct{})}
 	for i, text := range peers {
-		to, err := netip.ParseAddrPort(text)
+		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		p.peers = append(p.peers, to)
-		p.known[to] = i
+		p.peers = append(p.peers, addr)
+		p.numbers[addr] = i
 	}
-	at, err := netip.ParseAddrPort(listen)
+	listenAddr, err := netip.ParseAddrPort(listen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	conn, err := socket.Shared.ListenPacket(context.Background(), "udp", at.String())
+	conn, err := socket.Shared.ListenPacket(context.Background(), "udp", listenAddr.String())
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
@@ -55,7 +56,7 @@
 	return p, nil
 }
 
-// Run hears and sends until Close.
+// Run receives and sends messages until Close. Messages from unknown addresses are dropped.
 func (p *Peers) Run() {
 	defer close(p.done)
 	go p.send()
@@ -66,7 +67,7 @@
 			return
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		number, known := p.known[from]
+		number, known := p.numbers[from]
 		if err != nil || n > maxDatagram || !known {
 			p.Counts.PeersDropped.Add(1)
 			continue
@@ -76,6 +77,7 @@
 	}
 }
 
+// send writes queued messages until Run returns.
 func (p *Peers) send() {
 	for {
 		select {
@@ -91,7 +93,7 @@
 	}
 }
 
-// Tell queues a message; it is dropped if it is too long, its addressee unknown or the queue full.
+// Tell queues a message to the peer with number to. It is dropped if it is too long, the peer is unknown or the queue is full.
 func (p *Peers) Tell(to int, content []byte) {
 	if to < 0 || to >= len(p.peers) || len(content) > maxDatagram {
 		p.Counts.PeersDropped.Add(1)
@@ -104,5 +106,5 @@
 	}
 }
 
-// Close ends Run.
+// Close closes the socket, which ends Run.
 func (p *Peers) Close() error { return p.conn.Close() }
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -11,19 +11,21 @@
 	"cedarmast/internal/exchange"
 )
 
-// badRequest is the error of a message that breaks the protocol, with the status that it is answered.
+// badRequest is the error of a request that violates the protocol, with the status code of its response.
 type badRequest struct {
-	status int
-	says   string
+	status  int
+	message string
 }
 
-func (b badRequest) Error() string { return b.says }
+// Error returns the message, which is also the response's body.
+func (b badRequest) Error() string { return b.message }
 
-func badf(status int, format string, args ...any) error {
+// badRequestf returns a badRequest with a formatted message.
+func badRequestf(status int, format string, args ...any) error {
 	return badRequest{status, fmt.Sprintf(format, args...)}
 }
 
-// statusOf is what a request's fault is answered with.
+// statusOf returns the status code of the response to a request that failed with err.
 func statusOf(err error) int {
 	var bad badRequest
 	switch {
@@ -37,95 +39,95 @@
 	return http.StatusBadRequest
 }
 
-// maxID is the longest id that a request may have.
-const maxID = 256
+// maxIDLength is the size limit of a request id, in bytes.
+const maxIDLength = 256
 
-// onceInRequest are the headers that a request may have once: of two, one reader takes the first, another the last.
-var onceInRequest = map[string]bool{"Host": true, headerID: true, headerClass: true, headerTenant: true,
-	headerTimeLeft: true, headerKeyed: true}
+// singleRequestHeaders may occur once in a request: of two, some readers use the first and others the last.
+var singleRequestHeaders = map[string]bool{"Host": true, headerID: true, headerClass: true, headerTenant: true,
+	headerTimeLeft: true, headerIdempotencyKey: true}
 
-// read reads one request whole. All that its head tells is checked before anything of its body is waited for, and its
-// length first: of a body that is too long nothing is read.
-func (c *clientConn) read(at time.Time) (*http.Request, exchange.Request, error) {
-	var q exchange.Request
-	text, err := awaitHead(c.r, maxEmptyLines)
+// readRequest reads one complete request. The head is validated before the body is read, and the body's length first: of
+// a body that is too long nothing is read.
+func (c *clientConn) readRequest(arrived time.Time) (*http.Request, exchange.Request, error) {
+	var request exchange.Request
+	head, err := awaitHead(c.reader, maxEmptyLines)
 	if err != nil {
-		return nil, q, err
+		return nil, request, err
 	}
-	frame, err := checkHead(text, onceInRequest)
+	frame, err := checkHead(head, singleRequestHeaders)
 	if err != nil {
-		return nil, q, err
+		return nil, request, err
 	}
-	if frame.length > maxBody && frame.length > c.side.longest() {
-		c.coming = frame.length
-		return nil, q, ErrBodyTooLarge
+	if frame.length > maxBody && frame.length > c.frontend.maxRequestBody() {
+		c.refusedLength = frame.length
+		return nil, request, ErrBodyTooLarge
 	}
-	req, err := http.ReadRequest(c.r)
+	req, err := http.ReadRequest(c.reader)
 	if err != nil {
-		return nil, q, fmt.Errorf("malformed request: %w", err)
+		return nil, request, fmt.Errorf("malformed request: %w", err)
 	}
-	if isOwn(req) {
+	if isStatusRequest(req) {
 		if frame.chunked || frame.length > 0 {
-			return nil, q, badf(http.StatusBadRequest, "a body can't stand here")
+			return nil, request, badRequestf(http.StatusBadRequest, "a body can't stand here")
 		}
-		return req, q, nil
+		return req, request, nil
 	}
-	if q, err = parseRequest(req, at, c.side.Knows); err != nil {
-		return nil, q, err
+	if request, err = parseRequest(req, arrived, c.frontend.Knows); err != nil {
+		return nil, request, err
 	}
 	if req.Header.Get("Expect") == "100-continue" && (frame.chunked || frame.length > 0) {
 		if _, err := io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
-			return nil, q, err
+			return nil, request, err
 		}
 	}
 	if frame.chunked || frame.length > 0 {
-		if q.Body, err = c.readBody(req.Body, req.ContentLength); err != nil {
-			c.letBody()
-			return nil, q, err
+		if request.Body, err = c.readBody(req.Body, req.ContentLength); err != nil {
+			c.releaseBody()
+			return nil, request, err
 		}
 	}
-	if c.in.last.After(q.Arrived) { // a request's time counts from its last byte
-		q.Arrived = c.in.last
+	if c.input.lastRead.After(request.Arrived) { // a request's timeout counts from its last byte
+		request.Arrived = c.input.lastRead
 	}
-	if c.r.Buffered() > 0 { // clients send one request at a time: this one's length is wrong, or it is no usual client
-		c.letBody()
-		return nil, q, errMore
+	if c.reader.Buffered() > 0 { // clients send one request at a time: the length is wrong, or the client pipelines
+		c.releaseBody()
+		return nil, request, errPipelined
 	}
-	return req, q, nil
+	return req, request, nil
 }
 
-// readBody reads a body at its client's pace, as long as that is no less than it must be. Past the usual bound its bytes
-// are taken from the budget.
+// readBody reads a request body, with a timeout that grows with its length at minBodyRate. Memory for more than maxBody
+// bytes is taken from the budget for long bodies.
 func (c *clientConn) readBody(body io.Reader, length int64) ([]byte, error) {
 	if length > 0 && length <= maxBody {
-		c.SetReadDeadline(time.Now().Add(bodyPatience + time.Duration(float64(length)/bodyRate*float64(time.Second))))
+		c.SetReadDeadline(time.Now().Add(bodyTimeout + time.Duration(float64(length)/minBodyRate*float64(time.Second))))
 		return readBody(body, length, maxBody)
 	}
-	begun := time.Now()
-	var text []byte
+	started := time.Now()
+	var content []byte
 	for {
-		if len(text) == cap(text) {
-			grown := max(2*cap(text), maxHead)
-			if length > int64(len(text)) {
-				grown = int(min(int64(grown), length+1)) // one more, for its end to be read
+		if len(content) == cap(content) {
+			newCap := max(2*cap(content), maxHead)
+			if length > int64(len(content)) {
+				newCap = int(min(int64(newCap), length+1)) // one more byte, to read the EOF
 			}
-			if len(text) >= maxBody {
-				if int64(len(text)) >= c.side.longest() {
+			if len(content) >= maxBody {
+				if int64(len(content)) >= c.frontend.maxRequestBody() {
 					return nil, ErrBodyTooLarge
 				}
-				let, ok := c.side.Long.Take(int64(grown - cap(text)))
+				release, ok := c.frontend.Long.Take(int64(newCap - cap(content)))
 				if !ok {
-					return nil, errNoRoom
+					return nil, errBudgetExhausted
 				}
-				c.held = append(c.held, let)
+				c.bodyReleases = append(c.bodyReleases, release)
 			}
-			text = append(make([]byte, 0, grown), text...)
+			content = append(make([]byte, 0, newCap), content...)
 		}
-		c.SetReadDeadline(begun.Add(bodyPatience + time.Duration(float64(len(text))/bodyRate*float64(time.Second))))
-		n, err := body.Read(text[len(text):cap(text)])
-		text = text[:len(text)+n]
+		c.SetReadDeadline(started.Add(bodyTimeout + time.Duration(float64(len(content))/minBodyRate*float64(time.Second))))
+		n, err := body.Read(content[len(content):cap(content)])
+		content = content[:len(content)+n]
 		if err == io.EOF {
-			return text, nil
+			return content, nil
 		}
 		if err != nil {
 			return nil, err
@@ -133,72 +135,74 @@
 	}
 }
 
-// longest is the longest body that is taken, by the bound and by the memory for long ones.
-func (s *Clients) longest() int64 {
+// maxRequestBody returns the size limit of a request body in bytes: maxBufferedBody or the budget for long bodies if that is
+// smaller, and at least maxBody.
+func (s *Clients) maxRequestBody() int64 {
 	if s.Long == nil {
 		return maxBody
 	}
-	return max(min(maxHeld, s.Long.Most()), maxBody)
+	return max(min(maxBufferedBody, s.Long.Most()), maxBody)
 }
 
-// letBody gives back what the body in hand has of the budget.
-func (c *clientConn) letBody() {
-	for _, let := range c.held {
-		let()
+// releaseBody returns the memory of the current request body to the budget.
+func (c *clientConn) releaseBody() {
+	for _, release := range c.bodyReleases {
+		release()
 	}
-	c.held = nil
+	c.bodyReleases = nil
 }
 
-// errNoRoom is the answer to a long request while others fill the memory that there is for them.
-var errNoRoom = badRequest{http.StatusServiceUnavailable, "too many long requests at once"}
+// errBudgetExhausted rejects a long request while others use up the budget for long bodies.
+var errBudgetExhausted = badRequest{http.StatusServiceUnavailable, "too many long requests at once"}
 
-// errMore is the fault of a client that sends on before it is answered.
-var errMore = badRequest{http.StatusBadRequest, "more than one request at a time"}
+// errPipelined rejects a client that sends more before its request is answered.
+var errPipelined = badRequest{http.StatusBadRequest, "more than one request at a time"}
 
-// isOwn tells whether the router itself is asked.
-func isOwn(req *http.Request) bool {
+// isStatusRequest reports whether a request is for the router's own endpoints.
+func isStatusRequest(req *http.Request) bool {
 	return strings.HasPrefix(req.URL.Path, "/health/") || req.URL.Path == "/stats"
 }
 
-// parseRequest checks a request's head and reads from it what the decisions need. Where no classes are known, any is.
-func parseRequest(req *http.Request, at time.Time, knows func(class string) bool) (exchange.Request, error) {
-	r := exchange.Request{Class: req.Header.Get(headerClass), Tenant: req.Header.Get(headerTenant), Arrived: at,
+// parseRequest validates a request's head and extracts what the exchange loop needs. If knownClass is nil, any service
+// class is accepted.
+func parseRequest(req *http.Request, arrived time.Time, knownClass func(class string) bool) (exchange.Request, error) {
+	request := exchange.Request{Class: req.Header.Get(headerClass), Tenant: req.Header.Get(headerTenant), Arrived: arrived,
 		ID: req.Header.Get(headerID), Method: req.Method, Target: req.RequestURI, Write: req.Method == http.MethodPut}
 	class, key := splitPath(req.URL.EscapedPath())
-	if r.Class == "" {
-		r.Class = class
+	if request.Class == "" {
+		request.Class = class
 	}
 	switch {
 	case req.Method != http.MethodGet && req.Method != http.MethodPut:
-		return r, badf(http.StatusMethodNotAllowed, "method %.20q: GET and PUT are taken", req.Method)
+		return request, badRequestf(http.StatusMethodNotAllowed, "method %.20q: GET and PUT are taken", req.Method)
 	case req.ProtoMajor != 1:
-		return r, badf(http.StatusHTTPVersionNotSupported, "%.20q is not spoken", req.Proto)
+		return request, badRequestf(http.StatusHTTPVersionNotSupported, "%.20q is not spoken", req.Proto)
 	case req.Host == "":
-		return r, badf(http.StatusBadRequest, "no Host")
-	case r.Target[0] != '/':
-		return r, badf(http.StatusBadRequest, "target %.40q is no path", r.Target)
-	case r.ID == "" || len(r.ID) > maxID:
-		return r, badf(http.StatusBadRequest, "%s: missing or over %d bytes", headerID, maxID)
-	case r.Class != class:
-		return r, badf(http.StatusBadRequest, "%s %.40q, but the path says %.40q", headerClass, r.Class, class)
-	case knows != nil && !knows(r.Class):
-		return r, badf(http.StatusNotFound, "unknown class %.40q", r.Class)
-	}
-	left, err := parseTimeLeft(req.Header.Get(headerTimeLeft))
+		return request, badRequestf(http.StatusBadRequest, "no Host")
+	case request.Target[0] != '/':
+		return request, badRequestf(http.StatusBadRequest, "target %.40q is no path", request.Target)
+	case request.ID == "" || len(request.ID) > maxIDLength:
+		return request, badRequestf(http.StatusBadRequest, "%s: missing or over %d bytes", headerID, maxIDLength)
+	case request.Class != class:
+		return request, badRequestf(http.StatusBadRequest, "%s %.40q, but the path says %.40q", headerClass, request.Class, class)
+	case knownClass != nil && !knownClass(request.Class):
+		return request, badRequestf(http.StatusNotFound, "unknown class %.40q", request.Class)
+	}
+	timeLeft, err := parseTimeLeft(req.Header.Get(headerTimeLeft))
 	if err != nil {
-		return r, badRequest{http.StatusBadRequest, err.Error()}
+		return request, badRequest{http.StatusBadRequest, err.Error()}
 	}
-	r.TimeLeft = left
+	request.TimeLeft = timeLeft
 	if key != "" {
-		r.Key, r.HasKey = hashKey(key), true
+		request.Key, request.HasKey = hashKey(key), true
 	}
-	r.Header = endToEnd(req.Header)
-	r.Header.Del(headerTimeLeft)
-	r.Header["Host"] = []string{req.Host}
-	return r, nil
+	request.Header = endToEnd(req.Header)
+	request.Header.Del(headerTimeLeft)
+	request.Header["Host"] = []string{req.Host}
+	return request, nil
 }
 
-// splitPath returns a path's first part, and its last if there are two or more.
+// splitPath returns the first segment of a path, and the last one if there are two or more.
 func splitPath(path string) (first, last string) {
 	path = strings.TrimPrefix(path, "/")
 	first, rest, more := strings.Cut(path, "/")
@@ -208,7 +212,7 @@
 	return first, rest[strings.LastIndexByte(rest, '/')+1:]
 }
 
-// hashKey maps a key's name to a number, by FNV-1a: the same at every router.
+// hashKey returns the FNV-1a hash of a key's name. It must be the same at every router.
 func hashKey(name string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(name) {
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -16,37 +16,39 @@
 	"cedarmast/internal/socket"
 )
 
-// Servers carries out attempts at cache servers, each in a goroutine of its own. Nothing is sent twice by itself.
+// Servers sends attempts to cache servers, each in its own goroutine. It never retries by itself.
 type Servers struct {
 	Pool           *exchange.Pool
 	Counts         *exchange.Counters
 	ConnectTimeout time.Duration
-	Careful        func(class string) bool // of what may not run twice at will; nil: of nothing
+	Careful        func(class string) bool // reports whether a class's requests must not run twice; nil: none
 
-	// Dial opens a connection; nil means TCP.
+	// Dial opens a connection to a server; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
-	retuned atomic.Int64 // nanoseconds; 0: ConnectTimeout
+	connectTimeoutOverride atomic.Int64 // set by SetConnectTimeout, in nanoseconds; 0: use ConnectTimeout
 }
 
-// SetConnectTimeout changes the time for a connection to come up.
-func (s *Servers) SetConnectTimeout(d time.Duration) { s.retuned.Store(int64(d)) }
+// SetConnectTimeout changes the timeout for opening a connection. It may be called while attempts run.
+func (s *Servers) SetConnectTimeout(d time.Duration) { s.connectTimeoutOverride.Store(int64(d)) }
 
+// connectTimeout returns the current timeout for opening a connection.
 func (s *Servers) connectTimeout() time.Duration {
-	return cmp.Or(time.Duration(s.retuned.Load()), s.ConnectTimeout)
+	return cmp.Or(time.Duration(s.connectTimeoutOverride.Load()), s.ConnectTimeout)
 }
 
-// Send begins an attempt.
-func (s *Servers) Send(a *exchange.Attempt) { go s.run(a) }
+// Send starts an attempt in a new goroutine.
+func (s *Servers) Send(a *exchange.Attempt) { go s.runAttempt(a) }
 
-// run sees an attempt to its end. A panic ends only this attempt, as one that may have run.
-func (s *Servers) run(a *exchange.Attempt) {
+// runAttempt carries out an attempt and reports its result. A panic ends this attempt only, with a result that does not
+// exclude that the server processed it.
+func (s *Servers) runAttempt(a *exchange.Attempt) {
 	defer func() {
 		if p := recover(); p != nil {
 			a.End(exchange.Reply{Result: balance.Unknown, Err: fmt.Errorf("panic: %v", p)})
 		}
 	}()
-	got, err := s.attempt(a)
+	resp, err := s.attempt(a)
 	if err != nil {
 		failure := &Failure{Stage: Reading, Cause: err}
 		errors.As(err, &failure)
@@ -57,187 +59,192 @@
 		a.End(exchange.Reply{Result: result, Err: err})
 		return
 	}
-	a.End(reply(got))
+	a.End(replyFor(resp))
 }
 
-// reply reads an answer's meaning. Only a 200 is ever passed on.
-func reply(got answer) exchange.Reply {
+// replyFor returns the attempt result for a server's response. Only a response with status 200 is forwarded.
+func replyFor(resp response) exchange.Reply {
 	switch {
-	case got.status == http.StatusOK:
-		r := exchange.Reply{Result: balance.OK, Header: got.header, Body: got.body,
-			Fetching: got.header.Get(headerLookup) == "pending"}
-		if got.rest != nil {
-			r.Rest, r.Length = got.rest, got.length
+	case resp.status == http.StatusOK:
+		result := exchange.Reply{Result: balance.OK, Header: resp.header, Body: resp.body,
+			Fetching: resp.header.Get(headerLookup) == "pending"}
+		if resp.pipe != nil {
+			result.Rest, result.Length = resp.pipe, resp.length
 		}
-		return r
+		return result
 	}
-	got.let()
+	resp.release()
 	switch {
-	case got.header.Get(headerUnprocessed) == "1" &&
-		(got.status == http.StatusServiceUnavailable || got.status == http.StatusGatewayTimeout):
-		return exchange.Reply{Result: balance.Full, Err: fmt.Errorf("turned away with status %d", got.status)}
+	case resp.header.Get(headerUnprocessed) == "1" &&
+		(resp.status == http.StatusServiceUnavailable || resp.status == http.StatusGatewayTimeout):
+		return exchange.Reply{Result: balance.Full, Err: fmt.Errorf("rejected unprocessed with status %d", resp.status)}
 	}
-	return exchange.Reply{Result: balance.Errored, Err: fmt.Errorf("status %d", got.status)}
+	return exchange.Reply{Result: balance.Errored, Err: fmt.Errorf("status %d", resp.status)}
 }
 
-// attempt writes the request and waits for the answer. Its error is a Failure.
-func (s *Servers) attempt(a *exchange.Attempt) (answer, error) {
-	c, err := s.connect(a)
+// attempt writes the request and waits for the response. Its error is a *Failure.
+func (s *Servers) attempt(a *exchange.Attempt) (response, error) {
+	conn, err := s.connect(a)
 	if err != nil {
-		return answer{}, &Failure{Dialling, err}
+		return response{}, &Failure{Dialling, err}
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			c.Close()
+			conn.Close()
 			panic(p)
 		}
 	}()
-	cut := context.AfterFunc(a.Context, func() { c.Close() }) // wherever it stands
-	begun := time.Now()
-	idle := c.idleFor(begun)
-	head := requestHead(a.Exchange, begun)
-	if err := s.write(a, c, head); err != nil {
-		// An answer may have come before the request was whole, as from a server that turns it away unread. One that
-		// serves it is not made for it.
-		cut()
-		defer c.leave()
+	stopClose := context.AfterFunc(a.Context, func() { conn.Close() })
+	started := time.Now()
+	idleTime := conn.idleTime(started)
+	head := requestHead(a.Exchange, started)
+	if err := s.write(a, conn, head); err != nil {
+		// A response may have arrived before the request was complete, as from a server that rejects it unread. A 200
+		// can't belong to an incomplete request, so it is dropped.
+		stopClose()
+		defer conn.abandon()
 		select {
-		case got := <-c.answers:
-			if got.err == nil && got.status != http.StatusOK && a.Context.Err() == nil {
+		case resp := <-conn.responses:
+			if resp.err == nil && resp.status != http.StatusOK && a.Context.Err() == nil {
 				s.Pool.Heard(a.Server, time.Now())
-				return got, nil
+				return resp, nil
 			}
-			got.let()
+			resp.release()
 		default:
 		}
 		if a.Context.Err() == nil {
-			s.Pool.Used(idle, false)
+			s.Pool.Used(idleTime, false)
 		}
-		return answer{}, &Failure{Writing, s.cause(a, err)}
+		return response{}, &Failure{Writing, s.failureCause(a, err)}
 	}
-	var got answer
+	var resp response
 	select {
-	case got = <-c.answers:
+	case resp = <-conn.responses:
 	case <-a.Context.Done():
-		c.Close()
+		conn.Close()
 		select {
-		case got = <-c.answers: // it came at the same moment
-			if got.err != nil {
-				got = answer{err: context.Cause(a.Context)}
+		case resp = <-conn.responses: // the response arrived at the same moment
+			if resp.err != nil {
+				resp = response{err: context.Cause(a.Context)}
 			}
 		default:
-			got.err = context.Cause(a.Context)
-			c.leave()
+			resp.err = context.Cause(a.Context)
+			conn.abandon()
 		}
 	}
-	whole := cut() && got.err == nil
-	if got.err != nil {
-		c.Close()
+	notCancelled := stopClose() && resp.err == nil
+	if resp.err != nil {
+		conn.Close()
 		stage := Written
-		if c.reading.Load() {
+		if conn.responseStarted.Load() {
 			stage = Reading
 		}
-		if stage == Written && a.Context.Err() == nil && time.Since(begun) < s.connectTimeout()/4 {
-			s.Pool.Used(idle, false) // reset at once, as is one that had been closed without a word
+		if stage == Written && a.Context.Err() == nil && time.Since(started) < s.connectTimeout()/4 {
+			s.Pool.Used(idleTime, false) // reset at once: the idle connection had probably been closed by the server
 		}
-		return answer{}, &Failure{stage, s.cause(a, got.err)}
+		return response{}, &Failure{stage, s.failureCause(a, resp.err)}
 	}
 	s.Pool.Heard(a.Server, time.Now())
-	s.Pool.Used(idle, true)
-	if got.rest != nil {
-		if !whole { // its time was up as it began
-			c.Close()
-			got.let()
-			return answer{}, &Failure{Reading, s.cause(a, context.DeadlineExceeded)}
+	s.Pool.Used(idleTime, true)
+	if resp.pipe != nil {
+		if !notCancelled { // the attempt was cancelled as streaming started
+			conn.Close()
+			resp.release()
+			return response{}, &Failure{Reading, s.failureCause(a, context.DeadlineExceeded)}
 		}
-		got.rest.own()
-		return got, nil
+		resp.pipe.handOver()
+		return resp, nil
 	}
-	if whole && got.keep && c.usable() {
-		s.Pool.Put(a.Server, a.Address, c, time.Now())
-		if !c.usable() { // it closed meanwhile, before the pool had it
-			s.Pool.Remove(a.Server, c)
+	if notCancelled && resp.keep && conn.usable() {
+		s.Pool.Put(a.Server, a.Address, conn, time.Now())
+		if !conn.usable() { // it was closed before the pool had it
+			s.Pool.Remove(a.Server, conn)
 		}
 	} else {
-		c.Close()
+		conn.Close()
 	}
-	return got, nil
+	return resp, nil
 }
 
-// commitAfter is how long the last byte of a request is kept back that may not run twice at will.
-const commitAfter = 2 * time.Millisecond
+// lastByteDelay is how long the last byte is withheld of a request that must not run twice.
+const lastByteDelay = 2 * time.Millisecond
 
-// errEarly is the cause where an answer or the connection's end came before the request was whole.
-var errEarly = errors.New("ended before the request was whole")
+// errEndedEarly is the cause if a response, or the end of the connection, arrived before the request was complete.
+var errEndedEarly = errors.New("connection ended before the request was complete")
 
-func (s *Servers) careful(a *exchange.Attempt) bool { return s.Careful != nil && s.Careful(a.Class) }
+// mustNotRepeat reports whether the attempt's request must not run twice.
+func (s *Servers) mustNotRepeat(a *exchange.Attempt) bool {
+	return s.Careful != nil && s.Careful(a.Class)
+}
 
-// write writes the request; an error means that its last byte is surely unwritten. A server begins a request with its
-// last byte: of one that may not run twice at will that byte follows a moment later, so that a connection that was
-// closed without a word, or breaks at once, shows while the attempt surely never ran.
+// write writes the request; an error means that its last byte was certainly not written. A server starts processing with
+// the last byte. For a request that must not run twice, that byte is sent lastByteDelay later, so that a connection that
+// the server had closed, or that is reset at once, is noticed while the attempt has certainly not run.
 func (s *Servers) write(a *exchange.Attempt, c *serverConn, head []byte) error {
 	body := a.Body
-	if !s.careful(a) {
-		return writeWhole(c.Conn, head, body)
+	if !s.mustNotRepeat(a) {
+		return writeAll(c.Conn, head, body)
 	}
-	last := head[len(head)-1:]
+	lastByte := head[len(head)-1:]
 	if len(body) > 0 {
-		last, body = body[len(body)-1:], body[:len(body)-1]
+		lastByte, body = body[len(body)-1:], body[:len(body)-1]
 	} else {
 		head = head[:len(head)-1]
 	}
-	if err := writeWhole(c.Conn, head, body); err != nil {
+	if err := writeAll(c.Conn, head, body); err != nil {
 		return err
 	}
-	wait := time.NewTimer(commitAfter)
+	wait := time.NewTimer(lastByteDelay)
 	defer wait.Stop()
 	select {
-	case got := <-c.answers:
-		c.deliver(got) // the caller looks at it
-		return cmp.Or(got.err, errEarly)
+	case resp := <-c.responses:
+		c.deliver(resp) // put it back for the caller
+		return cmp.Or(resp.err, errEndedEarly)
 	case <-a.Context.Done():
 		return context.Cause(a.Context)
 	case <-wait.C:
 	}
-	if state := socket.Peek(c.Conn); state == socket.Closed || state == socket.Unread { // the reader may not have run
-		return errEarly
+	if state := socket.Peek(c.Conn); state == socket.Closed || state == socket.Unread { // the read loop may not have run yet
+		return errEndedEarly
 	}
-	return writeWhole(c.Conn, last, nil)
+	return writeAll(c.Conn, lastByte, nil)
 }
 
-func writeWhole(c net.Conn, head, body []byte) error {
+// writeAll writes head and body. It returns an error unless all bytes were written.
+func writeAll(c net.Conn, head, body []byte) error {
 	if n, err := writeMessage(c, head, body); n < int64(len(head)+len(body)) {
 		return cmp.Or(err, io.ErrShortWrite)
 	}
 	return nil
 }
 
-// cause is what ended an attempt: its context, if that has ended, for it closes the connection under the rest.
-func (s *Servers) cause(a *exchange.Attempt, err error) error {
+// failureCause returns why an attempt failed: the cause of its context if that has ended, since that closes the connection
+// and makes other operations fail; otherwise err.
+func (s *Servers) failureCause(a *exchange.Attempt, err error) error {
 	if a.Context.Err() != nil {
 		return context.Cause(a.Context)
 	}
 	return err
 }
 
-// connect returns an idle connection or dials.
+// connect returns an idle connection from the pool, or opens a new one.
 func (s *Servers) connect(a *exchange.Attempt) (*serverConn, error) {
 	for {
-		got, err := s.Pool.Get(a.Context, a.Server, a.Address, s.careful(a), s.connectTimeout())
+		pooled, err := s.Pool.Get(a.Context, a.Server, a.Address, s.mustNotRepeat(a), s.connectTimeout())
 		if err != nil {
 			if a.Context.Err() != nil {
-				return nil, s.ended(a)
+				return nil, s.cancelCause(a)
 			}
 			return nil, err
 		}
-		idle, _ := got.(*serverConn)
+		idle, _ := pooled.(*serverConn)
 		if idle == nil {
 			break
 		}
 		if idle.usable() && !idle.stale() {
 			return idle, nil
 		}
-		idle.Close() // nothing is written yet: another one may be taken
+		idle.Close() // nothing has been written yet: try another one
 	}
 	s.Counts.Dials.Add(1)
 	dial := s.Dial
@@ -250,34 +257,36 @@
 			s.Pool.Release()
 		}
 	}()
-	begun := time.Now()
+	started := time.Now()
 	c, err := dial(a.Context, a.Address)
-	a.Connect = time.Since(begun)
+	a.Connect = time.Since(started)
 	if err != nil {
 		c = nil
 		if a.Context.Err() != nil {
-			return nil, s.ended(a)
+			return nil, s.cancelCause(a)
 		}
 		return nil, err
 	}
 	return newServerConn(c, a.Server, a.Address, s.Pool), nil
 }
 
-// ended is the cause where an attempt's own end came while there was no connection yet: the server has no part in it.
-func (s *Servers) ended(a *exchange.Attempt) error {
+// cancelCause returns the cause if an attempt's context ended before there was a connection, which is not the server's
+// fault.
+func (s *Servers) cancelCause(a *exchange.Attempt) error {
 	if cause := context.Cause(a.Context); errors.Is(cause, exchange.ErrWithdrawn) {
 		return cause
 	}
-	return errDue
+	return errDeadlinePassed
 }
 
+// dialTCP opens a TCP connection without keep-alive probes.
 func (s *Servers) dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: s.connectTimeout(), KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// requestHead writes out the request's head: request line and end-to-end headers unchanged, the time left as the
-// router will wait.
+// requestHead formats the request's head. The request line and the end-to-end headers are unchanged; X-Time-Left is the
+// time that the router will still wait.
 func requestHead(x *exchange.Exchange, now time.Time) []byte {
 	head := make([]byte, 0, 512)
 	head = append(append(append(append(head, x.Method...), ' '), x.Target...), " HTTP/1.1\r\n"...)
--- a/internal/wire/server_test.go
+++ b/internal/wire/server_test.go
@@ -20,13 +20,13 @@
 	"cedarmast/internal/standin"
 )
 
-// rig is a loop with one server, whose attempts are carried out for real.
-type rig struct {
+// testRouter is an exchange loop whose attempts are sent to servers over TCP.
+type testRouter struct {
 	*exchange.Loop
 	servers *Servers
 }
 
-var rigSettings = balance.Settings{
+var testSettings = balance.Settings{
 	Classes: []balance.Class{
 		{Name: "read", Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: balance.Safe},
 		{Name: "once", Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
@@ -34,10 +34,10 @@
 	Routers: 1, MaxAttempts: 4, MayCancel: true, MaxRetryAfter: time.Second, OverloadFor: time.Second,
 }
 
-func newRig(t *testing.T, addresses ...string) *rig {
+func newTestRouter(t *testing.T, addresses ...string) *testRouter {
 	t.Helper()
 	l := exchange.NewLoop()
-	l.Clock, l.Counts, l.Log, l.Settings = exchange.NewClock(), &exchange.Counters{}, slog.New(slog.DiscardHandler), rigSettings
+	l.Clock, l.Counts, l.Log, l.Settings = exchange.NewClock(), &exchange.Counters{}, slog.New(slog.DiscardHandler), testSettings
 	l.Pool = exchange.NewPool(10, time.Second, l.Counts)
 	s := &Servers{Pool: l.Pool, Counts: l.Counts, ConnectTimeout: 100 * time.Millisecond}
 	l.Sender = s
@@ -52,20 +52,20 @@
 		list.Addresses[id] = address
 	}
 	l.Listed(list)
-	return &rig{l, s}
+	return &testRouter{l, s}
 }
 
-func put(body string) exchange.Request {
+func putRequest(body string) exchange.Request {
 	return exchange.Request{Class: "once", Write: true, Key: 7, HasKey: true, Arrived: time.Now(),
 		TimeLeft: 300 * time.Millisecond, Method: "PUT", Target: "/once/k?a=%20b",
 		Header: http.Header{"X-Correlation-Id": {"id1"}, "Idempotency-Key": {"key1"}, "Host": {"backend.local"}},
 		Body:   []byte(body)}
 }
 
-// ask sends a request through and returns its answer.
-func (r *rig) ask(t *testing.T, q exchange.Request) exchange.Answer {
+// roundTrip submits a request and returns its answer.
+func (r *testRouter) roundTrip(t *testing.T, request exchange.Request) exchange.Answer {
 	t.Helper()
-	x := exchange.New(q)
+	x := exchange.New(request)
 	r.Submit(x)
 	select {
 	case a := <-x.Answer():
@@ -76,29 +76,29 @@
 	}
 }
 
-func (r *rig) result(result balance.Result) int64 { return r.Counts.Results[result].Load() }
+func (r *testRouter) resultCount(result balance.Result) int64 { return r.Counts.Results[result].Load() }
 
-func TestRequestGoesOnUnchanged(t *testing.T) {
+func TestRequestForwardedUnchanged(t *testing.T) {
 	got := make(chan *standin.Request, 1)
 	s := standin.NewServer(t, func(r *standin.Request) bool { got <- r; return r.Answer(200, "stored", "X-Note: n") })
-	r := newRig(t, s.Address)
-	a := r.ask(t, put("value"))
+	r := newTestRouter(t, s.Address)
+	a := r.roundTrip(t, putRequest("value"))
 	if a.Kind != exchange.Served || string(a.Body) != "stored" || a.Header.Get("X-Note") != "n" {
 		t.Errorf("answer %+v", a)
 	}
-	q := <-got
-	if q.Method != "PUT" || q.RequestURI != "/once/k?a=%20b" || string(q.Text) != "value" ||
-		q.Header.Get(headerID) != "id1" || q.Header.Get("Idempotency-Key") != "key1" || q.Host != "backend.local" {
-		t.Errorf("got %+v %q", q.Request, q.Text)
+	received := <-got
+	if received.Method != "PUT" || received.RequestURI != "/once/k?a=%20b" || string(received.Text) != "value" ||
+		received.Header.Get(headerID) != "id1" || received.Header.Get("Idempotency-Key") != "key1" || received.Host != "backend.local" {
+		t.Errorf("got %+v %q", received.Request, received.Text)
 	}
-	left, err := parseTimeLeft(q.Header.Get(headerTimeLeft))
+	left, err := parseTimeLeft(received.Header.Get(headerTimeLeft))
 	if err != nil || left <= 200*time.Millisecond || left > 300*time.Millisecond {
 		t.Errorf("time left %v, %v", left, err)
 	}
 }
 
-// What a server's answer means, and that none but a 200 is passed on.
-func TestAnswersAndTheirResults(t *testing.T) {
+// Each kind of server response gives the right attempt result, and only a 200 is forwarded.
+func TestResponseResults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer func(r *standin.Request) bool
@@ -127,7 +127,7 @@
 			return false
 		}, balance.Spoilt},
 		{"body over the bound", func(r *standin.Request) bool {
-			fmt.Fprintf(r.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxLong+1)
+			fmt.Fprintf(r.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxStreamedBody+1)
 			return true
 		}, balance.Spoilt},
 		{"closed without an answer", func(*standin.Request) bool { return false }, balance.Reset},
@@ -152,9 +152,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := standin.NewServer(t, c.answer)
-			r := newRig(t, s.Address)
-			begun := time.Now()
-			a := r.ask(t, put("value"))
+			r := newTestRouter(t, s.Address)
+			started := time.Now()
+			a := r.roundTrip(t, putRequest("value"))
 			switch {
 			case c.result == balance.OK && (a.Kind != exchange.Served || string(a.Body) != "v"):
 				t.Errorf("answer %+v", a)
@@ -163,20 +163,20 @@
 			case c.result != balance.OK && c.result != balance.Full && a.Kind != exchange.Failed:
 				t.Errorf("may have run, yet %+v", a)
 			}
-			if r.result(c.result) != 1 || r.Counts.Attempts.Load() != 1 || s.Requests() != 1 {
-				t.Errorf("%d such results of %d attempts, %d requests", r.result(c.result), r.Counts.Attempts.Load(), s.Requests())
+			if r.resultCount(c.result) != 1 || r.Counts.Attempts.Load() != 1 || s.Requests() != 1 {
+				t.Errorf("%d such results of %d attempts, %d requests", r.resultCount(c.result), r.Counts.Attempts.Load(), s.Requests())
 			}
-			if took := time.Since(begun); took > 350*time.Millisecond {
+			if took := time.Since(started); took > 350*time.Millisecond {
 				t.Errorf("answered after %v", took)
 			}
 		})
 	}
 }
 
-// A spoilt answer is a failed attempt that may have run: nothing of it reaches the client, its connection is closed,
-// what must not run twice is not sent again, and what may is served by another server, also where the spoilt one stays
-// silent with its connection open. Good answers with more than belongs to them are served.
-func TestSpoiltAnswers(t *testing.T) {
+// A malformed response is a failed attempt that may have run: nothing of it reaches the client, and its connection is
+// closed. A request that must not run twice is not retried; others are served by another server, even if the first one
+// stalls with its connection open. Valid responses followed by extra bytes are served.
+func TestMalformedResponses(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for name, c := range map[string]struct {
 		answer string
@@ -207,17 +207,17 @@
 		"noise behind":           {ok + "Content-Length: 1\r\n\r\nv\x01noise", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			spoilt := standin.NewServer(t, func(r *standin.Request) bool {
+			malformed := standin.NewServer(t, func(r *standin.Request) bool {
 				io.WriteString(r.Conn, c.answer)
-				return true // and the connection stays open
+				return true // keep the connection open
 			})
-			r := newRig(t, spoilt.Address)
-			a := r.ask(t, put("value"))
+			r := newTestRouter(t, malformed.Address)
+			a := r.roundTrip(t, putRequest("value"))
 			if c.good && (a.Kind != exchange.Served || string(a.Body) != "v") || !c.good && a.Kind != exchange.Failed {
 				t.Errorf("answer %+v", a)
 			}
-			if n := r.result(balance.Spoilt); c.good != (n == 0) || r.Counts.Attempts.Load() != 1 {
-				t.Errorf("%d spoilt of %d attempts", n, r.Counts.Attempts.Load())
+			if n := r.resultCount(balance.Spoilt); c.good != (n == 0) || r.Counts.Attempts.Load() != 1 {
+				t.Errorf("%d malformed of %d attempts", n, r.Counts.Attempts.Load())
 			}
 			if !c.good || strings.Contains(name, "behind") {
 				standin.Eventually(t, "the connection is closed", func() bool { return r.Counts.ServerConnections.Load() == 0 })
@@ -226,12 +226,12 @@
 				return
 			}
 			good := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
-			r = newRig(t, spoilt.Address, good.Address)
-			for key := range uint64(4) { // whichever of the two comes first
-				q := put("")
+			r = newTestRouter(t, malformed.Address, good.Address)
+			for key := range uint64(4) { // so that each of the two servers is tried first
+				q := putRequest("")
 				q.Class, q.Write, q.Method, q.Target, q.Key = "read", false, "GET", "/read/k", key
 				q.TimeLeft = 900 * time.Millisecond
-				if a := r.ask(t, q); a.Kind != exchange.Served || string(a.Body) != "v" {
+				if a := r.roundTrip(t, q); a.Kind != exchange.Served || string(a.Body) != "v" {
 					t.Errorf("a read: %+v", a)
 				}
 			}
@@ -239,8 +239,8 @@
 	}
 }
 
-// Until the last byte is surely unwritten an attempt may have run; before that it never did.
-func TestBreaksBeforeTheLastByte(t *testing.T) {
+// An attempt that fails before the last byte of its request is written has certainly not run; after that it may have.
+func TestFailuresBeforeLastByte(t *testing.T) {
 	refused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -294,21 +294,21 @@
 		{"panic", func(context.Context, string) (net.Conn, error) { panic("boom") }, balance.Unknown, exchange.Failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, refused.Addr().String())
+			r := newTestRouter(t, refused.Addr().String())
 			r.servers.Dial = c.dial
-			if a := r.ask(t, put("value")); a.Kind != c.kind {
+			if a := r.roundTrip(t, putRequest("value")); a.Kind != c.kind {
 				t.Errorf("answer %+v", a)
 			}
-			if r.result(c.result) != 1 {
+			if r.resultCount(c.result) != 1 {
 				t.Errorf("not one %v: %s", c.result, r.Counts.JSON())
 			}
-			standin.Eventually(t, "the connection is let go", func() bool { return r.Counts.ServerConnections.Load() == 0 })
+			standin.Eventually(t, "the connection is closed", func() bool { return r.Counts.ServerConnections.Load() == 0 })
 		})
 	}
 }
 
-// A listener whose queue is full lets no connection come up, as a vanished machine does.
-func TestDiallingAVanishedMachine(t *testing.T) {
+// A listener with a full accept queue completes no handshake, like a machine that is down. Dialling must time out.
+func TestDialTimeout(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -320,52 +320,52 @@
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	at, _ := syscall.Getsockname(fd)
-	address := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
-	for range 3 { // until one hangs the queue is not full
+	sockaddr, _ := syscall.Getsockname(fd)
+	address := fmt.Sprintf("127.0.0.1:%d", sockaddr.(*syscall.SockaddrInet4).Port)
+	for range 3 { // the queue is full once a dial times out
 		if c, err := net.DialTimeout("tcp", address, 50*time.Millisecond); err == nil {
 			defer c.Close()
 		}
 	}
-	r := newRig(t, address)
-	begun := time.Now()
-	if a := r.ask(t, put("value")); a.Kind != exchange.Refused {
+	r := newTestRouter(t, address)
+	started := time.Now()
+	if a := r.roundTrip(t, putRequest("value")); a.Kind != exchange.Refused {
 		t.Errorf("answer %+v", a)
 	}
-	if took := time.Since(begun); took < 90*time.Millisecond || took > 250*time.Millisecond || r.result(balance.NoConnect) != 1 {
+	if took := time.Since(started); took < 90*time.Millisecond || took > 250*time.Millisecond || r.resultCount(balance.NoConnect) != 1 {
 		t.Errorf("after %v: %s", took, r.Counts.JSON())
 	}
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsReused(t *testing.T) {
 	s := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
-	r := newRig(t, s.Address)
+	r := newTestRouter(t, s.Address)
 	for range 5 {
-		r.ask(t, put("value"))
+		r.roundTrip(t, putRequest("value"))
 	}
 	if s.Accepted() != 1 {
 		t.Errorf("%d connections for five requests in a row", s.Accepted())
 	}
 }
 
-// A server that closes an idle connection costs nothing: its close is seen and the next request gets a new one.
+// If a server closes an idle connection, the close is noticed and the next request uses a new connection without a failure.
 func TestStaleIdleConnection(t *testing.T) {
 	s := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
-	r := newRig(t, s.Address)
+	r := newTestRouter(t, s.Address)
 	for range 20 {
-		if a := r.ask(t, put("value")); a.Kind != exchange.Served {
+		if a := r.roundTrip(t, putRequest("value")); a.Kind != exchange.Served {
 			t.Fatalf("answer %+v", a)
 		}
 		s.CloseConns()
-		standin.Eventually(t, "the close is done", func() bool { return s.Open() == 0 })
+		standin.Eventually(t, "the server has closed its connections", func() bool { return s.Open() == 0 })
 	}
-	if r.result(balance.Reset) != 0 {
+	if r.resultCount(balance.Reset) != 0 {
 		t.Error("a closed connection was written to")
 	}
 }
 
-// The system's word counts where the reader has not run yet.
-func TestCloseThatTheReaderHasNotSeen(t *testing.T) {
+// stale detects a close through the kernel if the read loop has not run yet.
+func TestStaleDetectsUnseenClose(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -380,17 +380,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &serverConn{Conn: near} // no reader at all
+	c := &serverConn{Conn: near} // without a read loop
 	if c.stale() {
 		t.Error("an open connection counts as stale")
 	}
 	far.Close()
-	standin.Eventually(t, "the close is known", c.stale)
+	standin.Eventually(t, "the close is noticed", c.stale)
 }
 
-// Bytes that nobody asked for end a connection, lest they be taken for the next request's answer: those that come with
-// an answer and those that come after it.
-func TestUnaskedAnswer(t *testing.T) {
+// Bytes beyond a response, with it or after it, close the connection: they would be taken for the response to the next
+// request.
+func TestUnsolicitedResponse(t *testing.T) {
 	const unasked = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nunasked"
 	for name, answer := range map[string]func(r *standin.Request){
 		"with the answer": func(r *standin.Request) {
@@ -404,19 +404,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := standin.NewServer(t, func(r *standin.Request) bool { answer(r); return true })
-			r := newRig(t, s.Address)
+			r := newTestRouter(t, s.Address)
 			for range 100 {
-				if a := r.ask(t, put("value")); a.Kind == exchange.Served && string(a.Body) != "v" {
+				if a := r.roundTrip(t, putRequest("value")); a.Kind == exchange.Served && string(a.Body) != "v" {
 					t.Fatalf("got %q", a.Body)
 				}
-				standin.Eventually(t, "the connection is given up", func() bool { return r.Counts.IdleConnections.Load() == 0 })
+				standin.Eventually(t, "the connection is closed", func() bool { return r.Counts.IdleConnections.Load() == 0 })
 			}
 		})
 	}
 }
 
-// An answer with something behind it is the last of its connection, before the reader looks at the rest.
-func TestAnswerWithMoreBehindIt(t *testing.T) {
+// A response with bytes behind it is not reusable when it is delivered, before the read loop reads those bytes.
+func TestBytesAfterResponseCloseConnection(t *testing.T) {
 	pool := exchange.NewPool(1, time.Second, &exchange.Counters{})
 	if _, err := pool.Get(t.Context(), "s", "x", false, time.Second); err != nil {
 		t.Fatal(err)
@@ -425,17 +425,17 @@
 	defer far.Close()
 	c := newServerConn(near, "s", "", pool)
 	go io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nvHTTP/1.1 200 OK\r\n")
-	if a := <-c.answers; a.err != nil || a.keep || string(a.body) != "v" {
+	if a := <-c.responses; a.err != nil || a.keep || string(a.body) != "v" {
 		t.Errorf("got %+v", a)
 	}
 }
 
-// The system's word again, of bytes that the reader has not taken yet.
-func TestUnaskedBytesThatTheReaderHasNotSeen(t *testing.T) {
+// stale detects unexpected bytes through the kernel if the read loop has not read them yet.
+func TestStaleDetectsUnseenBytes(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	if (&serverConn{Conn: near}).stale() { // no system to ask
+	if (&serverConn{Conn: near}).stale() { // a pipe has no socket to check
 		t.Error("a pipe counts as stale")
 	}
 	s := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
@@ -449,13 +449,13 @@
 		t.Error("an open connection counts as stale")
 	}
 	io.WriteString(c, "GET / HTTP/1.1\r\nHost: b\r\n\r\n")
-	standin.Eventually(t, "the bytes are known", conn.stale)
+	standin.Eventually(t, "the bytes are noticed", conn.stale)
 }
 
-// What may not run twice is committed by its last byte a moment after the rest: a connection that the server had
-// closed without a word, or resets while the request comes, shows before, and the attempt surely never ran.
-func TestLastByteCommits(t *testing.T) {
-	var begun atomic.Int64
+// The last byte of a request that must not run twice is sent shortly after the rest. If the server has closed the
+// connection, or resets it while the request arrives, this is noticed first, and the attempt has certainly not run.
+func TestLastByteWithheld(t *testing.T) {
+	var requests atomic.Int64
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -469,37 +469,38 @@
 			}
 			go func() {
 				defer c.Close()
-				if n == 0 { // it resets as soon as anything comes
+				if n == 0 { // reset on the first byte
 					c.Read(make([]byte, 1))
 					c.(*net.TCPConn).SetLinger(0)
 					return
 				}
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					begun.Add(1)
+					requests.Add(1)
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
 				}
 			}()
 		}
 	}()
-	r := newRig(t, l.Addr().String())
+	r := newTestRouter(t, l.Addr().String())
 	r.servers.Careful = func(class string) bool { return class == "once" }
-	q := put("")
-	if a := r.ask(t, q); a.Kind != exchange.Refused {
+	q := putRequest("")
+	if a := r.roundTrip(t, q); a.Kind != exchange.Refused {
 		t.Errorf("it never ran, yet the answer is %+v", a)
 	}
-	if r.result(balance.NoConnect) != 1 || begun.Load() != 0 {
-		t.Errorf("%d never ran, %d begun", r.result(balance.NoConnect), begun.Load())
+	if r.resultCount(balance.NoConnect) != 1 || requests.Load() != 0 {
+		t.Errorf("%d never ran, %d requests", r.resultCount(balance.NoConnect), requests.Load())
 	}
-	if a := r.ask(t, put("")); a.Kind != exchange.Served || string(a.Body) != "v" || begun.Load() != 1 {
-		t.Errorf("the next one: %+v, %d begun", a, begun.Load())
+	if a := r.roundTrip(t, putRequest("")); a.Kind != exchange.Served || string(a.Body) != "v" || requests.Load() != 1 {
+		t.Errorf("the next one: %+v, %d requests", a, requests.Load())
 	}
 }
 
-// long is a body far over what is held of one.
-var long = strings.Repeat("0123456789abcdef", 256<<10>>4)
+// longBody is far over the size that is buffered.
+var longBody = strings.Repeat("0123456789abcdef", 256<<10>>4)
 
-// respond writes an answer of some form, its body in pieces of a size with pauses.
-func respond(c net.Conn, form, body string, piece int, pause time.Duration) bool {
+// writeResponse writes a response with the given body framing, the body in pieces with pauses between them. It reports
+// whether the connection stays open.
+func writeResponse(c net.Conn, form, body string, piece int, pause time.Duration) bool {
 	head, ends := "HTTP/1.1 200 OK\r\nX-Note: n\r\n", false
 	switch form {
 	case "length":
@@ -532,9 +533,9 @@
 	return !ends
 }
 
-// Answers of every form and length come whole, long ones past their deadline as well, and their connections are used
-// again where they may be.
-func TestAnswersOfEveryForm(t *testing.T) {
+// Responses with every body framing and length arrive complete, long ones also after the request's deadline, and
+// connections are reused where the framing allows it.
+func TestBodyFramings(t *testing.T) {
 	for _, form := range []string{"length", "chunks", "close", "old"} {
 		for name, c := range map[string]struct {
 			body  string
@@ -543,22 +544,22 @@
 		}{
 			"short":            {"value", 2, time.Millisecond},
 			"short and slow":   {"value", 1, 40 * time.Millisecond},
-			"long":             {long, 20_000, 0},
-			"long, past due":   {long, len(long) / 4, 400 * time.Millisecond},
-			"a byte over":      {long[:maxBody+1], 30_000, 0},
-			"just short":       {long[:maxBody], 30_000, 0},
-			"paused for long":  {long, len(long) / 2, 700 * time.Millisecond},
-			"in odd pieces":    {long[:100_001], 777, 0},
+			"long":             {longBody, 20_000, 0},
+			"long, past due":   {longBody, len(longBody) / 4, 400 * time.Millisecond},
+			"a byte over":      {longBody[:maxBody+1], 30_000, 0},
+			"just short":       {longBody[:maxBody], 30_000, 0},
+			"paused for long":  {longBody, len(longBody) / 2, 700 * time.Millisecond},
+			"in odd pieces":    {longBody[:100_001], 777, 0},
 			"nothing whatever": {"", 1, 0},
 		} {
 			t.Run(form+" "+name, func(t *testing.T) {
 				t.Parallel()
-				s := standin.NewServer(t, func(r *standin.Request) bool { return respond(r.Conn, form, c.body, c.piece, c.pause) })
-				r := newRig(t, s.Address)
-				conn := newSide(t, 10, r).connect(t)
+				s := standin.NewServer(t, func(r *standin.Request) bool { return writeResponse(r.Conn, form, c.body, c.piece, c.pause) })
+				r := newTestRouter(t, s.Address)
+				conn := newTestFrontend(t, 10, r).dial(t)
 				for range 2 {
-					conn.say(t, getOne())
-					if resp, body := conn.hear(t); resp.StatusCode != 200 || body != c.body || resp.Header.Get("X-Trailer") != "" {
+					conn.send(t, newGetRequest())
+					if resp, body := conn.receive(t); resp.StatusCode != 200 || body != c.body || resp.Header.Get("X-Trailer") != "" {
 						t.Fatalf("status %d, %d bytes of %d", resp.StatusCode, len(body), len(c.body))
 					}
 				}
@@ -570,14 +571,14 @@
 	}
 }
 
-// A long answer that breaks, or stops for good, ends its client's connection short of what was said, in every form; it is
-// not taken for whole.
-func TestLongAnswerThatBreaks(t *testing.T) {
+// If a streamed answer breaks off, the client's connection ends before the announced end, with every framing, so that the
+// client does not take the answer for complete.
+func TestStreamedAnswerAborted(t *testing.T) {
 	for _, form := range []string{"length", "chunks", "close"} {
 		t.Run(form, func(t *testing.T) {
 			reset := standin.NewServer(t, func(r *standin.Request) bool {
 				if form == "close" {
-					respond(r.Conn, form, long, 50_000, 0)
+					writeResponse(r.Conn, form, longBody, 50_000, 0)
 				} else {
 					fmt.Fprintf(r.Conn, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", map[string]string{"length": "Content-Length: 300000",
 						"chunks": "Transfer-Encoding: chunked"}[form])
@@ -586,87 +587,87 @@
 				r.Conn.(*net.TCPConn).SetLinger(0)
 				return false
 			})
-			r := newRig(t, reset.Address)
-			conn := newSide(t, 10, r).connect(t)
-			conn.say(t, getOne())
+			r := newTestRouter(t, reset.Address)
+			conn := newTestFrontend(t, 10, r).dial(t)
+			conn.send(t, newGetRequest())
 			resp, err := http.ReadResponse(conn.r, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil {
-				t.Errorf("%d bytes were taken for a whole answer", n)
+				t.Errorf("%d bytes were accepted as a complete answer", n)
 			}
-			standin.Eventually(t, "the connection is let go", func() bool { return r.Counts.ServerConnections.Load() == 0 })
+			standin.Eventually(t, "the connection is closed", func() bool { return r.Counts.ServerConnections.Load() == 0 })
 		})
 	}
 }
 
-// A client that reads slowly holds its server back, not the router's memory; one that leaves lets go of the server.
-func TestSlowReaderOfALongAnswer(t *testing.T) {
+// A client that reads slowly slows down its server and does not fill the router's memory. If it disconnects, the server's
+// connection is closed.
+func TestSlowReaderBackpressure(t *testing.T) {
 	var written atomic.Int64
 	s := standin.NewServer(t, func(r *standin.Request) bool {
 		fmt.Fprintf(r.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 32<<20)
-		for range 32 << 20 / len(long) {
-			if _, err := io.WriteString(r.Conn, long); err != nil {
+		for range 32 << 20 / len(longBody) {
+			if _, err := io.WriteString(r.Conn, longBody); err != nil {
 				return false
 			}
-			written.Add(int64(len(long)))
+			written.Add(int64(len(longBody)))
 		}
 		return true
 	})
-	r := newRig(t, s.Address)
-	conn := newSide(t, 10, r).connect(t)
+	r := newTestRouter(t, s.Address)
+	conn := newTestFrontend(t, 10, r).dial(t)
 	conn.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
-	conn.say(t, getOne())
+	conn.send(t, newGetRequest())
 	resp, err := http.ReadResponse(conn.r, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(300 * time.Millisecond)
-	if n := written.Load(); n > 24<<20 { // what sockets hold on both ways, no more
-		t.Errorf("%d bytes were taken from the server while nobody read", n)
+	if n := written.Load(); n > 24<<20 { // the socket buffers on both sides hold less than this
+		t.Errorf("%d bytes were read from the server while the client did not read", n)
 	}
 	if n, err := io.CopyN(io.Discard, resp.Body, 8<<20); err != nil {
 		t.Errorf("%d bytes, %v", n, err)
 	}
 	conn.Close()
-	standin.Eventually(t, "the server is let go", func() bool { return r.Counts.ServerConnections.Load() == 0 })
+	standin.Eventually(t, "the connection to the server is closed", func() bool { return r.Counts.ServerConnections.Load() == 0 })
 }
 
-// A long answer stops before its first byte: nothing has been passed on, and another server is asked.
-func TestLongAnswerThatDoesNotBegin(t *testing.T) {
-	stuck := standin.NewServer(t, func(r *standin.Request) bool {
-		fmt.Fprintf(r.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long))
+// A long response stalls before the first byte of its body: nothing has been forwarded yet, and another server is tried.
+func TestLongAnswerStalledBeforeFirstByte(t *testing.T) {
+	stalled := standin.NewServer(t, func(r *standin.Request) bool {
+		fmt.Fprintf(r.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(longBody))
 		time.Sleep(2 * time.Second)
 		return false
 	})
-	good := standin.NewServer(t, func(r *standin.Request) bool { return respond(r.Conn, "chunks", long, 10_000, 0) })
-	r := newRig(t, stuck.Address, good.Address)
-	side := newSide(t, 10, r)
+	good := standin.NewServer(t, func(r *standin.Request) bool { return writeResponse(r.Conn, "chunks", longBody, 10_000, 0) })
+	r := newTestRouter(t, stalled.Address, good.Address)
+	frontend := newTestFrontend(t, 10, r)
 	for range 4 {
-		conn := side.connect(t)
-		conn.say(t, getOne())
-		if resp, body := conn.hear(t); resp.StatusCode != 200 || body != long {
+		conn := frontend.dial(t)
+		conn.send(t, newGetRequest())
+		if resp, body := conn.receive(t); resp.StatusCode != 200 || body != longBody {
 			t.Errorf("status %d, %d bytes", resp.StatusCode, len(body))
 		}
 	}
 }
 
-// A client of HTTP/1.0 knows no chunks: an answer whose length nobody tells ends with its connection, and in no other way
-// if it breaks.
-func TestLongAnswerForAnOldClient(t *testing.T) {
-	s := standin.NewServer(t, func(r *standin.Request) bool { return respond(r.Conn, "chunks", long, 10_000, 0) })
-	conn := newSide(t, 10, newRig(t, s.Address)).connect(t)
-	conn.say(t, strings.Replace(getOne(), "HTTP/1.1", "HTTP/1.0", 1))
-	resp, body := conn.hear(t)
-	if resp.StatusCode != 200 || body != long || len(resp.TransferEncoding) > 0 || !resp.Close {
+// An HTTP/1.0 client does not support chunked encoding: an answer of unknown length ends with the connection.
+func TestStreamedAnswerToHTTP10Client(t *testing.T) {
+	s := standin.NewServer(t, func(r *standin.Request) bool { return writeResponse(r.Conn, "chunks", longBody, 10_000, 0) })
+	conn := newTestFrontend(t, 10, newTestRouter(t, s.Address)).dial(t)
+	conn.send(t, strings.Replace(newGetRequest(), "HTTP/1.1", "HTTP/1.0", 1))
+	resp, body := conn.receive(t)
+	if resp.StatusCode != 200 || body != longBody || len(resp.TransferEncoding) > 0 || !resp.Close {
 		t.Errorf("status %d, %d bytes, %v", resp.StatusCode, len(body), resp.TransferEncoding)
 	}
 }
 
-// An answer that serves a request before its last byte was written is not made for it: it may be the copy of an
-// earlier one, come late.
-func TestServedBeforeTheLastByte(t *testing.T) {
+// A 200 that arrives before the last byte of the request was written is dropped: it can't be the response to this request,
+// and may be a late copy of an earlier one.
+func TestResponseBeforeLastByteDropped(t *testing.T) {
 	pool := exchange.NewPool(1, time.Second, &exchange.Counters{})
 	s := &Servers{Pool: pool, Counts: pool.Counts, ConnectTimeout: time.Second,
 		Careful: func(string) bool { return true },
@@ -679,25 +680,25 @@
 			}()
 			return near, nil
 		}}
-	r := newRig(t)
+	r := newTestRouter(t)
 	r.Loop.Sender = s
 	r.Listed(exchange.List{List: balance.List{Kind: balance.Complete, Entries: []balance.Entry{{Server: "s0", Weight: 1}}},
 		Addresses: map[balance.ServerID]string{"s0": "x"}})
-	if a := r.ask(t, put("value")); a.Kind != exchange.Refused {
+	if a := r.roundTrip(t, putRequest("value")); a.Kind != exchange.Refused {
 		t.Errorf("answer %+v", a)
 	}
 }
 
-// A withdrawn attempt closes its connection, so that no answer is awaited on it.
-func TestWithdrawalClosesTheConnection(t *testing.T) {
+// A cancelled attempt closes its connection.
+func TestCancellationClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
 	s := standin.NewServer(t, func(r *standin.Request) bool {
 		io.Copy(io.Discard, r.Conn)
 		close(closed)
 		return false
 	})
-	r := newRig(t, s.Address)
-	q := put("value")
+	r := newTestRouter(t, s.Address)
+	q := putRequest("value")
 	q.TimeLeft = 5 * time.Second
 	x := exchange.New(q)
 	r.Submit(x)
@@ -708,29 +709,29 @@
 	case <-time.After(time.Second):
 		t.Fatal("still open")
 	}
-	standin.Eventually(t, "its outcome is booked", func() bool { return r.result(balance.Cancelled) == 1 })
+	standin.Eventually(t, "its result is counted", func() bool { return r.resultCount(balance.Cancelled) == 1 })
 }
 
-// After a time-out at a server that has said nothing its idle connections go, so that the next attempt dials and a
-// vanished machine shows.
-func TestTimeOutDropsIdleConnections(t *testing.T) {
+// After a timeout at a server that has sent nothing, its idle connections are closed, so that the next attempt dials and
+// fails if the machine is down.
+func TestTimeoutClosesIdleConnections(t *testing.T) {
 	var silent atomic.Bool
-	both := make(chan struct{}, 2)
+	arrived := make(chan struct{}, 2)
 	s := standin.NewServer(t, func(r *standin.Request) bool {
 		if silent.Load() {
 			time.Sleep(400 * time.Millisecond)
 			return false
 		}
-		both <- struct{}{}
-		for len(both) < 2 { // the first two at once, on two connections
+		arrived <- struct{}{}
+		for len(arrived) < 2 { // holds the first two requests until both have arrived, on two connections
 			time.Sleep(time.Millisecond)
 		}
 		return r.Answer(200, "v")
 	})
-	r := newRig(t, s.Address)
+	r := newTestRouter(t, s.Address)
 	done := make(chan exchange.Answer, 2)
 	for range 2 {
-		x := exchange.New(put("value"))
+		x := exchange.New(putRequest("value"))
 		r.Submit(x)
 		go func() { done <- <-x.Answer() }()
 	}
@@ -738,7 +739,7 @@
 	<-done
 	standin.Eventually(t, "two are idle", func() bool { return r.Counts.IdleConnections.Load() == 2 })
 	silent.Store(true)
-	r.ask(t, put("value"))
+	r.roundTrip(t, putRequest("value"))
 	if n := r.Counts.IdleConnections.Load(); n != 0 {
 		t.Errorf("%d idle connections are kept", n)
 	}
