--- a/internal/wire/serverconn.go
+++ b/internal/wire/serverconn.go
@@ -18,51 +18,51 @@
 	"cedarmast/internal/socket"
 )
 
-// answer is a server's answer, whole.
-type answer struct {
+// response is a server's response, or the error that came instead.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
-	keep   bool // the connection may be used again
+	keep   bool // the connection can be reused
 	err    error
 
-	rest   *rest // what follows, of a long answer; nil if body is all
-	length int64 // of all that follows; -1 if nobody tells
+	pipe   *bodyPipe // the body of a streamed response; nil if it is in body
+	length int64     // of a streamed body in bytes; -1 if unknown
 }
 
-// let gives back what an answer holds that nobody takes.
-func (a answer) let() {
-	if a.rest != nil {
-		a.rest.Close()
+// release closes the streamed body of a response that nobody reads.
+func (r response) release() {
+	if r.pipe != nil {
+		r.pipe.Close()
 	}
 }
 
-// serverConn is a connection to a server. A goroutine reads it all its life, so that a close is seen at once, also
-// of one that is idle.
+// serverConn is a connection to a server. A goroutine reads from it until it is closed, so that a close by the server is
+// noticed at once, also while the connection is idle.
 type serverConn struct {
 	net.Conn
-	server  balance.ServerID
-	address string
-	pool    *exchange.Pool
-	answers chan answer // holds one: the answer to the request in hand
-	reading atomic.Bool // a byte of it has come
+	server          balance.ServerID
+	address         string
+	pool            *exchange.Pool
+	responses       chan response // buffers one: the response to the request in flight
+	responseStarted atomic.Bool   // the first byte of the response has arrived
 
-	mu     sync.Mutex
-	since  time.Time // when it last fell idle; zero for a new one
-	busy   bool
-	left   bool // by its attempt: nobody takes an answer any more
-	broken bool
-	closed sync.Once
+	mu        sync.Mutex
+	idleSince time.Time // when it last became idle; zero for a new one
+	busy      bool      // a request is in flight
+	abandoned bool      // the attempt no longer waits for a response
+	broken    bool      // closed, or no longer usable for a request
+	closed    sync.Once
 }
 
-// newServerConn takes over a connection for which room has been reserved. It is busy at first.
+// newServerConn wraps a connection for which the pool has reserved a slot, and starts its read loop. It is busy at first.
 func newServerConn(c net.Conn, server balance.ServerID, address string, pool *exchange.Pool) *serverConn {
-	s := &serverConn{Conn: c, server: server, address: address, pool: pool, answers: make(chan answer, 1), busy: true}
-	go s.read()
+	s := &serverConn{Conn: c, server: server, address: address, pool: pool, responses: make(chan response, 1), busy: true}
+	go s.readLoop()
 	return s
 }
 
-// Acquire makes an idle connection busy.
+// Acquire marks an idle connection as busy. It returns false if the connection is busy or broken.
 func (c *serverConn) Acquire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,11 +70,11 @@
 		return false
 	}
 	c.busy = true
-	c.reading.Store(false)
+	c.responseStarted.Store(false)
 	return true
 }
 
-// Close closes the connection and gives its room back, once.
+// Close closes the connection and returns its slot to the pool. Further calls do nothing.
 func (c *serverConn) Close() error {
 	var err error
 	c.closed.Do(func() {
@@ -87,52 +87,52 @@
 	return err
 }
 
-// usable tells whether nothing has been seen against the connection.
+// usable reports whether the connection is not known to be broken.
 func (c *serverConn) usable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.broken
 }
 
-// idleFor is how long the connection has been idle; a new one has not been.
-func (c *serverConn) idleFor(now time.Time) time.Duration {
+// idleTime returns how long the connection has been idle; 0 for a new one.
+func (c *serverConn) idleTime(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.since.IsZero() {
+	if c.idleSince.IsZero() {
 		return 0
 	}
-	return now.Sub(c.since)
+	return now.Sub(c.idleSince)
 }
 
-// stale asks the system whether the server's close has come in though the reader has not run since: on a busy core
-// that is the difference between an attempt that never ran and one that may have. Bytes that nobody asked for count
-// alike, lest they be taken for the next request's answer.
+// stale asks the kernel whether the server has closed the connection or sent unexpected bytes that the read loop has not
+// seen yet. On a busy core this makes the difference between an attempt that certainly never ran and one that may have.
+// Unexpected bytes count too, since they would be taken for the next request's response.
 func (c *serverConn) stale() bool {
 	state := socket.Peek(c.Conn)
 	return state == socket.Unread || state == socket.Closed
 }
 
-// idle makes the connection ready for its next request; false if it has ended.
-func (c *serverConn) idle() bool {
+// markIdle makes the connection available for the next request. It returns false if the connection is broken.
+func (c *serverConn) markIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.busy, c.since = false, time.Now()
+	c.busy, c.idleSince = false, time.Now()
 	return !c.broken
 }
 
-// read waits for answers, one to a request. What comes unasked ends the connection, and so does a panic, whose
-// request still hears of it.
-func (c *serverConn) read() {
+// readLoop reads one response per request. Bytes without a request in flight close the connection, and so does a panic,
+// which is reported to the request in flight.
+func (c *serverConn) readLoop() {
 	defer c.Close()
 	defer func() {
 		if p := recover(); p != nil {
-			c.deliver(answer{err: fmt.Errorf("panic: %v", p)})
+			c.deliver(response{err: fmt.Errorf("panic: %v", p)})
 		}
 	}()
-	in := &stallReader{Conn: c.Conn}
-	r := bufio.NewReaderSize(in, maxHead)
+	input := &stallReader{Conn: c.Conn}
+	reader := bufio.NewReaderSize(input, maxHead)
 	for {
-		_, err := r.Peek(1)
+		_, err := reader.Peek(1)
 		c.mu.Lock()
 		busy := c.busy
 		if !busy || err != nil {
@@ -144,121 +144,122 @@
 			return
 		}
 		if err != nil {
-			c.deliver(answer{err: err})
+			c.deliver(response{err: err})
 			return
 		}
-		c.reading.Store(true)
-		in.arm(stallFor)
-		a, body := readAnswer(r)
+		c.responseStarted.Store(true)
+		input.arm(stallTimeout)
+		resp, body := readResponse(reader)
 		if body != nil {
-			if c.passOn(in, r, a, body) {
+			if c.readLongBody(input, reader, resp, body) {
 				continue
 			}
 			return
 		}
-		in.arm(0)
-		if r.Buffered() > 0 { // more than was asked for
-			a.keep = false
+		input.arm(0)
+		if reader.Buffered() > 0 { // bytes after the response: they belong to no request
+			resp.keep = false
 		}
-		if a.err != nil || !a.keep {
+		if resp.err != nil || !resp.keep {
 			c.mu.Lock()
 			c.broken = true
 			c.mu.Unlock()
-		} else if !c.idle() {
-			a.keep = false
+		} else if !c.markIdle() {
+			resp.keep = false
 		}
-		c.deliver(a)
-		if a.err != nil || !a.keep {
+		c.deliver(resp)
+		if resp.err != nil || !resp.keep {
 			return
 		}
 	}
 }
 
-func (c *serverConn) deliver(a answer) {
+// deliver passes a response to the attempt, or releases it if nobody waits for it.
+func (c *serverConn) deliver(resp response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.left {
-		a.let()
+	if c.abandoned {
+		resp.release()
 		return
 	}
 	select {
-	case c.answers <- a:
-	default: // one is there already: nobody waits for a second
-		a.let()
+	case c.responses <- resp:
+	default: // there is one already: nobody waits for a second
+		resp.release()
 	}
 }
 
-// leave closes the connection under its request: whatever comes of it is let go.
-func (c *serverConn) leave() {
+// abandon closes the connection while its request is in flight. A response that arrives is released.
+func (c *serverConn) abandon() {
 	c.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.left = true
+	c.abandoned = true
 	select {
-	case a := <-c.answers:
-		a.let()
+	case resp := <-c.responses:
+		resp.release()
 	default:
 	}
 }
 
-// passOn reads a body that is long, or may be. One that turns out short in time is an answer like any; else the attempt
-// has its answer as soon as that is clear, and the rest follows at the client's pace. It tells whether the connection may
-// be used again.
-func (c *serverConn) passOn(in *stallReader, r *bufio.Reader, a answer, body io.Reader) bool {
-	follows, keep := newRest(), a.keep
-	begin := func() {
-		in.raise(restStallFor)
-		if long := a; follows.begin() {
-			long.rest = follows
-			c.deliver(long)
+// readLongBody reads a body that is over maxBody or of unknown length. If it ends within maxBody bytes and streamAfter, it
+// is delivered as a buffered response; otherwise the response is delivered with a bodyPipe as soon as that is clear, and
+// the rest follows at the client's pace. It reports whether the connection can be reused.
+func (c *serverConn) readLongBody(input *stallReader, reader *bufio.Reader, resp response, body io.Reader) bool {
+	pipe, keep := newBodyPipe(), resp.keep
+	startStreaming := func() {
+		input.raise(streamStallTimeout)
+		if streamed := resp; pipe.startStreaming() {
+			streamed.pipe = pipe
+			c.deliver(streamed)
 		}
 	}
-	if a.length > maxBody {
-		follows.hurry() // with its first bytes: until then it may be asked for elsewhere
+	if resp.length > maxBody {
+		pipe.streamEarly() // streaming starts with the first bytes: until then another server can be tried
 	} else {
-		hurry := time.AfterFunc(passOnAfter, func() {
-			if follows.hurry() {
-				begin()
+		earlyTimer := time.AfterFunc(streamAfter, func() {
+			if pipe.streamEarly() {
+				startStreaming()
 			}
 		})
-		defer hurry.Stop()
+		defer earlyTimer.Stop()
 	}
 	var err error
 	var total int64
-	buf := make([]byte, restMost/2)
+	buf := make([]byte, maxPipeBuffer/2)
 	for err == nil {
 		var n int
 		if n, err = body.Read(buf); n > 0 {
-			now, gone := follows.push(buf[:n])
-			if gone != nil {
-				err = gone
-			} else if total += int64(n); total > maxLong {
+			start, closedErr := pipe.write(buf[:n])
+			if closedErr != nil {
+				err = closedErr
+			} else if total += int64(n); total > maxStreamedBody {
 				err = ErrBodyTooLarge
-			} else if now {
-				begin()
+			} else if start {
+				startStreaming()
 			}
 		}
 	}
-	in.arm(0)
-	whole := errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
-	if keep = keep && whole && r.Buffered() == 0; !keep {
+	input.arm(0)
+	complete := errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
+	if keep = keep && complete && reader.Buffered() == 0; !keep {
 		c.mu.Lock()
 		c.broken = true
 		c.mu.Unlock()
 	}
-	text, short := follows.end(err)
+	content, buffered := pipe.finish(err)
 	switch {
-	case short && !whole:
-		c.deliver(answer{err: spoilt(err)})
+	case buffered && !complete:
+		c.deliver(response{err: classifyReadError(err)})
 		return false
-	case short:
-		if keep = keep && c.idle(); !keep {
-			a.keep = false
+	case buffered:
+		if keep = keep && c.markIdle(); !keep {
+			resp.keep = false
 		}
-		a.body = text
-		c.deliver(a)
+		resp.body = content
+		c.deliver(resp)
 		return keep
-	case !keep || !follows.settled() || !c.idle():
+	case !keep || !pipe.awaitHandOver() || !c.markIdle():
 		return false
 	}
 	c.pool.Put(c.server, c.address, c, time.Now())
@@ -269,122 +270,124 @@
 }
 
 const (
-	maxInterim   = 8                      // interim answers before the final one
-	stallFor     = 200 * time.Millisecond // in which an answer that has begun must go on: servers write it at once
-	restStallFor = 10 * time.Second       // in which the rest of a long one must: nobody can be asked instead any more
-	passOnAfter  = 100 * time.Millisecond // in which a body whose length nobody tells may turn out to be short
+	maxInterimResponses = 8                      // interim (1xx) responses before the final one
+	stallTimeout        = 200 * time.Millisecond // for the next bytes of a response: servers write it in one go
+	streamStallTimeout  = 10 * time.Second       // the same for a streamed body: no other server can be tried any more
+	streamAfter         = 100 * time.Millisecond // a body of unknown length is streamed if it does not end in this time
 )
 
-// stallReader reads a connection and, while it is armed, gives up when nothing more comes. A router that got to its
-// bytes late is not to take its own slowness for the server's, so it looks once more.
+// stallReader reads from a connection with a timeout for each read while it is armed. After a timeout it checks for unread
+// bytes and reads again if there are any, so that a slow router does not take its own delay for the server's.
 type stallReader struct {
 	net.Conn
-	stall atomic.Int64 // nanoseconds; 0: not armed
+	timeout atomic.Int64 // nanoseconds; 0: not armed
 }
 
+// Read reads from the connection. If it is armed, it fails when no bytes arrive within the timeout.
 func (s *stallReader) Read(p []byte) (int, error) {
-	begun := time.Now()
+	started := time.Now()
 	for {
-		stall := time.Duration(s.stall.Load())
-		if stall > 0 {
-			s.SetReadDeadline(begun.Add(stall))
+		timeout := time.Duration(s.timeout.Load())
+		if timeout > 0 {
+			s.SetReadDeadline(started.Add(timeout))
 		}
 		n, err := s.Conn.Read(p)
-		if n > 0 || stall == 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+		if n > 0 || timeout == 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		if time.Since(begun) < time.Duration(s.stall.Load()) { // it has been raised meanwhile
+		if time.Since(started) < time.Duration(s.timeout.Load()) { // the timeout has been raised meanwhile
 			continue
 		}
 		if socket.Peek(s.Conn) != socket.Unread {
 			return n, err
 		}
-		begun = time.Now()
+		started = time.Now()
 	}
 }
 
-// arm begins the watch over an answer, or ends it by 0.
-func (s *stallReader) arm(stall time.Duration) {
-	if s.stall.Store(int64(stall)); stall == 0 {
+// arm sets the timeout of each read; 0 disables it.
+func (s *stallReader) arm(timeout time.Duration) {
+	if s.timeout.Store(int64(timeout)); timeout == 0 {
 		s.SetReadDeadline(time.Time{})
 	}
 }
 
-// raise allows more time, also to a Read that waits.
-func (s *stallReader) raise(stall time.Duration) { s.stall.Store(int64(stall)) }
+// raise sets a longer timeout, also for a Read in progress.
+func (s *stallReader) raise(timeout time.Duration) { s.timeout.Store(int64(timeout)) }
 
-// onceInAnswer are the headers of an answer that change its meaning.
-var onceInAnswer = map[string]bool{headerUnprocessed: true, headerLookup: true}
+// singleResponseHeaders may occur once in a response, since they change its meaning.
+var singleResponseHeaders = map[string]bool{headerUnprocessed: true, headerLookup: true}
 
-// readAnswer reads one answer. What can't be read in one way alone is no answer. Of an answer that is long, or whose length
-// nobody tells, the body is returned unread.
-func readAnswer(r *bufio.Reader) (answer, io.Reader) {
+// readResponse reads one response. A response that is malformed or ambiguous is an error. If the body is over maxBody or of
+// unknown length, it is returned unread.
+func readResponse(r *bufio.Reader) (response, io.Reader) {
 	for interim := 0; ; interim++ {
-		text, err := awaitHead(r, 0)
+		head, err := awaitHead(r, 0)
 		if err != nil {
-			return answer{err: spoilt(err)}, nil
+			return response{err: classifyReadError(err)}, nil
 		}
-		softenLoad(text)
-		start := string(text[:min(len(text), 160)])
-		frame, err := checkHead(text, onceInAnswer)
+		blankBadLoadReport(head)
+		start := string(head[:min(len(head), 160)])
+		frame, err := checkHead(head, singleResponseHeaders)
 		if err != nil {
-			return answer{err: fmt.Errorf("%w: %w: %q", errMalformed, err, start)}, nil
+			return response{err: fmt.Errorf("%w: %w: %q", errMalformed, err, start)}, nil
 		}
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
-			return answer{err: fmt.Errorf("%w: %w", errMalformed, err)}, nil
+			return response{err: fmt.Errorf("%w: %w", errMalformed, err)}, nil
 		}
 		body := frame.chunked || frame.length > 0
-		// A body may end with its connection, if the head says so: cut short, a head would lack its length as well.
-		ends := frame.closes || !resp.ProtoAtLeast(1, 1)
+		// A body may end with the connection only if the head says so: a head that was cut short may lack its length too.
+		endsWithConn := frame.closes || !resp.ProtoAtLeast(1, 1)
 		switch {
 		case resp.ProtoMajor != 1 || resp.StatusCode < 100 || resp.StatusCode > 599,
-			resp.StatusCode == http.StatusSwitchingProtocols, resp.StatusCode < 200 && body, interim > maxInterim:
-			return answer{err: fmt.Errorf("%w: %.40q out of place", errMalformed, resp.Status)}, nil
+			resp.StatusCode == http.StatusSwitchingProtocols, resp.StatusCode < 200 && body, interim > maxInterimResponses:
+			return response{err: fmt.Errorf("%w: unexpected status %.40q", errMalformed, resp.Status)}, nil
 		case resp.StatusCode < 200:
 			continue
 		case resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified:
-		case frame.length < 0 && !frame.chunked && !ends:
-			return answer{err: fmt.Errorf("%w: no length: %q", errMalformed, start)}, nil
+		case frame.length < 0 && !frame.chunked && !endsWithConn:
+			return response{err: fmt.Errorf("%w: no body length: %q", errMalformed, start)}, nil
 		}
-		a := answer{status: resp.StatusCode, keep: !resp.Close, length: resp.ContentLength}
+		result := response{status: resp.StatusCode, keep: !resp.Close, length: resp.ContentLength}
 		resp.Header.Del(headerLoad)
-		a.header = endToEnd(resp.Header)
-		if resp.ContentLength > maxLong {
-			return answer{err: fmt.Errorf("%w: %w", errMalformed, ErrBodyTooLarge)}, nil
+		result.header = endToEnd(resp.Header)
+		if resp.ContentLength > maxStreamedBody {
+			return response{err: fmt.Errorf("%w: %w", errMalformed, ErrBodyTooLarge)}, nil
 		}
 		if resp.ContentLength < 0 || resp.ContentLength > maxBody {
-			return a, resp.Body
+			return result, resp.Body
 		}
-		if a.body, err = readBody(resp.Body, resp.ContentLength, maxBody); err != nil {
+		if result.body, err = readBody(resp.Body, resp.ContentLength, maxBody); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
-			return answer{err: spoilt(err)}, nil
+			return response{err: classifyReadError(err)}, nil
 		}
-		return a, nil
+		return result, nil
 	}
 }
 
-// spoilt tells an answer that can't be read, or does not go on, from a connection that broke.
-func spoilt(err error) error {
-	var broken *net.OpError
+// classifyReadError wraps errors of responses that are malformed or stalled in errMalformed, and returns errors of broken
+// connections unchanged.
+func classifyReadError(err error) error {
+	var netErr *net.OpError
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return fmt.Errorf("%w: it does not go on", errMalformed)
-	case errors.As(err, &broken), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF),
+		return fmt.Errorf("%w: stalled", errMalformed)
+	case errors.As(err, &netErr), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF),
 		errors.Is(err, net.ErrClosed), errors.Is(err, io.ErrClosedPipe):
 		return err
 	}
 	return fmt.Errorf("%w: %w", errMalformed, err)
 }
 
-// softenLoad blanks out what can't be read in a load report, where it lies: the report is of no use then, but the
-// answer under it is good.
-func softenLoad(head []byte) {
+// blankBadLoadReport overwrites a load report that has control bytes with spaces, in place: the report is lost, but the
+// response is still valid.
+func blankBadLoadReport(head []byte) {
 	for line := range bytes.SplitSeq(head, []byte("\r\n")) {
 		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !bytes.EqualFold(name, []byte(headerLoad)) || plain(value) {
+		if !ok || !bytes.EqualFold(name, []byte(headerLoad)) || noControlBytes(value) {
 			continue
 		}
 		for i := range value {
