--- a/internal/wire/clientconn.go
+++ b/internal/wire/clientconn.go
@@ -70,7 +70,7 @@
 	stateInFlight                  // a complete request is not answered yet
 	stateIdle                      // all requests are answered
 	stateRejected                  // the request was rejected: further input is discarded
-	stateEvicted                   // told to close to make room for another connection
+	stateEvicted                   // told to close, to free a file descriptor for another connection
 )
 
 // evictionRank is the order in which connections are closed to make room, lowest first. Connections that have been idle for
--- a/internal/wire/discovery_test.go
+++ b/internal/wire/discovery_test.go
@@ -213,7 +213,7 @@
 		all = append(all, p)
 	}
 	all[0].Tell(1, []byte("hello"))
-	all[0].Tell(1, make([]byte, maxDatagram+1)) // too long: dropped
+	all[0].Tell(1, make([]byte, maxDatagram+1)) // too long: dropped, since it would invalidate more than it reports
 	all[0].Tell(9, []byte("nobody"))
 	select {
 	case text := <-heard:
--- a/internal/wire/head.go
+++ b/internal/wire/head.go
@@ -16,7 +16,7 @@
 
 const (
 	maxEmptyLines   = 4  // before a request, as some clients send them after a body; none before a response
-	maxLengthDigits = 18 // digits of a Content-Length
+	maxLengthDigits = 18 // digits of a Content-Length; a longer one is not a plausible size
 )
 
 // errFraming is wrapped by the errors for heads that are malformed or ambiguous.
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -94,7 +94,7 @@
 			panic(p)
 		}
 	}()
-	stopClose := context.AfterFunc(a.Context, func() { conn.Close() })
+	stopClose := context.AfterFunc(a.Context, func() { conn.Close() }) // ends the attempt at any stage
 	started := time.Now()
 	idleTime := conn.idleTime(started)
 	head := requestHead(a.Exchange, started)
--- a/internal/wire/server_test.go
+++ b/internal/wire/server_test.go
@@ -571,7 +571,7 @@
 	}
 }
 
-// If a streamed answer breaks off, the client's connection ends before the announced end, with every framing, so that the
+// If a streamed answer breaks off or stalls, the client's connection ends before the announced end, with every framing, so that the
 // client does not take the answer for complete.
 func TestStreamedAnswerAborted(t *testing.T) {
 	for _, form := range []string{"length", "chunks", "close"} {
@@ -654,7 +654,8 @@
 	}
 }
 
-// An HTTP/1.0 client does not support chunked encoding: an answer of unknown length ends with the connection.
+// An HTTP/1.0 client does not support chunked encoding: an answer of unknown length ends with an orderly close of the
+// connection, and one that breaks off must not.
 func TestStreamedAnswerToHTTP10Client(t *testing.T) {
 	s := standin.NewServer(t, func(r *standin.Request) bool { return writeResponse(r.Conn, "chunks", longBody, 10_000, 0) })
 	conn := newTestFrontend(t, 10, newTestRouter(t, s.Address)).dial(t)
@@ -689,7 +690,7 @@
 	}
 }
 
-// A cancelled attempt closes its connection.
+// A cancelled attempt closes its connection, so that no response is awaited on it.
 func TestCancellationClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
 	s := standin.NewServer(t, func(r *standin.Request) bool {
