--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the operators' address: calls that ask whether the process serves, that take cache servers out
-// and back, and that ask what routers share. It decides nothing and is told by functions what to ask.
+// Package admin serves the operators' API: health checks, taking cache servers out for maintenance and putting them
+// back, and the state that routers share. What it reports and does is given by functions.
 package admin
 
 import (
@@ -18,30 +18,31 @@
 	"cedarmast/internal/wire"
 )
 
-// ErrUnknown says that nobody has the id that a call names.
+// ErrUnknown means that no cache server has the id in the call.
 var ErrUnknown = errors.New("no such cache server")
 
-// Server answers operators' calls, one to a connection. Its fields are set before Serve.
+// Server answers operators' calls, one per connection. Set its fields before Serve.
 type Server struct {
-	Healthy  func() bool                         // this process can serve
-	Maintain func(server string, out bool) error // takes a cache server out, or back; ErrUnknown if nobody has the id
-	Facts    func() ([]byte, error)              // what this router holds of the state that routers share; nil: nothing is shared
+	Healthy  func() bool                         // reports whether this process can serve
+	Maintain func(server string, out bool) error // takes a cache server out of service or puts it back; ErrUnknown if none has the id
+	Facts    func() ([]byte, error)              // the state that routers share, as this router holds it; nil: sharing is off
 	Log      *slog.Logger
 
 	mu      sync.Mutex
-	waiting []net.Conn // whose call has not come whole, the oldest first
-	open    map[net.Conn]bool
-	done    bool
+	pending []net.Conn // connections whose call is incomplete, oldest first
+	conns   map[net.Conn]bool
+	closed  bool
 	wg      sync.WaitGroup
 }
 
 const (
-	// MostCalls is how many connections are open at once. Callers that connect and say nothing give way to the next ones.
-	MostCalls     = 12
-	callPatience  = 6 * time.Second        // for a whole call, where nobody else wants the place
-	replyPatience = time.Second            // for a caller to take its answer
-	lingerFor     = 100 * time.Millisecond // for the close of a caller that has its answer
-	lingerMost    = 64 << 10
+	// MostCalls is the maximum number of open connections. When it is reached, the oldest connection without a complete
+	// call is closed.
+	MostCalls      = 12
+	callTimeout    = 6 * time.Second        // for a complete call, unless the connection is evicted earlier
+	replyTimeout   = time.Second            // for the caller to read the response
+	lingerTimeout  = 100 * time.Millisecond // for the caller to close after the response
+	maxLingerBytes = 64 << 10
 )
 
 // Serve accepts calls until the listener is closed.
@@ -62,38 +63,38 @@
 	}
 }
 
-// admit starts a connection. Over the limit the one whose call has been coming for longest goes; calls that have come
-// whole are answered soon, and keep their place.
+// admit starts serving a connection. At the limit it closes the one whose call has been incomplete for longest.
+// Complete calls are answered soon and are never evicted.
 func (s *Server) admit(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.done {
+	if s.closed {
 		return false
 	}
-	if s.open == nil {
-		s.open = map[net.Conn]bool{}
+	if s.conns == nil {
+		s.conns = map[net.Conn]bool{}
 	}
-	if len(s.open) >= MostCalls {
-		if len(s.waiting) == 0 {
+	if len(s.conns) >= MostCalls {
+		if len(s.pending) == 0 {
 			return false
 		}
-		s.waiting[0].Close()
-		delete(s.open, s.waiting[0]) // its goroutine ends by itself
-		s.waiting = s.waiting[1:]
+		s.pending[0].Close()
+		delete(s.conns, s.pending[0]) // its goroutine ends when its read fails
+		s.pending = s.pending[1:]
 	}
-	s.open[c] = true
-	s.waiting = append(s.waiting, c)
+	s.conns[c] = true
+	s.pending = append(s.pending, c)
 	s.wg.Go(func() { s.serve(c) })
 	return true
 }
 
-// came takes a connection out of those that wait for their call.
-func (s *Server) came(c net.Conn) {
+// removePending removes a connection from those whose call is incomplete.
+func (s *Server) removePending(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, w := range s.waiting {
+	for i, w := range s.pending {
 		if w == c {
-			s.waiting = append(s.waiting[:i:i], s.waiting[i+1:]...)
+			s.pending = append(s.pending[:i:i], s.pending[i+1:]...)
 			return
 		}
 	}
@@ -104,30 +105,30 @@
 		if p := recover(); p != nil {
 			s.Log.Error("an operator's call panicked", "panic", fmt.Sprint(p))
 		}
-		s.came(c)
+		s.removePending(c)
 		c.Close()
 		s.mu.Lock()
-		delete(s.open, c)
+		delete(s.conns, c)
 		s.mu.Unlock()
 	}()
-	c.SetDeadline(time.Now().Add(callPatience))
+	c.SetDeadline(time.Now().Add(callTimeout))
 	req, err := wire.ReadCall(bufio.NewReader(c))
-	s.came(c)
+	s.removePending(c)
 	if err != nil {
 		if wire.IsBad(err) {
 			s.reply(c, http.StatusBadRequest, err.Error())
 		}
 		return
 	}
-	status, says := s.answer(req)
+	status, message := s.handle(req)
 	if req.Method != http.MethodGet {
-		s.Log.Info("operator's call", "method", req.Method, "path", req.URL.Path, "status", status, "says", says, "caller", c.RemoteAddr())
+		s.Log.Info("operator's call", "method", req.Method, "path", req.URL.Path, "status", status, "says", message, "caller", c.RemoteAddr())
 	}
-	s.reply(c, status, says)
+	s.reply(c, status, message)
 }
 
-// answer carries out a call.
-func (s *Server) answer(req *http.Request) (status int, says string) {
+// handle carries out a call and returns the status and body of its response.
+func (s *Server) handle(req *http.Request) (status int, message string) {
 	path := req.URL.EscapedPath()
 	server, isServer := strings.CutPrefix(path, "/cache-servers/")
 	switch {
@@ -171,28 +172,29 @@
 	return http.StatusNotFound, "no such call"
 }
 
-// reply writes the answer and waits a moment for the caller's close: a close over unread bytes would take it back.
-func (s *Server) reply(c net.Conn, status int, says string) {
-	c.SetDeadline(time.Now().Add(replyPatience))
+// reply writes the response and waits up to lingerTimeout for the caller to close: closing with unread data would
+// reset the connection and lose the response.
+func (s *Server) reply(c net.Conn, status int, message string) {
+	c.SetDeadline(time.Now().Add(replyTimeout))
 	allow := ""
 	if status == http.StatusMethodNotAllowed {
-		allow = "Allow: " + strings.Fields(says)[0] + "\r\n"
+		allow = "Allow: " + strings.Fields(message)[0] + "\r\n"
 	}
 	if _, err := fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\n%sContent-Length: %d\r\nConnection: close\r\n\r\n%s\n",
-		status, http.StatusText(status), allow, len(says)+1, says); err != nil {
+		status, http.StatusText(status), allow, len(message)+1, message); err != nil {
 		return
 	}
-	if half, ok := c.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		c.SetReadDeadline(time.Now().Add(lingerFor))
-		io.Copy(io.Discard, io.LimitReader(c, lingerMost))
+	if halfCloser, ok := c.(interface{ CloseWrite() error }); ok && halfCloser.CloseWrite() == nil {
+		c.SetReadDeadline(time.Now().Add(lingerTimeout))
+		io.Copy(io.Discard, io.LimitReader(c, maxLingerBytes))
 	}
 }
 
-// Close ends all connections and waits for their goroutines. The listener is to be closed before.
+// Close closes all connections and waits for their goroutines. Close the listener first.
 func (s *Server) Close() {
 	s.mu.Lock()
-	s.done = true
-	for c := range s.open {
+	s.closed = true
+	for c := range s.conns {
 		c.Close()
 	}
 	s.mu.Unlock()
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-type word struct {
+type order struct {
 	server string
 	out    bool
 }
@@ -57,9 +57,9 @@
 func TestCalls(t *testing.T) {
 	var healthy atomic.Bool
 	healthy.Store(true)
-	var last word
+	var last order
 	address := newServer(t, &healthy, func(server string, out bool) error {
-		switch last = (word{server, out}); server {
+		switch last = (order{server, out}); server {
 		case "nobody":
 			return ErrUnknown
 		case "stuck":
@@ -70,27 +70,27 @@
 	for _, c := range []struct {
 		text   string
 		status int
-		word   word
+		word   order
 	}{
-		{ask("GET", "/healthcheck"), 200, word{}},
-		{ask("PUT", "/healthcheck"), 405, word{}},
-		{ask("PUT", "/cache-servers/s-1/maint"), 200, word{"s-1", true}},
-		{ask("PUT", "/cache-servers/s-1/ready"), 200, word{"s-1", false}},
-		{ask("PUT", "/cache-servers/a%2Fb%20c/maint"), 200, word{"a/b c", true}},
-		{"PUT /cache-servers/s-2/maint HTTP/1.1\r\nHost: b\r\nContent-Length: 2\r\n\r\nok", 200, word{"s-2", true}},
-		{"PUT /cache-servers/s-3/maint HTTP/1.1\r\nHost: b\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 200, word{"s-3", true}},
-		{ask("PUT", "/cache-servers/nobody/maint"), 404, word{"nobody", true}},
-		{ask("PUT", "/cache-servers/stuck/ready"), 503, word{"stuck", false}},
-		{ask("GET", "/cache-servers/s-1/maint"), 405, word{}},
-		{ask("PUT", "/cache-servers/s-1/burn"), 404, word{}},
-		{ask("PUT", "/cache-servers/s-1"), 404, word{}},
-		{ask("PUT", "/cache-servers//maint"), 404, word{}},
-		{ask("PUT", "/cache-servers/s-1/maint/x"), 404, word{}},
-		{ask("GET", "/else"), 404, word{}},
-		{"nonsense\r\n\r\n", 400, word{}},
-		{"PUT /cache-servers/s-1/maint HTTP/1.1\r\nHost: b\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nok", 400, word{}},
+		{ask("GET", "/healthcheck"), 200, order{}},
+		{ask("PUT", "/healthcheck"), 405, order{}},
+		{ask("PUT", "/cache-servers/s-1/maint"), 200, order{"s-1", true}},
+		{ask("PUT", "/cache-servers/s-1/ready"), 200, order{"s-1", false}},
+		{ask("PUT", "/cache-servers/a%2Fb%20c/maint"), 200, order{"a/b c", true}},
+		{"PUT /cache-servers/s-2/maint HTTP/1.1\r\nHost: b\r\nContent-Length: 2\r\n\r\nok", 200, order{"s-2", true}},
+		{"PUT /cache-servers/s-3/maint HTTP/1.1\r\nHost: b\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 200, order{"s-3", true}},
+		{ask("PUT", "/cache-servers/nobody/maint"), 404, order{"nobody", true}},
+		{ask("PUT", "/cache-servers/stuck/ready"), 503, order{"stuck", false}},
+		{ask("GET", "/cache-servers/s-1/maint"), 405, order{}},
+		{ask("PUT", "/cache-servers/s-1/burn"), 404, order{}},
+		{ask("PUT", "/cache-servers/s-1"), 404, order{}},
+		{ask("PUT", "/cache-servers//maint"), 404, order{}},
+		{ask("PUT", "/cache-servers/s-1/maint/x"), 404, order{}},
+		{ask("GET", "/else"), 404, order{}},
+		{"nonsense\r\n\r\n", 400, order{}},
+		{"PUT /cache-servers/s-1/maint HTTP/1.1\r\nHost: b\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nok", 400, order{}},
 	} {
-		last = word{}
+		last = order{}
 		if status := call(t, address, c.text); status != c.status || last != c.word {
 			t.Errorf("%.60q: %d with %+v, want %d with %+v", c.text, status, last, c.status, c.word)
 		}
@@ -102,7 +102,7 @@
 }
 
 // A call whose body is cut off is no whole call: nothing is carried out.
-func TestHalfACallDoesNothing(t *testing.T) {
+func TestTruncatedCallIsNotCarriedOut(t *testing.T) {
 	var healthy atomic.Bool
 	var orders atomic.Int64
 	address := newServer(t, &healthy, func(string, bool) error { orders.Add(1); return nil })
@@ -120,7 +120,7 @@
 }
 
 // Callers that hold connections with no whole call, many more than there are places, keep nobody from an answer.
-func TestSilentCallersGiveWay(t *testing.T) {
+func TestSilentCallersAreEvicted(t *testing.T) {
 	var healthy atomic.Bool
 	healthy.Store(true)
 	address := newServer(t, &healthy, func(string, bool) error { return nil })
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -12,7 +12,7 @@
 	"cedarmast/internal/exchange"
 )
 
-// command is the command line. Without arguments a router runs.
+// command is the command line. Without arguments it runs a router.
 type command struct {
 	Run     struct{}   `cmd:"" default:"1" help:"Run a router, as the file that $$GW_CONFIG names says. This is what happens without arguments."`
 	Check   checkCmd   `cmd:"" help:"Read a configuration as a start would and say whether it is good."`
@@ -32,20 +32,20 @@
 	}
 )
 
-const callPatience = 2 * time.Second // for a whole call
+const callTimeout = 2 * time.Second // for a whole request, from dialing to the end of the response
 
-// process is what a program has of its process, apart from its signals.
-type process struct {
+// processEnv is what the program uses of its process, except signals: environment, output streams and the decider.
+type processEnv struct {
 	getenv         func(string) string
 	stdout, stderr io.Writer
-	decide         func(balance.Settings, uint64) exchange.Decider // nil: the decisions in service
+	newDecider     func(balance.Settings, uint64) exchange.Decider // nil: the default decider
 }
 
-// Main carries out a command line, without the program's name, and returns the status to exit with: 2 for a faulty
-// argument or configuration, 1 for what failed otherwise.
+// Main runs a command line, given without the program's name, and returns the exit status: 2 for an invalid argument
+// or configuration, 1 for any other failure.
 func Main(args []string, getenv func(string) string, stdout, stderr io.Writer) int {
-	p := process{getenv: getenv, stdout: stdout, stderr: stderr}
-	if len(args) == 0 { // as the deployment starts it: nothing stands between it and its signals
+	p := processEnv{getenv: getenv, stdout: stdout, stderr: stderr}
+	if len(args) == 0 { // as the deployment starts it: no parser runs before the signal handlers are installed
 		return p.run()
 	}
 	var c command
@@ -56,15 +56,15 @@
 		fmt.Fprintln(stderr, "cedarmast:", err)
 		return 2
 	}
-	given, err := parser.Parse(args)
+	parsed, err := parser.Parse(args)
 	switch {
-	case status >= 0: // help was asked for and given
+	case status >= 0: // help was requested and printed
 		return status
 	case err != nil:
 		fmt.Fprintln(stderr, "cedarmast:", err)
 		return 2
 	}
-	switch given.Selected().Name {
+	switch parsed.Selected().Name {
 	case "check":
 		return p.check(c.Check.File)
 	case "move":
@@ -80,14 +80,14 @@
 	return p.run()
 }
 
-// RunDeciding runs a router as Main without arguments does, with other decisions than the ones in service: a baseline to
-// rehearse against.
-func RunDeciding(decide func(balance.Settings, uint64) exchange.Decider, getenv func(string) string, stderr io.Writer) int {
-	return process{getenv: getenv, stdout: io.Discard, stderr: stderr, decide: decide}.run()
+// RunDeciding runs a router as Main without arguments does, but with another decider than the default one. Rehearsals
+// use it to run a baseline.
+func RunDeciding(newDecider func(balance.Settings, uint64) exchange.Decider, getenv func(string) string, stderr io.Writer) int {
+	return processEnv{getenv: getenv, stdout: io.Discard, stderr: stderr, newDecider: newDecider}.run()
 }
 
-// check reads a configuration as a start would.
-func (p process) check(file string) int {
+// check validates a configuration file as a start would; an empty name means the file that $GW_CONFIG names.
+func (p processEnv) check(file string) int {
 	getenv := p.getenv
 	if file != "" {
 		getenv = func(name string) string {
@@ -107,9 +107,9 @@
 	return 0
 }
 
-// stats asks a router for its counters.
-func (p process) stats(addr string) int {
-	text, err := get(addr, "/stats")
+// stats prints the counters of the router at addr.
+func (p processEnv) stats(addr string) int {
+	text, err := httpGet(addr, "/stats")
 	if err == nil {
 		_, err = p.stdout.Write(text)
 	}
--- a/internal/daemon/command_test.go
+++ b/internal/daemon/command_test.go
@@ -37,7 +37,7 @@
 		{"--help", 0, "check [<file>]", ""},
 		{"check " + good, 0, "good: n0 on ", ""},
 		{"check", 2, "", "GW_CONFIG is not set"},
-		{"check " + bad, 2, "", "bad.json: name: a number can't stand here"},
+		{"check " + bad, 2, "", "bad.json: name: unexpected JSON number"},
 		{"check " + good + " more", 2, "", "unexpected argument more"},
 		{"nonsense", 2, "", "unexpected argument nonsense"},
 		{"run --fast", 2, "", "unknown flag --fast"},
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -14,46 +14,46 @@
 	"cedarmast/internal/wire"
 )
 
-// Config is what a router is told at its start. It is read, checked and given defaults here and nowhere else.
+// Config is a router's configuration file. This package alone parses it, validates it and fills in defaults.
 type Config struct {
 	Name       string            `json:"name"`
 	Listen     string            `json:"listen"`
 	Discovery  string            `json:"discovery"`
-	Seed       string            `json:"seed"` // hexadecimal
+	Seed       string            `json:"seed"` // 64 bits, hexadecimal
 	Limits     Limits            `json:"limits"`
-	PeerListen string            `json:"peer_listen"` // empty: no messages between routers
+	PeerListen string            `json:"peer_listen"` // UDP address for messages between routers; empty: none
 	Peers      []string          `json:"peers"`
 	Known      *wire.Endpoints   `json:"known"`
-	Operators  string            `json:"operator"` // where operators' calls come; empty: none do
-	Log        string            `json:"log"`      // the least level that is logged
+	Operators  string            `json:"operator"` // listen address of the operators' API; empty: disabled
+	Log        string            `json:"log"`      // minimum level that is logged
 	Settings   *settings.Profile `json:"settings"`
 
-	raw      map[string]any // the file as it stands
-	seed     uint64
-	level    slog.Level
-	operator *settings.Operator // the operators' own file
+	raw          map[string]any // the parsed file, before defaults
+	seed         uint64
+	logLevel     slog.Level
+	operatorFile *settings.Operator // from $CEDARMAST_OPERATOR
 }
 
-// Limits are the machine's.
+// Limits are the resources of the machine that the router may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Defaults for what may be left out.
+// Defaults for keys that may be left out, and lower bounds.
 const (
-	defaultCores    = 1.0
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	leastSockets    = 64
-	leastMemoryMB   = 32
-	defaultConnIdle = 5 * time.Second
-	defaultConnect  = 250 * time.Millisecond
+	defaultCores           = 1.0
+	defaultMemoryMB        = 192
+	defaultSockets         = 1024
+	minSockets             = 64
+	minMemoryMB            = 32
+	defaultConnIdleTimeout = 5 * time.Second
+	defaultConnectTimeout  = 250 * time.Millisecond
 )
 
-// LoadConfig reads the file that $GW_CONFIG names; $GW_NAME, $GW_LISTEN, $GW_DISCOVERY, $GW_OPERATOR and $CEDARMAST_LOG
-// stand in for keys that it lacks. $CEDARMAST_OPERATOR names the operators' own file, if there is one.
+// LoadConfig reads the file that $GW_CONFIG names. $GW_NAME, $GW_LISTEN, $GW_DISCOVERY, $GW_OPERATOR and
+// $CEDARMAST_LOG supply keys that the file lacks. $CEDARMAST_OPERATOR names the operators' file, which is optional.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	if c.operator, err = settings.LoadOperator(getenv("CEDARMAST_OPERATOR")); err != nil {
+	if c.operatorFile, err = settings.LoadOperator(getenv("CEDARMAST_OPERATOR")); err != nil {
 		return nil, fmt.Errorf("CEDARMAST_OPERATOR: %w", err)
 	}
 	return c, nil
@@ -76,9 +76,9 @@
 func parseConfig(text []byte, getenv func(string) string) (*Config, error) {
 	var c Config
 	if err := json.Unmarshal(text, &c); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) && wrong.Field != "" {
-			return nil, fmt.Errorf("%s: a %s can't stand here", wrong.Field, wrong.Value)
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) && typeError.Field != "" {
+			return nil, fmt.Errorf("%s: unexpected JSON %s", typeError.Field, typeError.Value)
 		}
 		return nil, fmt.Errorf("not a JSON object: %w", err)
 	}
@@ -94,11 +94,11 @@
 			*key.value = getenv(key.env)
 		}
 	}
-	c.fill()
-	return &c, c.check()
+	c.applyDefaults()
+	return &c, c.validate()
 }
 
-func (c *Config) fill() {
+func (c *Config) applyDefaults() {
 	setDefault(&c.Limits.Cores, defaultCores)
 	setDefault(&c.Limits.MemoryMB, defaultMemoryMB)
 	setDefault(&c.Limits.Sockets, defaultSockets)
@@ -108,8 +108,8 @@
 		c.Known = &wire.Endpoints{Index: wire.Unknown}
 	}
 	if c.Settings != nil {
-		setDefault(&c.Settings.Limits.ConnIdle, int64(defaultConnIdle))
-		setDefault(&c.Settings.Limits.ConnectTimeout, int64(defaultConnect))
+		setDefault(&c.Settings.Limits.ConnIdle, int64(defaultConnIdleTimeout))
+		setDefault(&c.Settings.Limits.ConnectTimeout, int64(defaultConnectTimeout))
 		setDefault(&c.Settings.Limits.StreamsPerConn, 1)
 		setDefault(&c.Settings.FleetSize, 1)
 	}
@@ -122,14 +122,14 @@
 	}
 }
 
-// check names the first key that is faulty.
-func (c *Config) check() error {
+// validate returns an error that names the first invalid key. It also parses the seed and the log level.
+func (c *Config) validate() error {
 	if c.Name == "" {
 		return errors.New("name: missing, and GW_NAME is not set")
 	}
 	for _, key := range []struct{ name, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, err := netip.ParseAddrPort(key.value); err != nil {
-			return fmt.Errorf("%s: %q is no address:port", key.name, key.value)
+			return fmt.Errorf("%s: %q is not an address:port", key.name, key.value)
 		}
 	}
 	for _, key := range []struct{ name, value string }{{"peer_listen", c.PeerListen}, {"operator", c.Operators}} {
@@ -137,28 +137,28 @@
 			continue
 		}
 		if _, err := netip.ParseAddrPort(key.value); err != nil {
-			return fmt.Errorf("%s: %q is no address:port", key.name, key.value)
+			return fmt.Errorf("%s: %q is not an address:port", key.name, key.value)
 		}
 	}
 	for i, peer := range c.Peers {
 		if _, err := netip.ParseAddrPort(peer); err != nil {
-			return fmt.Errorf("peers[%d]: %q is no address:port", i, peer)
+			return fmt.Errorf("peers[%d]: %q is not an address:port", i, peer)
 		}
 	}
 	var err error
 	if c.seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
-		return fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", c.Seed)
+		return fmt.Errorf("seed: %q is not a 64-bit hexadecimal number", c.Seed)
 	}
-	if err := c.level.UnmarshalText([]byte(c.Log)); err != nil {
-		return fmt.Errorf("log: %q is none of debug, info, warn, error", c.Log)
+	if err := c.logLevel.UnmarshalText([]byte(c.Log)); err != nil {
+		return fmt.Errorf("log: %q is not one of debug, info, warn, error", c.Log)
 	}
 	switch {
 	case !(c.Limits.Cores > 0):
-		return fmt.Errorf("limits.cores: %v is not over 0", c.Limits.Cores)
-	case c.Limits.MemoryMB < leastMemoryMB:
-		return fmt.Errorf("limits.memory_mb: %d is under %d", c.Limits.MemoryMB, leastMemoryMB)
-	case c.Limits.Sockets < leastSockets:
-		return fmt.Errorf("limits.sockets: %d is under %d", c.Limits.Sockets, leastSockets)
+		return fmt.Errorf("limits.cores: %v is not greater than 0", c.Limits.Cores)
+	case c.Limits.MemoryMB < minMemoryMB:
+		return fmt.Errorf("limits.memory_mb: %d is less than %d", c.Limits.MemoryMB, minMemoryMB)
+	case c.Limits.Sockets < minSockets:
+		return fmt.Errorf("limits.sockets: %d is less than %d", c.Limits.Sockets, minSockets)
 	}
 	if err := c.Known.Check(); err != nil {
 		return fmt.Errorf("known: %w", err)
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	if c.seed != 0x8c1f30d27a5be964 || c.Known.Index != 41 || c.Settings.Limits.ConnIdle != int64(7*time.Second) ||
-		c.Settings.Limits.ConnectTimeout != int64(defaultConnect) {
+		c.Settings.Limits.ConnectTimeout != int64(defaultConnectTimeout) {
 		t.Errorf("read as %+v", c)
 	}
 }
@@ -100,19 +100,19 @@
 	}
 }
 
-func TestDescriptorsAreSharedOut(t *testing.T) {
+func TestSplitDescriptors(t *testing.T) {
 	for _, sockets := range []int{64, 256, 1024} {
-		s := share(sockets)
-		if most := s.clients + max(s.clients/8, 2) + s.servers + otherDescriptors; most > sockets+2 || s.clients < 8 || s.servers < 8 {
+		s := splitDescriptors(sockets)
+		if most := s.clients + max(s.clients/8, 2) + s.servers + reservedDescriptors; most > sockets+2 || s.clients < 8 || s.servers < 8 {
 			t.Errorf("%d sockets: %+v, together %d", sockets, s, most)
 		}
 	}
 }
 
-func TestReuseStaysUnderTheServersLimit(t *testing.T) {
+func TestMaxReuseIdle(t *testing.T) {
 	for limit, want := range map[time.Duration]time.Duration{5 * time.Second: 4500 * time.Millisecond,
 		time.Second: 700 * time.Millisecond, 100 * time.Millisecond: 50 * time.Millisecond} {
-		if got := reuseFor(limit); got != want {
+		if got := maxReuseIdle(limit); got != want {
 			t.Errorf("%v: %v, want %v", limit, got, want)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon starts and stops a router: its configuration, its parts, readiness and the way it ends.
+// Package daemon starts, reconfigures, replaces and stops a router process.
 package daemon
 
 import (
@@ -23,75 +23,77 @@
 )
 
 const (
-	acceptFor  = 450 * time.Millisecond  // after SIGTERM: connections still come for up to 0.4 s
-	finishFor  = 3400 * time.Millisecond // after SIGTERM: SIGKILL comes no sooner than 0.3 s later
-	parkFor    = 1500 * time.Millisecond // after SIGTERM, for idle clients of a process that is replaced to ask once more
-	bindFor    = 5 * time.Second         // for an earlier process to let go of the address
-	sweepEvery = 250 * time.Millisecond
-	statsEvery = 10 * time.Second
+	shutdownAcceptPeriod = 450 * time.Millisecond  // after SIGTERM: new connections may arrive for up to 0.4 s
+	shutdownTimeout      = 3400 * time.Millisecond // after SIGTERM: SIGKILL follows no sooner than 0.3 s later
+	idleClientGrace      = 1500 * time.Millisecond // after SIGTERM, for idle clients of a replaced process to send one more request
+	bindTimeout          = 5 * time.Second         // for an earlier process to release the address
+	sweepInterval        = 250 * time.Millisecond
+	statsInterval        = 10 * time.Second
 )
 
-// run runs a router by the environment's word and returns the status to exit with: 2 for a faulty configuration, 1 for
-// a router that could not start.
-func (p process) run() int {
-	lines := newLogWriter(p.stderr)
-	defer lines.Close()
-	s := catchSignals() // before anything else: SIGHUP would end a process that does not catch it
+// run runs a router configured by the environment and returns the exit status: 2 for an invalid configuration, 1 if
+// the router could not start.
+func (p processEnv) run() int {
+	logOutput := newLogWriter(p.stderr)
+	defer logOutput.Close()
+	sigs := catchSignals() // before anything else: an unhandled SIGHUP would end the process
 	c, err := LoadConfig(p.getenv)
 	if err != nil {
-		slog.New(slog.NewTextHandler(lines, nil)).Error("not started", "err", err)
+		slog.New(slog.NewTextHandler(logOutput, nil)).Error("not started", "err", err)
 		return 2
 	}
 	level := &slog.LevelVar{}
-	level.Set(c.level)
-	log := slog.New(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: level}))
+	level.Set(c.logLevel)
+	log := slog.New(slog.NewTextHandler(logOutput, &slog.HandlerOptions{Level: level}))
 	load := func() (*Config, error) { return LoadConfig(p.getenv) }
-	if err := Run(context.Background(), c, log, host{s, load, level, p.decide, p.getenv("TMPDIR")}); err != nil {
+	if err := Run(context.Background(), c, log, runOptions{sigs, load, level, p.newDecider, p.getenv("TMPDIR")}); err != nil {
 		log.Error("not started", "err", err)
 		return 1
 	}
 	return 0
 }
 
-// host is what a router has of its process. The zero value is that of one that hears no signals.
-type host struct {
+// runOptions is what a router gets from its process. The zero value handles no signals.
+type runOptions struct {
 	signals
-	load  func() (*Config, error) // reads the configuration again
-	level *slog.LevelVar          // of the log
+	loadConfig func() (*Config, error) // reads the configuration file again
+	logLevel   *slog.LevelVar          // level of the logger, changed by a reload
 
-	decide func(balance.Settings, uint64) exchange.Decider // nil: the decisions in service
-	shared string                                          // a directory that processes of one router share; empty: none
+	newDecider func(balance.Settings, uint64) exchange.Decider // nil: the default decider
+	sharedDir  string                                          // directory shared by successive processes of one router; empty: none
 }
 
-// signals are those that a router is told things by, each kind in a row of its own: none crowds out another.
-type signals struct{ end, reload, count chan os.Signal }
+// signals holds one channel for each kind of signal, so that signals of one kind can't displace another kind.
+type signals struct{ terminate, reload, dumpCounters chan os.Signal }
 
-// catchSignals catches them for as long as the process lives, past the router's end as well.
+// catchSignals installs the handlers. They stay installed for the life of the process, even after the router has
+// stopped.
 func catchSignals() signals {
-	s := signals{end: make(chan os.Signal, 1), reload: make(chan os.Signal, 1), count: make(chan os.Signal, 1)}
-	signal.Notify(s.reload, syscall.SIGHUP) // one that waits stands for all: the file is read as it is then
-	signal.Notify(s.end, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(s.count, syscall.SIGUSR1)
-	signal.Ignore(syscall.SIGPIPE) // whoever reads the log may go away
+	s := signals{terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1), dumpCounters: make(chan os.Signal, 1)}
+	signal.Notify(s.reload, syscall.SIGHUP) // one pending signal is enough: the file is read when it is handled
+	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(s.dumpCounters, syscall.SIGUSR1)
+	signal.Ignore(syscall.SIGPIPE) // the reader of the log may close the pipe
 	return s
 }
 
-// Run runs a router until the context ends, or SIGTERM or SIGINT comes, and all that it has taken is answered.
-func Run(ctx context.Context, c *Config, log *slog.Logger, p host) error {
-	r, err := start(c, log, p.decide, p.shared)
+// Run runs a router until the context is cancelled or SIGTERM or SIGINT arrives, and returns once all accepted
+// requests are answered.
+func Run(ctx context.Context, c *Config, log *slog.Logger, opts runOptions) error {
+	r, err := start(c, log, opts.newDecider, opts.sharedDir)
 	if err != nil {
 		return err
 	}
 	for {
 		select {
-		case <-p.count:
+		case <-opts.dumpCounters:
 			log.Info("counters", r.counts.LogAttrs()...)
 			r.loop.View(slog.LevelInfo)
 			continue
-		case <-p.reload:
-			r.reload(p)
+		case <-opts.reload:
+			r.reload(opts)
 			continue
-		case s := <-p.end:
+		case s := <-opts.terminate:
 			log.Info("stopping", "signal", s.String())
 		case <-ctx.Done():
 			log.Info("stopping")
@@ -104,88 +106,89 @@
 
 // router is a running router.
 type router struct {
-	config   *Config
-	log      *slog.Logger
-	counts   *exchange.Counters
-	pool     *exchange.Pool
-	loop     *exchange.Loop
-	clients  *wire.Clients
-	peers    *wire.Peers // nil without messages
-	listener net.Listener
-	clock    exchange.Clock
-	long     *exchange.Budget
-	watch    atomic.Pointer[watch]
+	config            *Config
+	log               *slog.Logger
+	counts            *exchange.Counters
+	pool              *exchange.Pool
+	loop              *exchange.Loop
+	clients           *wire.Clients
+	peers             *wire.Peers // nil if messages between routers are off
+	listener          net.Listener
+	clock             exchange.Clock
+	longRequestBudget *exchange.Budget
+	discovery         atomic.Pointer[discoveryWatch]
 
 	replacement
-	stored
+	persistence
 	sharing
-	admin    *admin.Server // nil without an operators' address
-	adminAt  net.Listener
-	serving  chan struct{} // closed when clients may come
-	servers  *wire.Servers
-	profile  atomic.Pointer[settings.Profile] // the settings that hold now
-	limitsMu sync.Mutex
-	limits   Limits // of the router, both its processes together while there are two
-	paired   bool
-	longMost int64
+	admin            *admin.Server // nil without an operators' address
+	adminListener    net.Listener
+	ready            chan struct{} // closed when the router is ready for clients
+	servers          *wire.Servers
+	profile          atomic.Pointer[settings.Profile] // current settings
+	limitsMu         sync.Mutex
+	limits           Limits // of the router; two processes share them during a replacement
+	paired           bool
+	longRequestLimit int64
 
-	told     sync.Once
-	listed   chan struct{} // closed when discovery has told a list
-	accepted chan struct{} // closed when no connection is accepted any more
+	listedOnce    sync.Once
+	listed        chan struct{} // closed when discovery has delivered a list
+	acceptStopped chan struct{} // closed when the accept loop has ended
 
-	halt context.CancelFunc // of the goroutines below
-	wg   sync.WaitGroup
+	cancel context.CancelFunc // stops the goroutines counted by wg
+	wg     sync.WaitGroup
 }
 
-// start brings all parts up, in the order in which they need one another. The router is ready a little later.
-func start(c *Config, log *slog.Logger, decide func(balance.Settings, uint64) exchange.Decider, shared string) (*router, error) {
+// start creates the components in the order of their dependencies and starts their goroutines. The router becomes
+// ready later: see awaitReady.
+func start(c *Config, log *slog.Logger, newDecider func(balance.Settings, uint64) exchange.Decider, sharedDir string) (*router, error) {
 	clock := exchange.NewClock()
-	r := &router{config: c, log: log, counts: &exchange.Counters{}, accepted: make(chan struct{}),
-		listed: make(chan struct{}), serving: make(chan struct{}), clock: clock, replacement: replacement{dir: shared, listen: c.Listen}}
-	listener, left, err := r.takeOver()
+	r := &router{config: c, log: log, counts: &exchange.Counters{}, acceptStopped: make(chan struct{}),
+		listed: make(chan struct{}), ready: make(chan struct{}), clock: clock, replacement: replacement{sharedDir: sharedDir, listenAddress: c.Listen}}
+	listener, inherited, err := r.takeOver()
 	if err != nil {
 		return nil, fmt.Errorf("taking over: %w", err)
 	}
 	predecessor := r.peer
-	parts := share(c.Limits.of(predecessor != nil).Sockets)
-	r.pool = exchange.NewPool(parts.servers, reuseFor(time.Duration(c.Settings.Limits.ConnIdle)), r.counts)
+	descriptors := splitDescriptors(c.Limits.perProcess(predecessor != nil).Sockets)
+	r.pool = exchange.NewPool(descriptors.servers, maxReuseIdle(time.Duration(c.Settings.Limits.ConnIdle)), r.counts)
 
 	loop := exchange.NewLoop()
 	r.loop = loop
 	loop.Clock, loop.Counts, loop.Log, loop.Pool = clock, r.counts, log, r.pool
-	loop.Settings, loop.Seed, loop.Decide = c.Settings.Settings(), c.seed, decide
-	c.operator.Apply(&loop.Settings)
+	loop.Settings, loop.Seed, loop.Decide = c.Settings.Settings(), c.seed, newDecider
+	c.operatorFile.Apply(&loop.Settings)
 	loop.Subscribe = func() {
-		if w := r.watch.Load(); w != nil {
+		if w := r.discovery.Load(); w != nil {
 			w.Subscribe()
 		}
 	}
-	r.long = exchange.NewBudget(0)
+	r.longRequestBudget = exchange.NewBudget(0)
 	r.profile.Store(c.Settings)
 	r.servers = &wire.Servers{Pool: r.pool, Counts: r.counts,
 		ConnectTimeout: time.Duration(c.Settings.Limits.ConnectTimeout),
 		Careful:        func(class string) bool { return !r.profile.Load().IsSafe(class) }}
 	loop.Sender = r.servers
-	loop.Teller = silent{}
-	known, from := c.Known, c.Known.Index
-	if kept := r.restore(c, loop); kept != c.Known && left == nil {
-		known, from = kept, wire.Unknown // its version may be of another discovery by now
+	loop.Teller = noopTeller{}
+	known, fromIndex := c.Known, c.Known.Index
+	if restored := r.restore(c, loop); restored != c.Known && inherited == nil {
+		known, fromIndex = restored, wire.Unknown // its index may belong to another discovery service
 	}
-	if left != nil {
-		r.find(left.Facts, 0)
-		loop.Maintenance, loop.Settings.Answered = left.Maintenance.Copy(), left.Answered
-		if left.Known != nil && len(left.Known.Endpoints) > 0 { // newer than the file; its version may be of another discovery
-			known, from = left.Known, wire.Unknown
+	if inherited != nil {
+		r.addSnapshot(inherited.Facts, 0)
+		loop.Maintenance, loop.Settings.Answered = inherited.Maintenance.Copy(), inherited.Answered
+		if inherited.Known != nil && len(inherited.Known.Endpoints) > 0 { // newer than the file; its index may belong to another discovery service
+			known, fromIndex = inherited.Known, wire.Unknown
 		}
-	} else if word, ok := r.keptWord(); ok { // either may lack an order that found its disk full: what is out in one is out
-		loop.Maintenance = word.With(loop.Maintenance)
+	} else if saved, ok := r.loadMaintenance(); ok { // either copy may lack an order that was given while the disk was full: a server out in one is out
+		loop.Maintenance = saved.With(loop.Maintenance)
 	}
 	defer func() {
 		if err == nil {
 			return
 		}
-		r.part()
-		for _, l := range []net.Listener{listener, r.adminAt} {
+		r.disconnectPeer()
+		for _, l := range []net.Listener{listener, r.adminListener} {
 			if l != nil {
 				l.Close()
 			}
@@ -202,9 +205,9 @@
 		r.peers.Counts, r.peers.Heard = r.counts, func(_ int, text []byte) { loop.Heard(text) }
 		loop.Teller = r.peers
 	}
-	r.share(c, loop)
+	r.startSharing(c, loop)
 	if c.Operators != "" {
-		if r.adminAt, err = listen(c.Operators, net.ListenConfig{}); err != nil {
+		if r.adminListener, err = listen(c.Operators, net.ListenConfig{}); err != nil {
 			return nil, fmt.Errorf("operator: %w", err)
 		}
 	}
@@ -214,85 +217,86 @@
 		}
 	}
 	r.listener = listener
-	r.clients = wire.NewClients(loop, r.counts, log, parts.clients)
-	r.clients.Long = r.long
+	r.clients = wire.NewClients(loop, r.counts, log, descriptors.clients)
+	r.clients.Long = r.longRequestBudget
 	r.clients.Knows = func(class string) bool { return r.profile.Load().HasClass(class) }
-	r.keepTo(func() { r.limits, r.paired = c.Limits, predecessor != nil })
+	r.updateLimits(func() { r.limits, r.paired = c.Limits, predecessor != nil })
 
-	ctx, halt := context.WithCancel(context.Background())
-	r.halt = halt
+	ctx, cancel := context.WithCancel(context.Background())
+	r.cancel = cancel
 	r.background(func() { loop.Run(ctx) })
 	loop.Listed(known.List(balance.Persisted, clock))
-	r.watchFrom(c.Discovery, from)
+	r.startWatch(c.Discovery, fromIndex)
 	if r.peers != nil {
 		r.background(r.peers.Run)
 	}
 	if r.facts != nil {
 		r.background(func() { r.facts.Run(ctx) })
-		r.background(func() { r.keepInStep(ctx) })
+		r.background(func() { r.followOrders(ctx) })
 	}
 	r.background(func() { r.housekeep(ctx) })
 	if r.store != nil {
-		r.background(func() { r.keepState(ctx) })
+		r.background(func() { r.runSaves(ctx) })
 	}
 	r.background(func() {
-		defer close(r.accepted)
-		if predecessor != nil { // which serves as well: what it accepts is in better hands until this one is ready
+		defer close(r.acceptStopped)
+		if predecessor != nil { // the predecessor still serves: leave new connections to it until this process is ready
 			select {
-			case <-r.serving:
+			case <-r.ready:
 			case <-predecessor.Ended:
 			case <-ctx.Done():
 			}
 		}
 		r.clients.Serve(r.listener)
 	})
-	r.background(func() { r.beReady(ctx, c.Name, known.Index, parts) })
-	if r.adminAt != nil {
+	r.background(func() { r.awaitReady(ctx, c.Name, known.Index, descriptors) })
+	if r.adminListener != nil {
 		r.admin = &admin.Server{Healthy: r.clients.Serving, Maintain: r.maintain, Log: log}
 		if r.facts != nil {
-			r.admin.Facts = func() ([]byte, error) { return r.report(c.Name) }
+			r.admin.Facts = func() ([]byte, error) { return r.factsReport(c.Name) }
 		}
-		r.background(func() { r.admin.Serve(r.adminAt) })
+		r.background(func() { r.admin.Serve(r.adminListener) })
 	}
 	if predecessor != nil {
 		log.Info("taken over from a running process", "servers", len(known.Endpoints), "servers_out", len(loop.Maintenance.Out))
-		r.background(func() { r.pair(predecessor) })
+		r.background(func() { r.followPeer(predecessor) })
 	} else {
 		r.awaitSuccessors()
 	}
 	return r, nil
 }
 
-// beReady says that clients may come: once there is a list that discovery has told of late, or, while it is silent, the
-// one that was known. Without any list there is nothing to serve from.
-func (r *router) beReady(ctx context.Context, name string, known int64, parts shares) {
-	r.comeBack(ctx, known != wire.Unknown, func() {
+// awaitReady marks the router ready once discovery has delivered a list or, while discovery does not answer, once it
+// may serve from the list known before. Without any list the router stays not ready.
+func (r *router) awaitReady(ctx context.Context, name string, knownIndex int64, descriptors descriptorShares) {
+	r.trackRecovery(ctx, knownIndex != wire.Unknown, func() {
 		r.clients.Ready.Store(true)
-		close(r.serving)
-		r.log.Info("ready", "name", name, "listen", r.listen, "known_index", known,
-			"clients_most", parts.clients, "server_connections_most", parts.servers)
+		close(r.ready)
+		r.log.Info("ready", "name", name, "listen", r.listenAddress, "known_index", knownIndex,
+			"clients_most", descriptors.clients, "server_connections_most", descriptors.servers)
 	})
 }
 
-// listen binds the address, which an earlier process of the same name may hold for a moment yet.
-func listen(address string, how net.ListenConfig) (net.Listener, error) {
-	for until := time.Now().Add(bindFor); ; time.Sleep(20 * time.Millisecond) {
-		l, err := how.Listen(context.Background(), "tcp", address)
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(until) {
+// listen binds the address. It retries for bindTimeout while an earlier process still holds it.
+func listen(address string, config net.ListenConfig) (net.Listener, error) {
+	for deadline := time.Now().Add(bindTimeout); ; time.Sleep(20 * time.Millisecond) {
+		l, err := config.Listen(context.Background(), "tcp", address)
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			return l, err
 		}
 	}
 }
 
-// reuseFor is how long an idle connection is used again, some way under the servers' limit.
-func reuseFor(limit time.Duration) time.Duration {
-	return limit - max(limit/10, min(limit/2, 300*time.Millisecond))
+// maxReuseIdle is how long an idle connection may be reused: below the server's idle timeout, so that the server does
+// not close it under a request.
+func maxReuseIdle(serverIdleTimeout time.Duration) time.Duration {
+	return serverIdleTimeout - max(serverIdleTimeout/10, min(serverIdleTimeout/2, 300*time.Millisecond))
 }
 
-// silent stands for the other routers where there are no messages.
-type silent struct{}
+// noopTeller discards messages to other routers when they are off.
+type noopTeller struct{}
 
-func (silent) Tell(int, []byte) {}
+func (noopTeller) Tell(int, []byte) {}
 
 func (r *router) background(f func()) {
 	r.wg.Add(1)
@@ -302,9 +306,9 @@
 	}()
 }
 
-// housekeep closes idle connections in time and prints the counters now and then.
+// housekeep closes expired idle connections and logs the counters periodically.
 func (r *router) housekeep(ctx context.Context) {
-	sweep, stats := time.NewTicker(sweepEvery), time.NewTicker(statsEvery)
+	sweep, stats := time.NewTicker(sweepInterval), time.NewTicker(statsInterval)
 	defer sweep.Stop()
 	defer stats.Stop()
 	for {
@@ -320,38 +324,39 @@
 	}
 }
 
-// stop takes what still comes for a moment, answers everything and lets go of all parts. Where another process accepts from
-// the same listener, this one accepts nothing more, and leaves its idle connections open for longer: their clients go to
-// the other one with the answer to a next request, and none finds its connection closed under it.
+// stop accepts connections for a short time more, answers all requests and releases all resources. If another process
+// accepts from the same listener, this one stops accepting at once and keeps its idle connections open for longer:
+// their clients move to the other process with the response to their next request, and none finds its connection
+// closed while it sends one.
 func (r *router) stop() {
-	expire := time.AfterFunc(finishFor, r.loop.Expire)
+	expire := time.AfterFunc(shutdownTimeout, r.loop.Expire)
 	defer expire.Stop()
 	replaced := r.stopReplacing()
 	r.clients.Finish()
 	if replaced {
 		r.listener.Close()
-		<-r.accepted
-		for until := time.Now().Add(parkFor); time.Now().Before(until) && r.counts.ClientsOpen.Load() > 0; {
-			time.Sleep(parkFor / 50)
+		<-r.acceptStopped
+		for until := time.Now().Add(idleClientGrace); time.Now().Before(until) && r.counts.ClientsOpen.Load() > 0; {
+			time.Sleep(idleClientGrace / 50)
 		}
 	} else {
-		time.Sleep(acceptFor)
+		time.Sleep(shutdownAcceptPeriod)
 		r.listener.Close()
-		<-r.accepted
+		<-r.acceptStopped
 	}
 	r.clients.CloseIdle()
 	r.clients.Wait()
 	r.saveNow()
 	if r.admin != nil {
-		r.adminAt.Close()
+		r.adminListener.Close()
 		r.admin.Close()
 	}
-	r.halt()
-	r.watch.Load().end()
+	r.cancel()
+	r.discovery.Load().stop()
 	if r.peers != nil {
 		r.peers.Close()
 	}
-	r.part()
+	r.disconnectPeer()
 	r.wg.Wait()
 	r.pool.Close()
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -142,41 +142,41 @@
 
 // ask makes one request on a connection of its own.
 func ask(address, path string) (status int, body string, err error) {
-	status, body, _, err = askAt(address, path)
+	status, body, _, err = askTimed(address, path)
 	return status, body, err
 }
 
-// askAt tells as well when the request was written, if it was.
-func askAt(address, path string) (status int, body string, written time.Time, err error) {
+// askTimed tells as well when the request was written, if it was.
+func askTimed(address, path string) (status int, body string, written time.Time, err error) {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return 0, "", written, err
 	}
 	defer c.Close()
-	if err := writeAsk(c, path); err != nil {
+	if err := writeRequest(c, path); err != nil {
 		return 0, "", written, err
 	}
 	written = time.Now()
-	status, body, err = readAnswer(bufio.NewReader(c))
+	status, body, err = readResponse(bufio.NewReader(c))
 	return status, body, written, err
 }
 
-var asked atomic.Int64
+var requestIDs atomic.Int64
 
-func askOn(c net.Conn, r *bufio.Reader, path string) (int, string, error) {
-	if err := writeAsk(c, path); err != nil {
+func askOnConn(c net.Conn, r *bufio.Reader, path string) (int, string, error) {
+	if err := writeRequest(c, path); err != nil {
 		return 0, "", err
 	}
-	return readAnswer(r)
+	return readResponse(r)
 }
 
-func writeAsk(c net.Conn, path string) error {
+func writeRequest(c net.Conn, path string) error {
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	_, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: %d\r\nX-Time-Left: 2000m\r\n\r\n", path, asked.Add(1))
+	_, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: %d\r\nX-Time-Left: 2000m\r\n\r\n", path, requestIDs.Add(1))
 	return err
 }
 
-func readAnswer(r *bufio.Reader) (int, string, error) {
+func readResponse(r *bufio.Reader) (int, string, error) {
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
 		return 0, "", err
@@ -186,7 +186,7 @@
 }
 
 // SIGTERM under work: what is taken and what comes within 0.4 s is answered, the counters are printed, exit is clean.
-func TestSIGTERMUnderWork(t *testing.T) {
+func TestSIGTERMUnderLoad(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool {
 		time.Sleep(300 * time.Millisecond)
 		return r.Answer(200, r.URL.Path)
@@ -215,7 +215,7 @@
 	}
 	defer idle.Close()
 	idleReader := bufio.NewReader(idle)
-	askOn(idle, idleReader, "/health/live")
+	askOnConn(idle, idleReader, "/health/live")
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -240,7 +240,7 @@
 
 // A cache that never answers does not keep a stopping router beyond the moment at which it may be killed: all are
 // told before.
-func TestSIGTERMBeforeASilentCache(t *testing.T) {
+func TestSIGTERMWithSilentCache(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool { io.Copy(io.Discard, r.Conn); return false })
 	config := testConfig(t, cache.Address, standin.NewDiscovery(t, 1).Address, 256)
 	p := startProcess(t, config)
@@ -300,11 +300,11 @@
 		wg.Go(func() {
 			for range 3 {
 				begun := time.Now()
-				status, _, written, err := askAt(p.address, "/read/k")
+				status, _, written, err := askTimed(p.address, "/read/k")
 				for err != nil && (written.IsZero() || written.Sub(begun) > 50*time.Millisecond) && time.Since(begun) < 10*time.Second {
 					slow.Add(1)
 					again := time.Now()
-					if status, _, written, err = askAt(p.address, "/read/k"); !written.IsZero() && written.Sub(again) <= 50*time.Millisecond {
+					if status, _, written, err = askTimed(p.address, "/read/k"); !written.IsZero() && written.Sub(again) <= 50*time.Millisecond {
 						break
 					}
 				}
@@ -336,7 +336,7 @@
 }
 
 // A router that starts and stops leaves nothing behind: no goroutine, no address, no connection.
-func TestStartAndStopLeaveNothing(t *testing.T) {
+func TestStopReleasesResources(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
 	discovery := standin.NewDiscovery(t, 1)
 	text, err := json.Marshal(testConfig(t, cache.Address, discovery.Address, 256))
@@ -354,7 +354,7 @@
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan error)
-		go func() { done <- Run(ctx, c, slog.New(slog.DiscardHandler), host{}) }()
+		go func() { done <- Run(ctx, c, slog.New(slog.DiscardHandler), runOptions{}) }()
 		standin.Eventually(t, "served", func() bool {
 			status, body, _ := ask(c.Listen, "/read/k")
 			return status == 200 && body == "v"
--- a/internal/daemon/facts.go
+++ b/internal/daemon/facts.go
@@ -21,14 +21,14 @@
 	All   bool     `help:"Print what all say alike as well."`
 }
 
-// get asks an address for a page.
-func get(addr, path string) ([]byte, error) {
-	c, err := net.DialTimeout("tcp", addr, callPatience)
+// httpGet requests a page from addr and returns its body; any status other than 200 is an error.
+func httpGet(addr, path string) ([]byte, error) {
+	c, err := net.DialTimeout("tcp", addr, callTimeout)
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(callPatience))
+	c.SetDeadline(time.Now().Add(callTimeout))
 	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", path, addr); err != nil {
 		return nil, err
 	}
@@ -43,12 +43,13 @@
 	return text, err
 }
 
-// compareFacts prints what routers hold, a line a fact, with each copy where they differ; 1 if they do, or if one does not answer.
-func (p process) compareFacts(c factsCmd) int {
+// compareFacts prints the facts that routers hold, one line for each, and every copy where they differ. It returns 1
+// if they differ or if a router does not answer.
+func (p processEnv) compareFacts(c factsCmd) int {
 	status := 0
-	reports, by := []shared.Report{}, map[string]map[string]shared.Fact{} // by subject and router
+	reports, byFact := []shared.Report{}, map[string]map[string]shared.Fact{} // by kind and subject, then router
 	for _, addr := range c.Addrs {
-		text, err := get(addr, "/facts")
+		text, err := httpGet(addr, "/facts")
 		var r shared.Report
 		if err == nil {
 			err = json.Unmarshal(text, &r)
@@ -61,10 +62,10 @@
 		reports = append(reports, r)
 		for _, f := range r.Facts {
 			name := f.Kind + " " + f.Subject
-			if by[name] == nil {
-				by[name] = map[string]shared.Fact{}
+			if byFact[name] == nil {
+				byFact[name] = map[string]shared.Fact{}
 			}
-			by[name][r.Router] = f
+			byFact[name][r.Router] = f
 		}
 	}
 	w := tabwriter.NewWriter(p.stdout, 0, 0, 2, ' ', 0)
@@ -73,40 +74,40 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\n", r.Router, r.Life, r.Digest, r.InStep, len(r.Facts))
 	}
 	w.Flush()
-	alike := 0
+	identical := 0
 	fmt.Fprintln(w, "\nfact\trouters\tsays\tcopies")
-	for _, name := range slices.Sorted(maps.Keys(by)) {
-		said := map[string][]string{} // routers, by what they hold
+	for _, name := range slices.Sorted(maps.Keys(byFact)) {
+		routersByLine := map[string][]string{} // names of the routers that print this line
 		for _, r := range reports {
 			line := "-\tno copy"
-			if f, ok := by[name][r.Router]; ok {
+			if f, ok := byFact[name][r.Router]; ok {
 				var copies []string
 				for _, one := range f.Copies {
 					copies = append(copies, fmt.Sprintf("%s by %s/%d", one.Says, one.Life, one.Count))
 				}
 				line = f.Says + "\t" + strings.Join(copies, ", ")
 			}
-			said[line] = append(said[line], r.Router)
+			routersByLine[line] = append(routersByLine[line], r.Router)
 		}
-		one := slices.Sorted(maps.Keys(said))[0]
-		if len(said) == 1 && !strings.Contains(one, ", ") && !c.All { // neither differs between routers nor has more than one copy
-			alike++
+		one := slices.Sorted(maps.Keys(routersByLine))[0]
+		if len(routersByLine) == 1 && !strings.Contains(one, ", ") && !c.All { // identical on all routers, and only one copy
+			identical++
 			continue
 		}
-		if len(said) > 1 {
+		if len(routersByLine) > 1 {
 			status = 1
 		}
-		for _, line := range slices.Sorted(maps.Keys(said)) {
-			who := strings.Join(said[line], " ")
-			if len(said) == 1 {
-				who = "all"
+		for _, line := range slices.Sorted(maps.Keys(routersByLine)) {
+			routers := strings.Join(routersByLine[line], " ")
+			if len(routersByLine) == 1 {
+				routers = "all"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\n", name, who, line)
+			fmt.Fprintf(w, "%s\t%s\t%s\n", name, routers, line)
 		}
 	}
 	w.Flush()
-	if alike > 0 {
-		fmt.Fprintf(p.stdout, "%d more that all say alike\n", alike)
+	if identical > 0 {
+		fmt.Fprintf(p.stdout, "%d more identical on all routers\n", identical)
 	}
 	return status
 }
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -7,44 +7,45 @@
 	"syscall"
 )
 
-// shares is how the descriptors are dealt out.
-type shares struct{ clients, servers int }
+// descriptorShares is how many file descriptors client and server connections may use.
+type descriptorShares struct{ clients, servers int }
 
 const (
-	otherDescriptors = 24 // listener, discovery, datagrams, the runtime's own, standard streams: 8, the rest spare
-	serversPart      = 38 // percent of the descriptors: requests take a third at either side, silent and idle clients more
-	memoryPart       = 0.7
-	collectAt        = 300 // percent of growth at which the collector runs; the limit of memory makes it run before
-	longPart         = 4   // of the memory is for long requests
+	reservedDescriptors      = 24 // listener, discovery, datagrams, runtime and standard streams use 8, the rest is spare
+	serverDescriptorPercent  = 38 // percent of the descriptors: requests need a third for servers and a third for clients, silent and idle clients the rest
+	memoryLimitFraction      = 0.7
+	gcPercent                = 300 // heap growth in percent that triggers a collection; the memory limit triggers it earlier
+	longRequestMemoryDivisor = 4   // 1/4 of the memory is for long requests
 )
 
-// share deals out the descriptors, also where the process may hold fewer than it was told. Each request in hand
-// wants one at either side; those of the clients that are turned away come on top.
-func share(sockets int) shares {
-	var have syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &have) == nil && have.Cur < uint64(sockets) {
-		sockets = int(have.Cur)
+// splitDescriptors divides the descriptors between clients and servers, within the process's own RLIMIT_NOFILE. Each
+// request in flight needs one for its client and one for its server; connections of clients that are being rejected
+// come on top.
+func splitDescriptors(sockets int) descriptorShares {
+	var rlimit syscall.Rlimit
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rlimit) == nil && rlimit.Cur < uint64(sockets) {
+		sockets = int(rlimit.Cur)
 	}
-	rest := max(sockets-otherDescriptors, 2)
-	servers := rest * serversPart / 100
-	return shares{clients: max((rest-servers)*8/9, 1), servers: max(servers, 1)}
+	available := max(sockets-reservedDescriptors, 2)
+	servers := available * serverDescriptorPercent / 100
+	return descriptorShares{clients: max((available-servers)*8/9, 1), servers: max(servers, 1)}
 }
 
-// longBodies is how many bytes of requests over the usual bound may be held at once.
-func (l Limits) longBodies() int64 { return int64(l.MemoryMB) << 20 / longPart }
+// longRequestBytes is how many bytes of oversized requests may be held at once.
+func (l Limits) longRequestBytes() int64 { return int64(l.MemoryMB) << 20 / longRequestMemoryDivisor }
 
-// of is the part that a process keeps to: half while there are two of one router.
-func (l Limits) of(paired bool) Limits {
+// perProcess returns the limits of one process: half of memory and sockets while two processes of the router run.
+func (l Limits) perProcess(paired bool) Limits {
 	if paired {
 		l.MemoryMB, l.Sockets = l.MemoryMB/2, l.Sockets/2
 	}
 	return l
 }
 
-// apply sets the runtime's limits: processors, and memory that the collector keeps to while it can. Little is alive at
-// a time, so by the usual percentage the collector would run many times a second, at a tenth of the work.
+// apply sets the runtime's processor count and soft memory limit. The live heap is small, so with the default GC
+// percentage the collector would run many times a second and take a tenth of the CPU time.
 func (l Limits) apply() {
 	runtime.GOMAXPROCS(max(int(math.Ceil(l.Cores)), 1))
-	debug.SetGCPercent(collectAt)
-	debug.SetMemoryLimit(int64(float64(l.MemoryMB) * memoryPart * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(float64(l.MemoryMB) * memoryLimitFraction * (1 << 20)))
 }
--- a/internal/daemon/logwriter.go
+++ b/internal/daemon/logwriter.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// logWriter writes log lines in a goroutine of its own: whoever reads the log may be slow or stand still, and no part
-// of the router is to wait for it. What does not fit its queue is dropped and counted.
+// logWriter writes log lines in its own goroutine, so that a slow or blocked log reader never blocks the router. Lines
+// that don't fit the queue are dropped and counted.
 type logWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
-	done    chan struct{} // closed when all is written
+	done    chan struct{} // closed when the queue has been written
 }
 
 const (
-	logQueue    = 1024 // lines
-	logPatience = 200 * time.Millisecond
+	maxQueuedLines  = 1024 // lines
+	logFlushTimeout = 200 * time.Millisecond
 )
 
 func newLogWriter(w io.Writer) *logWriter {
-	l := &logWriter{lines: make(chan []byte, logQueue), done: make(chan struct{})}
+	l := &logWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go func() {
 		defer close(l.done)
 		for line := range l.lines {
@@ -31,13 +31,13 @@
 			if n := l.dropped.Swap(0); n > 0 {
 				fmt.Fprintf(w, "msg=\"log lines dropped\" lines=%d\n", n)
 			}
-			w.Write(line) // nobody is there to hear of an error
+			w.Write(line) // an error can't be reported anywhere
 		}
 	}()
 	return l
 }
 
-// Write queues one line.
+// Write queues one line, or drops it if the queue is full. It never fails.
 func (l *logWriter) Write(line []byte) (int, error) {
 	select {
 	case l.lines <- append([]byte(nil), line...):
@@ -47,16 +47,16 @@
 	return len(line), nil
 }
 
-// Close waits a moment for what is queued. What is written afterwards is lost.
+// Close waits up to logFlushTimeout for the queued lines. Lines written afterwards are lost.
 func (l *logWriter) Close() {
-	late := time.After(logPatience)
+	timeout := time.After(logFlushTimeout)
 	select {
 	case l.lines <- nil:
-	case <-late:
+	case <-timeout:
 		return
 	}
 	select {
 	case <-l.done:
-	case <-late:
+	case <-timeout:
 	}
 }
--- a/internal/daemon/move.go
+++ b/internal/daemon/move.go
@@ -12,7 +12,7 @@
 	"cedarmast/internal/migrate"
 )
 
-// moveCmd turns a configuration of the old shape into its counterpart of the new one; the old file stays as it is.
+// moveCmd converts a configuration of the old shape to the new one. The old file is not changed.
 type moveCmd struct {
 	File    string        `arg:"" help:"Configuration of the old shape. It is only read."`
 	Out     string        `help:"Where the counterpart goes; it must not be there yet. Left out: FILE with .moved at its end." placeholder:"PATH"`
@@ -27,8 +27,8 @@
 	Listen  string        `help:"Address and port for its clients. Left out: the old one." placeholder:"ADDR"`
 }
 
-// move carries the command out. The counterpart is checked as a start would before anything is written.
-func (p process) move(c moveCmd) int {
+// move runs the command. The converted configuration is validated as a start would before anything is written.
+func (p processEnv) move(c moveCmd) int {
 	if c.Out == "" {
 		c.Out = c.File + ".moved"
 	}
@@ -37,7 +37,7 @@
 		if err != nil {
 			return err
 		}
-		if err := unknownKey(text); err != nil {
+		if err := checkUnknownKeys(text); err != nil {
 			return fmt.Errorf("%s: %w", c.File, err)
 		}
 		moved, notes, err := migrate.Move(text, migrate.Shape{Routers: c.Routers, Number: c.Number, Name: c.Name, Listen: c.Listen,
@@ -46,28 +46,28 @@
 			return fmt.Errorf("%s: %w", c.File, err)
 		}
 		if _, err := parseConfig(moved, p.getenv); err != nil {
-			return fmt.Errorf("%s: its counterpart would not start a router: %w", c.File, err)
+			return fmt.Errorf("%s: the converted configuration is invalid: %w", c.File, err)
 		}
 		if _, err := os.Lstat(c.Out); err == nil || !errors.Is(err, os.ErrNotExist) {
-			return fmt.Errorf("%s is there already, or can't be looked at", c.Out)
+			return fmt.Errorf("%s already exists or can't be examined", c.Out)
 		}
 		lost := 0
 		for _, n := range notes {
-			word := "noted"
+			label := "noted"
 			if n.Lost {
-				word = "not carried"
+				label = "not carried"
 				lost++
 			}
-			fmt.Fprintf(p.stdout, "%s: %s: %s\n", word, n.Key, n.Text)
+			fmt.Fprintf(p.stdout, "%s: %s: %s\n", label, n.Key, n.Text)
 		}
 		if c.DryRun {
 			fmt.Fprintf(p.stdout, "would write %s: %d not carried; nothing was written\n", c.Out, lost)
 			return nil
 		}
-		if err := writeWhole(c.Out, moved); err != nil {
+		if err := createAtomically(c.Out, moved); err != nil {
 			return err
 		}
-		fmt.Fprintf(p.stdout, "wrote %s: %d not carried; %s is as it was\n", c.Out, lost, c.File)
+		fmt.Fprintf(p.stdout, "wrote %s: %d not carried; %s is unchanged\n", c.Out, lost, c.File)
 		return nil
 	}()
 	if err != nil {
@@ -77,9 +77,10 @@
 	return 0
 }
 
-// unknownKey names a key that a router does not read. The settings and the known list are the platform's, who may say more in
-// them than a router reads; text that is no JSON is left to others.
-func unknownKey(text []byte) error {
+// checkUnknownKeys returns an error that names a top-level key the router does not read. The contents of settings and
+// known are not checked, because the platform may put more in them than a router reads. Text that is not JSON is
+// reported by later steps.
+func checkUnknownKeys(text []byte) error {
 	var top map[string]json.RawMessage
 	if json.Unmarshal(text, &top) != nil {
 		return nil
@@ -95,9 +96,9 @@
 	return d.Decode(&Config{})
 }
 
-// writeWhole makes a file that is there whole or not at all, and takes no other's place.
-func writeWhole(path string, text []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(path), ".moved-*") // for the owner alone, as a configuration may hold secrets
+// createAtomically creates a file with its whole content or not at all. It fails if the path exists.
+func createAtomically(path string, text []byte) error {
+	f, err := os.CreateTemp(filepath.Dir(path), ".moved-*") // mode 0600, since a configuration may hold secrets
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/move_test.go
+++ b/internal/daemon/move_test.go
@@ -14,7 +14,7 @@
 
 // Guard: an operator tries the command on the file in use: it is never touched, nor what stands where the counterpart would go,
 // and a dry run leaves no trace. A router starts from the counterpart, serves, and hangs up, for many routers fill a cache's table.
-func TestMove(t *testing.T) {
+func TestMoveCommand(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
 	discovery := standin.NewDiscovery(t, 1, standin.Endpoint{Name: "a", Address: cache.Address, Zone: "z", Type: "box",
 		Status: "SERVING", Weight: 1})
@@ -37,7 +37,7 @@
 		{path + ".no --routers 2 --number 1", "", "no such file", 2},
 		{path + " --routers 80 --number 17 --dry-run", "not carried: peers: [127.0.0.1:7947]", "", 2},
 		{path + " --routers 80 --number 17", "noted: settings.Typo: carried as it is", "", 3},
-		{path + " --routers 80 --number 18", "", "is there already", 3},
+		{path + " --routers 80 --number 18", "", "already exists", 3},
 		{path + ".moved --routers 80 --number 17 --out " + path + ".twice", "", "new shape already", 3},
 	} {
 		var out, errs bytes.Buffer
--- a/internal/daemon/operator_test.go
+++ b/internal/daemon/operator_test.go
@@ -32,14 +32,14 @@
 	}
 	for text, says := range map[string]string{
 		"[sites]\nspil = 0.5":              "operator.toml:2: unknown key [sites spil]",
-		"[sites]\nspill = 0":               "sites.spill: 0 is not over 0",
+		"[sites]\nspill = 0":               "sites.spill: 0 is not greater than 0",
 		"[sites]\nsteps = []":              "sites.steps: none",
-		"[sites]\nhold = \"0s\"":           "sites.hold: 0s is not over 0",
+		"[sites]\nhold = \"0s\"":           "sites.hold: 0s is not greater than 0",
 		"[sites]\nspill = 1.5":             "sites.spill: 1.5 is not within 0 and 1",
 		"[sites]\nprefer = [\"z\", \"z\"]": "sites.prefer[1]: \"z\" stands there twice",
 		"[sites]\nsteps = [0.5, 0.25]":     "sites.steps[1]: 0.25 is not over 0.5",
-		"[sites]\nhold = \"soon\"":         "sites.hold: \"soon\" is no span",
-		"[shared]\nforget_after = \"1s\"":  "shared.forget_after: \"1s\" is no span",
+		"[sites]\nhold = \"soon\"":         "sites.hold: \"soon\" is not a duration",
+		"[shared]\nforget_after = \"1s\"":  "shared.forget_after: \"1s\" is not a duration",
 		"[shared]":                         "",
 		"[placement]\nby = \"lists\"":      "placement.by: \"lists\" is neither cuts nor list",
 		"[placement]\nby = \"list\"":       "",
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -10,48 +10,48 @@
 	"cedarmast/internal/wire"
 )
 
-// watch is discovery as it is watched now.
-type watch struct {
+// discoveryWatch is a running subscription to a discovery service.
+type discoveryWatch struct {
 	*wire.Discovery
-	halt context.CancelFunc
-	done chan struct{} // closed when nothing more is told
+	cancel context.CancelFunc
+	done   chan struct{} // closed when the watch has ended and delivers no more lists
 }
 
-// watchFrom begins to watch discovery at an address, from a known version on.
-func (r *router) watchFrom(address string, index int64) {
+// startWatch watches the discovery service at address for lists newer than index.
+func (r *router) startWatch(address string, index int64) {
 	d := wire.NewDiscovery(address)
 	d.Index, d.Clock, d.Counts, d.Log, d.Listed = index, r.clock, r.counts, r.log, r.loop.Listed
-	d.Told = func() { r.told.Do(func() { close(r.listed) }) }
-	ctx, halt := context.WithCancel(context.Background())
-	w := &watch{d, halt, make(chan struct{})}
-	r.watch.Store(w)
+	d.Told = func() { r.listedOnce.Do(func() { close(r.listed) }) }
+	ctx, cancel := context.WithCancel(context.Background())
+	w := &discoveryWatch{d, cancel, make(chan struct{})}
+	r.discovery.Store(w)
 	go func() {
 		defer close(w.done)
 		d.Run(ctx)
 	}()
 }
 
-// end ends a watch and waits until it has told its last.
-func (w *watch) end() {
-	w.halt()
+// stop ends the watch and waits until it has delivered its last list.
+func (w *discoveryWatch) stop() {
+	w.cancel()
 	<-w.done
 }
 
-// reload reads the configuration again and applies what can change while the router serves. A faulty one changes
-// nothing.
-func (r *router) reload(p host) {
-	c, err := p.load()
+// reload reads the configuration again and applies the keys that can change while the router serves. An invalid file
+// changes nothing.
+func (r *router) reload(opts runOptions) {
+	c, err := opts.loadConfig()
 	if err != nil {
 		r.log.Error("configuration not taken; the old one stays", "err", err)
 		return
 	}
 	old := r.config
 	if key := settings.Missing(old.raw, c.raw, "known", "log", "seed"); key != "" {
-		r.log.Error("configuration not taken; the old one stays", "err", key+": missing, and the file in use has it")
+		r.log.Error("configuration not taken; the old one stays", "err", key+": missing, but set in the current configuration")
 		return
 	}
 	if was, is := old.Settings.Limits.SendCap, c.Settings.Limits.SendCap; was > 0 && is <= 0 {
-		r.log.Error("configuration not taken; the old one stays", "err", fmt.Sprintf("settings.Limits.SendCap: %d is not over 0", is))
+		r.log.Error("configuration not taken; the old one stays", "err", fmt.Sprintf("settings.Limits.SendCap: %d is not greater than 0", is))
 		return
 	}
 	for _, key := range []struct {
@@ -59,7 +59,7 @@
 		was, now any
 	}{{"name", old.Name, c.Name}, {"listen", old.Listen, c.Listen}, {"peer_listen", old.PeerListen, c.PeerListen},
 		{"peers", old.Peers, c.Peers}, {"operator", old.Operators, c.Operators},
-		{"CEDARMAST_OPERATOR", old.operator, c.operator}} {
+		{"CEDARMAST_OPERATOR", old.operatorFile, c.operatorFile}} {
 		if !reflect.DeepEqual(key.was, key.now) {
 			r.log.Warn("a changed key waits for a restart", "key", key.name)
 		}
@@ -67,47 +67,47 @@
 	if c.Limits != old.Limits {
 		r.setLimits(c.Limits)
 	}
-	p.level.Set(c.level)
+	opts.logLevel.Set(c.logLevel)
 	if c.Discovery != old.Discovery {
-		// The old one is let go whole before the new one tells anything, so that no late word of it can undo a newer
-		// one; meanwhile the list stays in use. The new one's version numbers need not go on from the old one's:
-		// it is asked for the whole list.
-		r.watch.Load().end()
-		r.watchFrom(c.Discovery, wire.Unknown)
+		// The old watch ends before the new one starts, so that no late list from it can replace a newer one; the
+		// current list stays in use meanwhile. The new service's indexes need not continue the old one's: it is asked
+		// for the whole list.
+		r.discovery.Load().stop()
+		r.startWatch(c.Discovery, wire.Unknown)
 	}
-	next := *old // what waits for a restart stays as it is, and is named again at the next SIGHUP
-	next.Settings = r.retune(old.Settings, c.Settings)
+	next := *old // keys that need a restart keep their values and are logged again at the next SIGHUP
+	next.Settings = r.applySettings(old.Settings, c.Settings)
 	r.log.Info("configuration taken", "discovery", c.Discovery, "log", c.Log, "memory_mb", c.Limits.MemoryMB,
 		"sockets", c.Limits.Sockets)
 	next.raw = c.raw
-	next.Discovery, next.Limits, next.Log, next.level = c.Discovery, c.Limits, c.Log, c.level
+	next.Discovery, next.Limits, next.Log, next.logLevel = c.Discovery, c.Limits, c.Log, c.logLevel
 	r.config = &next
 }
 
-// retune takes new settings as far as a running router can and returns those that hold from now on.
-func (r *router) retune(old, now *settings.Profile) *settings.Profile {
-	taken, wait := old.Retuned(now)
-	for _, key := range wait {
+// applySettings applies the new settings that a running router can change and returns the settings now in effect.
+func (r *router) applySettings(old, now *settings.Profile) *settings.Profile {
+	applied, pendingRestart := old.Retuned(now)
+	for _, key := range pendingRestart {
 		r.log.Warn("a changed key waits for a restart", "key", "settings."+key)
 	}
-	if reflect.DeepEqual(old, taken) {
+	if reflect.DeepEqual(old, applied) {
 		return old
 	}
-	r.pool.SetIdleFor(reuseFor(time.Duration(taken.Limits.ConnIdle)))
-	r.servers.SetConnectTimeout(time.Duration(taken.Limits.ConnectTimeout))
-	r.loop.Retune(taken.Settings())
-	r.profile.Store(taken) // last: a new class is let in once the decisions know it
-	var appeared, vanished []string
-	for _, c := range taken.Classes {
+	r.pool.SetIdleFor(maxReuseIdle(time.Duration(applied.Limits.ConnIdle)))
+	r.servers.SetConnectTimeout(time.Duration(applied.Limits.ConnectTimeout))
+	r.loop.Retune(applied.Settings())
+	r.profile.Store(applied) // last: a new class is admitted only after the loop knows it
+	var added, removed []string
+	for _, c := range applied.Classes {
 		if !old.HasClass(c.Name) {
-			appeared = append(appeared, c.Name)
+			added = append(added, c.Name)
 		}
 	}
 	for _, c := range old.Classes {
-		if !taken.HasClass(c.Name) {
-			vanished = append(vanished, c.Name)
+		if !applied.HasClass(c.Name) {
+			removed = append(removed, c.Name)
 		}
 	}
-	r.log.Info("settings taken", "classes", len(taken.Classes), "appeared", appeared, "vanished", vanished, "attempts", taken.Limits.SendCap)
-	return taken
+	r.log.Info("settings taken", "classes", len(applied.Classes), "appeared", added, "vanished", removed, "attempts", applied.Limits.SendCap)
+	return applied
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -120,7 +120,7 @@
 	time.Sleep(50 * time.Millisecond)
 	p.Process.Signal(syscall.SIGTERM)
 	log := p.end(t)
-	for _, want := range []string{"not a JSON object", `discovery: \"nowhere\"`, "limits.memory_mb: 1 is under",
+	for _, want := range []string{"not a JSON object", `discovery: \"nowhere\"`, "limits.memory_mb: 1 is less than",
 		"waits for a restart\" key=name", "msg=\"configuration taken\"", "sockets=128"} {
 		if !strings.Contains(log, want) {
 			t.Errorf("no %s in the log:\n%s", want, log)
@@ -187,14 +187,14 @@
 	for _, c := range []struct{ old, new, want string }{
 		{good, "", "not a JSON object"},
 		{good, good[:len(good)/2], "not a JSON object"},
-		{`"SendCap":3`, `"SendCap":0`, "settings.Limits.SendCap: 0 is not over 0"},
-		{`"SendCap":3`, `"SendCap":-2`, "settings.Limits.SendCap: -2 is under 0"},
+		{`"SendCap":3`, `"SendCap":0`, "settings.Limits.SendCap: 0 is not greater than 0"},
+		{`"SendCap":3`, `"SendCap":-2`, "settings.Limits.SendCap: -2 is negative"},
 		{`"SendCap":3`, `"SendCap":2.5`, "SendCap"},
 		{`"SendCap":3`, `"SendCap":"3"`, "SendCap"},
 		{`,"SendCap":3`, ``, "settings.Limits.SendCap: missing"},
-		{`"Deadline":3000000000`, `"Deadline":0`, "Deadline: 0 is not over 0"},
-		{`"Deadline":3000000000`, `"Deadline":null`, "Deadline: 0 is not over 0"},
-		{`"Deadline":3000000000,`, ``, "Deadline: 0 is not over 0"},
+		{`"Deadline":3000000000`, `"Deadline":0`, "Deadline: 0 is not greater than 0"},
+		{`"Deadline":3000000000`, `"Deadline":null`, "Deadline: 0 is not greater than 0"},
+		{`"Deadline":3000000000,`, ``, "Deadline: 0 is not greater than 0"},
 		{`"Worth":1`, `"Worst":1`, "Worth: missing"},
 		{`"discovery"`, `"discover"`, "discovery"},
 	} {
--- a/internal/daemon/replace.go
+++ b/internal/daemon/replace.go
@@ -19,41 +19,42 @@
 	"cedarmast/internal/wire"
 )
 
-// heritage is what a process hands to the one that replaces it.
-type heritage struct {
-	Known       *wire.Endpoints      `json:"known"` // the list as it was last told
+// handoverState is what a process passes to its successor.
+type handoverState struct {
+	Known       *wire.Endpoints      `json:"known"` // the last list that discovery delivered
 	Maintenance exchange.Maintenance `json:"maintenance"`
-	Answered    float64              `json:"answered"`        // a second and warm weight of 1: what cold budgets go by
-	Facts       []byte               `json:"facts,omitempty"` // a snapshot, where routers share what they know
+	Answered    float64              `json:"answered"`        // answers per second and unit of warm weight, the base of cold-cache budgets
+	Facts       []byte               `json:"facts,omitempty"` // snapshot of the shared facts, if sharing is on
 }
 
-// word is the operators' word as a file in $TMPDIR has it.
-type word struct {
+// maintenanceFile is the operators' maintenance orders as stored in a file in $TMPDIR.
+type maintenanceFile struct {
 	exchange.Maintenance
 	Saved time.Time `json:"saved"`
 	Facts []byte    `json:"facts,omitempty"`
 }
 
-// replacement is a router's part in being replaced, and in replacing. Without a directory that both processes have, it is off.
+// replacement is the router's state for replacing another process and for being replaced. It is off without a
+// directory that both processes share.
 type replacement struct {
-	dir    string // $TMPDIR
-	listen string // where clients come, which names the router in that directory
+	sharedDir     string // $TMPDIR
+	listenAddress string // client address, which identifies the router in that directory
 
-	mu      sync.Mutex // of an order and of the handover: the other process has each order by its state or by itself
-	peer    *handover.Peer
-	ending  bool
-	waiting *net.UnixListener // for a successor
+	mu                sync.Mutex // serializes orders and the handover: a successor gets each order either in the handed-over state or directly
+	peer              *handover.Peer
+	stopping          bool
+	successorListener *net.UnixListener // accepts successors
 
-	wordMu sync.Mutex // of the file with the operators' word
+	maintenanceFileMu sync.Mutex // guards the maintenance file
 }
 
-// takeOver asks a running process of this router for its heritage and its listener. All are nil where there is none, or
-// one that does not answer: then this process starts as any other, and listens beside it.
-func (r *router) takeOver() (net.Listener, *heritage, error) {
-	if r.dir == "" {
+// takeOver asks a running process of this router for its state and its listener. Both are nil if there is no such
+// process or it does not answer: this process then starts as usual and listens beside it.
+func (r *router) takeOver() (net.Listener, *handoverState, error) {
+	if r.sharedDir == "" {
 		return nil, nil, nil
 	}
-	p, l, text, err := handover.Take(handover.Path(r.dir, r.listen))
+	p, l, text, err := handover.Take(handover.Path(r.sharedDir, r.listenAddress))
 	switch {
 	case errors.Is(err, handover.ErrRefused):
 		return nil, nil, err
@@ -63,58 +64,58 @@
 		r.log.Warn("the running process hands nothing over; starting beside it", "err", err)
 		return nil, nil, nil
 	}
-	var h heritage
+	var h handoverState
 	if err := json.Unmarshal(text, &h); err == nil && h.Known != nil {
 		err = h.Known.Check()
 	}
 	if err != nil {
 		p.Close()
 		l.Close()
-		r.log.Warn("what the running process hands over can't be read; starting beside it", "err", err)
+		r.log.Warn("the handed-over state is invalid; starting beside it", "err", err)
 		return nil, nil, nil
 	}
 	r.peer = p
 	return l, &h, nil
 }
 
-// pair keeps up with the other process until it has gone.
-func (r *router) pair(p *handover.Peer) {
-	p.Run(r.maintainAlike)
+// followPeer carries out the peer process's orders until that process has ended.
+func (r *router) followPeer(p *handover.Peer) {
+	p.Run(r.applyPeerOrder)
 	r.mu.Lock()
 	if r.peer == p {
 		r.peer = nil
 	}
-	ending, first := r.ending, r.waiting == nil
-	if !ending {
-		r.setPaired(false) // before another successor is heard: it is to find and keep its half
+	stopping, notListening := r.stopping, r.successorListener == nil
+	if !stopping {
+		r.setPaired(false) // before another successor is accepted, which needs its half of the limits
 	}
 	r.mu.Unlock()
-	if ending {
+	if stopping {
 		return
 	}
 	r.log.Info("the other process has gone; all limits are this one's")
-	if first {
+	if notListening {
 		r.awaitSuccessors()
 	}
 }
 
-// awaitSuccessors waits for processes that are to replace this one.
+// awaitSuccessors accepts connections from processes that are to replace this one.
 func (r *router) awaitSuccessors() {
-	if r.dir == "" {
+	if r.sharedDir == "" {
 		return
 	}
-	l, err := handover.Listen(handover.Path(r.dir, r.listen))
+	l, err := handover.Listen(handover.Path(r.sharedDir, r.listenAddress))
 	if err != nil {
-		r.log.Warn("no successor can take over; it will start beside this process", "err", err)
+		r.log.Warn("can't listen for a successor; it will start beside this process", "err", err)
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ending {
+	if r.stopping {
 		l.Close()
 		return
 	}
-	r.waiting = l
+	r.successorListener = l
 	r.background(func() {
 		for {
 			c, err := l.AcceptUnix()
@@ -126,48 +127,49 @@
 	})
 }
 
-// handOver gives a successor what this process holds, and from then on keeps to half of the limits until it has gone.
+// handOver passes the state and the listener to a successor, and then runs with half of the limits until that process
+// has ended.
 func (r *router) handOver(c *net.UnixConn) {
 	p, err := handover.Greet(c)
 	if err != nil {
-		r.log.Warn("a successor can't be understood", "err", err)
+		r.log.Warn("handshake with a successor failed", "err", err)
 		return
 	}
 	r.mu.Lock()
-	if r.ending || r.peer != nil {
+	if r.stopping || r.peer != nil {
 		r.mu.Unlock()
 		p.Refuse("another replacement is under way, or the process is ending")
 		return
 	}
 	r.setPaired(true)
-	list, word, answered, err := r.loop.Held()
+	list, maintenance, answered, err := r.loop.Held()
 	if err == nil {
 		r.peer = p
-		err = p.Give(heritage{wire.EndpointsOf(list), word, answered, r.snapshotNow()}, r.listener.(syscall.Conn))
+		err = p.Give(handoverState{wire.EndpointsOf(list), maintenance, answered, r.factsSnapshot()}, r.listener.(syscall.Conn))
 	}
 	r.mu.Unlock()
 	if err != nil {
-		r.log.Warn("handing over failed", "err", err)
+		r.log.Warn("handover failed", "err", err)
 		p.Close()
 	} else {
-		r.log.Info("handed over to a successor; answering on until told to stop", "servers", len(list.Entries))
+		r.log.Info("handed over to a successor; still serving until told to stop", "servers", len(list.Entries))
 	}
-	r.pair(p)
+	r.followPeer(p)
 }
 
-// stopReplacing takes no successor any more. It tells whether there is another process that accepts from the same listener.
+// stopReplacing accepts no more successors. It reports whether another process accepts from the same listener.
 func (r *router) stopReplacing() (replaced bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ending = true
-	if r.waiting != nil {
-		r.waiting.Close()
+	r.stopping = true
+	if r.successorListener != nil {
+		r.successorListener.Close()
 	}
 	return r.peer != nil
 }
 
-// part lets go of the other process, which may go on.
-func (r *router) part() {
+// disconnectPeer closes the connection to the other process, which may keep running.
+func (r *router) disconnectPeer() {
 	r.mu.Lock()
 	p := r.peer
 	r.mu.Unlock()
@@ -176,7 +178,8 @@
 	}
 }
 
-// maintain takes a cache server out, or back, here and at the other process of a replacement.
+// maintain takes a cache server out of service, or puts it back, in this process and in the other process of a
+// replacement.
 func (r *router) maintain(server string, out bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -187,8 +190,8 @@
 	case err != nil:
 		return err
 	}
-	err := r.tellOrder(server, out, wasOut) // first of all: this process may die before its disk has it
-	r.keepWord()
+	err := r.shareOrder(server, out, wasOut) // first: this process may die before the order is on disk
+	r.saveMaintenance()
 	r.saveNow()
 	if r.peer != nil {
 		return errors.Join(err, r.peer.Order(server, out))
@@ -196,85 +199,86 @@
 	return err
 }
 
-func (r *router) maintainAlike(server string, out bool) error {
+func (r *router) applyPeerOrder(server string, out bool) error {
 	wasOut := r.isOut(server)
-	err := errors.Join(r.loop.MaintainAlike(balance.ServerID(server), out), r.tellOrder(server, out, wasOut))
-	r.keepWord()
+	err := errors.Join(r.loop.MaintainAlike(balance.ServerID(server), out), r.shareOrder(server, out, wasOut))
+	r.saveMaintenance()
 	r.saveNow()
 	return err
 }
 
-// wordPath names the file in which the operators' word outlives a process that dies; empty if there is no place for it.
-func (r *router) wordPath() string {
-	if r.dir == "" {
+// maintenancePath returns the path of the file in which maintenance orders survive a crash of the process; empty if
+// there is no shared directory.
+func (r *router) maintenancePath() string {
+	if r.sharedDir == "" {
 		return ""
 	}
-	return filepath.Join(r.dir, "maintenance-"+strings.NewReplacer(":", "_", "/", "_").Replace(r.listen)+".json")
+	return filepath.Join(r.sharedDir, "maintenance-"+strings.NewReplacer(":", "_", "/", "_").Replace(r.listenAddress)+".json")
 }
 
-// keepWord writes the operators' word, whole or not at all.
-func (r *router) keepWord() {
-	path := r.wordPath()
+// saveMaintenance writes the maintenance orders to their file atomically.
+func (r *router) saveMaintenance() {
+	path := r.maintenancePath()
 	if path == "" {
 		return
 	}
-	r.wordMu.Lock()
-	defer r.wordMu.Unlock()
+	r.maintenanceFileMu.Lock()
+	defer r.maintenanceFileMu.Unlock()
 	err := func() error {
-		_, said, _, err := r.loop.Held()
+		_, maintenance, _, err := r.loop.Held()
 		if err != nil {
 			return err
 		}
-		text, err := json.Marshal(word{said, time.Now(), r.snapshotNow()})
+		text, err := json.Marshal(maintenanceFile{maintenance, time.Now(), r.factsSnapshot()})
 		if err != nil {
 			return err
 		}
-		own := fmt.Sprintf("%s.%d", path, os.Getpid())
-		if err := os.WriteFile(own, text, 0o600); err != nil {
+		tempPath := fmt.Sprintf("%s.%d", path, os.Getpid())
+		if err := os.WriteFile(tempPath, text, 0o600); err != nil {
 			return err
 		}
-		return os.Rename(own, path)
+		return os.Rename(tempPath, path)
 	}()
 	if err != nil {
-		r.log.Warn("maintenance is not kept for a successor", "err", err)
+		r.log.Warn("can't save maintenance orders for a successor", "err", err)
 	}
 }
 
-// keptWord reads what a process before this one kept.
-func (r *router) keptWord() (said exchange.Maintenance, ok bool) {
-	path := r.wordPath()
+// loadMaintenance reads the maintenance orders that an earlier process saved, and keeps the facts saved with them.
+func (r *router) loadMaintenance() (maintenance exchange.Maintenance, ok bool) {
+	path := r.maintenancePath()
 	if path == "" {
-		return said, false
+		return maintenance, false
 	}
-	kept := word{}
+	saved := maintenanceFile{}
 	text, err := os.ReadFile(path)
 	if err == nil {
-		err = json.Unmarshal(text, &kept)
+		err = json.Unmarshal(text, &saved)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		r.log.Warn("kept maintenance can't be read", "err", err)
+		r.log.Warn("can't read saved maintenance orders", "err", err)
 	}
 	if err == nil {
-		r.find(kept.Facts, time.Since(kept.Saved))
+		r.addSnapshot(saved.Facts, time.Since(saved.Saved))
 	}
-	return kept.Maintenance, err == nil
+	return saved.Maintenance, err == nil
 }
 
-// setLimits sets the router's limits.
-func (r *router) setLimits(l Limits) { r.keepTo(func() { r.limits = l }) }
+// setLimits changes the router's limits.
+func (r *router) setLimits(l Limits) { r.updateLimits(func() { r.limits = l }) }
 
-// setPaired says whether there are two processes, which keep to half of the limits each.
-func (r *router) setPaired(paired bool) { r.keepTo(func() { r.paired = paired }) }
+// setPaired sets whether two processes of the router run, each with half of the limits.
+func (r *router) setPaired(paired bool) { r.updateLimits(func() { r.paired = paired }) }
 
-func (r *router) keepTo(change func()) {
+func (r *router) updateLimits(change func()) {
 	r.limitsMu.Lock()
 	defer r.limitsMu.Unlock()
 	change()
-	now := r.limits.of(r.paired)
+	now := r.limits.perProcess(r.paired)
 	now.apply()
-	parts := share(now.Sockets)
-	r.pool.SetMost(parts.servers)
-	r.clients.SetMost(parts.clients)
-	r.long.Grow(now.longBodies() - r.longMost)
-	r.longMost = now.longBodies()
+	descriptors := splitDescriptors(now.Sockets)
+	r.pool.SetMost(descriptors.servers)
+	r.clients.SetMost(descriptors.clients)
+	r.longRequestBudget.Grow(now.longRequestBytes() - r.longRequestLimit)
+	r.longRequestLimit = now.longRequestBytes()
 }
--- a/internal/daemon/replace_test.go
+++ b/internal/daemon/replace_test.go
@@ -21,8 +21,8 @@
 	"cedarmast/internal/standin"
 )
 
-// startWith starts a process of a router with a directory that its processes share.
-func startWith(t *testing.T, config map[string]any, shared string) *child {
+// startInSharedDir starts a process of a router with a directory that its processes share.
+func startInSharedDir(t *testing.T, config map[string]any, shared string) *child {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, marshal(t, config), 0o600); err != nil {
@@ -71,18 +71,18 @@
 	}
 }
 
-// clientele is clients that ask one request after the other, some on connections that they keep.
-type clientele struct {
+// clientLoad is clients that ask one request after the other, some on connections that they keep.
+type clientLoad struct {
 	stop     atomic.Bool
 	wg       sync.WaitGroup
 	served   atomic.Int64
 	lost     atomic.Int64 // asked, and no answer
-	door     atomic.Int64 // turned back unheard: refused, or closed before an answer on a new connection
+	rejected atomic.Int64 // turned back unheard: refused, or closed before an answer on a new connection
 	lastLost atomic.Value
 }
 
-func newClientele(address string, n int, path string) *clientele {
-	s := &clientele{}
+func startClients(address string, n int, path string) *clientLoad {
+	s := &clientLoad{}
 	for i := range n {
 		s.wg.Go(func() {
 			var c net.Conn
@@ -92,14 +92,14 @@
 				if fresh {
 					var err error
 					if c, err = net.DialTimeout("tcp", address, time.Second); err != nil {
-						s.door.Add(1)
+						s.rejected.Add(1)
 						c = nil
 						continue
 					}
 					r = bufio.NewReader(c)
 				}
 				c.SetDeadline(time.Now().Add(5 * time.Second))
-				_, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: %d\r\nX-Time-Left: 2000m\r\n\r\n", path, asked.Add(1))
+				_, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: %d\r\nX-Time-Left: 2000m\r\n\r\n", path, requestIDs.Add(1))
 				var resp *http.Response
 				if err == nil {
 					resp, err = http.ReadResponse(r, nil)
@@ -131,11 +131,11 @@
 	return s
 }
 
-func (s *clientele) end() { s.stop.Store(true); s.wg.Wait() }
+func (s *clientLoad) end() { s.stop.Store(true); s.wg.Wait() }
 
 // A process is replaced twice under work: nobody is turned back, what is out for maintenance stays out through both, an
 // order during the overlap holds at both, and the two keep to one router's descriptors.
-func TestReplacementUnderWork(t *testing.T) {
+func TestReplacementUnderLoad(t *testing.T) {
 	var atA, atB atomic.Int64
 	a := standin.NewServer(t, func(r *standin.Request) bool { atA.Add(1); return r.Answer(200, "a") })
 	b := standin.NewServer(t, func(r *standin.Request) bool { atB.Add(1); return r.Answer(200, "b") })
@@ -147,7 +147,7 @@
 	shared := t.TempDir()
 	operators := []string{freeAddress(t), freeAddress(t), freeAddress(t)}
 	config["operator"] = operators[0]
-	old := startWith(t, config, shared)
+	old := startInSharedDir(t, config, shared)
 	old.healthy(t, operators[0])
 	if status := call(t, operators[0], "PUT", "/cache-servers/b/maint"); status != 200 {
 		t.Fatalf("maint: %d", status)
@@ -156,10 +156,10 @@
 		t.Errorf("maint of nobody: %d", status)
 	}
 	before := atB.Load()
-	clients := newClientele(old.address, 20, "/read/k")
+	clients := startClients(old.address, 20, "/read/k")
 	for i := 1; i < 3; i++ {
 		config["operator"] = operators[i]
-		young := startWith(t, config, shared)
+		young := startInSharedDir(t, config, shared)
 		young.healthy(t, operators[i])
 		if n, m := descriptors(old), descriptors(young); n+m > sockets {
 			t.Errorf("%d and %d descriptors of %d", n, m, sockets)
@@ -181,8 +181,8 @@
 	served := clients.served.Load()
 	standin.Eventually(t, "the last process serves", func() bool { return clients.served.Load() > served+50 })
 	clients.end()
-	if clients.lost.Load() > 0 || clients.door.Load() > 0 {
-		t.Errorf("%d lost, last by %v, %d turned back", clients.lost.Load(), clients.lastLost.Load(), clients.door.Load())
+	if clients.lost.Load() > 0 || clients.rejected.Load() > 0 {
+		t.Errorf("%d lost, last by %v, %d turned back", clients.lost.Load(), clients.lastLost.Load(), clients.rejected.Load())
 	}
 	if n := atB.Load() - before; n > 0 {
 		t.Errorf("%d requests at a server that is out", n)
@@ -215,13 +215,13 @@
 	shared := t.TempDir()
 	first, second := freeAddress(t), freeAddress(t)
 	config["operator"] = first
-	old := startWith(t, config, shared)
+	old := startInSharedDir(t, config, shared)
 	old.healthy(t, first)
 	config["operator"] = second
-	failed := startWith(t, config, shared)
+	failed := startInSharedDir(t, config, shared)
 	standin.Eventually(t, "it has taken over", func() bool { return strings.Contains(failed.log.String(), "taken over") })
 	config["operator"] = freeAddress(t)
-	third := startWith(t, config, shared)
+	third := startInSharedDir(t, config, shared)
 	if err := <-third.exited; err == nil || !strings.Contains(third.log.String(), "another replacement is under way") {
 		t.Errorf("a third process: %v\n%s", err, third.log)
 	}
@@ -232,7 +232,7 @@
 		t.Errorf("after a failed replacement: %d %q %v", status, body, err)
 	}
 	config["operator"] = second
-	young := startWith(t, config, shared)
+	young := startInSharedDir(t, config, shared)
 	young.healthy(t, second)
 	old.Process.Signal(syscall.SIGTERM)
 	old.end(t)
@@ -255,14 +255,14 @@
 	shared := t.TempDir()
 	first, second := freeAddress(t), freeAddress(t)
 	config["operator"] = first
-	old := startWith(t, config, shared)
+	old := startInSharedDir(t, config, shared)
 	old.healthy(t, first)
 	if status := call(t, first, "PUT", "/cache-servers/b/maint"); status != 200 {
 		t.Fatalf("maint: %d", status)
 	}
 	old.Process.Signal(syscall.SIGSTOP)
 	config["operator"] = second
-	young := startWith(t, config, shared)
+	young := startInSharedDir(t, config, shared)
 	young.healthy(t, second)
 	old.Process.Kill()
 	if err := <-old.exited; !isKilled(err) {
@@ -285,8 +285,8 @@
 }
 
 // The state that is handed over says what it is, for a process of another build.
-func TestHeritageIsPlainJSON(t *testing.T) {
-	var h heritage
+func TestHandoverStateIsPlainJSON(t *testing.T) {
+	var h handoverState
 	text := `{"known":{"index":4,"snapshot":true,"endpoints":[{"name":"a","address":"x:1","status":"DRAINING","weight":2,"since_ms":5}]},
 		"maintenance":{"out":{"a":true},"back":{"b":7000000}},"more":1}`
 	if err := json.Unmarshal([]byte(text), &h); err != nil || !h.Maintenance.Out["a"] || h.Maintenance.Back["b"] != 7000000 ||
--- a/internal/daemon/shared.go
+++ b/internal/daemon/shared.go
@@ -13,42 +13,44 @@
 	"cedarmast/internal/shared"
 )
 
-// sharing is a router's part in what all routers should know. Without a word of the operators, or messages, it is off.
+// sharing is the router's part of the state that all routers share. It is off unless the operators' file has [shared]
+// and messages between routers are on.
 type sharing struct {
-	facts  *shared.Facts // nil: off
-	found  []snapshot    // what processes before this one left
-	caught chan struct{} // closed when this router is known to be as far as others, or there are none
+	facts     *shared.Facts // nil: off
+	snapshots []snapshot    // left by earlier processes
+	caughtUp  chan struct{} // closed when this router has caught up with the others, or there are none
 }
 
-// snapshot is what was known so long ago.
+// snapshot is an encoded set of facts and its age.
 type snapshot struct {
 	text []byte
 	age  time.Duration
 }
 
-// errNotShared is of an order that holds at this router alone.
+// errNotShared is returned for an order that took effect on this router only.
 var errNotShared = errors.New("the order holds at this router, and was not told to others: there is no room for it")
 
 const (
-	listedEvery = time.Minute // a look at which servers have gone
+	goneCheckInterval = time.Minute // between checks for servers that are no longer listed
 )
 
-// share readies the facts and lays them over the operators' word of this process, whose orders without a version wait until others are heard.
-func (r *router) share(c *Config, loop *exchange.Loop) {
-	own, found := c.operator.Sharing(), r.found
-	if r.found = nil; own == nil {
+// startSharing creates the facts from the snapshots found and applies them to this process's maintenance orders.
+// Orders without a version are shared only once the other routers have been heard: see shareEarlierOrders.
+func (r *router) startSharing(c *Config, loop *exchange.Loop) {
+	sharedConfig, snapshots := c.operatorFile.Sharing(), r.snapshots
+	if r.snapshots = nil; sharedConfig == nil {
 		return
 	}
 	if r.peers == nil {
-		r.log.Warn("nothing is shared: there are no messages between routers")
+		r.log.Warn("sharing is off: there are no messages between routers")
 		return
 	}
-	r.facts = shared.New(shared.Options{Routers: len(c.Peers), Number: c.Settings.MyNumber, Life: facts.Life(rand.Uint32()), Forget: own.ForgetAfter(),
+	r.facts = shared.New(shared.Options{Routers: len(c.Peers), Number: c.Settings.MyNumber, Life: facts.Life(rand.Uint32()), Forget: sharedConfig.ForgetAfter(),
 		Tell: r.peers.Tell, Counts: r.counts})
-	r.caught = make(chan struct{})
-	for _, s := range found {
+	r.caughtUp = make(chan struct{})
+	for _, s := range snapshots {
 		if err := r.facts.Load(s.text, s.age); err != nil {
-			r.log.Warn("what was kept of shared state is refused", "err", err)
+			r.log.Warn("stored shared state rejected", "err", err)
 		}
 	}
 	for _, a := range r.orders(r.facts.Names()) {
@@ -71,7 +73,7 @@
 	r.log.Info("state is shared", "routers", len(c.Peers), "facts", len(r.facts.Names()), "servers_out", len(loop.Maintenance.Out))
 }
 
-// orders are those among some facts, as the rule has them now.
+// orders returns the orders among the named facts, with their current merged value.
 func (r *router) orders(names []facts.Name) (all []exchange.Adopted) {
 	for _, n := range names {
 		if value, age, ok := r.facts.Value(n); ok && n.Kind == facts.Order {
@@ -81,9 +83,9 @@
 	return all
 }
 
-// tellOrder has other routers told of an order that was given here. A call back of a server that nobody has called out says nothing: told, it
-// would count as cold at all others.
-func (r *router) tellOrder(server string, out, wasOut bool) error {
+// shareOrder shares an order that was given here with the other routers. Putting back a server that nobody had taken
+// out is not shared: all other routers would treat the server as cold.
+func (r *router) shareOrder(server string, out, wasOut bool) error {
 	if r.facts == nil {
 		return nil
 	}
@@ -97,52 +99,53 @@
 	return nil
 }
 
-// isOut tells whether a server is out for maintenance here.
+// isOut reports whether a server is out for maintenance on this router. It is always false while sharing is off.
 func (r *router) isOut(server string) bool {
 	if r.facts == nil {
-		return false // nobody asks
+		return false // not used without sharing
 	}
-	_, word, _, err := r.loop.Held()
-	return err == nil && word.Out[balance.ServerID(server)]
+	_, maintenance, _, err := r.loop.Held()
+	return err == nil && maintenance.Out[balance.ServerID(server)]
 }
 
-// keepInStep does what other routers have been told, as it is heard of.
-func (r *router) keepInStep(ctx context.Context) {
-	look := time.NewTicker(listedEvery)
-	defer look.Stop()
-	caught := r.caught
+// followOrders applies the orders of other routers as they arrive.
+func (r *router) followOrders(ctx context.Context) {
+	ticker := time.NewTicker(goneCheckInterval)
+	defer ticker.Stop()
+	caughtUp := r.caughtUp
 	for {
 		select {
 		case <-r.facts.News():
-		case <-look.C:
-			r.letGo()
+		case <-ticker.C:
+			r.forgetGoneServers()
 			continue
 		case <-ctx.Done():
 			return
 		}
 		names, inStep := r.facts.Changed()
 		if len(names) > 0 {
-			r.mu.Lock() // an order that is given here meanwhile comes before this or after it, in both places
+			r.mu.Lock() // an order given here meanwhile comes before or after these, both in the loop and in the facts
 			err := r.loop.Adopt(r.orders(names))
 			r.mu.Unlock()
 			if err != nil && !errors.Is(err, exchange.ErrStopped) {
-				r.log.Warn("not all orders of other routers are followed", "err", err)
+				r.log.Warn("can't apply all orders of other routers", "err", err)
 			}
 		}
-		if inStep && caught != nil {
-			r.tellOld()
-			close(caught)
-			caught = nil
+		if inStep && caughtUp != nil {
+			r.shareEarlierOrders()
+			close(caughtUp)
+			caughtUp = nil
 		}
 		if len(names) > 0 {
-			r.keepWord()
+			r.saveMaintenance()
 			r.saveNow()
 		}
 	}
 }
 
-// letGo lets go of what is known of servers that are long gone, and of orders about them: a router that starts again would tell them anew.
-func (r *router) letGo() {
+// forgetGoneServers drops the facts and orders about servers that have long been gone from the list: a router that
+// restarts would share them again.
+func (r *router) forgetGoneServers() {
 	list, _, _, err := r.loop.Held()
 	if err != nil {
 		return
@@ -159,44 +162,45 @@
 	}
 	if err := r.loop.Adopt(gone); err == nil {
 		r.log.Info("servers that are long gone are forgotten", "servers", len(gone))
-		r.keepWord()
+		r.saveMaintenance()
 	}
 }
 
-// tellOld tells others of what is out here by an order from before orders were shared, unless they know better.
-func (r *router) tellOld() {
+// shareEarlierOrders shares the orders from before sharing was on that keep servers out, except for servers about
+// which an order is already shared.
+func (r *router) shareEarlierOrders() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, word, _, err := r.loop.Held()
+	_, maintenance, _, err := r.loop.Held()
 	if err != nil {
 		return
 	}
-	for server := range word.Out {
+	for server := range maintenance.Out {
 		if _, _, known := r.facts.Value(facts.Name{Kind: facts.Order, Subject: string(server)}); known {
 			continue
 		}
-		if err := r.tellOrder(string(server), true, true); err != nil {
+		if err := r.shareOrder(string(server), true, true); err != nil {
 			r.log.Warn("an order from before is not shared", "server", server, "err", err)
 		}
 	}
 }
 
-// snapshotNow is what is known, for a disk or a successor; nothing where nothing is shared.
-func (r *router) snapshotNow() []byte {
+// factsSnapshot encodes the facts for the disk or a successor; nil while sharing is off.
+func (r *router) factsSnapshot() []byte {
 	if r.facts == nil {
 		return nil
 	}
 	return r.facts.Snapshot()
 }
 
-// find keeps a snapshot for the start, if there is one.
-func (r *router) find(text []byte, age time.Duration) {
+// addSnapshot keeps a non-empty snapshot for startSharing.
+func (r *router) addSnapshot(text []byte, age time.Duration) {
 	if len(text) > 0 {
-		r.found = append(r.found, snapshot{text, age})
+		r.snapshots = append(r.snapshots, snapshot{text, age})
 	}
 }
 
-// report answers an operator's call for the facts.
-func (r *router) report(name string) ([]byte, error) {
+// factsReport returns the facts as JSON for the operators' API.
+func (r *router) factsReport(name string) ([]byte, error) {
 	return json.MarshalIndent(r.facts.Report(name), "", " ")
 }
--- a/internal/daemon/shared_test.go
+++ b/internal/daemon/shared_test.go
@@ -14,8 +14,8 @@
 	"cedarmast/internal/standin"
 )
 
-// sharers are configurations of two routers that may send each other messages, before two servers, with an operators' file.
-func sharers(t *testing.T, operators string) (config [2]map[string]any) {
+// sharingConfigs are configurations of two routers that may send each other messages, before two servers, with an operators' file.
+func sharingConfigs(t *testing.T, operators string) (config [2]map[string]any) {
 	t.Helper()
 	a, b := serverNamed(t, "a"), serverNamed(t, "b")
 	discovery := standin.NewDiscovery(t, 0, standin.Endpoint{Name: "a", Address: a.Address, Status: "SERVING", Weight: 1},
@@ -37,8 +37,8 @@
 	return config
 }
 
-// order gives an order about server b, as soon as it is taken.
-func order(t *testing.T, config map[string]any, what string) {
+// giveOrder gives an order about server b, as soon as it is taken.
+func giveOrder(t *testing.T, config map[string]any, what string) {
 	t.Helper()
 	standin.Eventually(t, "the order is taken", func() bool {
 		return call(t, config["operator"].(string), "PUT", "/cache-servers/b/"+what) == 200
@@ -48,34 +48,34 @@
 // Two routers share orders: one that was given before sharing was on is told once others are heard, a later one from the other side wins over
 // it at both, and a process that replaces another takes up what that knew. The command compares the copies and says when one does not answer.
 func TestSharedOrders(t *testing.T) {
-	config, dirs := sharers(t, "[shared]\n"), []string{t.TempDir(), t.TempDir()}
+	config, dirs := sharingConfigs(t, "[shared]\n"), []string{t.TempDir(), t.TempDir()}
 	operators := func(k int) string { return config[k]["operator"].(string) }
 	holds := func(k int, what string) {
 		t.Helper()
 		standin.Eventually(t, fmt.Sprintf("router %d holds %s", k, what), func() bool {
-			text, err := get(operators(k), "/facts")
+			text, err := httpGet(operators(k), "/facts")
 			return err == nil && strings.Contains(string(text), what)
 		})
 	}
 	own := os.Getenv("CEDARMAST_OPERATOR")
 	t.Setenv("CEDARMAST_OPERATOR", "")
-	first := startWith(t, config[0], dirs[0]).ready(t)
+	first := startInSharedDir(t, config[0], dirs[0]).ready(t)
 	if status := call(t, operators(0), "GET", "/facts"); status != 404 {
 		t.Errorf("facts of a router that shares nothing: %d", status)
 	}
-	order(t, config[0], "maint")
+	giveOrder(t, config[0], "maint")
 	first.Process.Kill()
 	<-first.exited
 
 	t.Setenv("CEDARMAST_OPERATOR", own)
-	old, other := startWith(t, config[0], dirs[0]), startWith(t, config[1], dirs[1])
+	old, other := startInSharedDir(t, config[0], dirs[0]), startInSharedDir(t, config[1], dirs[1])
 	old.ready(t)
 	other.ready(t)
 	holds(1, `"says": "out"`)
 	if status := call(t, operators(1), "PUT", "/cache-servers/a/ready"); status != 200 {
 		t.Errorf("a call back of a server that is in use: %d", status)
 	}
-	order(t, config[1], "ready")
+	giveOrder(t, config[1], "ready")
 	holds(0, `"says": "back"`)
 	n := 0
 	standin.Eventually(t, "the server that is back is used", func() bool {
@@ -83,11 +83,11 @@
 		_, body, err := ask(old.address, fmt.Sprint("/read/k", n))
 		return err == nil && body == "b"
 	})
-	order(t, config[0], "maint")
+	giveOrder(t, config[0], "maint")
 
 	was := config[0]["operator"]
 	config[0]["operator"] = freeAddress(t)
-	young := startWith(t, config[0], dirs[0])
+	young := startInSharedDir(t, config[0], dirs[0])
 	young.healthy(t, operators(0))
 	old.Process.Signal(syscall.SIGTERM)
 	old.end(t)
@@ -102,9 +102,9 @@
 	standin.Eventually(t, "the copies are alike", func() bool {
 		var status int
 		status, said = compare(operators(0), operators(1))
-		return status == 0 && strings.Contains(said, "1 more that all say alike")
+		return status == 0 && strings.Contains(said, "1 more identical on all routers")
 	})
-	if text, err := get(operators(1), "/facts"); err != nil || strings.Contains(string(text), `"subject": "a"`) {
+	if text, err := httpGet(operators(1), "/facts"); err != nil || strings.Contains(string(text), `"subject": "a"`) {
 		t.Errorf("a call back of a server that nobody had called out was shared: %s, %v", text, err)
 	}
 	if status, says := compare(operators(0), was.(string)); status != 1 || !strings.Contains(says, "refused") {
@@ -122,9 +122,9 @@
 // hangs on no clock. Guard: the whole state is refused then, and an order that keeps a drain went with it.
 func TestStoredOrderWithClockSetBack(t *testing.T) {
 	dir := t.TempDir()
-	config := sharers(t, fmt.Sprintf("[state]\ndir = %q\n[shared]\n", dir))[0] // nobody is the other one
-	p := startWith(t, config, "").ready(t)
-	order(t, config, "maint")
+	config := sharingConfigs(t, fmt.Sprintf("[state]\ndir = %q\n[shared]\n", dir))[0] // nobody is the other one
+	p := startInSharedDir(t, config, "").ready(t)
+	giveOrder(t, config, "maint")
 	p.Process.Kill()
 	<-p.exited
 	store := recovery.NewStore(dir, config["listen"].(string))
@@ -136,8 +136,8 @@
 	if err := errors.Join(store.Save(state), store.Save(state)); err != nil { // in the place of both that are kept
 		t.Fatal(err)
 	}
-	p = startWith(t, config, "").ready(t)
-	if log := p.log.String(); !strings.Contains(log, "a clock has gone back") {
+	p = startInSharedDir(t, config, "").ready(t)
+	if log := p.log.String(); !strings.Contains(log, "the clock was set back") {
 		t.Errorf("the log: %s", log)
 	}
 	for n := range 12 {
--- a/internal/daemon/stored_test.go
+++ b/internal/daemon/stored_test.go
@@ -11,20 +11,20 @@
 	"cedarmast/internal/standin"
 )
 
-// startStoring starts a process that stores its state in a folder.
-func startStoring(t *testing.T, config map[string]any, dir string) *child {
+// startPersistent starts a process that stores its state in a folder.
+func startPersistent(t *testing.T, config map[string]any, dir string) *child {
 	t.Helper()
 	own := filepath.Join(t.TempDir(), "operator.toml")
 	if err := os.WriteFile(own, fmt.Appendf(nil, "[state]\ndir = %q\nevery = \"1s\"\n", dir), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv("CEDARMAST_OPERATOR", own)
-	return startWith(t, config, "").ready(t)
+	return startInSharedDir(t, config, "").ready(t)
 }
 
 // An order outlives kill -9 from the moment of its yes, with a list that discovery can't tell anew: the router starts from what it had stored,
 // which knows a server that its configuration does not. A disk that fails costs a warning and nothing else.
-func TestStoredStateOutlivesAKill(t *testing.T) {
+func TestStoredStateSurvivesKill(t *testing.T) {
 	answer := func(body string) *standin.Server {
 		return standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, body) })
 	}
@@ -35,14 +35,14 @@
 	delete(config, "known")
 	config["operator"] = freeAddress(t)
 	dir := t.TempDir()
-	p := startStoring(t, config, dir)
+	p := startPersistent(t, config, dir)
 	standin.Eventually(t, "the order is taken", func() bool {
 		return call(t, config["operator"].(string), "PUT", "/cache-servers/a/maint") == 200
 	})
 	p.Process.Kill()
 	<-p.exited
 	discovery.Break(500)
-	p = startStoring(t, config, dir)
+	p = startPersistent(t, config, dir)
 	if !strings.Contains(p.log.String(), "stored state taken up") {
 		t.Errorf("the log: %s", p.log)
 	}
@@ -77,7 +77,7 @@
 }
 
 // A router counts as back once discovery has spoken and it has served for a while, and says so in its counters.
-func TestBackAtFullService(t *testing.T) {
+func TestFullServiceIsReported(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
 	discovery := standin.NewDiscovery(t, 0, standin.Endpoint{Name: "a", Address: cache.Address, Status: "SERVING", Weight: 1})
 	p := startProcess(t, testConfig(t, cache.Address, discovery.Address, 256))
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,5 +1,5 @@
-// Package handover is what two processes of one router say to one another while one replaces the other: JSON lines over a
-// Unix socket, and the listening socket as a descriptor. It knows nothing of what the state means.
+// Package handover is the protocol between two processes of one router while one replaces the other: JSON lines over a
+// Unix socket, and the listening socket as a file descriptor. The state that is handed over is opaque to it.
 package handover
 
 import (
@@ -17,28 +17,28 @@
 	"time"
 )
 
-// Version is of the messages below. A process of another one is not replaced by handover: it is told so, and the new
-// process listens beside it.
+// Version is the protocol version. A process of another version is refused: it starts as usual and listens beside the
+// running one.
 const Version = 1
 
-// ErrRefused says that the running process does not hand over now.
+// ErrRefused means that the running process does not hand over now.
 var ErrRefused = errors.New("refused by the running process")
 
 const (
-	greetFor = 1500 * time.Millisecond // for the whole greeting, either way
-	orderFor = 600 * time.Millisecond  // for the other process to carry out an order: operators wait a second
-	maxLine  = 16 << 20                // bytes of a message: a list of many thousand servers
-	mostPath = 100                     // bytes that the system takes as a socket's path, less a few
-	prefix   = "handover-"
+	handshakeTimeout = 1500 * time.Millisecond // for the whole handshake, on either side
+	orderTimeout     = 600 * time.Millisecond  // for the other process to carry out an order: operators wait a second
+	maxMessageBytes  = 16 << 20                // a list of many thousand servers fits
+	maxSocketPath    = 100                     // bytes: somewhat less than the system's limit for a socket path
+	socketPrefix     = "handover-"
 )
 
-// line is one message; of its parts one is set.
-type line struct {
-	Version int             `json:"version,omitempty"` // greetings
+// message is one message; of its parts one is set.
+type message struct {
+	Version int             `json:"version,omitempty"` // set in the handshake
 	State   json.RawMessage `json:"state,omitempty"`
 	Refused string          `json:"refused,omitempty"`
 	Order   *order          `json:"order,omitempty"`
-	Done    *done           `json:"done,omitempty"`
+	Done    *orderResult    `json:"done,omitempty"`
 }
 
 type order struct {
@@ -47,19 +47,20 @@
 	Out    bool   `json:"out"`
 }
 
-type done struct {
+type orderResult struct {
 	Number int    `json:"number"`
 	Fault  string `json:"fault,omitempty"`
 }
 
-// Path is where the process that listens for clients at an address waits for its successor.
+// Path returns the socket path on which the process that serves clients at the listen address waits for its successor.
 func Path(dir, listen string) string {
-	return filepath.Join(dir, prefix+strings.NewReplacer(":", "_", "/", "_").Replace(listen))
+	return filepath.Join(dir, socketPrefix+strings.NewReplacer(":", "_", "/", "_").Replace(listen))
 }
 
-// short returns a name of the path that the system takes, however long the path is.
-func short(path string) (name string, release func(), err error) {
-	if len(path) <= mostPath {
+// shortenPath returns a name for the path that is within the system's limit for socket paths. The name is valid until
+// release is called.
+func shortenPath(path string) (name string, release func(), err error) {
+	if len(path) <= maxSocketPath {
 		return path, func() {}, nil
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -69,54 +70,54 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)), func() { dir.Close() }, nil
 }
 
-// Listen waits for a successor at the path, in the place of any process that did before.
+// Listen listens for a successor at the path, replacing the socket of any earlier process.
 func Listen(path string) (*net.UnixListener, error) {
-	name, release, err := short(path)
+	name, release, err := shortenPath(path)
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	own := name + "." + fmt.Sprint(os.Getpid())
-	os.Remove(own)
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
+	tempName := name + "." + fmt.Sprint(os.Getpid())
+	os.Remove(tempName)
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempName, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // the name may be a successor's by then
-	if err := os.Rename(own, name); err != nil {
+	l.SetUnlinkOnClose(false) // the path may belong to a successor by then
+	if err := os.Rename(tempName, name); err != nil {
 		l.Close()
-		os.Remove(own)
+		os.Remove(tempName)
 		return nil, err
 	}
 	return l, nil
 }
 
-// Peer is the other process.
+// Peer is the connection to the other process.
 type Peer struct {
-	Ended chan struct{} // closed when the other process has gone, or Close was called
+	Ended chan struct{} // closed when the connection has ended or Close was called
 
-	conn *net.UnixConn
-	r    *bufio.Reader
-	end  sync.Once
+	conn      *net.UnixConn
+	reader    *bufio.Reader
+	closeOnce sync.Once
 
-	mu      sync.Mutex
-	number  int
-	waiting map[int]chan error
+	mu        sync.Mutex
+	lastOrder int
+	pending   map[int]chan error
 }
 
 func newPeer(c *net.UnixConn, r *bufio.Reader) *Peer {
-	return &Peer{Ended: make(chan struct{}), conn: c, r: r, waiting: map[int]chan error{}}
+	return &Peer{Ended: make(chan struct{}), conn: c, reader: r, pending: map[int]chan error{}}
 }
 
-// Take asks the process that waits at the path for its state and its listener. Without one there the error is
+// Take requests the state and the listener of the process that listens at the path. If there is none, the error is
 // os.ErrNotExist or ECONNREFUSED.
 func Take(path string) (p *Peer, l net.Listener, state json.RawMessage, err error) {
-	name, release, err := short(path)
+	name, release, err := shortenPath(path)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	defer release()
-	ctx, stop := context.WithTimeout(context.Background(), greetFor)
+	ctx, stop := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer stop()
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "unix", name)
@@ -124,19 +125,19 @@
 		return nil, nil, nil, err
 	}
 	c := conn.(*net.UnixConn)
-	in := &receiver{UnixConn: c}
+	fdReader := &descriptorReader{UnixConn: c}
 	defer func() {
 		if err != nil {
 			c.Close()
-			in.drop()
+			fdReader.closeFile()
 		}
 	}()
-	c.SetDeadline(time.Now().Add(greetFor))
-	if err := write(c, line{Version: Version}); err != nil {
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
+	if err := writeMessage(c, message{Version: Version}); err != nil {
 		return nil, nil, nil, err
 	}
-	r := bufio.NewReader(in)
-	m, err := read(r)
+	r := bufio.NewReader(fdReader)
+	m, err := readMessage(r)
 	switch {
 	case err != nil:
 		return nil, nil, nil, err
@@ -144,25 +145,25 @@
 		return nil, nil, nil, fmt.Errorf("%w: %s", ErrRefused, m.Refused)
 	case m.Version != Version || m.State == nil:
 		return nil, nil, nil, fmt.Errorf("version %d is not spoken", m.Version)
-	case in.file == nil:
-		return nil, nil, nil, errors.New("no listener came")
+	case fdReader.file == nil:
+		return nil, nil, nil, errors.New("no listener received")
 	}
-	if l, err = net.FileListener(in.file); err != nil {
+	if l, err = net.FileListener(fdReader.file); err != nil {
 		return nil, nil, nil, err
 	}
-	in.file.Close()
+	fdReader.file.Close()
 	c.SetDeadline(time.Time{})
 	return newPeer(c, r), l, m.State, nil
 }
 
-// Greet hears a successor out. Refuse or Give is to follow.
+// Greet reads the handshake of a successor. The caller must follow it with Refuse or Give.
 func Greet(c *net.UnixConn) (*Peer, error) {
-	c.SetDeadline(time.Now().Add(greetFor))
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	r := bufio.NewReader(c)
-	m, err := read(r)
+	m, err := readMessage(r)
 	if err == nil && m.Version != Version {
 		err = fmt.Errorf("version %d is not spoken", m.Version)
-		write(c, line{Refused: err.Error()})
+		writeMessage(c, message{Refused: err.Error()})
 	}
 	if err != nil {
 		c.Close()
@@ -171,19 +172,19 @@
 	return newPeer(c, r), nil
 }
 
-// Refuse sends the successor away.
-func (p *Peer) Refuse(why string) {
-	write(p.conn, line{Refused: why})
+// Refuse declines the handover with a reason and closes the connection.
+func (p *Peer) Refuse(reason string) {
+	writeMessage(p.conn, message{Refused: reason})
 	p.Close()
 }
 
-// Give hands the successor the state and the listener.
+// Give sends the successor the state and the listener.
 func (p *Peer) Give(state any, l syscall.Conn) error {
 	text, err := json.Marshal(state)
 	if err != nil {
 		return err
 	}
-	text, err = json.Marshal(line{Version: Version, State: text})
+	text, err = json.Marshal(message{Version: Version, State: text})
 	if err != nil {
 		return err
 	}
@@ -193,7 +194,7 @@
 	}
 	text = append(text, '\n')
 	sent := 0
-	if err := raw.Control(func(fd uintptr) { // its File would make it one that blocks
+	if err := raw.Control(func(fd uintptr) { // Control and not File, which would make the listener blocking
 		sent, _, err = p.conn.WriteMsgUnix(text, syscall.UnixRights(int(fd)), nil)
 	}); err != nil {
 		return err
@@ -205,25 +206,25 @@
 	return err
 }
 
-// Run carries out the other process's orders until it has gone.
-func (p *Peer) Run(carryOut func(server string, out bool) error) {
+// Run carries out the other process's orders with apply until the connection ends.
+func (p *Peer) Run(apply func(server string, out bool) error) {
 	defer p.Close()
 	for {
-		m, err := read(p.r)
+		m, err := readMessage(p.reader)
 		if err != nil {
 			return
 		}
 		switch {
 		case m.Order != nil:
-			d := done{Number: m.Order.Number}
-			if err := carryOut(m.Order.Server, m.Order.Out); err != nil {
+			d := orderResult{Number: m.Order.Number}
+			if err := apply(m.Order.Server, m.Order.Out); err != nil {
 				d.Fault = err.Error()
 			}
-			p.send(line{Done: &d})
+			p.send(message{Done: &d})
 		case m.Done != nil:
 			p.mu.Lock()
-			c := p.waiting[m.Done.Number]
-			delete(p.waiting, m.Done.Number)
+			c := p.pending[m.Done.Number]
+			delete(p.pending, m.Done.Number)
 			p.mu.Unlock()
 			if c != nil && m.Done.Fault != "" {
 				c <- errors.New(m.Done.Fault)
@@ -234,48 +235,49 @@
 	}
 }
 
-// Order has the other process do what this one has been told; nil if it has, or has gone.
+// Order makes the other process carry out an order. It returns nil if that succeeded or the other process has ended,
+// and an error if it failed or took longer than orderTimeout.
 func (p *Peer) Order(server string, out bool) error {
-	c := make(chan error, 1)
+	result := make(chan error, 1)
 	p.mu.Lock()
-	p.number++
-	n := p.number
-	p.waiting[n] = c
+	p.lastOrder++
+	number := p.lastOrder
+	p.pending[number] = result
 	p.mu.Unlock()
-	p.send(line{Order: &order{n, server, out}})
-	late := time.NewTimer(orderFor)
-	defer late.Stop()
+	p.send(message{Order: &order{number, server, out}})
+	timer := time.NewTimer(orderTimeout)
+	defer timer.Stop()
 	select {
-	case err := <-c:
+	case err := <-result:
 		return err
 	case <-p.Ended:
 		return nil
-	case <-late.C:
+	case <-timer.C:
 		p.mu.Lock()
-		delete(p.waiting, n)
+		delete(p.pending, number)
 		p.mu.Unlock()
 		return errors.New("the other process of the replacement does not answer")
 	}
 }
 
-func (p *Peer) send(m line) {
+func (p *Peer) send(m message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conn.SetWriteDeadline(time.Now().Add(orderFor))
-	if write(p.conn, m) != nil {
-		p.conn.Close() // Run sees it
+	p.conn.SetWriteDeadline(time.Now().Add(orderTimeout))
+	if writeMessage(p.conn, m) != nil {
+		p.conn.Close() // Run then fails to read and returns
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection. It may be called more than once.
 func (p *Peer) Close() {
-	p.end.Do(func() {
+	p.closeOnce.Do(func() {
 		p.conn.Close()
 		close(p.Ended)
 	})
 }
 
-func write(c *net.UnixConn, m line) error {
+func writeMessage(c *net.UnixConn, m message) error {
 	text, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -284,7 +286,7 @@
 	return err
 }
 
-func read(r *bufio.Reader) (m line, err error) {
+func readMessage(r *bufio.Reader) (m message, err error) {
 	var text []byte
 	for {
 		part, err := r.ReadSlice('\n')
@@ -295,20 +297,20 @@
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return m, err
 		}
-		if len(text) > maxLine {
-			return m, errors.New("message over the limit")
+		if len(text) > maxMessageBytes {
+			return m, errors.New("message too large")
 		}
 	}
 	return m, json.Unmarshal(text, &m)
 }
 
-// receiver reads a connection and keeps the first descriptor that comes with the bytes.
-type receiver struct {
+// descriptorReader reads from a Unix socket and keeps the first file descriptor that arrives with the data.
+type descriptorReader struct {
 	*net.UnixConn
 	file *os.File
 }
 
-func (r *receiver) Read(p []byte) (int, error) {
+func (r *descriptorReader) Read(p []byte) (int, error) {
 	oob := make([]byte, syscall.CmsgSpace(4))
 	n, oobn, _, _, err := r.ReadMsgUnix(p, oob)
 	if err == nil && n == 0 && len(p) > 0 && oobn == 0 {
@@ -328,7 +330,7 @@
 	return max(n, 0), err
 }
 
-func (r *receiver) drop() {
+func (r *descriptorReader) closeFile() {
 	if r.file != nil {
 		r.file.Close()
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// pair hands a listener over and returns both ends.
-func pair(t *testing.T, path string) (old, young *Peer, l net.Listener) {
+// handOver hands a listener over and returns both ends.
+func handOver(t *testing.T, path string) (old, young *Peer, l net.Listener) {
 	t.Helper()
 	wait, err := Listen(path)
 	if err != nil {
@@ -57,7 +57,7 @@
 // The state comes whole, and the listener is the same one: what connects while nobody accepts and the old process closes
 // is accepted by the new one. With a listener each it would be reset.
 func TestListenerIsPassedOn(t *testing.T) {
-	old, young, l := pair(t, filepath.Join(t.TempDir(), "h"))
+	old, young, l := handOver(t, filepath.Join(t.TempDir(), "h"))
 	defer young.Close()
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -78,7 +78,7 @@
 
 // Orders go both ways, also at once, and a fault comes back. The end of either process ends the other's waiting.
 func TestOrdersGoBothWays(t *testing.T) {
-	old, young, _ := pair(t, filepath.Join(t.TempDir(), "h"))
+	old, young, _ := handOver(t, filepath.Join(t.TempDir(), "h"))
 	heard := make(chan string, 10)
 	carry := func(server string, out bool) error {
 		heard <- server
@@ -112,7 +112,7 @@
 
 // A process that has stopped answering holds an order up for less than operators wait, and the answer is no yes.
 func TestOrderToAHungProcess(t *testing.T) {
-	old, young, _ := pair(t, filepath.Join(t.TempDir(), "h"))
+	old, young, _ := handOver(t, filepath.Join(t.TempDir(), "h"))
 	defer young.Close()
 	go old.Run(func(string, bool) error { return nil })
 	begun := time.Now()
@@ -122,7 +122,7 @@
 }
 
 // Who is not there, who does not speak, who speaks another version, who refuses: each is told apart, in bounded time.
-func TestNoHandover(t *testing.T) {
+func TestFailedHandover(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	if _, _, _, err := Take(path); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("nobody there: %v", err)
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	begun := time.Now()
-	if _, _, _, err := Take(path); err == nil || time.Since(begun) > 2*greetFor {
+	if _, _, _, err := Take(path); err == nil || time.Since(begun) > 2*handshakeTimeout {
 		t.Errorf("a silent process: %v after %v", err, time.Since(begun))
 	}
 	if c, err := l.AcceptUnix(); err != nil {
@@ -168,14 +168,14 @@
 }
 
 // A path longer than the system takes works as any, and a later process takes the earlier one's place.
-func TestLongPathAndSuccession(t *testing.T) {
+func TestLongPathAndRepeatedHandover(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	path := Path(dir, "127.0.0.1:8081")
 	for range 2 {
-		old, young, _ := pair(t, path)
+		old, young, _ := handOver(t, path)
 		old.Close()
 		young.Close()
 	}
--- a/internal/recovery/machine.go
+++ b/internal/recovery/machine.go
@@ -2,84 +2,85 @@
 
 import "time"
 
-// Phase is how far a router that has started has come.
+// Phase is a stage of the recovery of a router after its start.
 type Phase int
 
-// The phases, in order; a router never goes back.
+// The phases, in order. A router never goes back to an earlier one.
 const (
-	Nothing Phase = iota // it has no list it may serve from: not ready
-	Some                 // it serves, from a list that may be old, or with nothing seen yet
-	Full                 // it is back
+	Nothing Phase = iota // not ready: no list to serve from
+	Some                 // serving, from a list that may be stale or without any result seen yet
+	Full                 // recovered
 )
 
-// String names a phase as stats and the log have it.
+// String returns the phase as stats and the log show it.
 func (p Phase) String() string { return [...]string{"nothing", "some", "full"}[p] }
 
-// Event is what a Machine is told.
+// Event is an input of a Machine.
 type Event int
 
 // The events.
 const (
 	Tick     Event = iota // time has passed
-	Told                  // discovery has told a list
-	Answered              // a client has been given a good answer
-	Failed                // a client has been refused or failed
-	Caught                // up with what routers share
+	Told                  // discovery has delivered a list
+	Answered              // a client has received a successful response
+	Failed                // a request was rejected or failed
+	Caught                // the router has caught up with the state that routers share
 )
 
-// Machine says what a router that has started may do. Each phase has a way out if nothing is ever heard again, by Tick: out of
-// Nothing where a list is known from before, which Wait tells of; out of Some always. Its owner calls Handle.
+// Machine decides what a router may do after its start. Time alone, by Tick, leads out of every phase even if no other
+// event follows: out of Nothing if a list is known from before, as Wait reports, and always out of Some. Handle must
+// be called by one goroutine at a time.
 type Machine struct {
-	Known  bool // a list is known from before
-	Behind bool // routers share what they know, and others may know more
+	Known  bool // a list is known from before the start
+	Behind bool // routers share state, and others may know more
 
-	began, served time.Duration // since the start
-	phase         Phase
-	told          bool
-	good          int
+	began, servingSince time.Duration // since the start
+	phase               Phase
+	listReceived        bool
+	consecutiveAnswers  int
 }
 
 const (
-	listFor     = 500 * time.Millisecond // for discovery's first word, where a list is known from before
-	catchUpFor  = time.Second            // for what others know: who serves without it may send against an order
-	goodInARow  = 20                     // answers that show it back at once
-	settleAfter = 2 * time.Second        // of serving by discovery's own list, with whatever answers
-	alonePeriod = 30 * time.Second       // of serving while discovery says nothing: it will not be any better
+	listTimeout           = 500 * time.Millisecond // for the first list of discovery, if a list is known from before
+	catchUpTimeout        = time.Second            // for the shared state: a router that serves without it may send requests against an order
+	minConsecutiveAnswers = 20                     // successful responses in a row after which the router has recovered
+	settlePeriod          = 2 * time.Second        // of serving from discovery's own list, whatever the responses
+	noDiscoveryPeriod     = 30 * time.Second       // of serving without discovery: waiting longer would not improve anything
 )
 
-// Handle takes what has happened at a moment since the start, and returns the phase from then on.
+// Handle processes an event that happened at now, a time since the start, and returns the resulting phase.
 func (m *Machine) Handle(now time.Duration, e Event) Phase {
 	switch e {
 	case Told:
-		m.told = true
+		m.listReceived = true
 	case Answered:
-		m.good++
+		m.consecutiveAnswers++
 	case Failed:
-		m.good = 0
+		m.consecutiveAnswers = 0
 	case Caught:
 		m.Behind = false
 	}
-	if m.phase == Nothing && (m.told || m.Known && now >= listFor) && (!m.Behind || now >= catchUpFor) {
-		m.phase, m.served, m.good = Some, now, 0
+	if m.phase == Nothing && (m.listReceived || m.Known && now >= listTimeout) && (!m.Behind || now >= catchUpTimeout) {
+		m.phase, m.servingSince, m.consecutiveAnswers = Some, now, 0
 	}
-	serving := now - m.served
-	if m.phase == Some && (m.told && (m.good >= goodInARow || serving >= settleAfter) || serving >= alonePeriod) {
+	serving := now - m.servingSince
+	if m.phase == Some && (m.listReceived && (m.consecutiveAnswers >= minConsecutiveAnswers || serving >= settlePeriod) || serving >= noDiscoveryPeriod) {
 		m.phase = Full
 	}
 	return m.phase
 }
 
-// Wait is how long nothing but time has to pass until the phase changes; false if only discovery can change it.
+// Wait returns how long until time alone changes the phase; false if only discovery can change it.
 func (m *Machine) Wait(now time.Duration) (time.Duration, bool) {
 	switch {
-	case m.phase == Nothing && m.Behind && (m.told || m.Known):
-		return max(catchUpFor-now, 0), true
+	case m.phase == Nothing && m.Behind && (m.listReceived || m.Known):
+		return max(catchUpTimeout-now, 0), true
 	case m.phase == Nothing && m.Known:
-		return max(listFor-now, 0), true
-	case m.phase == Some && m.told:
-		return max(m.served+settleAfter-now, 0), true
+		return max(listTimeout-now, 0), true
+	case m.phase == Some && m.listReceived:
+		return max(m.servingSince+settlePeriod-now, 0), true
 	case m.phase == Some:
-		return max(m.served+alonePeriod-now, 0), true
+		return max(m.servingSince+noDiscoveryPeriod-now, 0), true
 	}
 	return 0, false
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,5 +1,5 @@
-// Package recovery is how a router comes back: what of its stored state may be taken up, and when it counts as back. This file and
-// machine.go have no I/O and no clock; store.go keeps files.
+// Package recovery restores a router after a restart: it decides which parts of the stored state are still valid and
+// when the router has recovered. This file and machine.go have no I/O and no clock; store.go reads and writes files.
 package recovery
 
 import (
@@ -14,47 +14,48 @@
 	"cedarmast/internal/wire"
 )
 
-// State is what a router stores: evidence, with the moment at which it held. docs/design/recovery.md has the table of beliefs.
+// State is what a router stores, with the time at which it was valid. docs/design/recovery.md lists the parts and how
+// long each may be used.
 type State struct {
 	Saved       time.Time            `json:"saved"`
-	Router      string               `json:"router"`    // its name
-	Listen      string               `json:"listen"`    // where its clients come
-	Discovery   string               `json:"discovery"` // whose list it is
-	Known       *wire.Endpoints      `json:"known"`     // the list as last told
+	Router      string               `json:"router"`    // name of the router
+	Listen      string               `json:"listen"`    // its address for clients
+	Discovery   string               `json:"discovery"` // address of the service that delivered the list
+	Known       *wire.Endpoints      `json:"known"`     // last list delivered
 	Maintenance exchange.Maintenance `json:"maintenance"`
-	Answered    float64              `json:"answered"`        // by the caches, a second and warm weight of 1
-	Facts       []byte               `json:"facts,omitempty"` // a snapshot of what routers share, where they do
+	Answered    float64              `json:"answered"`        // responses of the caches, per second and unit of warm weight
+	Facts       []byte               `json:"facts,omitempty"` // snapshot of the state that routers share, if sharing is on
 }
 
-// Version is of the form below. Another one is refused: a router without its state is slower for some seconds, one that reads it
-// wrongly is wrong for longer.
+// Version is the version of the format below. Any other is refused: a router without its state is slow for some
+// seconds, but one that misreads it makes wrong decisions for longer.
 const Version = 1
 
-// MaxSize bounds a stored state in bytes: a list of many thousand servers.
+// MaxSize is the maximum size of a stored state in bytes; a list of many thousand servers fits.
 const MaxSize = 16 << 20
 
 const magic = "cedarmast state"
 
-// Why a stored state is refused.
+// Reasons for refusing a stored state.
 var (
 	ErrForm    = errors.New("not a stored state")
-	ErrTorn    = errors.New("cut short")
-	ErrFlipped = errors.New("damaged: its checksum is another")
-	ErrVersion = errors.New("of another version")
-	ErrRouter  = errors.New("of another router")
-	ErrClock   = errors.New("from the future: a clock has gone back")
+	ErrTorn    = errors.New("file is truncated")
+	ErrFlipped = errors.New("checksum mismatch")
+	ErrVersion = errors.New("unsupported version")
+	ErrRouter  = errors.New("state of another router")
+	ErrClock   = errors.New("saved in the future: the clock was set back")
 )
 
 type header struct {
 	Magic   string `json:"magic"`
 	Version int    `json:"version"`
-	Length  int    `json:"length"` // of the body, bytes
+	Length  int    `json:"length"` // of the body, in bytes
 	Sum     uint32 `json:"crc32c"` // of the body
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode writes a state: a line that says what follows, and the state as JSON.
+// Encode returns the state as a header line and a JSON body.
 func Encode(s State) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
@@ -67,11 +68,11 @@
 	return append(append(head, '\n'), body...), nil
 }
 
-// Decode reads a state, strictly: its errors are those above, and faults of the list in it.
+// Decode parses a state strictly. Its errors wrap the ones above, also for an invalid list.
 func Decode(text []byte) (State, error) {
 	line, body, whole := bytes.Cut(text, []byte("\n"))
 	var h header
-	switch err := strict(line, &h); {
+	switch err := decodeStrict(line, &h); {
 	case len(text) > MaxSize || err != nil && whole:
 		return State{}, ErrForm
 	case err != nil || !whole:
@@ -88,7 +89,7 @@
 		return State{}, ErrFlipped
 	}
 	s := State{Maintenance: exchange.NewMaintenance()}
-	if err := strict(body, &s); err != nil {
+	if err := decodeStrict(body, &s); err != nil {
 		return State{}, fmt.Errorf("%w: %v", ErrForm, err)
 	}
 	if s.Known != nil {
@@ -102,7 +103,7 @@
 	return s, nil
 }
 
-func strict(text []byte, to any) error {
+func decodeStrict(text []byte, to any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(to); err != nil {
@@ -114,80 +115,81 @@
 	return nil
 }
 
-// Want is what a router that starts knows of itself.
+// Want is what the starting router expects of a stored state, from its configuration.
 type Want struct {
 	Now       time.Time
 	Router    string
 	Listen    string
 	Discovery string
-	Known     *wire.Endpoints // of its configuration
-	ListFor   time.Duration   // how old a stored list may be
-	CountFor  time.Duration   // how old the count of answers may be: while it is, caches are as warm as they were
+	Known     *wire.Endpoints // from the configuration
+	ListFor   time.Duration   // maximum age of a stored list
+	CountFor  time.Duration   // maximum age of Answered: until then the caches are as warm as they were
 }
 
-// Taken is what is taken up, with what was left and why.
+// Taken is the part of a stored state that was restored, and the reasons for leaving out the rest.
 type Taken struct {
 	Known       *wire.Endpoints
-	Stored      bool // the list is the stored one
+	Stored      bool // Known is the stored list
 	Maintenance exchange.Maintenance
 	Answered    float64
 	Age         time.Duration
 	Left        []string
 }
 
-// clockSlack is how far a stored moment may lie ahead: clocks are set by a little now and then.
-const clockSlack = 2 * time.Second
+// maxClockSkew is how far in the future a stored time may be, since clocks are adjusted by small amounts.
+const maxClockSkew = 2 * time.Second
 
-// Take says what of a state a router takes up. Orders hold whatever their age, and drains of a list that is not taken are laid over
-// the one that is: they hold until discovery or an operator says otherwise. Everything else is evidence within its age.
+// Take decides which parts of a state a router restores. Maintenance orders are valid at any age. If the stored list
+// is not used, its drains are applied to the list that is: they hold until discovery or an operator says otherwise.
+// Everything else expires by its age.
 func Take(s State, w Want) (Taken, error) {
 	t := Taken{Known: w.Known, Maintenance: exchange.NewMaintenance(), Age: w.Now.Sub(s.Saved)}
 	switch {
 	case s.Router != w.Router || s.Listen != w.Listen:
 		return t, fmt.Errorf("%w: %s at %s", ErrRouter, s.Router, s.Listen)
-	case t.Age < -clockSlack:
+	case t.Age < -maxClockSkew:
 		return t, fmt.Errorf("%w by %v", ErrClock, -t.Age)
 	}
 	t.Maintenance = s.Maintenance.Copy()
-	left := func(format string, args ...any) { t.Left = append(t.Left, fmt.Sprintf(format, args...)) }
+	skip := func(format string, args ...any) { t.Left = append(t.Left, fmt.Sprintf(format, args...)) }
 	if t.Age <= w.CountFor {
 		t.Answered = s.Answered
 	} else if s.Answered > 0 {
-		left("answers counted: %v old", t.Age.Round(time.Second))
+		skip("answer count: %v old", t.Age.Round(time.Second))
 	}
 	switch {
 	case s.Known == nil || len(s.Known.Endpoints) == 0:
 	case s.Discovery != w.Discovery:
-		left("list: of the discovery at %s", s.Discovery)
-		t.Known = drained(w.Known, s.Known)
+		skip("list: from the discovery service at %s", s.Discovery)
+		t.Known = withDrains(w.Known, s.Known)
 	case t.Age > w.ListFor:
-		left("list: %v old", t.Age.Round(time.Second))
-		t.Known = drained(w.Known, s.Known)
+		skip("list: %v old", t.Age.Round(time.Second))
+		t.Known = withDrains(w.Known, s.Known)
 	case w.Known != nil && w.Known.Index > s.Known.Index:
-		left("list: version %d, and the configuration has %d", s.Known.Index, w.Known.Index)
+		skip("list: index %d, but the configuration has %d", s.Known.Index, w.Known.Index)
 	default:
 		t.Known, t.Stored = s.Known, true
 	}
 	return t, nil
 }
 
-// drained lays the drains of one list over another.
-func drained(list, by *wire.Endpoints) *wire.Endpoints {
+// withDrains returns a copy of the list in which servers that drain in drainsFrom drain as well.
+func withDrains(list, drainsFrom *wire.Endpoints) *wire.Endpoints {
 	if list == nil {
 		return nil
 	}
-	out := map[string]bool{}
-	for _, e := range by.Endpoints {
+	draining := map[string]bool{}
+	for _, e := range drainsFrom.Endpoints {
 		if e.Status == "DRAINING" {
-			out[e.Name+" "+e.Address] = true
+			draining[e.Name+" "+e.Address] = true
 		}
 	}
-	laid := *list
-	laid.Endpoints = append(laid.Endpoints[:0:0], list.Endpoints...)
-	for i, e := range laid.Endpoints {
-		if e.Status == "SERVING" && out[e.Name+" "+e.Address] {
-			laid.Endpoints[i].Status = "DRAINING"
+	merged := *list
+	merged.Endpoints = append(merged.Endpoints[:0:0], list.Endpoints...)
+	for i, e := range merged.Endpoints {
+		if e.Status == "SERVING" && draining[e.Name+" "+e.Address] {
+			merged.Endpoints[i].Status = "DRAINING"
 		}
 	}
-	return &laid
+	return &merged
 }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -16,7 +16,7 @@
 	"cedarmast/internal/wire"
 )
 
-func sample(t testing.TB) State {
+func sampleState(t testing.TB) State {
 	t.Helper()
 	known, err := wire.ParseEndpoints([]byte(`{"index": 7, "snapshot": true, "endpoints": [
 		{"name": "a", "address": "127.0.0.1:1", "status": "SERVING", "weight": 1}, {"name": "b", "address": "127.0.0.1:2", "status": "DRAINING", "weight": 1}]}`))
@@ -32,7 +32,7 @@
 // What is stored is read as it was written, and anything else is refused by its reason: a router that takes up half a list, or
 // another form's, is wrong without knowing it.
 func TestDecodeIsStrict(t *testing.T) {
-	text, err := Encode(sample(t))
+	text, err := Encode(sampleState(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 
 // Each belief is taken up by its own bound; orders and drains hold whatever their age.
 func TestTake(t *testing.T) {
-	s := sample(t)
+	s := sampleState(t)
 	known := *s.Known
 	known.Index, known.Endpoints = 6, append(known.Endpoints[:0:0], known.Endpoints...)
 	known.Endpoints[1].Status = "SERVING" // what the configuration lists of one that drains
@@ -123,16 +123,16 @@
 // serves only with a list, is full only after it served by discovery's word or for long, and has a way out by time alone.
 func explore(m Machine, handle func(*Machine, time.Duration, Event) Phase, now time.Duration, depth int) string {
 	was := m.phase
-	if m.phase != Nothing && !m.told && !m.Known {
+	if m.phase != Nothing && !m.listReceived && !m.Known {
 		return "serves without a list"
 	}
-	if m.phase != Nothing && m.Behind && m.served < catchUpFor {
+	if m.phase != Nothing && m.Behind && m.servingSince < catchUpTimeout {
 		return "serves while others may know of orders"
 	}
-	if m.phase == Full && !m.told && now-m.served < alonePeriod {
+	if m.phase == Full && !m.listReceived && now-m.servingSince < noDiscoveryPeriod {
 		return "full by nobody's word"
 	}
-	if m.phase != Full && (m.phase != Nothing || m.Known || m.told) { // without a list only discovery can tell it one
+	if m.phase != Full && (m.phase != Nothing || m.Known || m.listReceived) { // without a list only discovery can tell it one
 		alone, at := m, now
 		for range 3 {
 			wait, ok := alone.Wait(at)
@@ -150,7 +150,7 @@
 		return ""
 	}
 	for _, e := range []Event{Tick, Told, Answered, Failed, Caught} {
-		for _, d := range []time.Duration{0, listFor, settleAfter - 1, alonePeriod} {
+		for _, d := range []time.Duration{0, listTimeout, settlePeriod - 1, noDiscoveryPeriod} {
 			next := m
 			if p := handle(&next, now+d, e); p < was {
 				return "went back from " + was.String()
@@ -165,7 +165,7 @@
 
 // The state machine explored whole to five events, and three faults that the search has to find: one that counts a router as back that has
 // heard of nobody, one that waits for discovery for ever, and one that serves while others may know of orders.
-func TestMachineExploredWhole(t *testing.T) {
+func TestMachineInvariants(t *testing.T) {
 	right := (*Machine).Handle
 	for _, known := range []bool{false, true} {
 		for _, behind := range []bool{false, true} {
@@ -176,20 +176,20 @@
 	}
 	for what, wrong := range map[string]func(*Machine, time.Duration, Event) Phase{
 		"full by answers alone": func(m *Machine, now time.Duration, e Event) Phase {
-			if m.Handle(now, e); m.phase == Some && m.good > 0 {
+			if m.Handle(now, e); m.phase == Some && m.consecutiveAnswers > 0 {
 				m.phase = Full
 			}
 			return m.phase
 		},
 		"does not wait for facts": func(m *Machine, now time.Duration, e Event) Phase {
 			if e == Told && m.phase == Nothing {
-				m.told, m.phase, m.served = true, Some, now
+				m.listReceived, m.phase, m.servingSince = true, Some, now
 				return m.phase
 			}
 			return m.Handle(now, e)
 		},
 		"waits for ever": func(m *Machine, now time.Duration, e Event) Phase {
-			if !m.told && e != Told {
+			if !m.listReceived && e != Told {
 				return m.phase
 			}
 			return m.Handle(now, e)
@@ -205,7 +205,7 @@
 func TestStoreKeepsTwo(t *testing.T) {
 	dir := t.TempDir()
 	s := NewStore(dir, "127.0.0.1:80")
-	one := sample(t)
+	one := sampleState(t)
 	for n := range 3 {
 		one.Answered, one.Saved = float64(n), one.Saved.Add(time.Second)
 		if err := s.Save(one); err != nil {
@@ -290,7 +290,7 @@
 
 // FuzzDecode: no text is taken that this program would not write again as it is, and none panics.
 func FuzzDecode(f *testing.F) {
-	text, err := Encode(sample(f))
+	text, err := Encode(sampleState(f))
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/recovery/store.go
+++ b/internal/recovery/store.go
@@ -11,22 +11,23 @@
 	"time"
 )
 
-// Store keeps the last two states of a router in a directory. A write is whole or not there, whenever the process dies; a fault of
-// the disk is returned and changes nothing that was kept.
+// Store keeps the last two states of a router in a directory. Writes are atomic even if the process dies; a disk error
+// is returned and leaves the stored states unchanged.
 type Store struct {
 	dir, name string
 	mu        sync.Mutex
-	next      int // which of the two is written next
+	nextSlot  int // 0 or 1: file that the next save overwrites
 }
 
-// NewStore names the files of a router that listens at an address. The directory must be there.
+// NewStore returns the store of the router that listens at an address. The directory must exist.
 func NewStore(dir, listen string) *Store {
 	return &Store{dir: dir, name: "state-" + strings.NewReplacer(":", "_", "/", "_").Replace(listen)}
 }
 
 func (s *Store) path(n int) string { return filepath.Join(s.dir, fmt.Sprintf("%s.%d", s.name, n)) }
 
-// Save writes a state over the older of the two. It waits for the disk: never call it in the way of a request.
+// Save overwrites the older of the two states. It waits for the disk, so it must not be called while serving a
+// request.
 func (s *Store) Save(state State) error {
 	text, err := Encode(state)
 	if err != nil {
@@ -34,66 +35,66 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	part := filepath.Join(s.dir, fmt.Sprintf("%s.%d.part", s.name, os.Getpid())) // two processes of a replacement may save at once
-	f, err := os.OpenFile(part, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
+	tempPath := filepath.Join(s.dir, fmt.Sprintf("%s.%d.part", s.name, os.Getpid())) // one name for each process: both of a replacement may save at once
+	f, err := os.OpenFile(tempPath, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
 	_, err = f.Write(text)
 	err = errors.Join(err, f.Sync(), f.Close())
 	if err == nil {
-		err = os.Rename(part, s.path(s.next))
+		err = os.Rename(tempPath, s.path(s.nextSlot))
 	}
 	if err != nil {
-		return errors.Join(err, os.Remove(part))
+		return errors.Join(err, os.Remove(tempPath))
 	}
-	s.next = 1 - s.next
-	d, err := os.Open(s.dir) // the name is to last as well
+	s.nextSlot = 1 - s.nextSlot
+	d, err := os.Open(s.dir) // makes the rename durable
 	if err != nil {
 		return err
 	}
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// sweep removes what processes left that died as they wrote.
-func (s *Store) sweep() {
-	parts, _ := filepath.Glob(filepath.Join(s.dir, s.name+".*.part")) // fails only for a pattern that can't be
+// removeStaleParts removes the temporary files of processes that died while they wrote.
+func (s *Store) removeStaleParts() {
+	parts, _ := filepath.Glob(filepath.Join(s.dir, s.name+".*.part")) // fails only for an invalid pattern
 	for _, part := range parts {
-		if info, err := os.Stat(part); err == nil && time.Since(info.ModTime()) > partFor {
+		if info, err := os.Stat(part); err == nil && time.Since(info.ModTime()) > stalePartAge {
 			os.Remove(part)
 		}
 	}
 }
 
-// partFor is how long a file that is being written is left alone.
-const partFor = time.Minute
+// stalePartAge is the age below which a temporary file may still be in use.
+const stalePartAge = time.Minute
 
-// Load reads the newer of the states that can be read, and says why any other can't; ok is false if there is none.
+// Load returns the newer of the readable states and an error for each unreadable one; ok is false if none is readable.
 func (s *Store) Load() (state State, ok bool, faults []error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sweep()
+	s.removeStaleParts()
 	for n := range 2 {
-		text, err := read(s.path(n))
+		text, err := readFile(s.path(n))
 		if errors.Is(err, os.ErrNotExist) {
 			continue
 		}
-		var one State
+		var candidate State
 		if err == nil {
-			one, err = Decode(text)
+			candidate, err = Decode(text)
 		}
 		if err != nil {
 			faults = append(faults, fmt.Errorf("%s: %w", filepath.Base(s.path(n)), err))
 			continue
 		}
-		if !ok || one.Saved.After(state.Saved) {
-			state, ok, s.next = one, true, 1-n
+		if !ok || candidate.Saved.After(state.Saved) {
+			state, ok, s.nextSlot = candidate, true, 1-n
 		}
 	}
 	return state, ok, faults
 }
 
-func read(path string) ([]byte, error) {
+func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -14,7 +14,8 @@
 	"cedarmast/internal/sites"
 )
 
-// Operator is the operators' own file, which names what the platform's settings have no place for. What it leaves out is off.
+// Operator is the operators' own configuration file, for options that the platform's settings don't have. Sections
+// that are left out are off.
 type Operator struct {
 	Sites  *Sites  `toml:"sites,omitempty"`
 	State  *State  `toml:"state,omitempty"`
@@ -23,9 +24,9 @@
 	Placement *Placement `toml:"placement,omitempty"`
 }
 
-// Placement says what decides where a key belongs.
+// Placement selects how keys are assigned to servers.
 type Placement struct {
-	By string `toml:"by"` // cuts: the interval table, as without a word; list: the list alone
+	By string `toml:"by"` // cuts: the interval table, the default; list: the server list alone
 }
 
 func (p *Placement) check() error {
@@ -35,17 +36,18 @@
 	return nil
 }
 
-// Shared turns on that routers share what each should know. It needs messages between them.
+// Shared turns on the state that routers share. It needs messages between routers.
 type Shared struct {
-	Forget string `toml:"forget_after,omitempty"` // off the list, until what is known of a server is let go: 48h
+	Forget string `toml:"forget_after,omitempty"` // how long after a server left the list its facts are kept; default 48h
 }
 
-const forgetAfter = 48 * time.Hour
+const defaultForgetAfter = 48 * time.Hour
 
-// ForgetAfter is the span after which a server's facts go; it was checked when the file was read.
-func (s *Shared) ForgetAfter() time.Duration { return span(s.Forget, forgetAfter) }
+// ForgetAfter returns how long after a server left the list its facts are kept. The text was validated when the file
+// was read.
+func (s *Shared) ForgetAfter() time.Duration { return durationOr(s.Forget, defaultForgetAfter) }
 
-// Sharing is the section on shared state; nil where it is off.
+// Sharing returns the [shared] section; nil if it is off.
 func (o *Operator) Sharing() *Shared {
 	if o == nil {
 		return nil
@@ -58,36 +60,37 @@
 		return nil
 	}
 	if d, err := time.ParseDuration(s.Forget); err != nil || d < time.Minute {
-		return fmt.Errorf("forget_after: %q is no span of time of a minute or more, such as 48h", s.Forget)
+		return fmt.Errorf("forget_after: %q is not a duration of a minute or more, such as 48h", s.Forget)
 	}
 	return nil
 }
 
-// State turns stored state on: what a router that starts again takes up.
+// State turns on stored state, which a router restores when it restarts.
 type State struct {
-	Dir   string `toml:"dir"`                // that lasts, there already, of this router or of several
-	Every string `toml:"every,omitempty"`    // a save, as Go writes spans of time: 5s
-	List  string `toml:"list_for,omitempty"` // how old a stored list may be that is taken up: 24h
+	Dir   string `toml:"dir"`                // existing persistent directory; several routers may use it
+	Every string `toml:"every,omitempty"`    // interval between saves as a Go duration; default 5s
+	List  string `toml:"list_for,omitempty"` // maximum age of a stored list that is restored; default 24h
 }
 
-// Defaults of [state].
+// Defaults of the [state] section.
 const (
-	saveEvery = 5 * time.Second
-	listFor   = 24 * time.Hour
+	defaultSaveInterval = 5 * time.Second
+	defaultMaxListAge   = 24 * time.Hour
 )
 
-// Period is the span between two saves, and MaxListAge how old a stored list may be; both were checked when the file was read.
-func (s *State) Period() time.Duration     { return span(s.Every, saveEvery) }
-func (s *State) MaxListAge() time.Duration { return span(s.List, listFor) }
+// Period returns the interval between two saves and MaxListAge the maximum age of a stored list. The texts were
+// validated when the file was read.
+func (s *State) Period() time.Duration     { return durationOr(s.Every, defaultSaveInterval) }
+func (s *State) MaxListAge() time.Duration { return durationOr(s.List, defaultMaxListAge) }
 
-func span(text string, otherwise time.Duration) time.Duration {
+func durationOr(text string, defaultValue time.Duration) time.Duration {
 	if d, err := time.ParseDuration(text); err == nil {
 		return d
 	}
-	return otherwise
+	return defaultValue
 }
 
-// Stored is the section on stored state; nil where it is off.
+// Stored returns the [state] section; nil if it is off.
 func (o *Operator) Stored() *State {
 	if o == nil {
 		return nil
@@ -100,7 +103,7 @@
 		return nil
 	}
 	if info, err := os.Stat(s.Dir); err != nil || !info.IsDir() {
-		return fmt.Errorf("dir: %q is no directory that is there", s.Dir)
+		return fmt.Errorf("dir: %q is not an existing directory", s.Dir)
 	}
 	for _, key := range []struct {
 		name, text string
@@ -111,25 +114,25 @@
 		}
 		d, err := time.ParseDuration(key.text)
 		if err != nil {
-			return fmt.Errorf("%s: %q is no span of time such as 5s or 24h", key.name, key.text)
+			return fmt.Errorf("%s: %q is not a duration such as 5s or 24h", key.name, key.text)
 		}
 		if d < key.least {
-			return fmt.Errorf("%s: %v is under %v", key.name, d, key.least)
+			return fmt.Errorf("%s: %v is less than %v", key.name, d, key.least)
 		}
 	}
 	return nil
 }
 
-// Sites turns tiers of sites on. Its keys are those of sites.Config.
+// Sites turns on tiers of sites. Its keys are those of sites.Config.
 type Sites struct {
 	Prefer []string  `toml:"prefer,omitempty"`
 	Spill  *float64  `toml:"spill,omitempty"`
 	Steps  []float64 `toml:"steps,omitempty"`
-	Hold   string    `toml:"hold,omitempty"` // as Go writes spans of time: 4s
+	Hold   string    `toml:"hold,omitempty"` // Go duration such as 4s
 }
 
-// LoadOperator reads the operators' file; an empty path is a file that turns nothing on. Faults name file, line where there
-// is one, and key.
+// LoadOperator reads the operators' file; an empty path turns nothing on. Errors name the file, the line if known, and
+// the key.
 func LoadOperator(path string) (*Operator, error) {
 	var o Operator
 	if path == "" {
@@ -147,14 +150,14 @@
 			line, _ := unknown.Errors[0].Position()
 			return nil, fmt.Errorf("%s:%d: unknown key %v", path, line, unknown.Errors[0].Key())
 		}
-		var wrong *toml.DecodeError
-		if errors.As(err, &wrong) {
-			line, _ := wrong.Position()
+		var decodeError *toml.DecodeError
+		if errors.As(err, &decodeError) {
+			line, _ := decodeError.Position()
 			return nil, fmt.Errorf("%s:%d: %w", path, line, err)
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if _, err := o.sites(balance.Settings{}); err != nil {
+	if _, err := o.sitesConfig(balance.Settings{}); err != nil {
 		return nil, fmt.Errorf("%s: sites.%w", path, err)
 	}
 	if err := o.State.check(); err != nil {
@@ -169,7 +172,7 @@
 	return &o, nil
 }
 
-// Apply adds what the file turns on to the settings of a router.
+// Apply adds what the file turns on to a router's settings.
 func (o *Operator) Apply(set *balance.Settings) {
 	if o != nil && o.Placement != nil && o.Placement.By == "list" {
 		set.Placement = func() balance.Placement { return placement.New() }
@@ -177,11 +180,11 @@
 	if o == nil || o.Sites == nil {
 		return
 	}
-	c, _ := o.sites(*set) // checked when the file was read
+	c, _ := o.sitesConfig(*set) // validated when the file was read
 	set.Tiers = func() balance.Tiers { return sites.New(c) }
 }
 
-func (o *Operator) sites(set balance.Settings) (sites.Config, error) {
+func (o *Operator) sitesConfig(set balance.Settings) (sites.Config, error) {
 	if o.Sites == nil {
 		return sites.Config{}, nil
 	}
@@ -191,9 +194,9 @@
 			c.Aim = class.Aim
 		}
 	}
-	if o.Sites.Spill != nil { // 0 is not taken for a key left out
+	if o.Sites.Spill != nil { // a pointer tells 0 from a missing key
 		if c.Spill = *o.Sites.Spill; !(c.Spill > 0) {
-			return c, fmt.Errorf("spill: %v is not over 0", c.Spill)
+			return c, fmt.Errorf("spill: %v is not greater than 0", c.Spill)
 		}
 	}
 	if o.Sites.Steps != nil && len(o.Sites.Steps) == 0 {
@@ -202,10 +205,10 @@
 	if o.Sites.Hold != "" {
 		var err error
 		if c.Hold, err = time.ParseDuration(o.Sites.Hold); err != nil {
-			return c, fmt.Errorf("hold: %q is no span of time such as 800ms or 4s", o.Sites.Hold)
+			return c, fmt.Errorf("hold: %q is not a duration such as 800ms or 4s", o.Sites.Hold)
 		}
 		if c.Hold <= 0 {
-			return c, fmt.Errorf("hold: %v is not over 0", c.Hold)
+			return c, fmt.Errorf("hold: %v is not greater than 0", c.Hold)
 		}
 	}
 	return c, c.Check()
--- a/internal/settings/retune_test.go
+++ b/internal/settings/retune_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func object(t *testing.T, text string) map[string]any {
+func parseObject(t *testing.T, text string) map[string]any {
 	t.Helper()
 	var v map[string]any
 	if err := json.Unmarshal([]byte(text), &v); err != nil {
@@ -30,14 +30,14 @@
 		{`{"name":"n","settings":{"Limits":{"SendCap":3,"Deep":{"x":1}},"Classes":[{"Name":"a","Deadline":1},{"Name":"b"}],"Flavors":[]}}`,
 			"settings.Classes[1].Deadline"},
 	} {
-		if got := Missing(object(t, was), object(t, c.now), "known"); got != c.want {
+		if got := Missing(parseObject(t, was), parseObject(t, c.now), "known"); got != c.want {
 			t.Errorf("%s: %q, want %q", c.now, got, c.want)
 		}
 	}
 }
 
 // A running router takes new classes and limits; its place in the fleet and what its sockets hang on wait, and are named.
-func TestRetunedKeepsThePlace(t *testing.T) {
+func TestRetunedKeepsRestartKeys(t *testing.T) {
 	read := func(text string) *Profile {
 		var p Profile
 		if err := json.Unmarshal([]byte(text), &p); err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads the settings' JSON, the same for the simulator's wire and for the real router.
+// Package settings parses and validates the settings, in the same JSON form for the simulator and for a real router,
+// and the operators' file.
 package settings
 
 import (
@@ -13,8 +14,8 @@
 	"cedarmast/balance"
 )
 
-// Profile is the settings object as the simulator sends it and as a real router finds it in its configuration.
-// Times are in nanoseconds.
+// Profile is the settings object that the simulator sends and that a router's configuration contains. Times are in
+// nanoseconds.
 type Profile struct {
 	Classes []struct {
 		Name       string
@@ -66,7 +67,7 @@
 	groups  = map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}
 )
 
-// Settings is what the decisions are told of the profile.
+// Settings converts the profile to the settings of the balancing decisions.
 func (p *Profile) Settings() balance.Settings {
 	s := balance.Settings{
 		Routers: p.FleetSize, Number: p.MyNumber, PeerMessages: p.Limits.PeerMessages, Zone: p.Zone, OverShareWorth: p.OverShareWorth,
@@ -81,7 +82,7 @@
 	if k := p.FamilyInfo.OriginKind; k != nil && *k >= 0 && *k < len(p.Flavors) {
 		s.OriginKind = p.Flavors[*k]
 	}
-	if !p.Limits.RetryAfter { // clients are told no advice
+	if !p.Limits.RetryAfter { // clients get no Retry-After
 		s.MaxRetryAfter = 0
 	}
 	for _, c := range p.Classes {
@@ -97,7 +98,7 @@
 	return s
 }
 
-// HasClass tells whether the settings name a class.
+// HasClass reports whether the profile has a class of this name.
 func (p *Profile) HasClass(name string) bool {
 	for i := range p.Classes {
 		if p.Classes[i].Name == name {
@@ -107,7 +108,7 @@
 	return false
 }
 
-// IsSafe tells whether a class may be repeated at will.
+// IsSafe reports whether requests of a class may be repeated without limit.
 func (p *Profile) IsSafe(class string) bool {
 	for i := range p.Classes {
 		if p.Classes[i].Name == class {
@@ -117,7 +118,7 @@
 	return false
 }
 
-// Check names the first key that a router can't work with. What the simulator's wire leaves out is no fault.
+// Check returns an error that names the first invalid key. Keys that the simulator leaves out are not errors.
 func (p *Profile) Check() error {
 	if len(p.Classes) == 0 {
 		return errors.New("Classes: none")
@@ -129,21 +130,21 @@
 		case c.Name == "":
 			return fmt.Errorf("Classes[%d].Name: missing", i)
 		case seen[c.Name]:
-			return fmt.Errorf("Classes[%d].Name: %q stands there twice", i, c.Name)
+			return fmt.Errorf("Classes[%d].Name: duplicate %q", i, c.Name)
 		case c.Objective <= 0:
-			return fmt.Errorf("Classes[%d].Objective: %d is not over 0", i, c.Objective)
+			return fmt.Errorf("Classes[%d].Objective: %d is not greater than 0", i, c.Objective)
 		case c.Deadline <= 0:
-			return fmt.Errorf("Classes[%d].Deadline: %d is not over 0", i, c.Deadline)
+			return fmt.Errorf("Classes[%d].Deadline: %d is not greater than 0", i, c.Deadline)
 		case !effect:
 			return fmt.Errorf("Classes[%d].Effect: unknown effect %q", i, c.Effect)
 		}
 		seen[c.Name] = true
 	}
 	if p.FleetSize < 1 {
-		return fmt.Errorf("FleetSize: %d is under 1", p.FleetSize)
+		return fmt.Errorf("FleetSize: %d is less than 1", p.FleetSize)
 	}
 	if p.MyNumber < 0 || p.MyNumber >= p.FleetSize {
-		return fmt.Errorf("MyNumber: %d is none of %d routers", p.MyNumber, p.FleetSize)
+		return fmt.Errorf("MyNumber: %d is not one of %d routers", p.MyNumber, p.FleetSize)
 	}
 	for _, key := range []struct {
 		name  string
@@ -152,39 +153,39 @@
 		{"Limits.MaxRetryAfter", p.Limits.MaxRetryAfter}, {"Contract.RampTime", p.Contract.RampTime},
 		{"Contract.OverloadFor", p.Contract.OverloadFor}, {"Contract.AskWithin", p.Contract.AskWithin}} {
 		if key.value < 0 {
-			return fmt.Errorf("%s: %d is under 0", key.name, key.value)
+			return fmt.Errorf("%s: %d is negative", key.name, key.value)
 		}
 	}
 	return nil
 }
 
-// Retuned is what of new settings a running router can take: all but what its place in the fleet and its sockets hang on.
-// The keys that wait for a restart are named.
-func (p *Profile) Retuned(now *Profile) (next *Profile, wait []string) {
-	taken := *now
+// Retuned returns the new settings that a running router can apply, and the names of the changed keys that need a
+// restart: the router's place in the fleet and what its sockets depend on. Those keys keep their old values.
+func (p *Profile) Retuned(updated *Profile) (next *Profile, pendingRestart []string) {
+	merged := *updated
 	for _, key := range []struct {
 		name    string
 		was, is any
 		keep    func()
 	}{
-		{"MyNumber", p.MyNumber, now.MyNumber, func() { taken.MyNumber = p.MyNumber }},
-		{"Zone", p.Zone, now.Zone, func() { taken.Zone = p.Zone }},
-		{"MembershipMode", p.MembershipMode, now.MembershipMode, func() { taken.MembershipMode = p.MembershipMode }},
-		{"Flavors", p.Flavors, now.Flavors, func() { taken.Flavors = p.Flavors }},
-		{"FamilyInfo", p.FamilyInfo, now.FamilyInfo, func() { taken.FamilyInfo = p.FamilyInfo }},
-		{"Limits.PeerMessages", p.Limits.PeerMessages, now.Limits.PeerMessages, func() { taken.Limits.PeerMessages = p.Limits.PeerMessages }},
-		{"Limits.StreamsPerConn", p.Limits.StreamsPerConn, now.Limits.StreamsPerConn, func() { taken.Limits.StreamsPerConn = p.Limits.StreamsPerConn }},
+		{"MyNumber", p.MyNumber, updated.MyNumber, func() { merged.MyNumber = p.MyNumber }},
+		{"Zone", p.Zone, updated.Zone, func() { merged.Zone = p.Zone }},
+		{"MembershipMode", p.MembershipMode, updated.MembershipMode, func() { merged.MembershipMode = p.MembershipMode }},
+		{"Flavors", p.Flavors, updated.Flavors, func() { merged.Flavors = p.Flavors }},
+		{"FamilyInfo", p.FamilyInfo, updated.FamilyInfo, func() { merged.FamilyInfo = p.FamilyInfo }},
+		{"Limits.PeerMessages", p.Limits.PeerMessages, updated.Limits.PeerMessages, func() { merged.Limits.PeerMessages = p.Limits.PeerMessages }},
+		{"Limits.StreamsPerConn", p.Limits.StreamsPerConn, updated.Limits.StreamsPerConn, func() { merged.Limits.StreamsPerConn = p.Limits.StreamsPerConn }},
 	} {
 		if !reflect.DeepEqual(key.was, key.is) {
 			key.keep()
-			wait = append(wait, key.name)
+			pendingRestart = append(pendingRestart, key.name)
 		}
 	}
-	return &taken, wait
+	return &merged, pendingRestart
 }
 
-// Missing names the first key that an object had and its successor lacks, dotted; empty if there is none. Of a list each
-// element must have the keys that all elements had before. Keys that skip names, dotted, may go.
+// Missing returns the dotted name of the first key that an object had and its successor lacks, or an empty string.
+// Each element of a list must have the keys that all its elements had before. The dotted names in skip may be absent.
 func Missing(was, now any, skip ...string) string {
 	var walk func(path string, was, now any) string
 	walk = func(path string, was, now any) string {
@@ -218,7 +219,8 @@
 	return walk("", was, now)
 }
 
-// commonKeys are the keys that all of a list's objects have, with nothing behind them; nil if its elements are no objects.
+// commonKeys returns an object with the keys that all objects of a list have, without values; nil if the elements are
+// not objects.
 func commonKeys(list []any) any {
 	var common map[string]any
 	for i, element := range list {
@@ -237,8 +239,8 @@
 	return common
 }
 
-// Unread names the keys of a settings object that a Profile has no place for, dotted and in order: the platform's own, or
-// misspelt ones. Upper and lower case count as the same, as they do when settings are read.
+// Unread returns the sorted, dotted names of the keys of a settings object that Profile has no field for: keys of the
+// platform's own, or misspelt ones. Case is ignored, as it is when settings are parsed.
 func Unread(settings map[string]any) []string {
 	var names []string
 	var walk func(path string, value any, t reflect.Type)
@@ -257,7 +259,7 @@
 			for key, v := range value {
 				at := strings.TrimPrefix(path+"."+key, ".")
 				if t.Kind() != reflect.Struct {
-					continue // of another form than expected: Check tells
+					continue // not the expected type: Check reports it
 				} else if f, ok := t.FieldByNameFunc(func(name string) bool { return strings.EqualFold(name, key) }); ok {
 					walk(at, v, f.Type)
 				} else {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"cedarmast/balance"
 )
 
-const text = `{"FleetSize":3,"MyNumber":1,"Zone":"z","OverShareWorth":0.2,"MembershipMode":"on_request",
+const profileJSON = `{"FleetSize":3,"MyNumber":1,"Zone":"z","OverShareWorth":0.2,"MembershipMode":"on_request",
  "Classes":[{"Name":"add","Objective":1200000000,"Deadline":5000000000,"Worth":3,"LateShare":0.5,"Effect":"keyed",
   "DedupScope":"zone","MemorySpan":10000000000,"Streaming":false}],
  "Tenants":[{"Name":"t","AllowancePerS":58,"Portion":0.37}],"Flavors":["box","origin"],
@@ -18,9 +18,9 @@
   "MaxRetryAfter":2000000000,"ConnectTimeout":250000000,"ConnIdle":5000000000,"StreamsPerConn":100},
  "Contract":{"AskWithin":10000000000,"ColdFrom":0.15,"RampTime":24000000000,"OverloadFactor":2.5,"OverloadFor":3000000000}}`
 
-func TestSettingsAreReadWhole(t *testing.T) {
+func TestProfileSettings(t *testing.T) {
 	var p Profile
-	if err := json.Unmarshal([]byte(text), &p); err != nil {
+	if err := json.Unmarshal([]byte(profileJSON), &p); err != nil {
 		t.Fatal(err)
 	}
 	want := balance.Settings{
