--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -100,6 +100,7 @@
 	}
 }
 
+// serve reads one call, answers it and closes the connection.
 func (s *Server) serve(c net.Conn) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -18,7 +18,7 @@
 	out    bool
 }
 
-// newServer starts a server whose orders the test sees.
+// newServer starts a server that passes orders to maintain.
 func newServer(t *testing.T, healthy *atomic.Bool, maintain func(string, bool) error) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,7 +32,7 @@
 	return l.Addr().String()
 }
 
-// call makes one call of the given text and returns its status, 0 where none came.
+// call sends the given text and returns the status of the response; 0 if there was none.
 func call(t *testing.T, address, text string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -101,7 +101,7 @@
 	}
 }
 
-// A call whose body is cut off is no whole call: nothing is carried out.
+// A call with a truncated body is not carried out.
 func TestTruncatedCallIsNotCarriedOut(t *testing.T) {
 	var healthy atomic.Bool
 	var orders atomic.Int64
@@ -115,11 +115,11 @@
 	io.Copy(io.Discard, c)
 	c.Close()
 	if orders.Load() != 0 {
-		t.Error("half a call was carried out")
+		t.Error("a truncated call was carried out")
 	}
 }
 
-// Callers that hold connections with no whole call, many more than there are places, keep nobody from an answer.
+// Many more idle or incomplete connections than MostCalls don't keep other callers from a response.
 func TestSilentCallersAreEvicted(t *testing.T) {
 	var healthy atomic.Bool
 	healthy.Store(true)
--- a/internal/daemon/command_test.go
+++ b/internal/daemon/command_test.go
@@ -11,7 +11,8 @@
 	"cedarmast/internal/standin"
 )
 
-// The command line's answers and its status: 0 for good, 2 for a faulty argument or file, 1 for what failed otherwise.
+// The output and exit status of each command: 0 for success, 2 for an invalid argument or file, 1 for any other
+// failure.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	good, bad := filepath.Join(dir, "good.json"), filepath.Join(dir, "bad.json")
@@ -31,7 +32,7 @@
 	for _, c := range []struct {
 		args           string
 		status         int
-		stdout, stderr string // parts of what is printed
+		stdout, stderr string // substrings of the output
 	}{
 		{"version", 0, "cedarmast ", ""},
 		{"--help", 0, "check [<file>]", ""},
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -73,6 +73,7 @@
 	return c, nil
 }
 
+// parseConfig parses a configuration file, fills in defaults and validates the result.
 func parseConfig(text []byte, getenv func(string) string) (*Config, error) {
 	var c Config
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -98,6 +99,7 @@
 	return &c, c.validate()
 }
 
+// applyDefaults sets the keys that were left out.
 func (c *Config) applyDefaults() {
 	setDefault(&c.Limits.Cores, defaultCores)
 	setDefault(&c.Limits.MemoryMB, defaultMemoryMB)
@@ -115,6 +117,7 @@
 	}
 }
 
+// setDefault sets a zero value to its default.
 func setDefault[T comparable](value *T, to T) {
 	var zero T
 	if *value == zero {
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -36,11 +36,11 @@
 	if c.Name != "n1" || c.Listen != "127.0.0.1:1" || c.Discovery != "127.0.0.1:2" || c.Limits.Sockets != defaultSockets ||
 		c.Limits.MemoryMB != defaultMemoryMB || c.Limits.Cores != defaultCores || c.Known.Index >= 0 || c.Settings.FleetSize != 1 ||
 		c.Settings.Limits.StreamsPerConn != 1 {
-		t.Errorf("filled to %+v", c)
+		t.Errorf("with defaults: %+v", c)
 	}
 }
 
-// A fault is named by its key.
+// An invalid configuration is rejected with an error that names the key.
 func TestBadConfigs(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{goodConfig, `{`, "not a JSON object"},
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -93,8 +93,8 @@
 		case <-opts.reload:
 			r.reload(opts)
 			continue
-		case s := <-opts.terminate:
-			log.Info("stopping", "signal", s.String())
+		case sig := <-opts.terminate:
+			log.Info("stopping", "signal", sig.String())
 		case <-ctx.Done():
 			log.Info("stopping")
 		}
@@ -298,6 +298,7 @@
 
 func (noopTeller) Tell(int, []byte) {}
 
+// background runs f in a goroutine that stop waits for.
 func (r *router) background(f func()) {
 	r.wg.Add(1)
 	go func() {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -25,8 +25,8 @@
 	"cedarmast/internal/standin"
 )
 
-// The test binary runs as a router of its own when it is told to, for what only a process shows: signals, the
-// descriptors it holds, the way it exits.
+// The test binary runs as a router if CEDARMAST_TEST_ROUTER is set, for tests that need a real process: signals, open
+// descriptors and the exit status.
 func TestMain(m *testing.M) {
 	if os.Getenv("CEDARMAST_TEST_ROUTER") == "" {
 		os.Exit(m.Run())
@@ -34,8 +34,8 @@
 	os.Exit(Main(nil, os.Getenv, os.Stdout, os.Stderr))
 }
 
-// freeAddress is an address for a router to come. It lies on a loopback host of this process' own: on a shared one another
-// process, or an outgoing connection, might take the port before the router does.
+// freeAddress returns an unused address for a router. It is on a loopback host that only this process uses: on a
+// shared one, another process or an outgoing connection might take the port before the router does.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
@@ -47,7 +47,7 @@
 	return l.Addr().String()
 }
 
-// testConfig is a router's configuration before one cache server.
+// testConfig is the configuration of a router with one cache server.
 func testConfig(t *testing.T, cache, discovery string, sockets int) map[string]any {
 	t.Helper()
 	class := func(name, effect string) map[string]any {
@@ -61,7 +61,7 @@
 			"Limits": map[string]any{"SendCap": 3, "MayCancel": true, "RetryAfter": true, "MaxRetryAfter": 1000e6}}}
 }
 
-// child is a router in a process of its own.
+// child is a router in its own process.
 type child struct {
 	*exec.Cmd
 	address string
@@ -69,7 +69,7 @@
 	exited  chan error
 }
 
-// syncBuffer is a log that may be read while it is written.
+// syncBuffer is a buffer that may be read while it is written.
 type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -89,10 +89,10 @@
 
 func startProcess(t *testing.T, config map[string]any) *child {
 	t.Helper()
-	return startProcessWith(t, config, nil).ready(t)
+	return startProcessWith(t, config, nil).waitReady(t)
 }
 
-// startProcessWith sends the log to a file, or keeps it if there is none.
+// startProcessWith starts a router that logs to the file, or to child.log if it is nil.
 func startProcessWith(t *testing.T, config map[string]any, log *os.File) *child {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -116,8 +116,8 @@
 	return p
 }
 
-// ready waits for a router to be ready.
-func (p *child) ready(t *testing.T) *child {
+// waitReady waits until the router is ready.
+func (p *child) waitReady(t *testing.T) *child {
 	t.Helper()
 	standin.Eventually(t, "the router is ready", func() bool {
 		status, _, err := ask(p.address, "/health/ready")
@@ -126,8 +126,8 @@
 	return p
 }
 
-// end waits for the process and returns its log.
-func (p *child) end(t *testing.T) string {
+// waitExit waits for the process to exit and returns its log.
+func (p *child) waitExit(t *testing.T) string {
 	t.Helper()
 	select {
 	case err := <-p.exited:
@@ -140,13 +140,13 @@
 	return p.log.String()
 }
 
-// ask makes one request on a connection of its own.
+// ask makes one request on its own connection.
 func ask(address, path string) (status int, body string, err error) {
 	status, body, _, err = askTimed(address, path)
 	return status, body, err
 }
 
-// askTimed tells as well when the request was written, if it was.
+// askTimed is ask that also returns when the request was written; zero if it was not.
 func askTimed(address, path string) (status int, body string, written time.Time, err error) {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -185,7 +185,8 @@
 	return resp.StatusCode, string(body), err
 }
 
-// SIGTERM under work: what is taken and what comes within 0.4 s is answered, the counters are printed, exit is clean.
+// SIGTERM under load: requests in flight and those that arrive within 0.4 s are answered, the counters are logged and
+// the exit status is 0.
 func TestSIGTERMUnderLoad(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool {
 		time.Sleep(300 * time.Millisecond)
@@ -208,7 +209,7 @@
 	for i := range 4 {
 		request(fmt.Sprint("/read/before", i))
 	}
-	standin.Eventually(t, "they are at the cache", func() bool { return cache.Requests() == 4 })
+	standin.Eventually(t, "the requests are at the cache server", func() bool { return cache.Requests() == 4 })
 	idle, err := net.Dial("tcp", p.address)
 	if err != nil {
 		t.Fatal(err)
@@ -227,7 +228,7 @@
 	if _, err := idleReader.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v", err)
 	}
-	log := p.end(t)
+	log := p.waitExit(t)
 	if served.Load() < 5 {
 		t.Errorf("%d of 8 served", served.Load())
 	}
@@ -238,8 +239,8 @@
 	}
 }
 
-// A cache that never answers does not keep a stopping router beyond the moment at which it may be killed: all are
-// told before.
+// A cache server that never answers does not keep a stopping router beyond the time at which it may be killed: all
+// clients get a response before.
 func TestSIGTERMWithSilentCache(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool { io.Copy(io.Discard, r.Conn); return false })
 	config := testConfig(t, cache.Address, standin.NewDiscovery(t, 1).Address, 256)
@@ -259,19 +260,19 @@
 		}
 		done <- resp.StatusCode
 	}()
-	standin.Eventually(t, "it is at the cache", func() bool { return cache.Requests() == 1 })
+	standin.Eventually(t, "the request is at the cache server", func() bool { return cache.Requests() == 1 })
 	p.Process.Signal(syscall.SIGTERM)
 	begun := time.Now()
 	status := <-done
 	if took := time.Since(begun); status < 500 || took > 3600*time.Millisecond {
 		t.Errorf("status %d after %v", status, took)
 	}
-	p.end(t)
+	p.waitExit(t)
 }
 
-// More clients than descriptors: none is left without an answer, and the process stays within its limit. A client that
-// takes its time between connecting and asking may find its connection closed, and then asks once more on a new one, as
-// the protocol has it; one that asked at once may not.
+// More clients than descriptors: every client gets a response, and the process stays within its descriptor limit. A
+// client that delays between connecting and sending may find its connection closed and retries on a new one, as HTTP
+// allows; a client that sends at once may not.
 func TestFullDescriptors(t *testing.T) {
 	const sockets = 100
 	cache := standin.NewServer(t, func(r *standin.Request) bool {
@@ -280,12 +281,12 @@
 	})
 	config := testConfig(t, cache.Address, standin.NewDiscovery(t, 1).Address, sockets)
 	p := startProcess(t, config)
-	most, stop, watched := 0, make(chan struct{}), make(chan struct{})
+	maxOpen, stop, watcherDone := 0, make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(watcherDone)
 		for {
 			if fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid)); err == nil {
-				most = max(most, len(fds))
+				maxOpen = max(maxOpen, len(fds))
 			}
 			select {
 			case <-stop:
@@ -295,14 +296,14 @@
 		}
 	}()
 	var wg sync.WaitGroup
-	var refused, served, unanswered, slow atomic.Int64
+	var refused, served, unanswered, retried atomic.Int64
 	for range 150 {
 		wg.Go(func() {
 			for range 3 {
 				begun := time.Now()
 				status, _, written, err := askTimed(p.address, "/read/k")
 				for err != nil && (written.IsZero() || written.Sub(begun) > 50*time.Millisecond) && time.Since(begun) < 10*time.Second {
-					slow.Add(1)
+					retried.Add(1)
 					again := time.Now()
 					if status, _, written, err = askTimed(p.address, "/read/k"); !written.IsZero() && written.Sub(again) <= 50*time.Millisecond {
 						break
@@ -321,21 +322,21 @@
 	}
 	wg.Wait()
 	close(stop)
-	<-watched
+	<-watcherDone
 	if unanswered.Load() > 0 || served.Load() == 0 || refused.Load() == 0 {
-		t.Errorf("%d served, %d refused, %d without an answer, %d asked late", served.Load(), refused.Load(),
-			unanswered.Load(), slow.Load())
+		t.Errorf("%d served, %d refused, %d without a response, %d retried", served.Load(), refused.Load(),
+			unanswered.Load(), retried.Load())
 	}
-	if most > sockets || most == 0 {
-		t.Errorf("%d descriptors of %d", most, sockets)
+	if maxOpen > sockets || maxOpen == 0 {
+		t.Errorf("%d descriptors of %d", maxOpen, sockets)
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	if log := p.end(t); strings.Contains(log, "accepting failed") {
-		t.Error("the system had to say that there are no descriptors left")
+	if log := p.waitExit(t); strings.Contains(log, "accepting failed") {
+		t.Error("accept failed for lack of descriptors")
 	}
 }
 
-// A router that starts and stops leaves nothing behind: no goroutine, no address, no connection.
+// Starting and stopping a router leaves no goroutine, listener or connection behind.
 func TestStopReleasesResources(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
 	discovery := standin.NewDiscovery(t, 1)
@@ -343,7 +344,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	signals := make(chan os.Signal, 1) // the package's own goroutine, once started, stays
+	signals := make(chan os.Signal, 1) // os/signal's own goroutine stays once it has started
 	signal.Notify(signals, syscall.SIGUSR2)
 	signal.Stop(signals)
 	before := runtime.NumGoroutine()
@@ -364,12 +365,12 @@
 			t.Error(err)
 		}
 	}
-	discovery.Break(500) // it answers the watch, if anybody still waits for it
-	standin.Eventually(t, "the connections are let go", func() bool { return cache.Open() == 0 && discovery.Open() == 0 })
+	discovery.Break(500) // ends a watch request that might still be waiting
+	standin.Eventually(t, "the connections are closed", func() bool { return cache.Open() == 0 && discovery.Open() == 0 })
 	standin.Eventually(t, "the goroutines have ended", func() bool { return runtime.NumGoroutine() <= before })
 }
 
-// Discovery that is not there at all keeps nobody from being served by the list that is known.
+// A router serves from the known list while discovery is unreachable.
 func TestStartWithoutDiscovery(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
 	p := startProcess(t, testConfig(t, cache.Address, freeAddress(t), 256))
@@ -377,12 +378,12 @@
 		t.Errorf("%d %q %v", status, body, err)
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	if log := p.end(t); !strings.Contains(log, "discovery failed") {
-		t.Errorf("nothing said:\n%s", log)
+	if log := p.waitExit(t); !strings.Contains(log, "discovery failed") {
+		t.Errorf("the failure is not logged:\n%s", log)
 	}
 }
 
-// What discovery tells decides where requests go.
+// Requests follow the list that discovery delivers.
 func TestListIsFollowed(t *testing.T) {
 	named := func(name string) *standin.Server {
 		return standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, name) })
@@ -395,34 +396,34 @@
 	}
 	discovery.Change(standin.Endpoint{Name: "b", Address: b.Address, Status: "SERVING", Weight: 1})
 	discovery.Change(standin.Endpoint{Name: "a", Address: a.Address, Status: "DRAINING", Weight: 1})
-	standin.Eventually(t, "the other one serves", func() bool { _, body, _ := ask(p.address, "/read/k"); return body == "b" })
-	standin.Eventually(t, "the drained one's idle connections go", func() bool { return a.Open() == 0 })
+	standin.Eventually(t, "the other server serves", func() bool { _, body, _ := ask(p.address, "/read/k"); return body == "b" })
+	standin.Eventually(t, "the drained server's idle connections are closed", func() bool { return a.Open() == 0 })
 	p.Process.Signal(syscall.SIGTERM)
-	p.end(t)
+	p.waitExit(t)
 }
 
-// A log that nobody reads any more does not end the router.
+// A closed log pipe does not end the router.
 func TestLogReaderGone(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := startProcessWith(t, testConfig(t, cache.Address, standin.NewDiscovery(t, 1).Address, 256), w).ready(t)
+	p := startProcessWith(t, testConfig(t, cache.Address, standin.NewDiscovery(t, 1).Address, 256), w).waitReady(t)
 	w.Close()
 	r.Close()
 	for range 3 {
-		p.Process.Signal(syscall.SIGUSR1) // makes it write
+		p.Process.Signal(syscall.SIGUSR1) // makes it log
 		time.Sleep(20 * time.Millisecond)
 	}
 	if status, body, err := ask(p.address, "/read/k"); err != nil || status != 200 || body != "v" {
 		t.Errorf("%d %q %v", status, body, err)
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	p.end(t)
+	p.waitExit(t)
 }
 
-// The counters are printed on request.
+// SIGUSR1 logs the counters.
 func TestCountersOnRequest(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
 	p := startProcess(t, testConfig(t, cache.Address, standin.NewDiscovery(t, 1).Address, 256))
@@ -433,13 +434,13 @@
 		t.Errorf("%d %s %v", status, body, err)
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	if log := p.end(t); !strings.Contains(log, "msg=counters") || strings.Count(log, "answers.served=1") != 2 {
-		t.Errorf("the log:\n%s", log)
+	if log := p.waitExit(t); !strings.Contains(log, "msg=counters") || strings.Count(log, "answers.served=1") != 2 {
+		t.Errorf("unexpected log:\n%s", log)
 	}
 }
 
-// A router that can't start says why and exits with a status that tells.
-func TestNotStarted(t *testing.T) {
+// A router that can't start logs the reason and exits with the matching status.
+func TestStartFailure(t *testing.T) {
 	taken, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -466,7 +467,7 @@
 	}
 }
 
-// With no list at all a router is live but not ready, until there is one.
+// Without any list a router is live but not ready until discovery delivers one.
 func TestNotReadyWithoutAList(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
 	discovery := standin.NewDiscovery(t, 0, standin.Endpoint{Name: "a", Address: cache.Address, Status: "SERVING", Weight: 1})
@@ -480,10 +481,10 @@
 		t.Errorf("ready without a list: %d %v", status, err)
 	}
 	discovery.Break(0)
-	p.ready(t)
+	p.waitReady(t)
 	if status, body, err := ask(p.address, "/read/k"); err != nil || status != 200 || body != "v" {
 		t.Errorf("%d %q %v", status, body, err)
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	p.end(t)
+	p.waitExit(t)
 }
--- a/internal/daemon/facts.go
+++ b/internal/daemon/facts.go
@@ -16,6 +16,7 @@
 	"cedarmast/internal/shared"
 )
 
+// factsCmd compares the shared state of several routers.
 type factsCmd struct {
 	Addrs []string `arg:"" help:"Operators' addresses of the routers, as 127.0.0.1:9000."`
 	All   bool     `help:"Print what all say alike as well."`
--- a/internal/daemon/logwriter.go
+++ b/internal/daemon/logwriter.go
@@ -20,6 +20,7 @@
 	logFlushTimeout = 200 * time.Millisecond
 )
 
+// newLogWriter starts the goroutine that writes to w.
 func newLogWriter(w io.Writer) *logWriter {
 	l := &logWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go func() {
--- a/internal/daemon/logwriter_test.go
+++ b/internal/daemon/logwriter_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// blockedWriter takes nothing until it is let go.
+// blockedWriter blocks every write until unblock is closed.
 type blockedWriter struct {
 	bytes.Buffer
 	unblock chan struct{}
@@ -19,7 +19,7 @@
 	return w.Buffer.Write(p)
 }
 
-// A log that nobody reads holds nobody up; what was lost is said once it is read again.
+// A blocked log reader does not block writers, and the number of dropped lines is logged once it reads again.
 func TestBlockedLogReaderDropsLines(t *testing.T) {
 	w := &blockedWriter{unblock: make(chan struct{})}
 	l := newLogWriter(w)
--- a/internal/daemon/move.go
+++ b/internal/daemon/move.go
@@ -51,23 +51,23 @@
 		if _, err := os.Lstat(c.Out); err == nil || !errors.Is(err, os.ErrNotExist) {
 			return fmt.Errorf("%s already exists or can't be examined", c.Out)
 		}
-		lost := 0
+		dropped := 0
 		for _, n := range notes {
 			label := "noted"
 			if n.Lost {
 				label = "not carried"
-				lost++
+				dropped++
 			}
 			fmt.Fprintf(p.stdout, "%s: %s: %s\n", label, n.Key, n.Text)
 		}
 		if c.DryRun {
-			fmt.Fprintf(p.stdout, "would write %s: %d not carried; nothing was written\n", c.Out, lost)
+			fmt.Fprintf(p.stdout, "would write %s: %d not carried; nothing was written\n", c.Out, dropped)
 			return nil
 		}
 		if err := createAtomically(c.Out, moved); err != nil {
 			return err
 		}
-		fmt.Fprintf(p.stdout, "wrote %s: %d not carried; %s is unchanged\n", c.Out, lost, c.File)
+		fmt.Fprintf(p.stdout, "wrote %s: %d not carried; %s is unchanged\n", c.Out, dropped, c.File)
 		return nil
 	}()
 	if err != nil {
--- a/internal/daemon/move_test.go
+++ b/internal/daemon/move_test.go
@@ -12,8 +12,9 @@
 	"cedarmast/internal/standin"
 )
 
-// Guard: an operator tries the command on the file in use: it is never touched, nor what stands where the counterpart would go,
-// and a dry run leaves no trace. A router starts from the counterpart, serves, and hangs up, for many routers fill a cache's table.
+// The command never changes the old file or an existing output file, and a dry run writes nothing. A router starts
+// from the converted configuration, serves, and closes its idle connections, because many routers would otherwise fill
+// a cache server's connection table.
 func TestMoveCommand(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
 	discovery := standin.NewDiscovery(t, 1, standin.Endpoint{Name: "a", Address: cache.Address, Zone: "z", Type: "box",
@@ -23,7 +24,7 @@
 	config["settings"].(map[string]any)["Typo"] = "z"
 	path := filepath.Join(t.TempDir(), "old.json")
 	text, _ := json.Marshal(config)
-	text = bytes.ReplaceAll(text, []byte("500000000"), []byte("25000000")) // an aim of 25 ms: it hangs up after 0.8 s
+	text = bytes.ReplaceAll(text, []byte("500000000"), []byte("25000000")) // a 25 ms objective: idle connections close after 0.8 s
 	odd := strings.Replace(string(text), `"peers"`, `"pears"`, 1)
 	if err := errors.Join(os.WriteFile(path, text, 0o600), os.WriteFile(path+".odd", []byte(odd), 0o600)); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/operator_test.go
+++ b/internal/daemon/operator_test.go
@@ -11,8 +11,9 @@
 	"cedarmast/internal/standin"
 )
 
-// The operators' file turns sites on: a router keeps to its own, goes to the next one when nobody answers there, and says so.
-// Guard: a faulty file ends the start with status 2 and names file and key; taken for an empty one it would turn all off unseen.
+// The operators' file turns sites on: a router prefers its own site, fails over to the next one and logs its view of
+// the sites. An invalid file ends the start with status 2 and an error that names file and key; treating it as empty
+// would silently turn every option off.
 func TestOperatorsFile(t *testing.T) {
 	home, away := serverNamed(t, "home"), serverNamed(t, "away")
 	discovery := standin.NewDiscovery(t, 1)
@@ -58,7 +59,7 @@
 	t.Setenv("CEDARMAST_OPERATOR", file("[sites]\nhold = \"1s\""))
 	p := startProcess(t, config)
 	discovery.Change(standin.Endpoint{Name: "b", Address: away.Address, Zone: "y", Type: "box", Status: "SERVING", Weight: 1})
-	standin.Eventually(t, "the list is taken", func() bool { return discovery.Requests() > 2 })
+	standin.Eventually(t, "the list is applied", func() bool { return discovery.Requests() > 2 })
 	for range 20 {
 		if _, body, err := ask(p.address, "/read/k"); err != nil || body != "home" {
 			t.Fatalf("%q %v", body, err)
@@ -67,10 +68,10 @@
 	home.Close()
 	standin.Eventually(t, "the next site serves", func() bool { _, body, _ := ask(p.address, "/read/k"); return body == "away" })
 	p.Process.Signal(syscall.SIGUSR1)
-	ask(p.address, "/read/k") // the signal has been seen by the time that SIGTERM comes
+	ask(p.address, "/read/k") // gives the router time to handle the signal before SIGTERM
 	time.Sleep(100 * time.Millisecond)
 	p.Process.Signal(syscall.SIGTERM)
-	if log := p.end(t); !strings.Contains(log, `msg="site viewed" site=z order=0`) {
-		t.Errorf("it tells nothing of its sites:\n%s", log)
+	if log := p.waitExit(t); !strings.Contains(log, `msg="site viewed" site=z order=0`) {
+		t.Errorf("the view of the sites is not logged:\n%s", log)
 	}
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -11,8 +11,8 @@
 	"cedarmast/internal/standin"
 )
 
-// rewrite replaces a process's configuration and tells it so.
-func (p *child) rewrite(t *testing.T, text []byte) {
+// reloadConfig replaces the configuration file of a process and sends it SIGHUP.
+func (p *child) reloadConfig(t *testing.T, text []byte) {
 	t.Helper()
 	for _, line := range p.Env {
 		if path, ok := strings.CutPrefix(line, "GW_CONFIG="); ok {
@@ -39,8 +39,9 @@
 	return standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, name) })
 }
 
-// SIGHUP with a new discovery address: its whole list holds soon, though its versions are lower than the old one's,
-// then its changes; nothing is left of the old one. Uncaught, SIGHUP would end the process.
+// After SIGHUP with a new discovery address the whole list of the new service applies, although its indexes are lower
+// than the old one's, then its changes; no connection to the old service stays. Without a handler, SIGHUP would end
+// the process.
 func TestNewDiscoveryOnSIGHUP(t *testing.T) {
 	a, b, c := serverNamed(t, "a"), serverNamed(t, "b"), serverNamed(t, "c")
 	first := standin.NewDiscovery(t, 40)
@@ -51,26 +52,26 @@
 		t.Fatalf("served by %q", body)
 	}
 	config["discovery"] = second.Address
-	p.rewrite(t, marshal(t, config))
+	p.reloadConfig(t, marshal(t, config))
 	begun := time.Now()
-	standin.Eventually(t, "the new list holds", func() bool { _, body, _ := ask(p.address, "/read/k"); return body == "b" })
+	standin.Eventually(t, "the new list applies", func() bool { _, body, _ := ask(p.address, "/read/k"); return body == "b" })
 	if took := time.Since(begun); took > time.Second {
 		t.Errorf("the new list took %v", took)
 	}
-	first.Break(500) // it answers the watch, if anybody still waits for it
-	standin.Eventually(t, "the old discovery and its server are let go", func() bool { return first.Open() == 0 && a.Open() == 0 })
+	first.Break(500) // ends a watch request that might still be waiting
+	standin.Eventually(t, "the connections to the old discovery and its server are closed", func() bool { return first.Open() == 0 && a.Open() == 0 })
 	if targets := second.Targets(); targets[0] != "/registry/instances" {
 		t.Errorf("asked for %q first", targets[0])
 	}
 	second.Change(standin.Endpoint{Name: "b", Address: b.Address, Status: "DRAINING", Weight: 1})
 	second.Change(standin.Endpoint{Name: "c", Address: c.Address, Status: "SERVING", Weight: 1})
-	standin.Eventually(t, "its changes hold", func() bool { _, body, _ := ask(p.address, "/read/k"); return body == "c" })
+	standin.Eventually(t, "its changes apply", func() bool { _, body, _ := ask(p.address, "/read/k"); return body == "c" })
 	p.Process.Signal(syscall.SIGTERM)
-	p.end(t)
+	p.waitExit(t)
 }
 
-// A new discovery that does not answer leaves the list in use, and is asked until it does; SIGHUP again and SIGTERM
-// in the middle work.
+// A new discovery service that does not answer leaves the current list in use and is asked until it does. Another
+// SIGHUP and SIGTERM work meanwhile.
 func TestSilentNewDiscoveryOnSIGHUP(t *testing.T) {
 	a, b := serverNamed(t, "a"), serverNamed(t, "b")
 	config := testConfig(t, a.Address, standin.NewDiscovery(t, 1).Address, 256)
@@ -78,29 +79,28 @@
 	silent := standin.NewDiscovery(t, 1)
 	silent.Break(-1)
 	config["discovery"] = silent.Address
-	p.rewrite(t, marshal(t, config))
-	standin.Eventually(t, "the new one is asked", func() bool { return len(silent.Targets()) > 0 })
+	p.reloadConfig(t, marshal(t, config))
+	standin.Eventually(t, "the new service is asked", func() bool { return len(silent.Targets()) > 0 })
 	if _, body, _ := ask(p.address, "/read/k"); body != "a" {
 		t.Errorf("served by %q meanwhile", body)
 	}
 	late := standin.NewDiscovery(t, 9, standin.Endpoint{Name: "b", Address: b.Address, Status: "SERVING", Weight: 1})
 	late.Break(500)
 	config["discovery"] = late.Address
-	p.rewrite(t, marshal(t, config))
-	standin.Eventually(t, "the next one is asked more than once", func() bool { return len(late.Targets()) > 2 })
+	p.reloadConfig(t, marshal(t, config))
+	standin.Eventually(t, "the next service is asked more than once", func() bool { return len(late.Targets()) > 2 })
 	silent.Break(500)
-	standin.Eventually(t, "the silent one is let go", func() bool { return silent.Open() == 0 })
+	standin.Eventually(t, "the silent service is dropped", func() bool { return silent.Open() == 0 })
 	silent.Break(-1)
 	late.Break(0)
-	standin.Eventually(t, "its list holds", func() bool { _, body, _ := ask(p.address, "/read/k"); return body == "b" })
+	standin.Eventually(t, "its list applies", func() bool { _, body, _ := ask(p.address, "/read/k"); return body == "b" })
 	config["discovery"] = silent.Address
-	p.rewrite(t, marshal(t, config))
+	p.reloadConfig(t, marshal(t, config))
 	p.Process.Signal(syscall.SIGTERM)
-	p.end(t)
+	p.waitExit(t)
 }
 
-// A configuration that can't be taken changes nothing, and the log names the faulty key; so it does for keys that
-// wait for a restart.
+// An invalid configuration changes nothing and the log names the key, as it does for keys that need a restart.
 func TestFaultyConfigurationOnSIGHUP(t *testing.T) {
 	a := serverNamed(t, "a")
 	discovery := standin.NewDiscovery(t, 1)
@@ -109,17 +109,17 @@
 	p := startProcess(t, config)
 	for _, text := range []string{"", "{", strings.Replace(string(good), discovery.Address, "nowhere", 1),
 		strings.Replace(string(good), `"memory_mb":192`, `"memory_mb":1`, 1)} {
-		p.rewrite(t, []byte(text))
+		p.reloadConfig(t, []byte(text))
 		time.Sleep(50 * time.Millisecond)
 		if status, body, err := ask(p.address, "/read/k"); status != 200 || body != "a" || err != nil {
 			t.Errorf("after %q: %d %q %v", text, status, body, err)
 		}
 	}
-	p.rewrite(t, []byte(strings.Replace(strings.Replace(string(good), `"name":"n0"`, `"name":"n1"`, 1), `"sockets":256`,
+	p.reloadConfig(t, []byte(strings.Replace(strings.Replace(string(good), `"name":"n0"`, `"name":"n1"`, 1), `"sockets":256`,
 		`"sockets":128`, 1)))
 	time.Sleep(50 * time.Millisecond)
 	p.Process.Signal(syscall.SIGTERM)
-	log := p.end(t)
+	log := p.waitExit(t)
 	for _, want := range []string{"not a JSON object", `discovery: \"nowhere\"`, "limits.memory_mb: 1 is less than",
 		"waits for a restart\" key=name", "msg=\"configuration taken\"", "sockets=128"} {
 		if !strings.Contains(log, want) {
@@ -128,7 +128,7 @@
 	}
 }
 
-// SIGHUP before the router is ready, as soon as its process has begun to run, does not end it.
+// SIGHUP before the router is ready, from the start of its process on, does not end it.
 func TestSIGHUPBeforeReady(t *testing.T) {
 	a := serverNamed(t, "a")
 	discovery := standin.NewDiscovery(t, 0, standin.Endpoint{Name: "a", Address: a.Address, Status: "SERVING", Weight: 1})
@@ -139,14 +139,14 @@
 	standin.Eventually(t, "it is live", func() bool { status, _, _ := ask(p.address, "/health/live"); return status == 200 })
 	second := standin.NewDiscovery(t, 1, standin.Endpoint{Name: "a", Address: a.Address, Status: "SERVING", Weight: 1})
 	config["discovery"] = second.Address
-	p.rewrite(t, marshal(t, config))
-	p.ready(t)
+	p.reloadConfig(t, marshal(t, config))
+	p.waitReady(t)
 	p.Process.Signal(syscall.SIGTERM)
-	p.end(t)
+	p.waitExit(t)
 }
 
-// New settings at SIGHUP: a class appears and another one vanishes, with a request of it in hand, which is answered. Broken
-// files change nothing, and each is named.
+// New settings at SIGHUP: a class is added and another one removed while one of its requests is in flight, which is
+// answered. Invalid files change nothing, and the log names the key.
 func TestNewSettingsOnSIGHUP(t *testing.T) {
 	release := make(chan struct{})
 	a := standin.NewServer(t, func(r *standin.Request) bool {
@@ -157,7 +157,7 @@
 	})
 	config := testConfig(t, a.Address, standin.NewDiscovery(t, 1).Address, 256)
 	p := startProcess(t, config)
-	status := func(path string) int {
+	getStatus := func(path string) int {
 		got, _, err := ask(p.address, path)
 		if err != nil {
 			t.Fatal(err)
@@ -166,23 +166,23 @@
 	}
 	settings := config["settings"].(map[string]any)
 	first := settings["Classes"].([]any)
-	text := string(marshal(t, config))
+	original := string(marshal(t, config))
 	slow := make(chan int, 1)
 	go func() { s, _, _ := ask(p.address, "/once/slow"); slow <- s }()
-	standin.Eventually(t, "it is in hand", func() bool { return a.Requests() == 1 })
+	standin.Eventually(t, "the request is in flight", func() bool { return a.Requests() == 1 })
 	settings["Classes"] = []any{first[0], map[string]any{"Name": "next", "Objective": 500e6, "Deadline": 3000e6, "Worth": 1, "Effect": "unsafe"}}
-	if got := status("/next/k"); got != 404 {
+	if got := getStatus("/next/k"); got != 404 {
 		t.Errorf("before: %d", got)
 	}
 	good := string(marshal(t, config))
-	p.rewrite(t, []byte(good))
-	standin.Eventually(t, "the new class is served", func() bool { return status("/next/k") == 200 })
-	if got := status("/once/k"); got != 404 {
-		t.Errorf("a class that is gone: %d", got)
+	p.reloadConfig(t, []byte(good))
+	standin.Eventually(t, "the new class is served", func() bool { return getStatus("/next/k") == 200 })
+	if got := getStatus("/once/k"); got != 404 {
+		t.Errorf("a removed class: %d", got)
 	}
 	close(release)
 	if got := <-slow; got != 200 {
-		t.Errorf("in hand over the change: %d", got)
+		t.Errorf("in flight during the reload: %d", got)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{good, "", "not a JSON object"},
@@ -203,17 +203,17 @@
 			t.Fatalf("%s: nothing was changed", c.want)
 		}
 		from := len(p.log.String())
-		p.rewrite(t, []byte(broken))
-		standin.Eventually(t, "the fault is named: "+c.want, func() bool {
+		p.reloadConfig(t, []byte(broken))
+		standin.Eventually(t, "the invalid key is logged: "+c.want, func() bool {
 			log := p.log.String()[from:]
 			return strings.Contains(log, "not taken") && strings.Contains(log, c.want)
 		})
-		if status("/next/k") != 200 || status("/once/k") != 404 {
-			t.Errorf("%s: something was taken", c.want)
+		if getStatus("/next/k") != 200 || getStatus("/once/k") != 404 {
+			t.Errorf("%s: part of the file was applied", c.want)
 		}
 	}
-	p.rewrite(t, []byte(text))
-	standin.Eventually(t, "the old settings are back", func() bool { return status("/once/k") == 200 })
+	p.reloadConfig(t, []byte(original))
+	standin.Eventually(t, "the old settings are back", func() bool { return getStatus("/once/k") == 200 })
 	p.Process.Signal(syscall.SIGTERM)
-	p.end(t)
+	p.waitExit(t)
 }
--- a/internal/daemon/replace.go
+++ b/internal/daemon/replace.go
@@ -199,6 +199,7 @@
 	return err
 }
 
+// applyPeerOrder carries out an order that the other process of a replacement has received.
 func (r *router) applyPeerOrder(server string, out bool) error {
 	wasOut := r.isOut(server)
 	err := errors.Join(r.loop.MaintainAlike(balance.ServerID(server), out), r.shareOrder(server, out, wasOut))
@@ -270,6 +271,8 @@
 // setPaired sets whether two processes of the router run, each with half of the limits.
 func (r *router) setPaired(paired bool) { r.updateLimits(func() { r.paired = paired }) }
 
+// updateLimits applies a change of limits or paired to the runtime, the connection pools and the budget of long
+// requests.
 func (r *router) updateLimits(change func()) {
 	r.limitsMu.Lock()
 	defer r.limitsMu.Unlock()
--- a/internal/daemon/replace_test.go
+++ b/internal/daemon/replace_test.go
@@ -21,7 +21,7 @@
 	"cedarmast/internal/standin"
 )
 
-// startInSharedDir starts a process of a router with a directory that its processes share.
+// startInSharedDir starts a router process with a directory that successive processes share.
 func startInSharedDir(t *testing.T, config map[string]any, shared string) *child {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -39,7 +39,7 @@
 	return p
 }
 
-// call makes one operator's call.
+// call makes one call to the operators' API and returns its status; 0 if it got none.
 func call(t *testing.T, address, method, path string) int {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", address, time.Second)
@@ -57,7 +57,7 @@
 	return resp.StatusCode
 }
 
-func (p *child) healthy(t *testing.T, operators string) {
+func (p *child) waitHealthy(t *testing.T, operators string) {
 	t.Helper()
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -65,20 +65,20 @@
 		}
 	})
 	for until := time.Now().Add(15 * time.Second); call(t, operators, "GET", "/healthcheck") != 200; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(until) { // a start under the race detector on a busy machine takes seconds
-			t.Fatal("the process does not say yes")
+		if time.Now().After(until) { // a start under the race detector on a loaded machine takes seconds
+			t.Fatal("the process is not healthy")
 		}
 	}
 }
 
-// clientLoad is clients that ask one request after the other, some on connections that they keep.
+// clientLoad is a group of clients that each send one request after another, some on kept-alive connections.
 type clientLoad struct {
-	stop     atomic.Bool
-	wg       sync.WaitGroup
-	served   atomic.Int64
-	lost     atomic.Int64 // asked, and no answer
-	rejected atomic.Int64 // turned back unheard: refused, or closed before an answer on a new connection
-	lastLost atomic.Value
+	stop       atomic.Bool
+	wg         sync.WaitGroup
+	served     atomic.Int64
+	unanswered atomic.Int64 // requests sent on a new connection without a response
+	rejected   atomic.Int64 // connections refused
+	lastError  atomic.Value
 }
 
 func startClients(address string, n int, path string) *clientLoad {
@@ -105,9 +105,9 @@
 					resp, err = http.ReadResponse(r, nil)
 				}
 				if err != nil {
-					if fresh { // a kept one may close between requests
-						s.lost.Add(1)
-						s.lastLost.Store(err)
+					if fresh { // a kept-alive connection may be closed between requests
+						s.unanswered.Add(1)
+						s.lastError.Store(err)
 					}
 					c.Close()
 					c = nil
@@ -131,10 +131,11 @@
 	return s
 }
 
-func (s *clientLoad) end() { s.stop.Store(true); s.wg.Wait() }
+func (s *clientLoad) stopAndWait() { s.stop.Store(true); s.wg.Wait() }
 
-// A process is replaced twice under work: nobody is turned back, what is out for maintenance stays out through both, an
-// order during the overlap holds at both, and the two keep to one router's descriptors.
+// A process is replaced twice under load: no connection is refused and no request lost, a server out for maintenance
+// stays out through both replacements, an order during the overlap applies to both processes, and together they stay
+// within one router's descriptors.
 func TestReplacementUnderLoad(t *testing.T) {
 	var atA, atB atomic.Int64
 	a := standin.NewServer(t, func(r *standin.Request) bool { atA.Add(1); return r.Answer(200, "a") })
@@ -148,20 +149,20 @@
 	operators := []string{freeAddress(t), freeAddress(t), freeAddress(t)}
 	config["operator"] = operators[0]
 	old := startInSharedDir(t, config, shared)
-	old.healthy(t, operators[0])
+	old.waitHealthy(t, operators[0])
 	if status := call(t, operators[0], "PUT", "/cache-servers/b/maint"); status != 200 {
 		t.Fatalf("maint: %d", status)
 	}
 	if status := call(t, operators[0], "PUT", "/cache-servers/nobody/maint"); status != 404 {
-		t.Errorf("maint of nobody: %d", status)
+		t.Errorf("maint of an unknown server: %d", status)
 	}
 	before := atB.Load()
 	clients := startClients(old.address, 20, "/read/k")
 	for i := 1; i < 3; i++ {
 		config["operator"] = operators[i]
-		young := startInSharedDir(t, config, shared)
-		young.healthy(t, operators[i])
-		if n, m := descriptors(old), descriptors(young); n+m > sockets {
+		successor := startInSharedDir(t, config, shared)
+		successor.waitHealthy(t, operators[i])
+		if n, m := descriptors(old), descriptors(successor); n+m > sockets {
 			t.Errorf("%d and %d descriptors of %d", n, m, sockets)
 		}
 		if status := call(t, operators[i], "PUT", "/cache-servers/a/maint"); status != 200 {
@@ -171,33 +172,33 @@
 			t.Errorf("ready at the old process: %d", status)
 		}
 		old.Process.Signal(syscall.SIGTERM)
-		log := old.end(t)
+		log := old.waitExit(t)
 		if !strings.Contains(log, "handed over to a successor") {
 			t.Errorf("not handed over:\n%s", log)
 		}
-		standin.Eventually(t, "the limits are the new one's", func() bool { return strings.Contains(young.log.String(), "the other process has gone") })
-		old = young
+		standin.Eventually(t, "the new process has the full limits", func() bool { return strings.Contains(successor.log.String(), "the other process has gone") })
+		old = successor
 	}
 	served := clients.served.Load()
 	standin.Eventually(t, "the last process serves", func() bool { return clients.served.Load() > served+50 })
-	clients.end()
-	if clients.lost.Load() > 0 || clients.rejected.Load() > 0 {
-		t.Errorf("%d lost, last by %v, %d turned back", clients.lost.Load(), clients.lastLost.Load(), clients.rejected.Load())
+	clients.stopAndWait()
+	if clients.unanswered.Load() > 0 || clients.rejected.Load() > 0 {
+		t.Errorf("%d unanswered, last error %v, %d refused", clients.unanswered.Load(), clients.lastError.Load(), clients.rejected.Load())
 	}
 	if n := atB.Load() - before; n > 0 {
-		t.Errorf("%d requests at a server that is out", n)
+		t.Errorf("%d requests at a server out for maintenance", n)
 	}
 	if status := call(t, operators[2], "PUT", "/cache-servers/b/ready"); status != 200 {
 		t.Errorf("ready: %d", status)
 	}
 	i := 0
-	standin.Eventually(t, "the server that is back is used", func() bool {
+	standin.Eventually(t, "the server put back is used", func() bool {
 		i++
 		ask(old.address, fmt.Sprint("/read/k", i))
 		return atB.Load() > before
 	})
 	old.Process.Signal(syscall.SIGTERM)
-	old.end(t)
+	old.waitExit(t)
 }
 
 func descriptors(p *child) int {
@@ -205,8 +206,8 @@
 	return len(fds)
 }
 
-// A successor that dies before it serves leaves the old process as it was: it serves, and the next one takes over. One
-// that finds a replacement under way is sent away.
+// A successor that dies before it serves leaves the old process serving with its full limits, and the next successor
+// takes over. A successor that starts during another replacement is refused.
 func TestFailedReplacement(t *testing.T) {
 	a := serverNamed(t, "a")
 	silent := standin.NewDiscovery(t, 1)
@@ -216,10 +217,10 @@
 	first, second := freeAddress(t), freeAddress(t)
 	config["operator"] = first
 	old := startInSharedDir(t, config, shared)
-	old.healthy(t, first)
+	old.waitHealthy(t, first)
 	config["operator"] = second
 	failed := startInSharedDir(t, config, shared)
-	standin.Eventually(t, "it has taken over", func() bool { return strings.Contains(failed.log.String(), "taken over") })
+	standin.Eventually(t, "the process has taken over", func() bool { return strings.Contains(failed.log.String(), "taken over") })
 	config["operator"] = freeAddress(t)
 	third := startInSharedDir(t, config, shared)
 	if err := <-third.exited; err == nil || !strings.Contains(third.log.String(), "another replacement is under way") {
@@ -227,24 +228,23 @@
 	}
 	failed.Process.Kill()
 	<-failed.exited
-	standin.Eventually(t, "the old one has its limits again", func() bool { return strings.Contains(old.log.String(), "the other process has gone") })
+	standin.Eventually(t, "the old process has its full limits again", func() bool { return strings.Contains(old.log.String(), "the other process has gone") })
 	if status, body, err := ask(old.address, "/read/k"); status != 200 || body != "a" {
 		t.Errorf("after a failed replacement: %d %q %v", status, body, err)
 	}
 	config["operator"] = second
-	young := startInSharedDir(t, config, shared)
-	young.healthy(t, second)
+	successor := startInSharedDir(t, config, shared)
+	successor.waitHealthy(t, second)
 	old.Process.Signal(syscall.SIGTERM)
-	old.end(t)
-	if status, body, err := ask(young.address, "/read/k"); status != 200 || body != "a" {
+	old.waitExit(t)
+	if status, body, err := ask(successor.address, "/read/k"); status != 200 || body != "a" {
 		t.Errorf("after the replacement: %d %q %v", status, body, err)
 	}
-	young.Process.Signal(syscall.SIGTERM)
-	young.end(t)
+	successor.Process.Signal(syscall.SIGTERM)
+	successor.waitExit(t)
 }
 
-// Where the old process has stopped, or hands over what can't be read, the new one starts beside it and holds to the word
-// that was kept.
+// If the old process hangs, the new one starts beside it and keeps to the maintenance orders saved in the file.
 func TestReplacementOfAHungProcess(t *testing.T) {
 	a := serverNamed(t, "a")
 	b := serverNamed(t, "b")
@@ -256,26 +256,26 @@
 	first, second := freeAddress(t), freeAddress(t)
 	config["operator"] = first
 	old := startInSharedDir(t, config, shared)
-	old.healthy(t, first)
+	old.waitHealthy(t, first)
 	if status := call(t, first, "PUT", "/cache-servers/b/maint"); status != 200 {
 		t.Fatalf("maint: %d", status)
 	}
 	old.Process.Signal(syscall.SIGSTOP)
 	config["operator"] = second
-	young := startInSharedDir(t, config, shared)
-	young.healthy(t, second)
+	successor := startInSharedDir(t, config, shared)
+	successor.waitHealthy(t, second)
 	old.Process.Kill()
 	if err := <-old.exited; !isKilled(err) {
 		t.Error(err)
 	}
 	for i := range 20 {
-		if status, body, err := ask(young.address, fmt.Sprint("/read/k", i)); status != 200 || body != "a" {
+		if status, body, err := ask(successor.address, fmt.Sprint("/read/k", i)); status != 200 || body != "a" {
 			t.Errorf("%d %q %v", status, body, err)
 		}
 	}
-	young.Process.Signal(syscall.SIGTERM)
-	if log := young.end(t); !strings.Contains(log, "starting beside it") {
-		t.Errorf("no word of it in the log:\n%s", log)
+	successor.Process.Signal(syscall.SIGTERM)
+	if log := successor.waitExit(t); !strings.Contains(log, "starting beside it") {
+		t.Errorf("the failed handover is not logged:\n%s", log)
 	}
 }
 
@@ -284,7 +284,7 @@
 	return errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signal() == syscall.SIGKILL
 }
 
-// The state that is handed over says what it is, for a process of another build.
+// The handed-over state is JSON that a process of another build can read, with unknown keys ignored.
 func TestHandoverStateIsPlainJSON(t *testing.T) {
 	var h handoverState
 	text := `{"known":{"index":4,"snapshot":true,"endpoints":[{"name":"a","address":"x:1","status":"DRAINING","weight":2,"since_ms":5}]},
--- a/internal/daemon/shared_test.go
+++ b/internal/daemon/shared_test.go
@@ -14,7 +14,8 @@
 	"cedarmast/internal/standin"
 )
 
-// sharingConfigs are configurations of two routers that may send each other messages, before two servers, with an operators' file.
+// sharingConfigs returns the configurations of two routers that exchange messages and use two cache servers, with the
+// given operators' file.
 func sharingConfigs(t *testing.T, operators string) (config [2]map[string]any) {
 	t.Helper()
 	a, b := serverNamed(t, "a"), serverNamed(t, "b")
@@ -37,20 +38,21 @@
 	return config
 }
 
-// giveOrder gives an order about server b, as soon as it is taken.
+// giveOrder retries an order about server b until the router accepts it.
 func giveOrder(t *testing.T, config map[string]any, what string) {
 	t.Helper()
-	standin.Eventually(t, "the order is taken", func() bool {
+	standin.Eventually(t, "the order is accepted", func() bool {
 		return call(t, config["operator"].(string), "PUT", "/cache-servers/b/"+what) == 200
 	})
 }
 
-// Two routers share orders: one that was given before sharing was on is told once others are heard, a later one from the other side wins over
-// it at both, and a process that replaces another takes up what that knew. The command compares the copies and says when one does not answer.
+// Two routers share orders: an order from before sharing was on is shared once the other router is heard, a later
+// order on the other router overrides it on both, and a successor process takes over what its predecessor knew. The
+// facts command compares the copies and reports a router that does not answer.
 func TestSharedOrders(t *testing.T) {
 	config, dirs := sharingConfigs(t, "[shared]\n"), []string{t.TempDir(), t.TempDir()}
 	operators := func(k int) string { return config[k]["operator"].(string) }
-	holds := func(k int, what string) {
+	waitForFact := func(k int, what string) {
 		t.Helper()
 		standin.Eventually(t, fmt.Sprintf("router %d holds %s", k, what), func() bool {
 			text, err := httpGet(operators(k), "/facts")
@@ -59,9 +61,9 @@
 	}
 	own := os.Getenv("CEDARMAST_OPERATOR")
 	t.Setenv("CEDARMAST_OPERATOR", "")
-	first := startInSharedDir(t, config[0], dirs[0]).ready(t)
+	first := startInSharedDir(t, config[0], dirs[0]).waitReady(t)
 	if status := call(t, operators(0), "GET", "/facts"); status != 404 {
-		t.Errorf("facts of a router that shares nothing: %d", status)
+		t.Errorf("facts of a router without sharing: %d", status)
 	}
 	giveOrder(t, config[0], "maint")
 	first.Process.Kill()
@@ -69,61 +71,61 @@
 
 	t.Setenv("CEDARMAST_OPERATOR", own)
 	old, other := startInSharedDir(t, config[0], dirs[0]), startInSharedDir(t, config[1], dirs[1])
-	old.ready(t)
-	other.ready(t)
-	holds(1, `"says": "out"`)
+	old.waitReady(t)
+	other.waitReady(t)
+	waitForFact(1, `"says": "out"`)
 	if status := call(t, operators(1), "PUT", "/cache-servers/a/ready"); status != 200 {
-		t.Errorf("a call back of a server that is in use: %d", status)
+		t.Errorf("putting back a server that is in use: %d", status)
 	}
 	giveOrder(t, config[1], "ready")
-	holds(0, `"says": "back"`)
+	waitForFact(0, `"says": "back"`)
 	n := 0
-	standin.Eventually(t, "the server that is back is used", func() bool {
+	standin.Eventually(t, "the server put back is used", func() bool {
 		n++
 		_, body, err := ask(old.address, fmt.Sprint("/read/k", n))
 		return err == nil && body == "b"
 	})
 	giveOrder(t, config[0], "maint")
 
-	was := config[0]["operator"]
+	oldAddress := config[0]["operator"]
 	config[0]["operator"] = freeAddress(t)
-	young := startInSharedDir(t, config[0], dirs[0])
-	young.healthy(t, operators(0))
+	successor := startInSharedDir(t, config[0], dirs[0])
+	successor.waitHealthy(t, operators(0))
 	old.Process.Signal(syscall.SIGTERM)
-	old.end(t)
-	holds(0, `"says": "out"`)
-	holds(1, `"says": "out"`)
+	old.waitExit(t)
+	waitForFact(0, `"says": "out"`)
+	waitForFact(1, `"says": "out"`)
 	compare := func(addrs ...string) (int, string) {
 		var out, errs strings.Builder
 		status := Main(append([]string{"facts"}, addrs...), noEnv, &out, &errs)
 		return status, out.String() + errs.String()
 	}
-	said := ""
-	standin.Eventually(t, "the copies are alike", func() bool {
+	output := ""
+	standin.Eventually(t, "the copies are identical", func() bool {
 		var status int
-		status, said = compare(operators(0), operators(1))
-		return status == 0 && strings.Contains(said, "1 more identical on all routers")
+		status, output = compare(operators(0), operators(1))
+		return status == 0 && strings.Contains(output, "1 more identical on all routers")
 	})
 	if text, err := httpGet(operators(1), "/facts"); err != nil || strings.Contains(string(text), `"subject": "a"`) {
-		t.Errorf("a call back of a server that nobody had called out was shared: %s, %v", text, err)
+		t.Errorf("putting back a server that was not out was shared: %s, %v", text, err)
 	}
-	if status, says := compare(operators(0), was.(string)); status != 1 || !strings.Contains(says, "refused") {
-		t.Errorf("with one that has gone: %d %s", status, says)
+	if status, says := compare(operators(0), oldAddress.(string)); status != 1 || !strings.Contains(says, "refused") {
+		t.Errorf("with a router that has stopped: %d %s", status, says)
 	}
-	for _, p := range []*child{young, other} {
+	for _, p := range []*child{successor, other} {
 		p.Process.Signal(syscall.SIGTERM)
-		if log := p.end(t); strings.Contains(log, "DATA RACE") {
+		if log := p.waitExit(t); strings.Contains(log, "DATA RACE") {
 			t.Error(log)
 		}
 	}
 }
 
-// A clock that was set back by an hour costs a router its stored list and counts, and no order: what others have written, and in which order,
-// hangs on no clock. Guard: the whole state is refused then, and an order that keeps a drain went with it.
+// A clock set back by an hour invalidates a stored list and counts, but no order: versions of facts don't depend on
+// the clock. Guards against refusing the whole state, which lost an order that kept a server drained.
 func TestStoredOrderWithClockSetBack(t *testing.T) {
 	dir := t.TempDir()
-	config := sharingConfigs(t, fmt.Sprintf("[state]\ndir = %q\n[shared]\n", dir))[0] // nobody is the other one
-	p := startInSharedDir(t, config, "").ready(t)
+	config := sharingConfigs(t, fmt.Sprintf("[state]\ndir = %q\n[shared]\n", dir))[0] // the other router is not started
+	p := startInSharedDir(t, config, "").waitReady(t)
 	giveOrder(t, config, "maint")
 	p.Process.Kill()
 	<-p.exited
@@ -132,13 +134,13 @@
 	if !ok || len(faults) > 0 || len(state.Facts) == 0 {
 		t.Fatalf("%v, %v, %d bytes of facts", ok, faults, len(state.Facts))
 	}
-	state.Saved = state.Saved.Add(time.Hour)                                  // as seen by a clock that has gone back since
-	if err := errors.Join(store.Save(state), store.Save(state)); err != nil { // in the place of both that are kept
+	state.Saved = state.Saved.Add(time.Hour)                                  // as if the clock had been set back since
+	if err := errors.Join(store.Save(state), store.Save(state)); err != nil { // overwrites both stored files
 		t.Fatal(err)
 	}
-	p = startInSharedDir(t, config, "").ready(t)
+	p = startInSharedDir(t, config, "").waitReady(t)
 	if log := p.log.String(); !strings.Contains(log, "the clock was set back") {
-		t.Errorf("the log: %s", log)
+		t.Errorf("unexpected log: %s", log)
 	}
 	for n := range 12 {
 		if status, body, err := ask(p.address, fmt.Sprint("/read/k", n)); err != nil || status != 200 || body != "a" {
--- a/internal/daemon/stored.go
+++ b/internal/daemon/stored.go
@@ -70,6 +70,7 @@
 	}
 }
 
+// save writes the current state to disk. It logs the first failure of a series and the first success after it.
 func (r *router) save() error {
 	list, maintenance, answered, err := r.loop.Held()
 	if err == nil {
@@ -133,14 +134,14 @@
 			caughtUp, events = nil, append(events, recovery.Caught)
 		case <-timer:
 		case <-ticks:
-			good, bad := r.counts.Served.Load(), r.counts.Refused.Load()+r.counts.Failed.Load()
-			for range min(good-served, maxCountedAnswers) {
+			successes, failures := r.counts.Served.Load(), r.counts.Refused.Load()+r.counts.Failed.Load()
+			for range min(successes-served, maxCountedAnswers) {
 				events = append(events, recovery.Answered)
 			}
-			if bad > failed { // their order is unknown: assume that the failure came last
+			if failures > failed { // their order is unknown: assume that the failure came last
 				events = append(events, recovery.Failed)
 			}
-			served, failed = good, bad
+			served, failed = successes, failures
 		case <-ctx.Done():
 			return
 		}
--- a/internal/daemon/stored_test.go
+++ b/internal/daemon/stored_test.go
@@ -11,7 +11,7 @@
 	"cedarmast/internal/standin"
 )
 
-// startPersistent starts a process that stores its state in a folder.
+// startPersistent starts a router that stores its state in a directory.
 func startPersistent(t *testing.T, config map[string]any, dir string) *child {
 	t.Helper()
 	own := filepath.Join(t.TempDir(), "operator.toml")
@@ -19,11 +19,12 @@
 		t.Fatal(err)
 	}
 	t.Setenv("CEDARMAST_OPERATOR", own)
-	return startInSharedDir(t, config, "").ready(t)
+	return startInSharedDir(t, config, "").waitReady(t)
 }
 
-// An order outlives kill -9 from the moment of its yes, with a list that discovery can't tell anew: the router starts from what it had stored,
-// which knows a server that its configuration does not. A disk that fails costs a warning and nothing else.
+// An order survives kill -9 from the moment it is acknowledged, and so does the list while discovery is down: the
+// router restarts from its stored state, which has a server that the configuration lacks. A failing disk causes a
+// warning and nothing else.
 func TestStoredStateSurvivesKill(t *testing.T) {
 	answer := func(body string) *standin.Server {
 		return standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, body) })
@@ -36,7 +37,7 @@
 	config["operator"] = freeAddress(t)
 	dir := t.TempDir()
 	p := startPersistent(t, config, dir)
-	standin.Eventually(t, "the order is taken", func() bool {
+	standin.Eventually(t, "the order is accepted", func() bool {
 		return call(t, config["operator"].(string), "PUT", "/cache-servers/a/maint") == 200
 	})
 	p.Process.Kill()
@@ -44,15 +45,15 @@
 	discovery.Break(500)
 	p = startPersistent(t, config, dir)
 	if !strings.Contains(p.log.String(), "stored state taken up") {
-		t.Errorf("the log: %s", p.log)
+		t.Errorf("unexpected log: %s", p.log)
 	}
 	for n := range 8 {
 		if status, body, err := ask(p.address, fmt.Sprintf("/read/k%d", n)); err != nil || status != 200 || body != "b" {
-			t.Errorf("%d %q %v: a is out, and b is on the stored list alone", status, body, err)
+			t.Errorf("%d %q %v: a is out, and only the stored list has b", status, body, err)
 		}
 	}
-	p.Process.Signal(syscall.SIGHUP) // which lays a new configuration down beside the goroutine that saves
-	standin.Eventually(t, "the configuration is taken", func() bool { return strings.Contains(p.log.String(), "configuration taken") })
+	p.Process.Signal(syscall.SIGHUP) // replaces the configuration while another goroutine saves
+	standin.Eventually(t, "the configuration is applied", func() bool { return strings.Contains(p.log.String(), "configuration taken") })
 	if status := call(t, config["operator"].(string), "PUT", "/cache-servers/b/maint"); status != 200 || strings.Contains(p.log.String(), "DATA RACE") {
 		t.Errorf("an order after SIGHUP: %d\n%s", status, p.log)
 	}
@@ -62,21 +63,22 @@
 	if status := call(t, config["operator"].(string), "PUT", "/cache-servers/b/ready"); status != 200 {
 		t.Errorf("an order without a disk: %d", status)
 	}
-	standin.Eventually(t, "it says that nothing is stored", func() bool { return strings.Contains(p.log.String(), "the state can't be stored") })
+	standin.Eventually(t, "the failure is logged", func() bool { return strings.Contains(p.log.String(), "the state can't be stored") })
 	if status, _, err := ask(p.address, "/read/k"); err != nil || status != 200 {
 		t.Errorf("%d %v", status, err)
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	standin.Eventually(t, "it stores again", func() bool { return strings.Contains(p.log.String(), "the state is stored again") })
+	standin.Eventually(t, "saving works again", func() bool { return strings.Contains(p.log.String(), "the state is stored again") })
 	all, err := filepath.Glob(filepath.Join(dir, "state-*.[01]"))
 	if err != nil || len(all) == 0 {
 		t.Errorf("%v %v", all, err)
 	}
 }
 
-// A router counts as back once discovery has spoken and it has served for a while, and says so in its counters.
+// A router reaches full service once discovery has answered and it has served for a while, and shows it in its
+// counters.
 func TestFullServiceIsReported(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
 	discovery := standin.NewDiscovery(t, 0, standin.Endpoint{Name: "a", Address: cache.Address, Status: "SERVING", Weight: 1})
@@ -86,7 +88,7 @@
 			t.Fatalf("%d %v", status, err)
 		}
 	}
-	standin.Eventually(t, "it is back", func() bool { return strings.Contains(p.log.String(), "back at full service") })
+	standin.Eventually(t, "the router has recovered", func() bool { return strings.Contains(p.log.String(), "back at full service") })
 	if _, stats, err := ask(p.address, "/stats"); err != nil || !strings.Contains(stats, `"phase": 2`) {
 		t.Errorf("%s %v", stats, err)
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -32,21 +32,24 @@
 	socketPrefix     = "handover-"
 )
 
-// message is one message; of its parts one is set.
+// message is one line of the protocol: a handshake with its version, from the running process with the state as well,
+// a refusal, an order or the result of an order.
 type message struct {
-	Version int             `json:"version,omitempty"` // set in the handshake
+	Version int             `json:"version,omitempty"` // set in the handshake of either side
 	State   json.RawMessage `json:"state,omitempty"`
 	Refused string          `json:"refused,omitempty"`
 	Order   *order          `json:"order,omitempty"`
 	Done    *orderResult    `json:"done,omitempty"`
 }
 
+// order asks the other process to take a cache server out of service or to put it back.
 type order struct {
 	Number int    `json:"number"`
 	Server string `json:"server"`
 	Out    bool   `json:"out"`
 }
 
+// orderResult reports that the order of this number was carried out, or why not.
 type orderResult struct {
 	Number int    `json:"number"`
 	Fault  string `json:"fault,omitempty"`
@@ -260,6 +263,7 @@
 	}
 }
 
+// send writes a message and closes the connection if that fails or takes longer than orderTimeout.
 func (p *Peer) send(m message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -277,6 +281,7 @@
 	})
 }
 
+// writeMessage writes a message as one line of JSON.
 func writeMessage(c *net.UnixConn, m message) error {
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -286,6 +291,7 @@
 	return err
 }
 
+// readMessage reads one line of at most about maxMessageBytes.
 func readMessage(r *bufio.Reader) (m message, err error) {
 	var text []byte
 	for {
@@ -310,6 +316,7 @@
 	file *os.File
 }
 
+// Read reads bytes and keeps the first descriptor received; any further descriptor is closed.
 func (r *descriptorReader) Read(p []byte) (int, error) {
 	oob := make([]byte, syscall.CmsgSpace(4))
 	n, oobn, _, _, err := r.ReadMsgUnix(p, oob)
@@ -330,6 +337,7 @@
 	return max(n, 0), err
 }
 
+// closeFile closes the descriptor received, if any.
 func (r *descriptorReader) closeFile() {
 	if r.file != nil {
 		r.file.Close()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -13,7 +13,7 @@
 )
 
 // handOver hands a listener over and returns both ends.
-func handOver(t *testing.T, path string) (old, young *Peer, l net.Listener) {
+func handOver(t *testing.T, path string) (old, successor *Peer, l net.Listener) {
 	t.Helper()
 	wait, err := Listen(path)
 	if err != nil {
@@ -40,7 +40,7 @@
 		}
 		given <- p
 	}()
-	young, l, state, err := Take(path)
+	successor, l, state, err := Take(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,14 +51,14 @@
 	if l.Addr().String() != first.Addr().String() {
 		t.Errorf("listens at %v, not %v", l.Addr(), first.Addr())
 	}
-	return <-given, young, l
+	return <-given, successor, l
 }
 
-// The state comes whole, and the listener is the same one: what connects while nobody accepts and the old process closes
-// is accepted by the new one. With a listener each it would be reset.
+// The whole state arrives, and the listener is the same socket: a client that connects while neither process accepts,
+// and the old one closes, is accepted by the new one. With a listener for each process its connection would be reset.
 func TestListenerIsPassedOn(t *testing.T) {
-	old, young, l := handOver(t, filepath.Join(t.TempDir(), "h"))
-	defer young.Close()
+	old, successor, l := handOver(t, filepath.Join(t.TempDir(), "h"))
+	defer successor.Close()
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -76,21 +76,22 @@
 	}
 }
 
-// Orders go both ways, also at once, and a fault comes back. The end of either process ends the other's waiting.
+// Orders go both ways, also at the same time, and errors are returned. The end of either process ends the other's
+// wait.
 func TestOrdersGoBothWays(t *testing.T) {
-	old, young, _ := handOver(t, filepath.Join(t.TempDir(), "h"))
-	heard := make(chan string, 10)
-	carry := func(server string, out bool) error {
-		heard <- server
+	old, successor, _ := handOver(t, filepath.Join(t.TempDir(), "h"))
+	received := make(chan string, 10)
+	apply := func(server string, out bool) error {
+		received <- server
 		if server == "bad" {
 			return errors.New("refused")
 		}
 		return nil
 	}
-	go old.Run(carry)
-	go young.Run(carry)
+	go old.Run(apply)
+	go successor.Run(apply)
 	other := make(chan error, 1)
-	go func() { other <- young.Order("b", false) }()
+	go func() { other <- successor.Order("b", false) }()
 	if err := old.Order("a", true); err != nil {
 		t.Error(err)
 	}
@@ -98,22 +99,22 @@
 		t.Error(err)
 	}
 	if err := old.Order("bad", true); err == nil || err.Error() != "refused" {
-		t.Errorf("a fault came back as %v", err)
+		t.Errorf("the error came back as %v", err)
 	}
-	if len(heard) != 3 {
-		t.Errorf("%d orders were heard", len(heard))
+	if len(received) != 3 {
+		t.Errorf("%d orders were received", len(received))
 	}
-	young.Close()
+	successor.Close()
 	<-old.Ended
 	if err := old.Order("c", true); err != nil {
-		t.Errorf("an order to a process that has gone: %v", err)
+		t.Errorf("an order to a process that has ended: %v", err)
 	}
 }
 
-// A process that has stopped answering holds an order up for less than operators wait, and the answer is no yes.
+// An order to a hung process fails sooner than operators time out.
 func TestOrderToAHungProcess(t *testing.T) {
-	old, young, _ := handOver(t, filepath.Join(t.TempDir(), "h"))
-	defer young.Close()
+	old, successor, _ := handOver(t, filepath.Join(t.TempDir(), "h"))
+	defer successor.Close()
 	go old.Run(func(string, bool) error { return nil })
 	begun := time.Now()
 	if err := old.Order("a", true); err == nil || time.Since(begun) > 900*time.Millisecond {
@@ -121,11 +122,12 @@
 	}
 }
 
-// Who is not there, who does not speak, who speaks another version, who refuses: each is told apart, in bounded time.
+// Each reason for a failed handover gives its own error in bounded time: no process, a silent one, another version, a
+// refusal, a dead process.
 func TestFailedHandover(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	if _, _, _, err := Take(path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("nobody there: %v", err)
+		t.Errorf("no process: %v", err)
 	}
 	l, err := Listen(path)
 	if err != nil {
@@ -167,7 +169,7 @@
 	}
 }
 
-// A path longer than the system takes works as any, and a later process takes the earlier one's place.
+// A path over the system's limit for socket paths works, and a later process replaces the socket of an earlier one.
 func TestLongPathAndRepeatedHandover(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -175,9 +177,9 @@
 	}
 	path := Path(dir, "127.0.0.1:8081")
 	for range 2 {
-		old, young, _ := handOver(t, path)
+		old, successor, _ := handOver(t, path)
 		old.Close()
-		young.Close()
+		successor.Close()
 	}
 	if all, _ := os.ReadDir(dir); len(all) != 1 {
 		t.Errorf("left behind: %v", all)
--- a/internal/recovery/machine.go
+++ b/internal/recovery/machine.go
@@ -9,7 +9,7 @@
 const (
 	Nothing Phase = iota // not ready: no list to serve from
 	Some                 // serving, from a list that may be stale or without any result seen yet
-	Full                 // recovered
+	Full                 // full service
 )
 
 // String returns the phase as stats and the log show it.
@@ -27,9 +27,9 @@
 	Caught                // the router has caught up with the state that routers share
 )
 
-// Machine decides what a router may do after its start. Time alone, by Tick, leads out of every phase even if no other
-// event follows: out of Nothing if a list is known from before, as Wait reports, and always out of Some. Handle must
-// be called by one goroutine at a time.
+// Machine decides what a router may do after its start. Without any further event, time alone (Tick) always leads out
+// of Some, and out of Nothing if a list is known from before; Wait returns when. Handle must be called by one
+// goroutine at a time.
 type Machine struct {
 	Known  bool // a list is known from before the start
 	Behind bool // routers share state, and others may know more
@@ -43,7 +43,7 @@
 const (
 	listTimeout           = 500 * time.Millisecond // for the first list of discovery, if a list is known from before
 	catchUpTimeout        = time.Second            // for the shared state: a router that serves without it may send requests against an order
-	minConsecutiveAnswers = 20                     // successful responses in a row after which the router has recovered
+	minConsecutiveAnswers = 20                     // successful responses in a row that end the recovery at once
 	settlePeriod          = 2 * time.Second        // of serving from discovery's own list, whatever the responses
 	noDiscoveryPeriod     = 30 * time.Second       // of serving without discovery: waiting longer would not improve anything
 )
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -46,6 +46,7 @@
 	ErrClock   = errors.New("saved in the future: the clock was set back")
 )
 
+// header is the first line of a stored state.
 type header struct {
 	Magic   string `json:"magic"`
 	Version int    `json:"version"`
@@ -68,7 +69,7 @@
 	return append(append(head, '\n'), body...), nil
 }
 
-// Decode parses a state strictly. Its errors wrap the ones above, also for an invalid list.
+// Decode parses a state strictly. Its errors wrap the ones above; an invalid list is an ErrForm.
 func Decode(text []byte) (State, error) {
 	line, body, whole := bytes.Cut(text, []byte("\n"))
 	var h header
@@ -103,6 +104,7 @@
 	return s, nil
 }
 
+// decodeStrict decodes one JSON value and rejects unknown fields and trailing data.
 func decodeStrict(text []byte, to any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -29,8 +29,8 @@
 		Maintenance: word, Answered: 12.5}
 }
 
-// What is stored is read as it was written, and anything else is refused by its reason: a router that takes up half a list, or
-// another form's, is wrong without knowing it.
+// A stored state is read back unchanged, and any other content is refused with its reason: a router that used a
+// truncated list or another format would make wrong decisions unnoticed.
 func TestDecodeIsStrict(t *testing.T) {
 	text, err := Encode(sampleState(t))
 	if err != nil {
@@ -42,7 +42,7 @@
 	}
 	again, _ := Encode(got)
 	if !bytes.Equal(text, again) {
-		t.Error("read and written it is another one")
+		t.Error("decoded and encoded again, the state differs")
 	}
 	for n := range text {
 		if _, err := Decode(text[:n]); !errors.Is(err, ErrTorn) {
@@ -51,7 +51,7 @@
 		flipped := bytes.Clone(text)
 		flipped[n] ^= 0x20
 		if _, err := Decode(flipped); err == nil && !bytes.EqualFold(flipped[:bytes.IndexByte(flipped, '\n')], text[:bytes.IndexByte(text, '\n')]) {
-			t.Fatalf("a bit flipped at %d is not seen", n)
+			t.Fatalf("a bit flip at %d is not detected", n)
 		}
 	}
 	for what, want := range map[string]error{
@@ -67,13 +67,13 @@
 	}
 }
 
-// Each belief is taken up by its own bound; orders and drains hold whatever their age.
+// Each part of the state expires by its own limit; orders and drains are valid at any age.
 func TestTake(t *testing.T) {
 	s := sampleState(t)
 	known := *s.Known
 	known.Index, known.Endpoints = 6, append(known.Endpoints[:0:0], known.Endpoints...)
-	known.Endpoints[1].Status = "SERVING" // what the configuration lists of one that drains
-	want := func(change func(*Want)) Want {
+	known.Endpoints[1].Status = "SERVING" // the configuration still lists the draining server as serving
+	wantWith := func(change func(*Want)) Want {
 		w := Want{Now: s.Saved.Add(time.Minute), Router: "n0", Listen: "127.0.0.1:80", Discovery: "127.0.0.1:85", Known: &known, ListFor: time.Hour, CountFor: 2 * time.Minute}
 		if change != nil {
 			change(&w)
@@ -84,7 +84,7 @@
 		change   func(*Want)
 		stored   bool
 		answered float64
-		status   string // of b, which drained as the state was stored
+		status   string // of server b, which was draining when the state was stored
 	}{
 		"fresh":                   {nil, true, 12.5, "DRAINING"},
 		"count too old":           {func(w *Want) { w.CountFor = time.Second }, true, 0, "DRAINING"},
@@ -93,7 +93,7 @@
 		"a newer configuration":   {func(w *Want) { known := known; known.Index = 8; w.Known = &known }, false, 12.5, "SERVING"},
 		"a clock a moment behind": {func(w *Want) { w.Now = s.Saved.Add(-time.Second) }, true, 12.5, "DRAINING"},
 	} {
-		got, err := Take(s, want(c.change))
+		got, err := Take(s, wantWith(c.change))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -103,26 +103,27 @@
 		}
 	}
 	if known.Endpoints[1].Status != "SERVING" {
-		t.Error("the configuration's list was written over")
+		t.Error("the configuration's list was modified")
 	}
 	for name, c := range map[string]struct {
-		change func(*Want)
-		want   error
+		change   func(*Want)
+		wantWith error
 	}{
 		"another router":    {func(w *Want) { w.Router = "n1" }, ErrRouter},
 		"another address":   {func(w *Want) { w.Listen = "127.0.0.1:81" }, ErrRouter},
 		"a clock gone back": {func(w *Want) { w.Now = s.Saved.Add(-time.Hour) }, ErrClock},
 	} {
-		if got, err := Take(s, want(c.change)); !errors.Is(err, c.want) || len(got.Maintenance.Out) > 0 {
+		if got, err := Take(s, wantWith(c.change)); !errors.Is(err, c.wantWith) || len(got.Maintenance.Out) > 0 {
 			t.Errorf("%s: %v, out %v", name, err, got.Maintenance.Out)
 		}
 	}
 }
 
-// explore walks every order of events and spans up to a depth, and returns what a machine did against the invariants: it never goes back,
-// serves only with a list, is full only after it served by discovery's word or for long, and has a way out by time alone.
+// explore runs every sequence of events and time steps up to a depth and returns the first invariant that is violated:
+// a machine never goes back, serves only with a list, is full only after serving from discovery's list or for a long
+// time, and can always proceed by time alone.
 func explore(m Machine, handle func(*Machine, time.Duration, Event) Phase, now time.Duration, depth int) string {
-	was := m.phase
+	phase := m.phase
 	if m.phase != Nothing && !m.listReceived && !m.Known {
 		return "serves without a list"
 	}
@@ -130,19 +131,19 @@
 		return "serves while others may know of orders"
 	}
 	if m.phase == Full && !m.listReceived && now-m.servingSince < noDiscoveryPeriod {
-		return "full by nobody's word"
+		return "full without a list of discovery"
 	}
-	if m.phase != Full && (m.phase != Nothing || m.Known || m.listReceived) { // without a list only discovery can tell it one
-		alone, at := m, now
+	if m.phase != Full && (m.phase != Nothing || m.Known || m.listReceived) { // without a list only discovery can provide one
+		timeOnly, at := m, now
 		for range 3 {
-			wait, ok := alone.Wait(at)
+			wait, ok := timeOnly.Wait(at)
 			if !ok {
 				break
 			}
 			at += wait
-			handle(&alone, at, Tick)
+			handle(&timeOnly, at, Tick)
 		}
-		if alone.phase != Full {
+		if timeOnly.phase != Full {
 			return "no way out of " + m.phase.String() + " by time alone"
 		}
 	}
@@ -152,8 +153,8 @@
 	for _, e := range []Event{Tick, Told, Answered, Failed, Caught} {
 		for _, d := range []time.Duration{0, listTimeout, settlePeriod - 1, noDiscoveryPeriod} {
 			next := m
-			if p := handle(&next, now+d, e); p < was {
-				return "went back from " + was.String()
+			if p := handle(&next, now+d, e); p < phase {
+				return "went back from " + phase.String()
 			}
 			if fault := explore(next, handle, now+d, depth-1); fault != "" {
 				return fault
@@ -163,18 +164,19 @@
 	return ""
 }
 
-// The state machine explored whole to five events, and three faults that the search has to find: one that counts a router as back that has
-// heard of nobody, one that waits for discovery for ever, and one that serves while others may know of orders.
+// All sequences of five events keep the invariants, and the search finds three wrong machines: one that reaches full
+// service without discovery, one that waits for discovery forever, and one that serves while others may know of
+// orders.
 func TestMachineInvariants(t *testing.T) {
-	right := (*Machine).Handle
+	handle := (*Machine).Handle
 	for _, known := range []bool{false, true} {
 		for _, behind := range []bool{false, true} {
-			if fault := explore(Machine{Known: known, Behind: behind}, right, 0, 5); fault != "" {
+			if fault := explore(Machine{Known: known, Behind: behind}, handle, 0, 5); fault != "" {
 				t.Errorf("known %v, behind %v: %s", known, behind, fault)
 			}
 		}
 	}
-	for what, wrong := range map[string]func(*Machine, time.Duration, Event) Phase{
+	for what, broken := range map[string]func(*Machine, time.Duration, Event) Phase{
 		"full by answers alone": func(m *Machine, now time.Duration, e Event) Phase {
 			if m.Handle(now, e); m.phase == Some && m.consecutiveAnswers > 0 {
 				m.phase = Full
@@ -188,27 +190,28 @@
 			}
 			return m.Handle(now, e)
 		},
-		"waits for ever": func(m *Machine, now time.Duration, e Event) Phase {
+		"waits forever": func(m *Machine, now time.Duration, e Event) Phase {
 			if !m.listReceived && e != Told {
 				return m.phase
 			}
 			return m.Handle(now, e)
 		},
 	} {
-		if explore(Machine{Known: true, Behind: true}, wrong, 0, 4) == "" {
-			t.Errorf("%s: the search finds nothing", what)
+		if explore(Machine{Known: true, Behind: true}, broken, 0, 4) == "" {
+			t.Errorf("%s: the search finds no violation", what)
 		}
 	}
 }
 
-// A disk that fails changes nothing that was kept, and the last two are kept: one that can't be read leaves the one before.
+// A failed save leaves the stored states unchanged, and the last two are kept: if one is unreadable, the other is
+// loaded.
 func TestStoreKeepsTwo(t *testing.T) {
 	dir := t.TempDir()
 	s := NewStore(dir, "127.0.0.1:80")
-	one := sampleState(t)
+	state := sampleState(t)
 	for n := range 3 {
-		one.Answered, one.Saved = float64(n), one.Saved.Add(time.Second)
-		if err := s.Save(one); err != nil {
+		state.Answered, state.Saved = float64(n), state.Saved.Add(time.Second)
+		if err := s.Save(state); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -221,41 +224,41 @@
 	}
 	after := NewStore(dir, "127.0.0.1:80")
 	if got, ok, faults := after.Load(); !ok || got.Answered != 1 || len(faults) != 1 || !errors.Is(faults[0], ErrTorn) {
-		t.Errorf("after a torn one: %v %v %v", got.Answered, ok, faults)
+		t.Errorf("after a truncated file: %v %v %v", got.Answered, ok, faults)
 	}
-	if err := after.Save(one); err != nil {
+	if err := after.Save(state); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, faults := NewStore(dir, "127.0.0.1:80").Load(); len(faults) > 0 {
-		t.Errorf("the torn one is written over first: %v", faults)
+		t.Errorf("the truncated file was not overwritten first: %v", faults)
 	}
-	if err := os.Mkdir(filepath.Join(dir, fmt.Sprintf("state-127.0.0.1_80.%d.part", os.Getpid())), 0o700); err != nil { // as a disk that takes no file
+	if err := os.Mkdir(filepath.Join(dir, fmt.Sprintf("state-127.0.0.1_80.%d.part", os.Getpid())), 0o700); err != nil { // makes the save fail
 		t.Fatal(err)
 	}
-	if err := after.Save(one); err == nil {
-		t.Error("a save that could not be written says that it was")
+	if err := after.Save(state); err == nil {
+		t.Error("a failed save returned no error")
 	}
 	if _, ok, faults := NewStore(dir, "127.0.0.1:80").Load(); !ok || len(faults) > 0 {
 		t.Errorf("after a failed save: %v %v", ok, faults)
 	}
 }
 
-// TestKilledWhileItWrites kills a real process that saves without pause, two hundred times at any instant: what it leaves loads each time,
-// and never goes back.
+// TestKilledWhileItWrites kills a process that saves in a loop, 200 times at varying moments (20 in short mode): the
+// state that it leaves always loads and never goes back.
 func TestKilledWhileItWrites(t *testing.T) {
 	if dir := os.Getenv("CEDARMAST_TEST_SAVES"); dir != "" {
 		s := NewStore(dir, "x")
-		one, _, _ := s.Load()
+		state, _, _ := s.Load()
 		for {
-			one.Answered++
-			one.Saved = time.Now()
-			if one.Maintenance.Out == nil {
-				one.Maintenance = exchange.NewMaintenance()
+			state.Answered++
+			state.Saved = time.Now()
+			if state.Maintenance.Out == nil {
+				state.Maintenance = exchange.NewMaintenance()
 			}
-			for n := range 200 { // some kilobytes, that a write may be cut in the midst
-				one.Maintenance.Out[balance.ServerID(strings.Repeat("s", n))] = true
+			for n := range 200 { // some kilobytes, so that a kill can interrupt a write
+				state.Maintenance.Out[balance.ServerID(strings.Repeat("s", n))] = true
 			}
-			if err := s.Save(one); err != nil {
+			if err := s.Save(state); err != nil {
 				os.Exit(3)
 			}
 			os.Stdout.WriteString(".")
@@ -288,7 +291,7 @@
 	}
 }
 
-// FuzzDecode: no text is taken that this program would not write again as it is, and none panics.
+// FuzzDecode checks that Decode never panics and that an accepted state can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	text, err := Encode(sampleState(f))
 	if err != nil {
--- a/internal/recovery/store.go
+++ b/internal/recovery/store.go
@@ -24,6 +24,7 @@
 	return &Store{dir: dir, name: "state-" + strings.NewReplacer(":", "_", "/", "_").Replace(listen)}
 }
 
+// path returns the path of file n, 0 or 1.
 func (s *Store) path(n int) string { return filepath.Join(s.dir, fmt.Sprintf("%s.%d", s.name, n)) }
 
 // Save overwrites the older of the two states. It waits for the disk, so it must not be called while serving a
@@ -94,6 +95,7 @@
 	return state, ok, faults
 }
 
+// readFile reads a file up to just over MaxSize, which is enough for Decode to refuse it.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -83,6 +83,7 @@
 func (s *State) Period() time.Duration     { return durationOr(s.Every, defaultSaveInterval) }
 func (s *State) MaxListAge() time.Duration { return durationOr(s.List, defaultMaxListAge) }
 
+// durationOr parses a duration and returns the default if the text is empty or invalid.
 func durationOr(text string, defaultValue time.Duration) time.Duration {
 	if d, err := time.ParseDuration(text); err == nil {
 		return d
@@ -184,6 +185,7 @@
 	set.Tiers = func() balance.Tiers { return sites.New(c) }
 }
 
+// sitesConfig converts the [sites] section for a router with the given settings and validates it.
 func (o *Operator) sitesConfig(set balance.Settings) (sites.Config, error) {
 	if o.Sites == nil {
 		return sites.Config{}, nil
--- a/internal/settings/retune_test.go
+++ b/internal/settings/retune_test.go
@@ -15,7 +15,7 @@
 	return v
 }
 
-// A file that lacks a key is named by it, at any depth; of classes each needs what all had.
+// A file that lacks a key is rejected by the key's name, at any depth; each class needs the keys that all classes had.
 func TestMissingKeys(t *testing.T) {
 	was := `{"name":"n","known":{"index":1},"settings":{"Limits":{"SendCap":3,"Deep":{"x":1}},
 		"Classes":[{"Name":"a","Deadline":1,"MemorySpan":5},{"Name":"b","Deadline":1}],"Flavors":["x"]}}`
@@ -36,7 +36,8 @@
 	}
 }
 
-// A running router takes new classes and limits; its place in the fleet and what its sockets hang on wait, and are named.
+// A running router applies new classes and limits; keys of its place in the fleet and of its sockets need a restart
+// and are named.
 func TestRetunedKeepsRestartKeys(t *testing.T) {
 	read := func(text string) *Profile {
 		var p Profile
@@ -49,7 +50,7 @@
 	now := read(`{"FleetSize":5,"MyNumber":2,"Zone":"y","Limits":{"SendCap":2,"PeerMessages":false},"Classes":[{"Name":"b"}]}`)
 	got, wait := was.Retuned(now)
 	if !reflect.DeepEqual(wait, []string{"MyNumber", "Zone", "Limits.PeerMessages"}) {
-		t.Errorf("%q wait", wait)
+		t.Errorf("%q need a restart", wait)
 	}
 	if got.MyNumber != 1 || got.Zone != "z" || !got.Limits.PeerMessages || got.FleetSize != 5 || got.Limits.SendCap != 2 || !got.HasClass("b") || got.HasClass("a") {
 		t.Errorf("%+v", got)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -108,7 +108,7 @@
 	return false
 }
 
-// IsSafe reports whether requests of a class may be repeated without limit.
+// IsSafe reports whether the effect of a class is safe, so that its requests may be retried freely.
 func (p *Profile) IsSafe(class string) bool {
 	for i := range p.Classes {
 		if p.Classes[i].Name == class {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -38,9 +38,9 @@
 	if err := p.Check(); err != nil {
 		t.Error(err)
 	}
-	p.Limits.RetryAfter = false // then clients are told no advice
+	p.Limits.RetryAfter = false // clients then get no Retry-After
 	if got := p.Settings().MaxRetryAfter; got != 0 {
-		t.Errorf("advice of up to %v", got)
+		t.Errorf("Retry-After of up to %v", got)
 	}
 	none := -1
 	p.FamilyInfo.OriginKind = &none
@@ -49,7 +49,7 @@
 	}
 }
 
-// An effect that is not known is the strictest one.
+// An unknown effect is treated as unsafe, the strictest one.
 func TestUnknownEffectIsUnsafe(t *testing.T) {
 	var p Profile
 	if err := json.Unmarshal([]byte(`{"Classes":[{"Name":"x","Effect":"odd"}]}`), &p); err != nil {
