--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -134,13 +134,13 @@
 			io.WriteString(c, "GET /healthcheck HTTP/1.1\r\nHo")
 		}
 	}
-	begun := time.Now()
+	started := time.Now()
 	for range 5 {
 		if status := call(t, address, ask("GET", "/healthcheck")); status != 200 {
 			t.Errorf("status %d", status)
 		}
 	}
-	if took := time.Since(begun); took > time.Second {
+	if took := time.Since(started); took > time.Second {
 		t.Errorf("five calls took %v", took)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -177,10 +177,12 @@
 	if inherited != nil {
 		r.addSnapshot(inherited.Facts, 0)
 		loop.Maintenance, loop.Settings.Answered = inherited.Maintenance.Copy(), inherited.Answered
-		if inherited.Known != nil && len(inherited.Known.Endpoints) > 0 { // newer than the file; its index may belong to another discovery service
+		// newer than the file; its index may belong to another discovery service
+		if inherited.Known != nil && len(inherited.Known.Endpoints) > 0 {
 			known, fromIndex = inherited.Known, wire.Unknown
 		}
-	} else if saved, ok := r.loadMaintenance(); ok { // either copy may lack an order that was given while the disk was full: a server out in one is out
+	} else if saved, ok := r.loadMaintenance(); ok {
+		// either copy may lack an order that was given while the disk was full: a server out in one is out
 		loop.Maintenance = saved.With(loop.Maintenance)
 	}
 	defer func() {
@@ -337,7 +339,7 @@
 	if replaced {
 		r.listener.Close()
 		<-r.acceptStopped
-		for until := time.Now().Add(idleClientGrace); time.Now().Before(until) && r.counts.ClientsOpen.Load() > 0; {
+		for deadline := time.Now().Add(idleClientGrace); time.Now().Before(deadline) && r.counts.ClientsOpen.Load() > 0; {
 			time.Sleep(idleClientGrace / 50)
 		}
 	} else {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -262,9 +262,9 @@
 	}()
 	standin.Eventually(t, "the request is at the cache server", func() bool { return cache.Requests() == 1 })
 	p.Process.Signal(syscall.SIGTERM)
-	begun := time.Now()
+	started := time.Now()
 	status := <-done
-	if took := time.Since(begun); status < 500 || took > 3600*time.Millisecond {
+	if took := time.Since(started); status < 500 || took > 3600*time.Millisecond {
 		t.Errorf("status %d after %v", status, took)
 	}
 	p.waitExit(t)
@@ -300,9 +300,9 @@
 	for range 150 {
 		wg.Go(func() {
 			for range 3 {
-				begun := time.Now()
+				started := time.Now()
 				status, _, written, err := askTimed(p.address, "/read/k")
-				for err != nil && (written.IsZero() || written.Sub(begun) > 50*time.Millisecond) && time.Since(begun) < 10*time.Second {
+				for err != nil && (written.IsZero() || written.Sub(started) > 50*time.Millisecond) && time.Since(started) < 10*time.Second {
 					retried.Add(1)
 					again := time.Now()
 					if status, _, written, err = askTimed(p.address, "/read/k"); !written.IsZero() && written.Sub(again) <= 50*time.Millisecond {
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -11,9 +11,9 @@
 type descriptorShares struct{ clients, servers int }
 
 const (
-	reservedDescriptors      = 24 // listener, discovery, datagrams, runtime and standard streams use 8, the rest is spare
-	serverDescriptorPercent  = 38 // percent of the descriptors: requests need a third for servers and a third for clients, silent and idle clients the rest
-	memoryLimitFraction      = 0.7
+	reservedDescriptors      = 24  // listener, discovery, datagrams, runtime and standard streams use 8, the rest is spare
+	serverDescriptorPercent  = 38  // requests need a third for servers and a third for clients, silent and idle clients the rest
+	memoryLimitFraction      = 0.7 // of Limits.MemoryMB, for the runtime's soft memory limit
 	gcPercent                = 300 // heap growth in percent that triggers a collection; the memory limit triggers it earlier
 	longRequestMemoryDivisor = 4   // 1/4 of the memory is for long requests
 )
--- a/internal/daemon/logwriter_test.go
+++ b/internal/daemon/logwriter_test.go
@@ -23,11 +23,11 @@
 func TestBlockedLogReaderDropsLines(t *testing.T) {
 	w := &blockedWriter{unblock: make(chan struct{})}
 	l := newLogWriter(w)
-	begun := time.Now()
+	started := time.Now()
 	for i := range maxQueuedLines + 100 {
 		fmt.Fprintln(l, "line", i)
 	}
-	if took := time.Since(begun); took > time.Second {
+	if took := time.Since(started); took > time.Second {
 		t.Errorf("writing took %v", took)
 	}
 	close(w.unblock)
@@ -43,9 +43,9 @@
 	defer close(w.unblock)
 	l := newLogWriter(w)
 	fmt.Fprintln(l, "line")
-	begun := time.Now()
+	started := time.Now()
 	l.Close()
-	if took := time.Since(begun); took > 5*logFlushTimeout {
+	if took := time.Since(started); took > 5*logFlushTimeout {
 		t.Errorf("the end took %v", took)
 	}
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -85,8 +85,8 @@
 }
 
 // applySettings applies the new settings that a running router can change and returns the settings now in effect.
-func (r *router) applySettings(old, now *settings.Profile) *settings.Profile {
-	applied, pendingRestart := old.Retuned(now)
+func (r *router) applySettings(old, updated *settings.Profile) *settings.Profile {
+	applied, pendingRestart := old.Retuned(updated)
 	for _, key := range pendingRestart {
 		r.log.Warn("a changed key waits for a restart", "key", "settings."+key)
 	}
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -53,9 +53,9 @@
 	}
 	config["discovery"] = second.Address
 	p.reloadConfig(t, marshal(t, config))
-	begun := time.Now()
+	started := time.Now()
 	standin.Eventually(t, "the new list applies", func() bool { _, body, _ := ask(p.address, "/read/k"); return body == "b" })
-	if took := time.Since(begun); took > time.Second {
+	if took := time.Since(started); took > time.Second {
 		t.Errorf("the new list took %v", took)
 	}
 	first.Break(500) // ends a watch request that might still be waiting
--- a/internal/daemon/shared.go
+++ b/internal/daemon/shared.go
@@ -122,7 +122,7 @@
 		case <-ctx.Done():
 			return
 		}
-		names, inStep := r.facts.Changed()
+		names, upToDate := r.facts.Changed()
 		if len(names) > 0 {
 			r.mu.Lock() // an order given here meanwhile comes before or after these, both in the loop and in the facts
 			err := r.loop.Adopt(r.orders(names))
@@ -131,7 +131,7 @@
 				r.log.Warn("can't apply all orders of other routers", "err", err)
 			}
 		}
-		if inStep && caughtUp != nil {
+		if upToDate && caughtUp != nil {
 			r.shareEarlierOrders()
 			close(caughtUp)
 			caughtUp = nil
--- a/internal/daemon/stored.go
+++ b/internal/daemon/stored.go
@@ -41,7 +41,8 @@
 	if !ok {
 		return c.Known
 	}
-	r.addSnapshot(state.Facts, time.Since(state.Saved)) // fact versions don't depend on the clock, and another router's copy of them is equally valid
+	// even from a state that is refused below: fact versions don't depend on the clock, and another router's copy is equally valid
+	r.addSnapshot(state.Facts, time.Since(state.Saved))
 	restored, err := recovery.Take(state, recovery.Want{Now: time.Now(), Router: c.Name, Listen: c.Listen, Discovery: c.Discovery,
 		Known: c.Known, ListFor: stateConfig.MaxListAge(), CountFor: loop.Settings.Ramp})
 	if err != nil {
@@ -56,11 +57,11 @@
 
 // runSaves saves the state periodically and on request until the context ends. Only its goroutine waits for the disk.
 func (r *router) runSaves(ctx context.Context) {
-	tick := time.NewTicker(r.saveInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(r.saveInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 			r.save()
 		case done := <-r.saveRequests:
 			done <- r.save()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -116,9 +116,9 @@
 	old, successor, _ := handOver(t, filepath.Join(t.TempDir(), "h"))
 	defer successor.Close()
 	go old.Run(func(string, bool) error { return nil })
-	begun := time.Now()
-	if err := old.Order("a", true); err == nil || time.Since(begun) > 900*time.Millisecond {
-		t.Errorf("%v after %v", err, time.Since(begun))
+	started := time.Now()
+	if err := old.Order("a", true); err == nil || time.Since(started) > 900*time.Millisecond {
+		t.Errorf("%v after %v", err, time.Since(started))
 	}
 }
 
@@ -133,9 +133,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	begun := time.Now()
-	if _, _, _, err := Take(path); err == nil || time.Since(begun) > 2*handshakeTimeout {
-		t.Errorf("a silent process: %v after %v", err, time.Since(begun))
+	started := time.Now()
+	if _, _, _, err := Take(path); err == nil || time.Since(started) > 2*handshakeTimeout {
+		t.Errorf("a silent process: %v after %v", err, time.Since(started))
 	}
 	if c, err := l.AcceptUnix(); err != nil {
 		t.Fatal(err)
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -23,10 +23,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	word := exchange.NewMaintenance()
-	word.Out[balance.ServerID("c")] = true
+	maintenance := exchange.NewMaintenance()
+	maintenance.Out[balance.ServerID("c")] = true
 	return State{Saved: time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC), Router: "n0", Listen: "127.0.0.1:80", Discovery: "127.0.0.1:85", Known: known,
-		Maintenance: word, Answered: 12.5}
+		Maintenance: maintenance, Answered: 12.5}
 }
 
 // A stored state is read back unchanged, and any other content is refused with its reason: a router that used a
--- a/internal/recovery/store.go
+++ b/internal/recovery/store.go
@@ -36,7 +36,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	tempPath := filepath.Join(s.dir, fmt.Sprintf("%s.%d.part", s.name, os.Getpid())) // one name for each process: both of a replacement may save at once
+	tempPath := filepath.Join(s.dir, fmt.Sprintf("%s.%d.part", s.name, os.Getpid())) // both processes of a replacement may save at once
 	f, err := os.OpenFile(tempPath, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
