--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -34,7 +34,7 @@
 	operatorFile *settings.Operator // from $CEDARMAST_OPERATOR
 }
 
-// Limits are the resources of the machine that the router may use.
+// Limits are the machine's resources that the router may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -142,8 +142,8 @@
 const maxClockSkew = 2 * time.Second
 
 // Take decides which parts of a state a router restores. Maintenance orders are valid at any age. If the stored list
-// is not used, its drains are applied to the list that is: they hold until discovery or an operator says otherwise.
-// Everything else expires by its age.
+// is too old or of another discovery service, its drains are applied to the configured list: they hold until discovery
+// or an operator says otherwise. Everything else expires by its age.
 func Take(s State, w Want) (Taken, error) {
 	t := Taken{Known: w.Known, Maintenance: exchange.NewMaintenance(), Age: w.Now.Sub(s.Saved)}
 	switch {
