--- a/internal/cdn/clusterstate/clusterstate.go
+++ b/internal/cdn/clusterstate/clusterstate.go
@@ -219,7 +219,7 @@
 	case c.Leave != "":
 		s.removeServer(c.Leave)
 	case c.Epoch < s.Duty.Epoch && c.requiresDuty():
-		return Outcome{Status: Stale, Text: "the duty has passed to another machine"}
+		return Outcome{Status: Stale, Text: "the duty has gone to another machine"}
 	case c.Cut != nil:
 		return s.applyCut(c.Cut)
 	case c.FixUsage != nil:
@@ -359,11 +359,11 @@
 	case s.Service == "":
 		return fmt.Errorf("carrier: missing")
 	case err != nil || net.ParseIP(host) == nil:
-		return fmt.Errorf("address: %q is not an IP address with a port", s.Address)
+		return fmt.Errorf("address: %q is none", s.Address)
 	case s.State != Open && s.State != Closing:
 		return fmt.Errorf("state: %q is neither %s nor %s", s.State, Open, Closing)
 	case s.Slots < 0:
-		return fmt.Errorf("berths: negative")
+		return fmt.Errorf("berths: under 0")
 	}
 	return nil
 }
@@ -393,7 +393,7 @@
 	m, digest, err := r.read(body)
 	switch {
 	case digest != d.Sum:
-		return Outcome{Status: Invalid, Text: "the delta does not yield the body it stands for", deltaFailed: true}
+		return Outcome{Status: Invalid, Text: "a delta that does not make its body", deltaFailed: true}
 	case err != nil:
 		return Outcome{Status: Invalid, Text: err.Error()}
 	}
@@ -410,9 +410,9 @@
 	}
 	switch {
 	case version <= s.Forgotten:
-		return &Outcome{Status: Forgotten, Text: fmt.Sprintf("edition: whether %s was accepted is no longer known", version)}
+		return &Outcome{Status: Forgotten, Text: fmt.Sprintf("edition: what became of %s is no longer known", version)}
 	case base != s.Version:
-		return &Outcome{Status: Stale, Text: fmt.Sprintf("based_on: %s, but %s is in force", base, s.Version)}
+		return &Outcome{Status: Stale, Text: fmt.Sprintf("based_on: %s, but %s is in place", base, s.Version)}
 	case version <= s.Version:
 		return &Outcome{Status: Invalid, Text: fmt.Sprintf("edition: %s is not above %s", version, s.Version)}
 	}
--- a/internal/cdn/clusterstate/delta.go
+++ b/internal/cdn/clusterstate/delta.go
@@ -73,7 +73,7 @@
 // Patch returns the body that a delta yields from the body of the given version. The caller must check its digest.
 func (d *Delta) Patch(version Version, base []byte) ([]byte, error) {
 	if version != d.Base {
-		return nil, fmt.Errorf("the delta is based on %s, but %s is held", d.Base, version)
+		return nil, fmt.Errorf("a delta on %s, but %s is held", d.Base, version)
 	}
 	var body []byte
 	for _, p := range d.Pieces {
@@ -82,7 +82,7 @@
 			continue
 		}
 		if p.From < 0 || p.Len < 0 || p.From > len(base)-p.Len {
-			return nil, fmt.Errorf("the delta refers to bytes outside its base")
+			return nil, fmt.Errorf("a delta that points past its base")
 		}
 		body = append(body, base[p.From:p.From+p.Len]...)
 	}
--- a/internal/cdn/clusterstate/manifest.go
+++ b/internal/cdn/clusterstate/manifest.go
@@ -32,7 +32,7 @@
 	}
 	n, err := strconv.ParseUint(strings.TrimPrefix(text, "r"), 10, 64)
 	if err != nil || !strings.HasPrefix(text, "r") {
-		return 0, fmt.Errorf("%.20q is not a version", text)
+		return 0, fmt.Errorf("%.20q is no version", text)
 	}
 	return Version(n), nil
 }
@@ -140,7 +140,7 @@
 	}
 	var n json.Number
 	if err := json.Unmarshal(b, &n); err != nil {
-		return fmt.Errorf("neither a string nor a number: %.20q", b)
+		return fmt.Errorf("neither a text nor a number: %.20q", b)
 	}
 	*t = wireText(n.String())
 	return nil
@@ -184,7 +184,7 @@
 // unmarshalBody parses a body that must be one complete JSON document.
 func unmarshalBody(body []byte, v any) error {
 	if err := json.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("not a complete JSON document: %w", err)
+		return fmt.Errorf("not readable whole: %w", err)
 	}
 	return nil
 }
@@ -248,7 +248,7 @@
 	}
 	for _, s := range w.Split {
 		if s.Share < 0 {
-			return fmt.Errorf("split_among: share of %s is negative", s.Carrier)
+			return fmt.Errorf("split_among: share of %s under 0", s.Carrier)
 		}
 		r.Split = append(r.Split, Share{s.Carrier, s.Share})
 	}
@@ -312,13 +312,13 @@
 		place := r.Host + " " + r.Prefix
 		switch {
 		case r.Kind != Resendable && r.Kind != OnceOnly && r.Kind != Shelved:
-			return fmt.Errorf("route %s: mail_class: unknown kind %q", r.Name, r.Kind)
+			return fmt.Errorf("route %s: mail_class: %q is none of the known ones", r.Name, r.Kind)
 		case total <= 0:
 			return fmt.Errorf("route %s: split_among: the shares add up to 0", r.Name)
 		case r.Timeout <= 0:
 			return fmt.Errorf("route %s: timeout: 0", r.Name)
 		case r.Timeout > maxTimeout:
-			return fmt.Errorf("route %s: timeout: more than ten minutes", r.Name)
+			return fmt.Errorf("route %s: timeout: over ten minutes", r.Name)
 		case routeByPlace[place] != "":
 			return fmt.Errorf("route %s: path_prefix: same place as %s", r.Name, routeByPlace[place])
 		case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
--- a/internal/cdn/clusterstate/share.go
+++ b/internal/cdn/clusterstate/share.go
@@ -81,12 +81,12 @@
 	total := 0.0
 	for _, part := range c.Parts {
 		if !(part >= 0 && part <= 1) {
-			return Outcome{Status: Invalid, Text: "a part is not between 0 and 1"}
+			return Outcome{Status: Invalid, Text: "a part of less than nothing or more than all"}
 		}
 		total += part
 	}
 	if total > 1+1e-6 || len(c.Parts) > maxRoster {
-		return Outcome{Status: Invalid, Text: "the parts add up to more than the whole, or are too many"}
+		return Outcome{Status: Invalid, Text: "parts of more than the whole"}
 	}
 	parts := make(map[string]map[string]float64, len(s.Parts)+1) // a new map: copies of the state share the old one
 	for service, old := range s.Parts {
--- a/internal/cdn/clusterstate/tenant.go
+++ b/internal/cdn/clusterstate/tenant.go
@@ -49,15 +49,15 @@
 	holders := map[string]string{}
 	for _, t := range tenants {
 		if t.Name == "" || strings.ContainsFunc(t.Name, isControl) {
-			return fmt.Errorf("sender %q: name: empty, or contains a control character", t.Name)
+			return fmt.Errorf("sender %q: name: empty, or with a control character", t.Name)
 		}
 		for _, key := range t.Keys {
 			holder, held := holders[key]
 			switch {
 			case key == "":
-				return fmt.Errorf("sender %s: stamps: empty key", t.Name)
+				return fmt.Errorf("sender %s: stamps: an empty key", t.Name)
 			case held && holder != t.Name:
-				return fmt.Errorf("sender %s: stamps: a key belongs to %s", t.Name, holder)
+				return fmt.Errorf("sender %s: stamps: a key of %s", t.Name, holder)
 			}
 			holders[key] = t.Name
 		}
--- a/internal/cdn/clusterstate/text.go
+++ b/internal/cdn/clusterstate/text.go
@@ -46,10 +46,10 @@
 func decompress(compressed []byte) (Text, error) {
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxTextBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("text can't be decompressed: %w", err)
+		return nil, fmt.Errorf("a text that can't be unfolded: %w", err)
 	}
 	if len(text) > maxTextBytes {
-		return nil, fmt.Errorf("text of more than %d bytes", maxTextBytes)
+		return nil, fmt.Errorf("a text of more than %d bytes", maxTextBytes)
 	}
 	return text, nil
 }
@@ -72,7 +72,7 @@
 	}
 	compressed, err := base64.StdEncoding.DecodeString(string(b[2 : len(b)-1]))
 	if err != nil {
-		return fmt.Errorf("text is not base64: %w", err)
+		return fmt.Errorf("a text that can't be read: %w", err)
 	}
 	*t, err = decompress(compressed)
 	return err
@@ -90,13 +90,13 @@
 func (t *Text) GobDecode(b []byte) (err error) {
 	switch {
 	case len(b) == 0:
-		return fmt.Errorf("text without its format byte")
+		return fmt.Errorf("a text without its form")
 	case b[0] == plainFormat:
 		*t = append(Text(nil), b[1:]...)
 	case b[0] == compressedFormat:
 		*t, err = decompress(b[1:])
 	default:
-		err = fmt.Errorf("text of unknown format %d", b[0])
+		err = fmt.Errorf("a text of form %d", b[0])
 	}
 	return err
 }
--- a/internal/cdn/clusterstate/usage.go
+++ b/internal/cdn/clusterstate/usage.go
@@ -32,7 +32,7 @@
 	case report.Round == s.Usage.Fixed && report.Round > 0:
 		return Outcome{Status: Done}
 	case report.Round < s.Usage.Fixed:
-		return Outcome{Status: Stale, Text: fmt.Sprintf("round: the counts of %d are already final", s.Usage.Fixed)}
+		return Outcome{Status: Stale, Text: fmt.Sprintf("round: %d is fixed already", s.Usage.Fixed)}
 	case report.Round <= 0:
 		return Outcome{Status: Invalid, Text: "round: not above 0"}
 	case len(report.Counts) > MostUsageTenants:
--- a/internal/cdn/registry/registry.go
+++ b/internal/cdn/registry/registry.go
@@ -133,7 +133,7 @@
 	reply, err := peerrpc.CallTicketed[configstore.Proposal, configstore.Reply](callCtx, reg.store, "ConfigStore.Propose",
 		&proposal, proposal.Ticket)
 	if err == nil && !reply.Known {
-		err = Error.New("no majority acknowledged the proposal before the timeout")
+		err = Error.New("no majority in time")
 	}
 	return reply.Outcome, err
 }
@@ -213,7 +213,7 @@
 	server := clusterstate.Server{ID: id, Service: b.Carrier, Address: b.Address, Zone: b.Zone, Edition: b.Edition, Slots: b.Berths,
 		State: b.State, WarmupMS: warmup.Milliseconds(), Beat: b.Postmark}
 	if err = clusterstate.CheckServer(server); err == nil && b.ID != id {
-		err = errors.New("id: differs from the id in the path")
+		err = errors.New("id: another one than in the path")
 	}
 	if err != nil {
 		reg.writeOutcome(rw, r, invalidOutcome(err), nil, nil)
