--- a/internal/cdn/simulation/clients.go
+++ b/internal/cdn/simulation/clients.go
@@ -11,48 +11,48 @@
 )
 
 const (
-	operators    = 3
-	orderTries   = 6
-	orderWithin  = 2500 * time.Millisecond // of one try, at the machine that takes it
-	patience     = time.Second             // of a caller
-	forwardAfter = 700 * time.Millisecond  // without a word, a forwarded question is asked again
-	lookAgain    = 5 * time.Millisecond    // who waits for news of a machine's own state looks so often
-	servers      = 4
-	beatEvery    = 1500 * time.Millisecond
+	operatorCount     = 3
+	maxUpdateAttempts = 6
+	proposeTimeout    = 2500 * time.Millisecond // of one attempt, at the machine that handles it
+	callerTimeout     = time.Second             // of a caller outside
+	forwardTimeout    = 700 * time.Millisecond  // after which an unanswered forwarded request is retried
+	pollInterval      = 5 * time.Millisecond    // at which a process polls its own state for a change
+	serverCount       = 4
+	heartbeatInterval = 1500 * time.Millisecond
 )
 
-// clients are who calls the core machines from outside.
+// clients is the state of the operators and servers that call the core machines.
 type clients struct {
-	history      []call
-	acknowledged int
-	answered     int
-	taken        []order // that were acknowledged
-	took         []time.Duration
-	known        clusterstate.Version
-	knownSince   []knownVersion
-	storm        bool
-	dutyStall    time.Duration
-	onTaken      func(by *host) // a machine is the first to take an order; its acknowledgement is about to leave
-	next         int
-}
-
-// knownVersion is when a version was first acknowledged to somebody, or read.
+	history             []call
+	updatesAcknowledged int
+	readsAnswered       int
+	acceptedUpdates     []configUpdate // acknowledged updates
+	updateLatencies     []time.Duration
+	newestKnown         clusterstate.Version
+	knownVersions       []knownVersion
+	updateStorm         bool
+	dutyDelay           time.Duration
+	onFirstCommit       func(by *host) // called when a host is the first to commit an update, before it acknowledges it
+	lastID              int
+}
+
+// knownVersion is a version with the time at which it was first acknowledged to or read by a client.
 type knownVersion struct {
 	at      time.Time
 	version clusterstate.Version
 }
 
-// learn notes that a version is known outside.
-func (w *world) learn(v clusterstate.Version) {
-	if v > w.client.known {
-		w.client.known = v
-		w.client.knownSince = append(w.client.knownSince, knownVersion{w.now, v})
+// recordKnown records that a client knows a version.
+func (w *world) recordKnown(v clusterstate.Version) {
+	if v > w.clients.newestKnown {
+		w.clients.newestKnown = v
+		w.clients.knownVersions = append(w.clients.knownVersions, knownVersion{w.now, v})
 	}
 }
 
-// knownBefore is the newest version that was known at a time.
+// knownBefore returns the newest version that clients knew before t.
 func (w *world) knownBefore(t time.Time) (v clusterstate.Version) {
-	for _, k := range w.client.knownSince {
+	for _, k := range w.clients.knownVersions {
 		if k.at.Before(t) {
 			v = k.version
 		}
@@ -60,18 +60,18 @@
 	return v
 }
 
-// order is a configuration that an operator sends.
-type order struct {
+// configUpdate is a new configuration that an operator submits.
+type configUpdate struct {
 	version, base clusterstate.Version
 	tag           string
 	body          []byte
 }
 
-// steadyRoutes are the same in all configurations, so that what is sent on is what changes.
+// steadyRoutes is the number of routes that are equal in all configurations, so that replicas are sent only the changed ones.
 const steadyRoutes = 4
 
-// newOrder makes a configuration whose only difference to others of its number is its first route's name.
-func newOrder(version, base clusterstate.Version, tag string) order {
+// newConfigUpdate returns a configuration that differs from others of the same version only in the name of its first route, the tag.
+func newConfigUpdate(version, base clusterstate.Version, tag string) configUpdate {
 	body := fmt.Appendf(nil, `{"edition":"%s","based_on":"%s","parcels":[{"parcel_kind":"carriers","label":{"name":"c"},"manifest":{"health_path":"/h"}}`, version, base)
 	for i := range 1 + steadyRoutes {
 		name := tag
@@ -80,11 +80,11 @@
 		}
 		body = fmt.Appendf(body, `,{"parcel_kind":"routes","label":{"name":"%s"},"manifest":{"domain":"d","path_prefix":"/%d/","mail_class":"resendable","timeout":"1s","carrier":"c"}}`, name, i)
 	}
-	return order{version, base, tag, append(body, "]}"...)}
+	return configUpdate{version, base, tag, append(body, "]}"...)}
 }
 
-// tagOf is the name that tells configurations of one number apart.
-func tagOf(body []byte) (clusterstate.Version, string) {
+// parseTag returns a configuration's version and the tag that distinguishes configurations of the same version.
+func parseTag(body []byte) (clusterstate.Version, string) {
 	m, err := clusterstate.ParseManifest(body)
 	if err != nil || len(m.Routes) == 0 {
 		return 0, ""
@@ -92,61 +92,61 @@
 	return m.Version, m.Routes[0].Name
 }
 
-func (w *world) beginClients() {
-	for i := range operators {
-		w.after(time.Second+w.between(0, time.Second), func() { w.operate(i) })
+func (w *world) startClients() {
+	for i := range operatorCount {
+		w.after(time.Second+w.randomDuration(0, time.Second), func() { w.runOperator(i) })
 	}
-	for i := range servers {
-		w.after(time.Second+w.between(0, time.Second), func() { w.liveAsServer(fmt.Sprint("server-", i)) })
+	for i := range serverCount {
+		w.after(time.Second+w.randomDuration(0, time.Second), func() { w.runServer(fmt.Sprint("server-", i)) })
 	}
-	w.after(2*time.Second, w.doDuty)
+	w.after(2*time.Second, w.runDuty)
 }
 
-// anyHost draws the machine that a caller tries next, from a list without those that are gone for good.
-func (w *world) anyHost() *host {
+// randomHost draws the machine that a caller tries next among those that were not removed.
+func (w *world) randomHost() *host {
 	for {
-		if h := w.hosts[w.rng.IntN(len(w.hosts))]; !h.gone {
+		if h := w.hosts[w.rng.IntN(len(w.hosts))]; !h.removed {
 			return h
 		}
 	}
 }
 
-// operate is an operator's work: an order or a look at what is in force, then another one.
-func (w *world) operate(who int) {
-	if w.since() > faultsUntil+calmAfter/2 {
+// runOperator submits an update or reads the configuration, pauses and repeats.
+func (w *world) runOperator(operator int) {
+	if w.since() > faultsEnd+quietPeriod/2 {
 		return
 	}
-	pause := w.between(100*time.Millisecond, 1500*time.Millisecond)
-	if w.client.storm {
-		pause = w.between(10*time.Millisecond, 60*time.Millisecond)
+	pause := w.randomDuration(100*time.Millisecond, 1500*time.Millisecond)
+	if w.clients.updateStorm {
+		pause = w.randomDuration(10*time.Millisecond, 60*time.Millisecond)
 	}
-	then := func() { w.after(pause, func() { w.operate(who) }) }
-	w.client.next++
-	lot := w.rng.IntN(10)
-	switch taken := w.client.taken; {
-	case lot < 3:
-		w.read(who, then)
-	case lot < 4 && len(taken) > 0: // one that was taken long ago comes once more
-		w.put(who, taken[w.rng.IntN(len(taken))], then)
-	default: // two may choose the same number and the same base
-		base := w.client.known
-		w.put(who, newOrder(base+1+clusterstate.Version(w.rng.IntN(2)), base, fmt.Sprintf("t-%d", w.client.next)), then)
+	then := func() { w.after(pause, func() { w.runOperator(operator) }) }
+	w.clients.lastID++
+	choice := w.rng.IntN(10)
+	switch accepted := w.clients.acceptedUpdates; {
+	case choice < 3:
+		w.readConfig(operator, then)
+	case choice < 4 && len(accepted) > 0: // repeats an update that was accepted earlier
+		w.submitUpdate(operator, accepted[w.rng.IntN(len(accepted))], then)
+	default: // two operators may choose the same version and the same base
+		base := w.clients.newestKnown
+		w.submitUpdate(operator, newConfigUpdate(base+1+clusterstate.Version(w.rng.IntN(2)), base, fmt.Sprintf("t-%d", w.clients.lastID)), then)
 	}
 }
 
-// put sends an order until its outcome is clear or the operator gives up.
-func (w *world) put(who int, o order, then func()) {
-	c := call{client: who, put: true, order: o, begun: w.now}
-	w.tryPut(&c, 0, then)
+// submitUpdate sends an update until its outcome is known or the operator gives up, then calls then.
+func (w *world) submitUpdate(operator int, update configUpdate, then func()) {
+	c := call{client: operator, isUpdate: true, update: update, started: w.now}
+	w.trySubmit(&c, 0, then)
 }
 
-func (w *world) tryPut(c *call, try int, then func()) {
-	if try == orderTries {
-		w.record(*c, clusterstate.Outcome{}, false)
+func (w *world) trySubmit(c *call, attempt int, then func()) {
+	if attempt == maxUpdateAttempts {
+		w.recordCall(*c, clusterstate.Outcome{}, false)
 		then()
 		return
 	}
-	h := w.anyHost()
+	h := w.randomHost()
 	done := false
 	finish := func(r configstore.Reply) {
 		if done {
@@ -154,37 +154,37 @@
 		}
 		done = true
 		if !r.Known {
-			w.after(time.Duration(try+1)*50*time.Millisecond, func() { w.tryPut(c, try+1, then) })
+			w.after(time.Duration(attempt+1)*50*time.Millisecond, func() { w.trySubmit(c, attempt+1, then) })
 			return
 		}
-		w.record(*c, r.Outcome, true)
+		w.recordCall(*c, r.Outcome, true)
 		if r.Status == clusterstate.Done {
-			w.client.took = append(w.client.took, w.now.Sub(c.begun))
-			w.acknowledge(c.order, h)
+			w.clients.updateLatencies = append(w.clients.updateLatencies, w.now.Sub(c.started))
+			w.recordAcknowledged(c.update, h)
 		}
 		then()
 	}
-	command, err := w.copies[0].replica.Order(c.order.body) // as a registry does, whose copy may lag
+	command, err := w.copies[0].replica.Order(c.update.body) // as a registry does, whose replica may be stale
 	if err != nil {
-		w.fail("order %s is invalid: %v", c.order.version, err)
+		w.fail("update %s is invalid: %v", c.update.version, err)
 		return
 	}
 	w.propose(h, command.Encode(), func(r configstore.Reply) {
-		w.carry(h.address, "operator", func() { finish(r) })
+		w.deliver(h.address, "operator", func() { finish(r) })
 	})
-	w.after(patience+time.Duration(try)*200*time.Millisecond, func() { finish(configstore.Reply{}) })
+	w.after(callerTimeout+time.Duration(attempt)*200*time.Millisecond, func() { finish(configstore.Reply{}) })
 }
 
-func (w *world) acknowledge(o order, by *host) {
-	w.client.acknowledged++
-	w.client.taken = append(w.client.taken, o)
-	w.learn(o.version)
-	w.trace("acknowledged %s on %s: %s by host %d", o.version, o.base, o.tag, by.index)
+func (w *world) recordAcknowledged(update configUpdate, by *host) {
+	w.clients.updatesAcknowledged++
+	w.clients.acceptedUpdates = append(w.clients.acceptedUpdates, update)
+	w.recordKnown(update.version)
+	w.trace("acknowledged %s on %s: %s by host %d", update.version, update.base, update.tag, by.index)
 }
 
-// read asks for the configuration in force. A try that is not answered was no call at all.
-func (w *world) read(who int, then func()) {
-	c := call{client: who, begun: w.now}
+// readConfig reads the current configuration. An unanswered read is not recorded in the history.
+func (w *world) readConfig(operator int, then func()) {
+	c := call{client: operator, started: w.now}
 	done := false
 	finish := func(version clusterstate.Version, tag string, ok bool) {
 		if done {
@@ -192,244 +192,247 @@
 		}
 		done = true
 		if ok {
-			c.order = order{version: version, tag: tag}
-			w.record(c, clusterstate.Outcome{Status: clusterstate.Done}, true)
-			w.client.answered++
-			w.learn(version)
+			c.update = configUpdate{version: version, tag: tag}
+			w.recordCall(c, clusterstate.Outcome{Status: clusterstate.Done}, true)
+			w.clients.readsAnswered++
+			w.recordKnown(version)
 		}
 		then()
 	}
-	h := w.anyHost()
-	w.barrier(h, func(index uint64, ok bool) {
+	h := w.randomHost()
+	w.readBarrier(h, func(index uint64, ok bool) {
 		if !ok {
-			w.carry(h.address, "operator", func() { finish(0, "", false) })
+			w.deliver(h.address, "operator", func() { finish(0, "", false) })
 			return
 		}
 		w.whenApplied(h, index, func() {
 			var body []byte
-			state(h.machine, func(s *clusterstate.State) { body = s.Body })
-			version, tag := tagOf(body)
-			w.carry(h.address, "operator", func() { finish(version, tag, true) })
+			readState(h.machine, func(s *clusterstate.State) { body = s.Body })
+			version, tag := parseTag(body)
+			w.deliver(h.address, "operator", func() { finish(version, tag, true) })
 		})
 	})
-	w.after(patience, func() { finish(0, "", false) })
+	w.after(callerTimeout, func() { finish(0, "", false) })
 }
 
-// propose brings a command into the log by way of the machine that was called, as its config store does.
+// propose has the called machine propose a command, which it forwards to the leader as its config store does.
 func (w *world) propose(h *host, data []byte, reply func(configstore.Reply)) {
-	ask(w, h, w.now.Add(orderWithin), func(m *configstore.Machine, done func(configstore.Reply)) { m.Propose(data, done) },
+	sendRequest(w, h, w.now.Add(proposeTimeout), func(m *configstore.Machine, done func(configstore.Reply)) { m.Propose(data, done) },
 		func(r configstore.Reply) bool { return r.Known }, reply)
 }
 
-// barrier asks for a read barrier in the same way.
-func (w *world) barrier(h *host, reply func(index uint64, ok bool)) {
-	ask(w, h, w.now.Add(patience), func(m *configstore.Machine, done func(configstore.Barrier)) { m.AskBarrier(done) },
+// readBarrier requests a read barrier by way of the called machine.
+func (w *world) readBarrier(h *host, reply func(index uint64, ok bool)) {
+	sendRequest(w, h, w.now.Add(callerTimeout), func(m *configstore.Machine, done func(configstore.Barrier)) { m.AskBarrier(done) },
 		func(b configstore.Barrier) bool { return b.OK }, func(b configstore.Barrier) { reply(b.Index, b.OK) })
 }
 
-// barrierAt is barrier for a question of the machine's own registry.
-func (w *world) barrierAt(h *host, reply func(index uint64, ok bool)) {
-	askAt(w, h, w.now.Add(patience), func(m *configstore.Machine, done func(configstore.Barrier)) { m.AskBarrier(done) },
+// readBarrierAt is readBarrier for a request of the machine's own registry.
+func (w *world) readBarrierAt(h *host, reply func(index uint64, ok bool)) {
+	startRequest(w, h, w.now.Add(callerTimeout), func(m *configstore.Machine, done func(configstore.Barrier)) { m.AskBarrier(done) },
 		func(b configstore.Barrier) bool { return b.OK }, func(b configstore.Barrier) { reply(b.Index, b.OK) })
 }
 
-// ask brings a question to the leader from the machine that was called, as its process does: configstore.Question decides each step. A process
-// that has ended or is stopped says nothing.
-func ask[T any](w *world, h *host, until time.Time, question func(*configstore.Machine, func(T)), good func(T) bool, reply func(T)) {
-	w.carry("operator", h.address, func() { askAt(w, h, until, question, good, reply) })
+// sendRequest sends a request to a machine, which passes it to the leader as its process does: configstore.Question decides each step.
+// A process that has ended or is frozen does not reply.
+func sendRequest[T any](w *world, h *host, deadline time.Time, operation func(*configstore.Machine, func(T)), succeeded func(T) bool, reply func(T)) {
+	w.deliver("operator", h.address, func() { startRequest(w, h, deadline, operation, succeeded, reply) })
 }
 
-// askAt is ask for a question that has come to the machine.
-func askAt[T any](w *world, h *host, until time.Time, question func(*configstore.Machine, func(T)), good func(T) bool, reply func(T)) {
-	p := &pursuit[T]{w: w, h: h, incarnation: h.incarnation, q: configstore.NewQuestion(false, until), question: question, good: good, reply: reply}
-	p.there = func(to *host, answer func(T)) {
-		forward(w, h, to, until, question, good, answer)
+// startRequest is sendRequest for a request that has already arrived at the machine.
+func startRequest[T any](w *world, h *host, deadline time.Time, operation func(*configstore.Machine, func(T)), succeeded func(T) bool, reply func(T)) {
+	p := &leaderRequest[T]{w: w, h: h, incarnation: h.incarnation, steps: configstore.NewQuestion(false, deadline), operation: operation, succeeded: succeeded, reply: reply}
+	p.forward = func(to *host, answer func(T)) {
+		forwardRequest(w, h, to, deadline, operation, succeeded, answer)
 		var none T
-		w.after(forwardAfter, func() { answer(none) })
+		w.after(forwardTimeout, func() { answer(none) })
 	}
-	p.look()
+	p.checkLeader()
 }
 
-// forward brings a question to another machine, once.
-func forward[T any](w *world, from, to *host, until time.Time, question func(*configstore.Machine, func(T)), good func(T) bool, answer func(T)) {
-	back := func(r T) { w.carry(to.address, from.address, func() { from.run(func() { answer(r) }) }) }
-	w.carry(from.address, to.address, func() {
-		p := &pursuit[T]{w: w, h: to, incarnation: to.incarnation, q: configstore.NewQuestion(true, until), question: question, good: good, reply: back}
-		p.look()
+// forwardRequest sends a request to another machine, once.
+func forwardRequest[T any](w *world, from, to *host, deadline time.Time, operation func(*configstore.Machine, func(T)), succeeded func(T) bool, answer func(T)) {
+	sendReply := func(r T) { w.deliver(to.address, from.address, func() { from.enqueue(func() { answer(r) }) }) }
+	w.deliver(from.address, to.address, func() {
+		p := &leaderRequest[T]{w: w, h: to, incarnation: to.incarnation, steps: configstore.NewQuestion(true, deadline), operation: operation, succeeded: succeeded, reply: sendReply}
+		p.checkLeader()
 	})
 }
 
-// pursuit is a question at one machine: its moves are carried out in virtual time.
-type pursuit[T any] struct {
+// leaderRequest is a request for the leader at one machine. It performs the steps of configstore.Question in virtual time.
+type leaderRequest[T any] struct {
 	w           *world
 	h           *host
 	incarnation int
-	q           *configstore.Question
-	question    func(*configstore.Machine, func(T))
-	there       func(to *host, answer func(T)) // asks the leader at another machine
-	good        func(T) bool
+	steps       *configstore.Question
+	operation   func(*configstore.Machine, func(T))
+	forward     func(to *host, answer func(T)) // sends the request to the leader at another machine
+	succeeded   func(T) bool
 	reply       func(T)
 }
 
-// look sees who leads and does what follows.
-func (p *pursuit[T]) look() {
+// checkLeader looks up the leader and performs the next step.
+func (p *leaderRequest[T]) checkLeader() {
 	switch {
 	case p.h.machine == nil || p.h.incarnation != p.incarnation:
 		return
 	case p.h.frozen:
-		p.h.waiting = append(p.h.waiting, p.look)
+		p.h.deferred = append(p.h.deferred, p.checkLeader)
 		return
 	}
 	var none T
 	here, at := p.h.machine.View.Leader()
-	p.carryOut(p.q.Led(p.w.now, here, at), none)
+	p.perform(p.steps.Led(p.w.now, here, at), none)
 }
 
-func (p *pursuit[T]) carryOut(move configstore.Move, got T) {
+// perform executes one step. result is the answer that an EndAnswered step replies with.
+func (p *leaderRequest[T]) perform(step configstore.Move, result T) {
 	var none T
-	switch move.Kind {
+	switch step.Kind {
 	case configstore.AskHere:
-		p.h.run(func() { p.question(p.h.machine, p.answerOnce()) })
+		p.h.enqueue(func() { p.operation(p.h.machine, p.firstAnswer()) })
 	case configstore.AskThere:
-		if to := p.w.hostAt(move.To); to != nil && to != p.h {
-			p.there(to, p.answerOnce())
+		if to := p.w.hostAt(step.To); to != nil && to != p.h {
+			p.forward(to, p.firstAnswer())
 		} else {
-			p.w.after(forwardAfter, func() { p.carryOut(p.q.Answered(p.w.now, false), none) })
+			p.w.after(forwardTimeout, func() { p.perform(p.steps.Answered(p.w.now, false), none) })
 		}
 	case configstore.WaitForLeader:
-		p.w.after(lookAgain, p.look)
+		p.w.after(pollInterval, p.checkLeader)
 	case configstore.AskAgain:
-		p.w.after(move.After, p.look)
+		p.w.after(step.After, p.checkLeader)
 	case configstore.EndAnswered:
-		p.reply(got)
+		p.reply(result)
 	default:
 		p.reply(none)
 	}
 }
 
-// answerOnce takes the first answer to what was asked.
-func (p *pursuit[T]) answerOnce() func(T) {
+// firstAnswer returns a callback that handles the first answer and ignores later ones.
+func (p *leaderRequest[T]) firstAnswer() func(T) {
 	answered := false
 	return func(r T) {
 		if !answered {
 			answered = true
-			p.carryOut(p.q.Answered(p.w.now, p.good(r)), r)
+			p.perform(p.steps.Answered(p.w.now, p.succeeded(r)), r)
 		}
 	}
 }
 
-// whenApplied waits until a machine's state has an entry.
+// whenApplied calls then once a machine has applied the entry at index; never, if its process ends first.
 func (w *world) whenApplied(h *host, index uint64, then func()) {
 	incarnation := h.incarnation
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		switch {
 		case h.machine == nil || h.incarnation != incarnation:
 		case h.frozen:
-			h.waiting = append(h.waiting, look)
+			h.deferred = append(h.deferred, check)
 		case h.machine.View.Applied() >= index:
 			then()
 		default:
-			w.after(lookAgain, look)
+			w.after(pollInterval, check)
 		}
 	}
-	look()
+	check()
 }
 
-// liveAsServer is a server's life: it tells of itself, leaves in order, and is followed by another one.
-func (w *world) liveAsServer(name string) {
-	if w.since() > faultsUntil {
+// runServer simulates a server: it sends heartbeats, closes, leaves and is followed by a new server. A delayed copy of its first
+// heartbeat must not bring it back.
+func (w *world) runServer(name string) {
+	if w.since() > faultsEnd {
 		return
 	}
-	w.client.next++
-	s := clusterstate.Server{ID: fmt.Sprintf("%s-%d", name, w.client.next), Service: "c", Address: "10.1.0.1:80", State: clusterstate.Open, Beat: 1}
-	say := func(state string) clusterstate.Server {
+	w.clients.lastID++
+	s := clusterstate.Server{ID: fmt.Sprintf("%s-%d", name, w.clients.lastID), Service: "c", Address: "10.1.0.1:80", State: clusterstate.Open, Beat: 1}
+	nextHeartbeat := func(state string) clusterstate.Server {
 		s.Beat++
 		s.State = state
 		return s
 	}
-	late := say(clusterstate.Open) // it comes again, long after all that followed
-	w.insist(w.callOf(late), func() {
-		w.beat(func() clusterstate.Server { return say(clusterstate.Open) }, w.now.Add(w.between(time.Second, 20*time.Second)), func() {
-			w.insist(w.callOf(say(clusterstate.Closing)), func() {
-				w.checks.closing[s.ID] = true
+	delayed := nextHeartbeat(clusterstate.Open) // arrives again after later heartbeats and the leave
+	w.sendUntilAcknowledged(w.heartbeatCall(delayed), func() {
+		w.sendHeartbeats(func() clusterstate.Server { return nextHeartbeat(clusterstate.Open) }, w.now.Add(w.randomDuration(time.Second, 20*time.Second)), func() {
+			w.sendUntilAcknowledged(w.heartbeatCall(nextHeartbeat(clusterstate.Closing)), func() {
+				w.checks.closingAcknowledged[s.ID] = true
 				if !w.checks.model.closing[s.ID] {
-					w.fail("the closing of server %s was acknowledged, and is not in the log", s.ID)
+					w.fail("closing of server %s was acknowledged, but is not in the log", s.ID)
 				}
-				w.send(w.callOf(late))
-				w.insist(w.commandOf(clusterstate.Command{Leave: s.ID}), func() {
-					w.checks.left[s.ID] = true
-					w.send(w.callOf(late))
-					w.after(w.between(0, 3*time.Second), func() { w.send(w.callOf(late)) })
-					w.liveAsServer(name)
+				w.sendOnce(w.heartbeatCall(delayed))
+				w.sendUntilAcknowledged(w.commandCall(clusterstate.Command{Leave: s.ID}), func() {
+					w.checks.leaveAcknowledged[s.ID] = true
+					w.sendOnce(w.heartbeatCall(delayed))
+					w.after(w.randomDuration(0, 3*time.Second), func() { w.sendOnce(w.heartbeatCall(delayed)) })
+					w.runServer(name)
 				})
 			})
 		})
 	})
 }
 
-// beat has a server say what it says all along, until a time.
-func (w *world) beat(say func() clusterstate.Server, until time.Time, then func()) {
+// sendHeartbeats sends a server's heartbeats until a point in time, then calls then.
+func (w *world) sendHeartbeats(nextHeartbeat func() clusterstate.Server, until time.Time, then func()) {
 	if !w.now.Before(until) {
 		then()
 		return
 	}
-	w.send(w.callOf(say()))
-	w.after(beatEvery, func() { w.beat(say, until, then) })
+	w.sendOnce(w.heartbeatCall(nextHeartbeat()))
+	w.after(heartbeatInterval, func() { w.sendHeartbeats(nextHeartbeat, until, then) })
 }
 
-// outsideCall is a call at a registry: it is carried out there, and its reply comes back there.
-type outsideCall func(h *host, reply func(configstore.Reply))
+// registryCall handles a call at the registry of a host and passes the result to reply on the same host.
+type registryCall func(h *host, reply func(configstore.Reply))
 
-// commandOf is a call that is brought to the log.
-func (w *world) commandOf(c clusterstate.Command) outsideCall {
+// commandCall returns a call that proposes a command for the log.
+func (w *world) commandCall(c clusterstate.Command) registryCall {
 	return func(h *host, reply func(configstore.Reply)) {
-		askAt(w, h, w.now.Add(orderWithin), func(m *configstore.Machine, done func(configstore.Reply)) { m.Propose(c.Encode(), done) },
+		startRequest(w, h, w.now.Add(proposeTimeout), func(m *configstore.Machine, done func(configstore.Reply)) { m.Propose(c.Encode(), done) },
 			func(r configstore.Reply) bool { return r.Known }, reply)
 	}
 }
 
-// callOf is a server's call: the registry acknowledges at once what is settled (registry.Settled), and brings the rest to the log.
-func (w *world) callOf(s clusterstate.Server) outsideCall {
+// heartbeatCall returns a server's heartbeat call. The registry acknowledges it at once where it needs no log entry
+// (registry.Settled), and proposes it otherwise.
+func (w *world) heartbeatCall(s clusterstate.Server) registryCall {
 	return func(h *host, reply func(configstore.Reply)) {
-		late := h.beats.Take(s, w.now)
-		copied := w.copies[h.index%len(w.copies)] // as the registry's own copy, which may lag
-		var held clusterstate.Server
+		late := h.heartbeats.Take(s, w.now)
+		registryCopy := w.copies[h.index%len(w.copies)] // stands for the registry's own replica, which may be stale
+		var listedServer clusterstate.Server
 		listed := false
-		copied.replica.Read(func(state *clusterstate.State) { held, listed = state.Servers[s.ID] })
-		if registry.Settled(s, late, held, listed, copied.inTouch()) || w.options.SettleAll {
+		registryCopy.replica.Read(func(state *clusterstate.State) { listedServer, listed = state.Servers[s.ID] })
+		if registry.Settled(s, late, listedServer, listed, registryCopy.connected()) || w.options.SettleAll {
 			reply(configstore.Reply{Known: true, Outcome: clusterstate.Outcome{Status: clusterstate.Done}})
 			return
 		}
-		said := s
-		w.commandOf(clusterstate.Command{Server: &said})(h, reply)
+		heartbeat := s
+		w.commandCall(clusterstate.Command{Server: &heartbeat})(h, reply)
 	}
 }
 
-// bring brings a call to a machine. A process that has ended or is stopped says nothing.
-func (w *world) bring(h *host, call outsideCall, reply func(configstore.Reply)) {
-	w.carry("server", h.address, func() {
+// sendCall delivers a call to a machine. A process that has ended does not reply, a frozen one only after it is thawed.
+func (w *world) sendCall(h *host, call registryCall, reply func(configstore.Reply)) {
+	w.deliver("server", h.address, func() {
 		do := func() {
 			if h.machine != nil {
 				call(h, reply)
 			}
 		}
 		if h.frozen {
-			h.waiting = append(h.waiting, do)
+			h.deferred = append(h.deferred, do)
 			return
 		}
 		do()
 	})
 }
 
-// send makes a call once, and does not wait for its outcome.
-func (w *world) send(call outsideCall) {
-	w.bring(w.anyHost(), call, func(configstore.Reply) {})
+// sendOnce makes a call once and ignores its outcome.
+func (w *world) sendOnce(call registryCall) {
+	w.sendCall(w.randomHost(), call, func(configstore.Reply) {})
 }
 
-// insist makes a call until it is acknowledged.
-func (w *world) insist(call outsideCall, then func()) {
-	if w.since() > faultsUntil+calmAfter/2 {
+// sendUntilAcknowledged retries a call until it is acknowledged, then calls then.
+func (w *world) sendUntilAcknowledged(call registryCall, then func()) {
+	if w.since() > faultsEnd+quietPeriod/2 {
 		return
 	}
 	done := false
@@ -441,19 +444,19 @@
 		if ok {
 			then()
 		} else {
-			w.after(50*time.Millisecond, func() { w.insist(call, then) })
+			w.after(50*time.Millisecond, func() { w.sendUntilAcknowledged(call, then) })
 		}
 	}
-	h := w.anyHost()
-	w.bring(h, call, func(r configstore.Reply) {
-		w.carry(h.address, "server", func() { finish(r.Known && r.Status == clusterstate.Done) })
+	h := w.randomHost()
+	w.sendCall(h, call, func(r configstore.Reply) {
+		w.deliver(h.address, "server", func() { finish(r.Known && r.Status == clusterstate.Done) })
 	})
-	w.after(patience, func() { finish(false) })
+	w.after(callerTimeout, func() { finish(false) })
 }
 
-// doDuty is the work of whoever holds the duty: it takes servers out under its epoch, some of which have long come back.
-func (w *world) doDuty() {
-	if w.since() > faultsUntil+calmAfter/2 {
+// runDuty does the duty holder's work: it declares servers lost under its epoch, some of which are alive again by then.
+func (w *world) runDuty() {
+	if w.since() > faultsEnd+quietPeriod/2 {
 		return
 	}
 	for _, h := range w.hosts {
@@ -465,7 +468,7 @@
 			continue
 		}
 		lost := ""
-		state(h.machine, func(s *clusterstate.State) {
+		readState(h.machine, func(s *clusterstate.State) {
 			for id := range s.Servers {
 				if lost == "" || id < lost {
 					lost = id
@@ -473,30 +476,30 @@
 			}
 		})
 		if lost != "" {
-			stall := w.between(0, 100*time.Millisecond) + w.client.dutyStall
-			w.after(stall, func() { w.send(w.commandOf(clusterstate.Command{Lost: lost, Epoch: duty.Epoch})) })
+			delay := w.randomDuration(0, 100*time.Millisecond) + w.clients.dutyDelay
+			w.after(delay, func() { w.sendOnce(w.commandCall(clusterstate.Command{Lost: lost, Epoch: duty.Epoch})) })
 		}
 	}
-	w.client.dutyStall = 0
-	w.after(w.between(time.Second, 3*time.Second), w.doDuty)
+	w.clients.dutyDelay = 0
+	w.after(w.randomDuration(time.Second, 3*time.Second), w.runDuty)
 }
 
-// call is one operator's call, for the check of the whole history.
+// call is one operator's call in the history that checkHistory checks.
 type call struct {
-	client int
-	put    bool
-	order  order
-	status int // 0: no clear answer
-	begun  time.Time
-	ended  time.Time
+	client   int
+	isUpdate bool
+	update   configUpdate
+	status   int // 0 if the outcome is unknown
+	started  time.Time
+	ended    time.Time
 }
 
-func (w *world) record(c call, out clusterstate.Outcome, known bool) {
+func (w *world) recordCall(c call, out clusterstate.Outcome, known bool) {
 	c.ended = w.now
 	if known {
 		c.status = out.Status
 	} else {
 		c.ended = time.Unix(0, math.MaxInt64)
 	}
-	w.client.history = append(w.client.history, c)
+	w.clients.history = append(w.clients.history, c)
 }
--- a/internal/cdn/simulation/copies.go
+++ b/internal/cdn/simulation/copies.go
@@ -12,72 +12,73 @@
 )
 
 const (
-	copyCount   = 2
-	holdFor     = 200 * time.Millisecond
-	newsWithin  = 850 * time.Millisecond
-	pauseOfCopy = 40 * time.Millisecond
+	copyCount       = 2
+	longPollTimeout = 200 * time.Millisecond
+	pollTimeout     = 850 * time.Millisecond
+	pollPause       = 40 * time.Millisecond
 )
 
-// stateCopy is the state as a registry holds it.
+// stateCopy is a registry's replica of the cluster state, which polls the core machines.
 type stateCopy struct {
-	w       *world
-	address string
-	replica *statesync.Replica
-	version clusterstate.Version
-	fresh   time.Time // the begin of the last question that was answered by a current machine
+	w           *world
+	address     string
+	replica     *statesync.Replica
+	version     clusterstate.Version
+	currentAsOf time.Time // start of the last poll that a current machine answered
 }
 
-const inTouchFor = 1500 * time.Millisecond // half of contact
+const connectedTimeout = 1500 * time.Millisecond // half of the bound bootconfig.Bounds.Contact
 
-func (c *stateCopy) inTouch() bool { return c.w.now.Sub(c.fresh) < inTouchFor }
+// connected reports whether a current machine answered a recent poll.
+func (c *stateCopy) connected() bool { return c.w.now.Sub(c.currentAsOf) < connectedTimeout }
 
-func (w *world) beginCopies() {
+func (w *world) startCopies() {
 	for i := range copyCount {
 		c := &stateCopy{w: w, address: fmt.Sprint("edge-", i), replica: statesync.New()}
 		c.replica.Log, c.replica.Peers = hclog.NewNullLogger(), peerrpc.NewPeers()
 		c.replica.Took = func(s *clusterstate.State, _ clusterstate.Command, _ uint64, _ bool) {
 			if s.Version < c.version {
-				w.fail("%s goes back from %s to %s", c.address, c.version, s.Version)
+				w.fail("%s: configuration went back from %s to %s", c.address, c.version, s.Version)
 			}
 			c.version = s.Version
 		}
 		w.copies = append(w.copies, c)
-		w.after(time.Second, c.ask)
+		w.after(time.Second, c.poll)
 	}
 }
 
-// ask asks a core machine for news, then again.
-func (c *stateCopy) ask() {
-	w, h := c.w, c.w.anyHost()
-	begun, have, done := w.now, c.replica.Index(), false
+// poll asks a core machine for changes, applies them and repeats.
+func (c *stateCopy) poll() {
+	w, h := c.w, c.w.randomHost()
+	started, index, done := w.now, c.replica.Index(), false
 	finish := func(n clusterstate.News, ok bool) {
 		if done {
 			return
 		}
 		done = true
 		if ok {
-			if c.replica.Take(n, begun) == statesync.All && n.Fresh {
-				c.fresh = begun
+			if c.replica.Take(n, started) == statesync.All && n.Fresh {
+				c.currentAsOf = started
 			}
 		}
-		if c.replica.Index() < have {
-			w.fail("%s goes back from entry %d to %d", c.address, have, c.replica.Index())
+		if c.replica.Index() < index {
+			w.fail("%s: index went back from %d to %d", c.address, index, c.replica.Index())
 		}
-		pause := pauseOfCopy
+		pause := pollPause
 		if ok && n.Fresh {
-			pause = holdFor
+			pause = longPollTimeout
 		}
-		w.after(pause, c.ask)
+		w.after(pause, c.poll)
 	}
-	w.carry(c.address, h.address, func() {
+	w.deliver(c.address, h.address, func() {
 		if h.machine == nil {
 			return
 		}
-		h.run(func() {
-			news := h.machine.View.Since(have, w.now, w.now)
-			w.checkFresh(h, news)
-			w.carry(h.address, c.address, func() { finish(news, true) })
+		h.enqueue(func() {
+			news := h.machine.View.Since(index, w.now, w.now)
+			w.checkFreshness(h, news)
+			w.deliver(h.address, c.address, func() { finish(news, true) })
 		})
 	})
-	w.after(newsWithin, func() { finish(clusterstate.News{}, false) })
+	w.after(pollTimeout, func() { finish(clusterstate.News{}, false) })
 }
--- a/internal/cdn/simulation/disk.go
+++ b/internal/cdn/simulation/disk.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	syncTime    = 2 * time.Millisecond
-	blockBytes  = 256 // what is kept or lost of a write that was not synced
-	keepChance  = 0.5 // that a write, a block of one, or an entry of the folder outlives a loss of power unsynced
-	tearChance  = 0.4 // that a write is torn and not kept or lost whole
-	slowFactor  = 30
-	allLostLots = 4 // one in so many losses of power takes all that was not synced
+	syncTime        = 2 * time.Millisecond
+	blockBytes      = 256 // unit in which a torn write is kept or lost
+	keepProbability = 0.5 // that an unsynced write, block or directory entry survives a power loss
+	tearProbability = 0.4 // that an unsynced write is torn instead of kept or lost as a whole
+	slowFactor      = 30
+	loseAllOneIn    = 4 // one in 4 power losses, on average, loses everything unsynced
 )
 
 var (
@@ -26,104 +26,107 @@
 	errNoPower  = errors.New("no power")
 )
 
-// Disk is a folder on a disk that forgets what it may. It is a raftlog.Files.
+// Disk is a simulated directory that loses unsynced data at a power loss. It implements raftlog.Files.
 type Disk struct {
-	rng    *rand.Rand
-	seen   map[string]*inode // as processes see the folder
-	synced map[string]*inode // as the disk holds it
-	folder []folderChange    // not synced
+	rng             *rand.Rand
+	visible         map[string]*inode // files as processes see them
+	durable         map[string]*inode // files that survive a power loss
+	unsyncedEntries []entryChange     // created or removed entries that were not synced
 
 	Full             bool
 	Slow             bool
-	FailSyncs        int           // so many syncs fail; what they were to keep is never written, and no later one says so
-	DiesAfter        int           // power is lost at so many operations from now; 0: it is not
-	IgnoreFolderSync bool          // a weakness, for tests: a new file's entry is not synced
-	Spent            time.Duration // on syncs since it was last looked at
+	FailSyncs        int           // number of next syncs that fail; their data is lost without an error from later syncs
+	DiesAfter        int           // operations until a power loss; 0 for none
+	IgnoreFolderSync bool          // disables a safeguard, for tests: directory entries are not synced
+	Spent            time.Duration // time spent on syncs since the last TakeSpent
 	Syncs, Bytes     int
-	dead             bool
+	powerLost        bool
 }
 
-// inode is a file's contents.
+// inode holds a file's contents.
 type inode struct {
-	view    []byte // as processes see it
-	durable []byte
+	visible []byte // contents as processes see them
+	durable []byte // contents that survive a power loss
 	pending []write
 }
 
+// write is data that was written but not synced.
 type write struct {
-	at   int
-	data []byte
+	offset int
+	data   []byte
 }
 
-// folderChange is an entry of the folder that was made or removed.
-type folderChange struct {
+// entryChange is the creation or removal of a directory entry.
+type entryChange struct {
 	name string
-	file *inode // nil: removed
+	file *inode // nil if the entry was removed
 }
 
-// NewDisk returns an empty disk.
+// NewDisk returns an empty disk that draws its losses from seed.
 func NewDisk(seed uint64) *Disk {
-	return &Disk{rng: rand.New(rand.NewPCG(seed, 0xd15c)), seen: map[string]*inode{}, synced: map[string]*inode{}}
+	return &Disk{rng: rand.New(rand.NewPCG(seed, 0xd15c)), visible: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// operate counts an operation. Once power is lost none succeeds any more.
-func (d *Disk) operate() error {
+// beginOperation counts down to a power loss. After it, all operations fail until PowerLost or Wipe.
+func (d *Disk) beginOperation() error {
 	if d.DiesAfter > 0 {
 		if d.DiesAfter--; d.DiesAfter == 0 {
-			d.dead = true
+			d.powerLost = true
 		}
 	}
-	if d.dead {
+	if d.powerLost {
 		return errNoPower
 	}
 	return nil
 }
 
-// Died tells whether power was lost in the midst of operations.
-func (d *Disk) Died() bool { return d.dead }
+// Died reports whether power was lost between operations, by DiesAfter.
+func (d *Disk) Died() bool { return d.powerLost }
 
-// PowerLost leaves what the disk happens to hold: what was synced, and of the rest each write, or each block of one, and
-// each entry of the folder by itself.
+// PowerLost keeps what was synced and a random part of the rest: each write, each block of a torn write and each directory entry
+// is kept or lost independently.
 func (d *Disk) PowerLost() {
-	allLost := d.rng.IntN(allLostLots) == 0
-	for _, c := range d.folder {
+	allLost := d.rng.IntN(loseAllOneIn) == 0
+	for _, c := range d.unsyncedEntries {
 		switch {
-		case allLost || d.rng.Float64() >= keepChance:
+		case allLost || d.rng.Float64() >= keepProbability:
 		case c.file == nil:
-			delete(d.synced, c.name)
+			delete(d.durable, c.name)
 		default:
-			d.synced[c.name] = c.file
+			d.durable[c.name] = c.file
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(d.synced)) {
-		d.synced[name].lose(d.rng, allLost)
+	for _, name := range slices.Sorted(maps.Keys(d.durable)) {
+		d.durable[name].losePower(d.rng, allLost)
 	}
-	d.seen, d.folder = maps.Clone(d.synced), nil
-	d.dead, d.DiesAfter = false, 0
+	d.visible, d.unsyncedEntries = maps.Clone(d.durable), nil
+	d.powerLost, d.DiesAfter = false, 0
 }
 
-func (f *inode) lose(rng *rand.Rand, all bool) {
+// losePower keeps a random part of the unsynced writes, or none.
+func (f *inode) losePower(rng *rand.Rand, all bool) {
 	for _, w := range f.pending {
 		switch {
 		case all:
-		case rng.Float64() < tearChance:
-			f.tear(w, rng)
-		case rng.Float64() < keepChance:
-			f.durable = overwrite(f.durable, w.at, w.data)
+		case rng.Float64() < tearProbability:
+			f.writeTorn(w, rng)
+		case rng.Float64() < keepProbability:
+			f.durable = overwrite(f.durable, w.offset, w.data)
 		}
 	}
-	f.pending, f.view = nil, slices.Clone(f.durable)
+	f.pending, f.visible = nil, slices.Clone(f.durable)
 }
 
-// tear keeps some blocks of a write.
-func (f *inode) tear(w write, rng *rand.Rand) {
+// writeTorn keeps a random part of a write's blocks.
+func (f *inode) writeTorn(w write, rng *rand.Rand) {
 	for at := 0; at < len(w.data); at += blockBytes {
-		if rng.Float64() < keepChance {
-			f.durable = overwrite(f.durable, w.at+at, w.data[at:min(at+blockBytes, len(w.data))])
+		if rng.Float64() < keepProbability {
+			f.durable = overwrite(f.durable, w.offset+at, w.data[at:min(at+blockBytes, len(w.data))])
 		}
 	}
 }
 
+// overwrite writes data into b at an offset, extending b where needed.
 func overwrite(b []byte, at int, data []byte) []byte {
 	if grow := at + len(data) - len(b); grow > 0 {
 		b = append(b, make([]byte, grow)...)
@@ -132,85 +135,88 @@
 	return b
 }
 
-// Wipe takes all away that the disk holds.
+// Wipe deletes everything on the disk.
 func (d *Disk) Wipe() {
-	d.seen, d.synced, d.folder = map[string]*inode{}, map[string]*inode{}, nil
-	d.dead, d.DiesAfter = false, 0
+	d.visible, d.durable, d.unsyncedEntries = map[string]*inode{}, map[string]*inode{}, nil
+	d.powerLost, d.DiesAfter = false, 0
 }
 
-// TakeSpent returns the time that operations took since it was last asked.
+// TakeSpent returns the time that syncs took since the last call.
 func (d *Disk) TakeSpent() time.Duration {
 	spent := d.Spent
 	d.Spent = 0
 	return spent
 }
 
-func (d *Disk) spend() {
-	took := syncTime
+// addSyncTime accounts for the duration of one sync.
+func (d *Disk) addSyncTime() {
+	elapsed := syncTime
 	if d.Slow {
-		took *= slowFactor
+		elapsed *= slowFactor
 	}
-	d.Spent += took
+	d.Spent += elapsed
 	d.Syncs++
 }
 
-// List names the files.
-func (d *Disk) List() ([]string, error) { return slices.Sorted(maps.Keys(d.seen)), d.operate() }
+// List returns the names of the files in order.
+func (d *Disk) List() ([]string, error) {
+	return slices.Sorted(maps.Keys(d.visible)), d.beginOperation()
+}
 
-// Read reads a file.
+// Read returns the contents of a file.
 func (d *Disk) Read(name string) ([]byte, error) {
-	f := d.seen[name]
+	f := d.visible[name]
 	if f == nil {
 		return nil, fs.ErrNotExist
 	}
-	return slices.Clone(f.view), d.operate()
+	return slices.Clone(f.visible), d.beginOperation()
 }
 
-// Create makes an empty file.
+// Create creates an empty file.
 func (d *Disk) Create(name string) (raftlog.File, error) {
-	if err := d.operate(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return nil, err
 	}
 	if d.Full {
 		return nil, errDiskFull
 	}
 	f := new(inode)
-	d.seen[name] = f
-	d.folder = append(d.folder, folderChange{name, f})
+	d.visible[name] = f
+	d.unsyncedEntries = append(d.unsyncedEntries, entryChange{name, f})
 	return &openFile{d, f}, nil
 }
 
-// Rename renames a file: two changes of the folder, each of which may be kept without the other.
+// Rename renames a file. It makes two changes to the directory, either of which may survive a power loss without the other.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.operate(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return err
 	}
-	f := d.seen[from]
+	f := d.visible[from]
 	if f == nil {
 		return fs.ErrNotExist
 	}
-	delete(d.seen, from)
-	d.seen[to] = f
-	d.folder = append(d.folder, folderChange{to, f}, folderChange{from, nil})
+	delete(d.visible, from)
+	d.visible[to] = f
+	d.unsyncedEntries = append(d.unsyncedEntries, entryChange{to, f}, entryChange{from, nil})
 	return nil
 }
 
 // Remove removes a file.
 func (d *Disk) Remove(name string) error {
-	if err := d.operate(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return err
 	}
-	delete(d.seen, name)
-	d.folder = append(d.folder, folderChange{name, nil})
+	delete(d.visible, name)
+	d.unsyncedEntries = append(d.unsyncedEntries, entryChange{name, nil})
 	return nil
 }
 
-// Sync makes the folder's entries lasting.
+// Sync makes the directory's entries durable.
 func (d *Disk) Sync() error {
-	if err := d.operate(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return err
 	}
-	d.spend()
+	d.addSyncTime()
 	if d.FailSyncs > 0 {
 		d.FailSyncs--
 		return errDiskSync
@@ -218,41 +224,42 @@
 	if d.IgnoreFolderSync {
 		return nil
 	}
-	d.synced, d.folder = maps.Clone(d.seen), nil
+	d.durable, d.unsyncedEntries = maps.Clone(d.visible), nil
 	return nil
 }
 
-// openFile is a file that a process has open.
+// openFile is an open file. It implements raftlog.File.
 type openFile struct {
 	disk *Disk
 	file *inode
 }
 
 func (o *openFile) Write(data []byte) (int, error) {
-	if err := o.disk.operate(); err != nil {
+	if err := o.disk.beginOperation(); err != nil {
 		return 0, err
 	}
 	if o.disk.Full {
 		return 0, errDiskFull
 	}
-	o.file.pending = append(o.file.pending, write{len(o.file.view), slices.Clone(data)})
-	o.file.view = append(o.file.view, data...)
+	o.file.pending = append(o.file.pending, write{len(o.file.visible), slices.Clone(data)})
+	o.file.visible = append(o.file.visible, data...)
 	o.disk.Bytes += len(data)
 	return len(data), nil
 }
 
+// Sync makes the file's contents durable. After a failed sync the unsynced writes are lost.
 func (o *openFile) Sync() error {
-	if err := o.disk.operate(); err != nil {
+	if err := o.disk.beginOperation(); err != nil {
 		return err
 	}
-	o.disk.spend()
+	o.disk.addSyncTime()
 	if o.disk.FailSyncs > 0 {
 		o.disk.FailSyncs--
 		o.file.pending = nil
 		return errDiskSync
 	}
 	for _, w := range o.file.pending {
-		o.file.durable = overwrite(o.file.durable, w.at, w.data)
+		o.file.durable = overwrite(o.file.durable, w.offset, w.data)
 	}
 	o.file.pending = nil
 	return nil
--- a/internal/cdn/simulation/edges.go
+++ b/internal/cdn/simulation/edges.go
@@ -13,67 +13,70 @@
 )
 
 const (
-	edgeCount       = 4
-	edgeNeighbours  = 2 // the next ones: others are some hops away
-	neighboursEvery = 400 * time.Millisecond
-	neighbourWithin = 700 * time.Millisecond
-	mostInAnswer    = 3 // changes that an edge is answered with, so that answers are cut often
-	requestEvery    = 100 * time.Millisecond
-	revoke          = 5 * time.Second        // after a key's removal is acknowledged nothing runs with it
-	revokeMargin    = 250 * time.Millisecond // by which an edge ends its trust in its copy earlier
+	edgeCount             = 4
+	neighboursPerEdge     = 2 // the edges with the next indexes: others are reached over several hops
+	neighbourPollInterval = 400 * time.Millisecond
+	neighbourPollTimeout  = 700 * time.Millisecond
+	maxChangesPerAnswer   = 3 // low, so that answers are often incomplete
+	requestInterval       = 100 * time.Millisecond
+	revocationTimeout     = 5 * time.Second        // time after the acknowledged removal of a key within which edges stop accepting it
+	revocationMargin      = 250 * time.Millisecond // time by which an edge stops trusting its replica before revocationTimeout
 )
 
-// edge is a proxy: its copy of the state, which neighbours help while the core is silent, and keyed requests that come to it. It has a lot
-// of its own and is answered beside the machines' loops, so that a run of the core is the same with and without edges.
+// edge is a proxy with a replica of the cluster state, which neighbours update while the core is unreachable, and with keyed requests
+// that it runs or refuses. Edges have their own random source and are answered outside the machines' loops, so that the core's part of
+// a run is the same with and without edges.
 type edge struct {
-	w       *world
-	index   int
-	address string
-	replica *statesync.Replica
-	version clusterstate.Version // in force
-	proof   time.Time            // as last checked
-	frozen  bool
-	waiting []func() // what came while it was frozen
+	w         *world
+	index     int
+	address   string
+	replica   *statesync.Replica
+	version   clusterstate.Version // of the current configuration
+	lastProof time.Time            // freshness proof at the last check
+	frozen    bool
+	deferred  []func() // actions that arrived while the process was frozen
 }
 
-// edges are all of them.
+// edges holds all edges and their counters.
 type edges struct {
-	all     []*edge
-	rng     *rand.Rand
-	ran     int // keyed requests that an edge let run
-	refused int // and that it refused, for it could not prove that it knew all removals
-	asked   int // questions to neighbours
+	all            []*edge
+	rng            *rand.Rand
+	ran            int // keyed requests that edges ran
+	refused        int // keyed requests refused because the edge could not prove that it knew all removals
+	neighbourPolls int // polls of neighbours
 }
 
-func (w *world) beginEdges() {
+func (w *world) startEdges() {
 	w.edges.rng = rand.New(rand.NewPCG(w.options.Seed, 0xed6e))
 	for i := range edgeCount {
 		e := &edge{w: w, index: i, address: fmt.Sprint("proxy-", i), replica: statesync.New()}
 		e.replica.Log, e.replica.Peers, e.replica.Weak = hclog.NewNullLogger(), peerrpc.NewPeers(), w.options.WeakCopies
 		e.replica.Took = func(s *clusterstate.State, _ clusterstate.Command, _ uint64, _ bool) {
 			if s.Version < e.version {
-				w.fail("%s goes back from %s to %s", e.address, e.version, s.Version)
+				w.fail("%s: configuration went back from %s to %s", e.address, e.version, s.Version)
 			}
 			e.version = s.Version
 		}
 		w.edges.all = append(w.edges.all, e)
-		e.after(time.Second, e.askCore)
-		e.after(time.Second, e.followNeighbours)
-		w.after(time.Second, e.sendKeyed)
+		e.after(time.Second, e.pollCore)
+		e.after(time.Second, e.pollNeighbours)
+		w.after(time.Second, e.sendKeyedRequest)
 	}
 }
 
-// aside does something in the process: at once, or when it is thawed.
-func (e *edge) aside(do func()) {
+// runWhenThawed runs do at once or, if the process is frozen, when it is thawed.
+func (e *edge) runWhenThawed(do func()) {
 	if e.frozen {
-		e.waiting = append(e.waiting, do)
+		e.deferred = append(e.deferred, do)
 		return
 	}
 	do()
 }
 
-func (e *edge) after(d time.Duration, do func()) { e.w.after(d, func() { e.aside(do) }) }
+// after runs do after a delay or, if the process is frozen then, when it is thawed.
+func (e *edge) after(d time.Duration, do func()) { e.w.after(d, func() { e.runWhenThawed(do) }) }
 
+// freeze stops the process for a time.
 func (e *edge) freeze(span time.Duration) {
 	if !e.frozen {
 		e.frozen = true
@@ -81,198 +84,207 @@
 	}
 }
 
+// thaw resumes the process and runs the deferred actions.
 func (e *edge) thaw() {
 	if !e.frozen {
 		return
 	}
 	e.frozen = false
-	waiting := e.waiting
-	e.waiting = nil
-	for _, do := range waiting {
+	deferred := e.deferred
+	e.deferred = nil
+	for _, do := range deferred {
 		do()
 	}
 }
 
-// aside does something beside a machine's loop: at once, or when its process is thawed; never, if it has ended by then.
-func (h *host) aside(do func()) {
+// runWhenThawed runs do outside the machine's loop, at once or, if the process is frozen, when it is thawed; never, if the process has
+// ended by then.
+func (h *host) runWhenThawed(do func()) {
 	switch {
 	case h.machine == nil:
 	case h.frozen:
-		h.waiting = append(h.waiting, do)
+		h.deferred = append(h.deferred, do)
 	default:
 		do()
 	}
 }
 
-// anyHost draws the core machine that is asked next.
-func (e *edge) anyHost() *host {
+// randomHost draws the core machine that is polled next.
+func (e *edge) randomHost() *host {
 	for {
-		if h := e.w.hosts[e.w.edges.rng.IntN(len(e.w.hosts))]; !h.gone {
+		if h := e.w.hosts[e.w.edges.rng.IntN(len(e.w.hosts))]; !h.removed {
 			return h
 		}
 	}
 }
 
-func (e *edge) carry(from, to string, arrive func()) { e.w.carryBy(e.w.edges.rng, from, to, arrive) }
+func (e *edge) deliver(from, to string, arrive func()) {
+	e.w.deliverWith(e.w.edges.rng, from, to, arrive)
+}
 
-// askCore asks a core machine for news, then again.
-func (e *edge) askCore() {
-	h, have := e.anyHost(), e.replica.Index()
-	answer := e.awaitAnswer(newsWithin, func(n clusterstate.News, begun time.Time) {
-		pause := pauseOfCopy
-		if took := e.replica.Take(n, begun); took == statesync.Part || took == statesync.All && n.Fresh {
+// pollCore asks a core machine for changes, applies them and repeats.
+func (e *edge) pollCore() {
+	h, index := e.randomHost(), e.replica.Index()
+	answer := e.startPoll(pollTimeout, func(n clusterstate.News, begun time.Time) {
+		pause := pollPause
+		if coverage := e.replica.Take(n, begun); coverage == statesync.Part || coverage == statesync.All && n.Fresh {
 			pause = 0
 		}
-		e.check()
-		e.after(pause, e.askCore)
-	}, func() { e.after(pauseOfCopy, e.askCore) })
-	e.carry(e.address, h.address, func() {
-		h.aside(func() {
-			h.holdNews(have, func(n clusterstate.News) {
-				if len(n.Changes) > mostInAnswer {
-					n.Changes = n.Changes[:mostInAnswer]
+		e.checkProof()
+		e.after(pause, e.pollCore)
+	}, func() { e.after(pollPause, e.pollCore) })
+	e.deliver(e.address, h.address, func() {
+		h.runWhenThawed(func() {
+			h.longPoll(index, func(n clusterstate.News) {
+				if len(n.Changes) > maxChangesPerAnswer {
+					n.Changes = n.Changes[:maxChangesPerAnswer]
 				}
-				e.carry(h.address, e.address, func() { answer(n) })
+				e.deliver(h.address, e.address, func() { answer(n) })
 			})
 		})
 	})
 }
 
-// holdNews answers a question for news as a config store does: at once if there is any or if the machine can't tell, else after a while.
-func (h *host) holdNews(have uint64, answer func(clusterstate.News)) {
-	came, incarnation := h.w.now, h.incarnation
-	now := func() {
+// longPoll answers a poll as a config store does: at once if there are changes or if the machine is not fresh, else after
+// longPollTimeout.
+func (h *host) longPoll(index uint64, answer func(clusterstate.News)) {
+	arrived, incarnation := h.w.now, h.incarnation
+	respond := func() {
 		if h.incarnation == incarnation {
-			news := h.machine.View.Since(have, came, h.w.now)
-			h.w.checkFresh(h, news)
+			news := h.machine.View.Since(index, arrived, h.w.now)
+			h.w.checkFreshness(h, news)
 			answer(news)
 		}
 	}
-	if news := h.machine.View.Since(have, came, h.w.now); news.Fresh && news.Index <= have {
-		h.w.after(holdFor, func() { h.aside(now) })
+	if news := h.machine.View.Since(index, arrived, h.w.now); news.Fresh && news.Index <= index {
+		h.w.after(longPollTimeout, func() { h.runWhenThawed(respond) })
 		return
 	}
-	now()
+	respond()
 }
 
-// followNeighbours asks neighbours while the proof is old.
-func (e *edge) followNeighbours() {
+// pollNeighbours polls the neighbours periodically while the freshness proof is old.
+func (e *edge) pollNeighbours() {
 	if e.replica.ProofIsOld(e.w.now) {
-		for i := range edgeNeighbours {
-			e.askNeighbour(e.w.edges.all[(e.index+1+i)%edgeCount])
+		for i := range neighboursPerEdge {
+			e.pollNeighbour(e.w.edges.all[(e.index+1+i)%edgeCount])
 		}
 	}
-	e.after(neighboursEvery, e.followNeighbours)
+	e.after(neighbourPollInterval, e.pollNeighbours)
 }
 
-func (e *edge) askNeighbour(other *edge) {
-	e.w.edges.asked++
-	have := e.replica.Index()
-	answer := e.awaitAnswer(neighbourWithin, func(n clusterstate.News, begun time.Time) {
+// pollNeighbour asks another edge for changes and applies them.
+func (e *edge) pollNeighbour(other *edge) {
+	e.w.edges.neighbourPolls++
+	index := e.replica.Index()
+	answer := e.startPoll(neighbourPollTimeout, func(n clusterstate.News, begun time.Time) {
 		e.replica.TakeFromNeighbour(n, begun)
-		e.check()
+		e.checkProof()
 	}, func() {})
-	e.carry(e.address, other.address, func() {
-		other.aside(func() {
-			n := other.replica.News(clusterstate.Ask{Have: have}, e.w.now)
-			e.carry(other.address, e.address, func() { answer(n) })
+	e.deliver(e.address, other.address, func() {
+		other.runWhenThawed(func() {
+			n := other.replica.News(clusterstate.Ask{Have: index}, e.w.now)
+			e.deliver(other.address, e.address, func() { answer(n) })
 		})
 	})
 }
 
-// awaitAnswer begins a question: the first answer to it is taken, with the time of its begin, or none if it does not come in time.
-func (e *edge) awaitAnswer(within time.Duration, take func(n clusterstate.News, begun time.Time), none func()) (answer func(clusterstate.News)) {
-	begun, done := e.w.now, false
+// startPoll starts a poll and returns the callback for its answer. The first answer is passed to take with the start time of the poll;
+// if none comes within timeout, onTimeout is called instead.
+func (e *edge) startPoll(timeout time.Duration, take func(n clusterstate.News, started time.Time), onTimeout func()) (answer func(clusterstate.News)) {
+	started, done := e.w.now, false
 	once := func(do func()) {
 		if !done {
 			done = true
 			do()
 		}
 	}
-	e.after(within, func() { once(none) })
+	e.after(timeout, func() { once(onTimeout) })
 	return func(n clusterstate.News) {
-		e.aside(func() {
+		e.runWhenThawed(func() {
 			once(func() {
 				if e.w.options.CountFromAnswer {
-					begun = e.w.now
+					started = e.w.now
 				}
-				take(n, begun)
+				take(n, started)
 			})
 		})
 	}
 }
 
-// check is what holds after every answer that an edge has taken: its proof does not go back, and is of what it says.
-func (e *edge) check() {
+// checkProof checks after every answer that the edge's freshness proof did not go back and that the replica has every entry committed
+// before it.
+func (e *edge) checkProof() {
 	proof, index := e.replica.Proof(), e.replica.Index()
-	if proof.Before(e.proof) {
-		e.w.fail("the proof of %s goes back by %v", e.address, e.proof.Sub(proof))
+	if proof.Before(e.lastProof) {
+		e.w.fail("%s: freshness proof went back by %v", e.address, e.lastProof.Sub(proof))
 	}
-	e.proof = proof
-	all := e.w.checks.versions
-	for i := len(all) - 1; i >= 0 && all[i].index > index; i-- {
-		if !all[i].empty && all[i].at.Before(proof) {
-			e.w.fail("%s lacks entry %d, which was taken %v before its proof", e.address, all[i].index, proof.Sub(all[i].at))
+	e.lastProof = proof
+	commits := e.w.checks.commitTimes
+	for i := len(commits) - 1; i >= 0 && commits[i].index > index; i-- {
+		if !commits[i].empty && commits[i].at.Before(proof) {
+			e.w.fail("%s lacks entry %d, which was committed %v before its freshness proof", e.address, commits[i].index, proof.Sub(commits[i].at))
 			return
 		}
 	}
 }
 
-// sendKeyed sends a request with a key to the edge, which runs it, or refuses it if it can't prove that it knows all removals. Any version may
-// have taken the key away.
-func (e *edge) sendKeyed() {
+// sendKeyedRequest sends a request with a key to the edge, which refuses it if it can't prove that it knows all removals of keys.
+// Any configuration may have removed the key.
+func (e *edge) sendKeyedRequest() {
 	w, sent := e.w, e.w.now
-	w.after(requestEvery, e.sendKeyed)
-	e.aside(func() {
-		if !w.options.RunUnproven && w.now.Sub(e.replica.Proof()) >= revoke-revokeMargin {
+	w.after(requestInterval, e.sendKeyedRequest)
+	e.runWhenThawed(func() {
+		if !w.options.RunUnproven && w.now.Sub(e.replica.Proof()) >= revocationTimeout-revocationMargin {
 			w.edges.refused++
 			return
 		}
 		w.edges.ran++
-		if known := w.knownBefore(sent.Add(-revoke)); e.version < known {
-			w.fail("%s runs a request by version %s, which was sent more than %v after %s was acknowledged or read", e.address, e.version, revoke, known)
+		if known := w.knownBefore(sent.Add(-revocationTimeout)); e.version < known {
+			w.fail("%s ran a request under version %s, though it was sent more than %v after %s was acknowledged or read", e.address, e.version, revocationTimeout, known)
 		}
 	})
 }
 
-// The kinds of trouble of edges.
+// The kinds of faults of edges.
 const (
-	EdgesCut       Kind = "edges-cut"         // some edges are cut off from all core machines
-	EdgesCutOneWay Kind = "edges-cut-one-way" // they hear them but are not heard, or the other way
-	EdgesApart     Kind = "edges-apart"       // an edge is cut off from all others
-	EdgeFreeze     Kind = "edge-freeze"       // an edge's process is stopped for a while
+	EdgesCut       Kind = "edges-cut"         // some edges and all core machines can't reach each other
+	EdgesCutOneWay Kind = "edges-cut-one-way" // messages between some edges and all core machines are lost in one direction
+	EdgesApart     Kind = "edges-apart"       // an edge and all other edges can't reach each other
+	EdgeFreeze     Kind = "edge-freeze"       // an edge's process is stopped for a time
 )
 
-var edgeKinds = []Kind{EdgesCut, EdgesCut, EdgesCutOneWay, EdgesApart, EdgeFreeze, EdgeFreeze}
+var edgeFaultKinds = []Kind{EdgesCut, EdgesCut, EdgesCutOneWay, EdgesApart, EdgeFreeze, EdgeFreeze}
 
-const mostEdgeFaults = 5
+const maxEdgeFaults = 5
 
-func drawEdgeFaults(lots *rand.Rand) (all []Fault) {
-	for range lots.IntN(mostEdgeFaults + 1) {
-		f := Fault{Kind: edgeKinds[lots.IntN(len(edgeKinds))], At: faultsFrom + time.Duration(lots.Int64N(int64(faultsUntil-faultsFrom-time.Second))),
-			For: time.Duration(lots.Int64N(int64(20 * time.Second))), Who: lots.IntN(edgeCount), X: lots.IntN(1000)}
-		f.For = min(f.For, faultsUntil-f.At)
+// drawEdgeFaults draws the faults of edges for a run.
+func drawEdgeFaults(rng *rand.Rand) (all []Fault) {
+	for range rng.IntN(maxEdgeFaults + 1) {
+		f := Fault{Kind: edgeFaultKinds[rng.IntN(len(edgeFaultKinds))], At: faultsStart + time.Duration(rng.Int64N(int64(faultsEnd-faultsStart-time.Second))),
+			For: time.Duration(rng.Int64N(int64(20 * time.Second))), Who: rng.IntN(edgeCount), X: rng.IntN(1000)}
+		f.For = min(f.For, faultsEnd-f.At)
 		all = append(all, f)
 	}
 	return all
 }
 
-// strikeEdges lets a fault of edges come about. It tells whether it is one.
-func (w *world) strikeEdges(f Fault) bool {
+// injectEdgeFault injects a fault of edges. It returns false for other kinds.
+func (w *world) injectEdgeFault(f Fault) bool {
 	first := w.edges.all[max(f.Who, 0)%edgeCount]
 	switch f.Kind {
 	case EdgesCut, EdgesCutOneWay:
-		var some, core []string
+		var edges, core []string
 		for i := range 1 + f.X%edgeCount {
-			some = append(some, w.edges.all[(first.index+i)%edgeCount].address)
+			edges = append(edges, w.edges.all[(first.index+i)%edgeCount].address)
 		}
 		for _, h := range w.hosts {
 			core = append(core, h.address)
 		}
 		if f.Kind == EdgesCutOneWay && f.X%2 == 0 {
-			some, core = core, some
+			edges, core = core, edges
 		}
-		w.after(f.For, w.network.cut(some, core, f.Kind == EdgesCut))
+		w.after(f.For, w.network.cut(edges, core, f.Kind == EdgesCut))
 	case EdgesApart:
 		var others []string
 		for _, e := range w.edges.all {
--- a/internal/cdn/simulation/faults.go
+++ b/internal/cdn/simulation/faults.go
@@ -7,94 +7,95 @@
 	"time"
 )
 
-// Kind is a kind of trouble.
+// Kind is a kind of fault.
 type Kind string
 
-// The kinds of trouble.
+// The kinds of faults of core machines.
 const (
-	Kill          Kind = "kill"            // a process ends and is started again
-	KillAll       Kind = "kill-all"        // all of them do
-	PowerLoss     Kind = "power"           // a machine loses power, with what its disk had not synced
-	PowerLossAll  Kind = "power-all"       // all of them do
-	PowerInSave   Kind = "power-in-save"   // a machine loses power between two operations of its disk
-	Freeze        Kind = "freeze"          // a process is stopped for a while
-	Cut           Kind = "cut"             // some machines are cut off from the others
-	CutOneWay     Kind = "cut-one-way"     // they hear the others but are not heard, or the other way
-	BadNetwork    Kind = "bad-network"     // messages are lost, doubled and late
+	Kill          Kind = "kill"            // a process is killed and restarted
+	KillAll       Kind = "kill-all"        // all processes are killed and restarted
+	PowerLoss     Kind = "power"           // a machine loses power and what its disk had not synced
+	PowerLossAll  Kind = "power-all"       // all machines lose power
+	PowerInSave   Kind = "power-in-save"   // a machine loses power between two disk operations
+	Freeze        Kind = "freeze"          // a process is stopped for a time
+	Cut           Kind = "cut"             // some machines and the others can't reach each other
+	CutOneWay     Kind = "cut-one-way"     // messages between some machines and the others are lost in one direction
+	BadNetwork    Kind = "bad-network"     // messages are lost, duplicated and delayed
 	Wipe          Kind = "wipe"            // a machine loses its disk
-	WipeOnAck     Kind = "wipe-on-ack"     // the one that has just acknowledged an order does
-	WipeAndPower  Kind = "wipe-and-power"  // the same, and all others lose power with it
-	Replace       Kind = "replace"         // a machine is gone for good, and another one comes at another address
-	ReplaceFirst  Kind = "replace-first"   // the new one comes first, then the old one gets SIGTERM and is gone
-	Terminate     Kind = "terminate"       // SIGTERM, and a start
-	DiskFull      Kind = "disk-full"       // a disk takes nothing
-	DiskSlow      Kind = "disk-slow"       // a disk takes thirty times as long
-	DiskSyncFails Kind = "disk-sync-fails" // a sync fails, and what it was to keep is lost
-	Storm         Kind = "storm"           // operators change the configuration again and again
-	DutyStalls    Kind = "duty-stalls"     // what the duty's holder decided is proposed only after a while
+	WipeOnAck     Kind = "wipe-on-ack"     // the machine that is first to commit an update, and about to acknowledge it, loses its disk
+	WipeAndPower  Kind = "wipe-and-power"  // as WipeOnAck, and all other machines lose power
+	Replace       Kind = "replace"         // a machine is removed for good, and then a new one is added at another address
+	ReplaceFirst  Kind = "replace-first"   // a new machine is added first, then the old one gets SIGTERM and is removed
+	Terminate     Kind = "terminate"       // a process gets SIGTERM and is restarted
+	DiskFull      Kind = "disk-full"       // all writes to a disk fail
+	DiskSlow      Kind = "disk-slow"       // syncs of a disk take 30 times as long
+	DiskSyncFails Kind = "disk-sync-fails" // a sync fails and its data is lost
+	Storm         Kind = "storm"           // operators update the configuration rapidly
+	DutyStalls    Kind = "duty-stalls"     // a decision of the duty holder is proposed with a delay
 )
 
-// Fault is one trouble.
+// Fault is one fault to inject into a run.
 type Fault struct {
 	Kind Kind
-	At   time.Duration
+	At   time.Duration // since the start of the run
 	For  time.Duration
-	Who  int // which machine; leaderLot: the one that leads
-	X    int // of the kind's own
+	Who  int // index of the machine or edge; targetLeader for the leader
+	X    int // random parameter, whose meaning depends on the kind
 }
 
-// leaderLot stands for the machine that leads when the fault strikes.
-const leaderLot = -1
+// targetLeader stands for the machine that leads when the fault is injected.
+const targetLeader = -1
 
 func (f Fault) String() string {
 	who := fmt.Sprint(f.Who)
-	if f.Who == leaderLot {
+	if f.Who == targetLeader {
 		who = "leader"
 	}
 	return fmt.Sprintf("%s at %.2fs for %.2fs on %s (%d)", f.Kind, f.At.Seconds(), f.For.Seconds(), who, f.X)
 }
 
-// usualKinds are the kinds that a seed draws from, each as often as it stands here.
-var usualKinds = []Kind{Kill, KillAll, PowerLoss, PowerLoss, PowerLossAll, PowerInSave, PowerInSave, Freeze, Freeze, Cut, Cut, CutOneWay,
+// hostFaultKinds are the kinds that are drawn for core machines, weighted by how often each is listed.
+var hostFaultKinds = []Kind{Kill, KillAll, PowerLoss, PowerLoss, PowerLossAll, PowerInSave, PowerInSave, Freeze, Freeze, Cut, Cut, CutOneWay,
 	BadNetwork, Wipe, Wipe, WipeOnAck, WipeAndPower, WipeAndPower, Replace, ReplaceFirst, Terminate, DiskFull, DiskSlow, DiskSyncFails, Storm, DutyStalls}
 
-func drawFaults(lots *rand.Rand, machines int) (all []Fault) {
-	span := func(least, most time.Duration) time.Duration {
-		return least + time.Duration(lots.Int64N(int64(most-least)))
+// drawFaults draws the faults of core machines for a run, in order of time.
+func drawFaults(rng *rand.Rand, machines int) (all []Fault) {
+	randomDuration := func(shortest, longest time.Duration) time.Duration {
+		return shortest + time.Duration(rng.Int64N(int64(longest-shortest)))
 	}
-	for range 3 + lots.IntN(10) {
-		f := Fault{Kind: usualKinds[lots.IntN(len(usualKinds))], At: span(faultsFrom, faultsUntil-time.Second), Who: lots.IntN(machines), X: lots.IntN(1000)}
-		if lots.IntN(3) == 0 {
-			f.Who = leaderLot
+	for range 3 + rng.IntN(10) {
+		f := Fault{Kind: hostFaultKinds[rng.IntN(len(hostFaultKinds))], At: randomDuration(faultsStart, faultsEnd-time.Second), Who: rng.IntN(machines), X: rng.IntN(1000)}
+		if rng.IntN(3) == 0 {
+			f.Who = targetLeader
 		}
 		switch f.Kind {
 		case Freeze, Cut, CutOneWay:
-			f.For = span(200*time.Millisecond, 20*time.Second)
+			f.For = randomDuration(200*time.Millisecond, 20*time.Second)
 		case DiskFull, DiskSlow, BadNetwork, Storm, DutyStalls:
-			f.For = span(500*time.Millisecond, 8*time.Second)
+			f.For = randomDuration(500*time.Millisecond, 8*time.Second)
 		default:
-			f.For = span(restartAfter, 3*time.Second)
+			f.For = randomDuration(minRestartDelay, 3*time.Second)
 		}
-		f.For = min(f.For, faultsUntil-f.At)
+		f.For = min(f.For, faultsEnd-f.At)
 		all = append(all, f)
 	}
 	slices.SortStableFunc(all, func(a, b Fault) int { return int(a.At - b.At) })
 	return all
 }
 
-// target is the machine that a fault is meant for; nil if there is none.
-func (w *world) target(f Fault) *host {
-	if f.Who == leaderLot {
+// targetHost returns the machine that a fault is meant for; nil if there is none.
+func (w *world) targetHost(f Fault) *host {
+	if f.Who == targetLeader {
 		return w.leader()
 	}
 	h := w.hosts[f.Who%len(w.hosts)]
-	if h.gone {
+	if h.removed {
 		return nil
 	}
 	return h
 }
 
-// leader is the machine that leads in the highest term; nil if none does.
+// leader returns the leader of the highest term; nil if there is none.
 func (w *world) leader() (best *host) {
 	for _, h := range w.hosts {
 		if h.machine != nil && h.machine.Leads() && (best == nil || h.machine.Term() > best.machine.Term()) {
@@ -104,16 +105,16 @@
 	return best
 }
 
-// strike lets a fault come about.
-func (w *world) strike(f Fault) {
-	if w.strikeEdges(f) {
+// injectFault injects a fault, unless its target is gone.
+func (w *world) injectFault(f Fault) {
+	if w.injectEdgeFault(f) {
 		return
 	}
-	h := w.target(f)
-	if h == nil && f.Who == leaderLot {
+	h := w.targetHost(f)
+	if h == nil && f.Who == targetLeader {
 		h = w.hosts[f.X%len(w.hosts)]
 	}
-	if h == nil || h.gone {
+	if h == nil || h.removed {
 		return
 	}
 	w.trace("%v: host %d", f, h.index)
@@ -123,54 +124,54 @@
 	case PowerLoss:
 		h.losePower(f.For)
 	case KillAll, PowerLossAll:
-		w.strikeAll(f, nil)
+		w.injectFaultOnAll(f, nil)
 	case PowerInSave:
 		h.disk.DiesAfter = 1 + f.X%6
-		h.lost(f.For)
+		h.markLost(f.For)
 	case Freeze:
 		h.freeze(f.For)
 	case Cut, CutOneWay:
 		w.cutOff(h, f)
 	case BadNetwork:
-		w.spoilNetwork(f)
+		w.degradeNetwork(f)
 	case Wipe, Replace, ReplaceFirst:
-		w.strikeWhenAllowed(f, h)
+		w.injectDiskLoss(f, h)
 	case WipeOnAck, WipeAndPower:
-		w.client.onTaken = func(by *host) { w.wipeSoon(f, by) }
+		w.clients.onFirstCommit = func(by *host) { w.wipeAfterCommit(f, by) }
 	case Terminate:
-		h.lost(leaveWithin + f.For)
+		h.markLost(leaveTimeout + f.For)
 		h.terminate(func() { h.startAfter(f.For) })
 	case DiskFull, DiskSlow:
-		w.troubleDisk(h, f)
+		w.degradeDisk(h, f)
 	case DiskSyncFails:
 		h.disk.FailSyncs = 1 + f.X%2
-		h.lost(time.Second)
+		h.markLost(time.Second)
 	case Storm:
-		w.client.storm = true
-		w.after(f.For, func() { w.client.storm = false })
+		w.clients.updateStorm = true
+		w.after(f.For, func() { w.clients.updateStorm = false })
 	case DutyStalls:
-		w.client.dutyStall = f.For
+		w.clients.dutyDelay = f.For
 	}
 }
 
-// strikeAll strikes all machines but one.
-func (w *world) strikeAll(f Fault, but *host) {
+// injectFaultOnAll kills all machines but one, or has them lose power, and restarts them.
+func (w *world) injectFaultOnAll(f Fault, except *host) {
 	for _, h := range w.hosts {
-		if h.gone || h == but {
+		if h.removed || h == except {
 			continue
 		}
-		back := w.between(restartAfter, f.For+restartAfter)
+		restartDelay := w.randomDuration(minRestartDelay, f.For+minRestartDelay)
 		if f.Kind == KillAll {
-			h.kill(back)
+			h.kill(restartDelay)
 		} else {
-			h.losePower(back)
+			h.losePower(restartDelay)
 		}
 	}
 }
 
-// cutOff cuts a machine and perhaps others off: as many as may be lost at once, or half of them.
+// cutOff cuts a group of machines off from the others: up to as many as may fail at once, or half of them.
 func (w *world) cutOff(first *host, f Fault) {
-	size := 1 + f.X%max(w.tolerate, 1)
+	size := 1 + f.X%max(w.maxFailures, 1)
 	if f.X%5 == 0 {
 		size = len(w.hosts) / 2
 	}
@@ -182,7 +183,7 @@
 		} else {
 			outside = append(outside, h.address)
 		}
-		h.lost(f.For)
+		h.markLost(f.For)
 	}
 	from, to := inside, outside
 	if f.Kind == CutOneWay && f.X%2 == 0 {
@@ -191,17 +192,19 @@
 	w.after(f.For, w.network.cut(from, to, f.Kind == Cut))
 }
 
-func (w *world) spoilNetwork(f Fault) {
+// degradeNetwork has messages lost, duplicated and delayed for the duration of the fault.
+func (w *world) degradeNetwork(f Fault) {
 	n := &w.network
-	n.loss, n.double, n.jitter, n.calm = float64(f.X%30)/100, float64(f.X%20)/100, time.Duration(5+f.X%300)*time.Millisecond, false
+	n.lossRate, n.duplicateRate, n.maxDelay, n.reliable = float64(f.X%30)/100, float64(f.X%20)/100, time.Duration(5+f.X%300)*time.Millisecond, false
 	for _, h := range w.hosts {
-		h.lost(f.For)
+		h.markLost(f.For)
 	}
-	w.after(f.For, func() { n.loss, n.double, n.jitter, n.calm = 0, 0, usualDelay, true })
+	w.after(f.For, func() { n.lossRate, n.duplicateRate, n.maxDelay, n.reliable = 0, 0, defaultMaxDelay, true })
 }
 
-func (w *world) troubleDisk(h *host, f Fault) {
-	h.lost(f.For)
+// degradeDisk makes a disk full or slow for the duration of the fault.
+func (w *world) degradeDisk(h *host, f Fault) {
+	h.markLost(f.For)
 	if f.Kind == DiskFull {
 		h.disk.Full = true
 		w.after(f.For, func() { h.disk.Full = false })
@@ -211,56 +214,56 @@
 	w.after(f.For, func() { h.disk.Slow = false })
 }
 
-const waitForTurn = 500 * time.Millisecond
+const diskLossRetryInterval = 500 * time.Millisecond
 
-// strikeWhenAllowed lets a disk be lost only while no more machines than must be tolerated count as lost with it; it waits
-// its turn.
-func (w *world) strikeWhenAllowed(f Fault, h *host) {
-	if h.gone || w.since() > faultsUntil-waitForTurn-restartAfter {
+// injectDiskLoss takes a machine's disk or the whole machine away, once no more machines than must be tolerated count as lost
+// together with it; until then it retries.
+func (w *world) injectDiskLoss(f Fault, h *host) {
+	if h.removed || w.since() > faultsEnd-diskLossRetryInterval-minRestartDelay {
 		return
 	}
-	if !w.mayLose(h) {
-		w.after(waitForTurn, func() { w.strikeWhenAllowed(f, h) })
+	if !w.mayLoseDisk(h) {
+		w.after(diskLossRetryInterval, func() { w.injectDiskLoss(f, h) })
 		return
 	}
-	w.checkBackInTime()
+	w.checkRecovered()
 	switch f.Kind {
 	case Wipe:
-		h.wipe(min(f.For, faultsUntil-w.since()))
+		h.wipe(min(f.For, faultsEnd-w.since()))
 	case Replace:
-		w.trace("host %d is gone for good", h.index)
+		w.trace("host %d is removed for good", h.index)
 		h.remove()
-		w.after(min(f.For, faultsUntil-w.since()), func() { w.succeed(h) })
+		w.after(min(f.For, faultsEnd-w.since()), func() { w.addReplacement(h) })
 	case ReplaceFirst:
-		w.succeed(nil)
+		w.addReplacement(nil)
 		w.after(time.Second, func() {
-			h.lost(leaveWithin)
+			h.markLost(leaveTimeout)
 			h.terminate(func() {
 				h.remove()
-				h.lostUntil = w.now.Add(catchUp)
+				h.lostUntil = w.now.Add(catchUpTimeout)
 			})
 		})
 	}
 }
 
-// succeed adds a machine at an address that nobody had.
-func (w *world) succeed(predecessor *host) {
+// addReplacement adds a machine at a new address in place of predecessor, which may be nil.
+func (w *world) addReplacement(predecessor *host) {
 	h := w.addHost(len(w.hosts), false)
 	h.predecessor = predecessor
-	h.lost(restartAfter)
+	h.markLost(minRestartDelay)
 }
 
-// wipeSoon takes the disk of the machine that has just acknowledged an order.
-func (w *world) wipeSoon(f Fault, by *host) {
-	w.client.onTaken = nil
+// wipeAfterCommit wipes the disk of the machine that has just committed an update, within a few milliseconds.
+func (w *world) wipeAfterCommit(f Fault, by *host) {
+	w.clients.onFirstCommit = nil
 	w.after(time.Duration(f.X%4)*time.Millisecond, func() {
-		if w.mayLose(by) && w.since() < faultsUntil-restartAfter {
-			w.checkBackInTime()
-			if f.Kind == WipeAndPower { // it may be back before those that hold what it has lost
-				w.strikeAll(Fault{Kind: PowerLossAll, For: f.For}, by)
-				f.For = restartAfter
+		if w.mayLoseDisk(by) && w.since() < faultsEnd-minRestartDelay {
+			w.checkRecovered()
+			if f.Kind == WipeAndPower { // the machine may restart before those that hold what it has lost
+				w.injectFaultOnAll(Fault{Kind: PowerLossAll, For: f.For}, by)
+				f.For = minRestartDelay
 			}
-			by.wipe(min(f.For, faultsUntil-w.since()))
+			by.wipe(min(f.For, faultsEnd-w.since()))
 		}
 	})
 }
--- a/internal/cdn/simulation/host.go
+++ b/internal/cdn/simulation/host.go
@@ -13,48 +13,50 @@
 )
 
 const (
-	turnTime     = 200 * time.Microsecond // of the processor, beside what the disk takes
-	restartAfter = 300 * time.Millisecond
-	leaveWithin  = 2 * time.Second
-	tailEntries  = 24
-	renewEntries = 60
-	pieceBytes   = 1000
+	stepTime           = 200 * time.Microsecond // processor time of one step, without disk syncs
+	minRestartDelay    = 300 * time.Millisecond
+	leaveTimeout       = 2 * time.Second
+	tailEntries        = 24
+	maxLogEntries      = 60
+	snapshotPieceBytes = 1000
 )
 
-// host is one core machine: its disk, and the process on it, if one runs.
+// host is a core machine: its disk, and its process if one runs.
 type host struct {
 	w           *world
 	index       int
 	address     string
-	founder     bool  // it was there at the first start
-	predecessor *host // whose place it takes, until it has started
-	gone        bool  // for good
+	founder     bool  // present at the first start of the cluster
+	predecessor *host // removed machine that it replaces; nil once it has started
+	removed     bool  // removed for good
 	disk        *Disk
-	wipes       int
+	wipes       int // number of times its disk was wiped
 
-	machine     *configstore.Machine
-	beats       *registry.Beats // of the registry beside it
-	reporting   *reporting      // its part in the duty, if that is played
-	incarnation int             // of its processes
-	opening     int             // starts that are under way
-	outbox      []consensus.Message
-	busyUntil   time.Time
-	frozen      bool
-	inbox       []func() // what waits for its loop
-	draining    bool     // the loop is to come round
-	waiting     []func() // what came to its other goroutines while it was frozen
-	leaving     bool
-	lostUntil   time.Time // it counts as lost, and for a while after it is back
+	machine        *configstore.Machine
+	heartbeats     *registry.Beats // heartbeats that its registry has received
+	reporting      *reporting      // usage reporting, if it is simulated
+	incarnation    int             // counts starts and stops of its process
+	pendingStarts  int             // scheduled starts
+	outbox         []consensus.Message
+	busyUntil      time.Time
+	frozen         bool
+	inbox          []func()  // actions queued for the loop
+	drainScheduled bool      // an iteration of the loop is scheduled
+	deferred       []func()  // actions outside the loop that arrived while the process was frozen
+	leaving        bool      // shutting down after SIGTERM
+	lostUntil      time.Time // the machine counts as lost until then; includes time to recover
 }
 
+// addHost adds a machine and starts it after a short random delay.
 func (w *world) addHost(index int, founder bool) *host {
 	h := &host{w: w, index: index, address: addressOf(index), founder: founder, disk: NewDisk(w.options.Seed<<8 | uint64(index))}
 	h.disk.IgnoreFolderSync = w.options.NoSync
 	w.hosts = append(w.hosts, h)
-	h.startAfter(w.between(0, 300*time.Millisecond))
+	h.startAfter(w.randomDuration(0, 300*time.Millisecond))
 	return h
 }
 
+// hostAt returns the machine with an address; nil if there is none.
 func (w *world) hostAt(address string) *host {
 	for _, h := range w.hosts {
 		if h.address == address {
@@ -64,41 +66,43 @@
 	return nil
 }
 
+// up reports whether the process runs and is not frozen.
 func (h *host) up() bool { return h.machine != nil && !h.frozen }
 
-// startAfter starts the process after a while.
+// startAfter starts the process after a delay, unless it runs or another start is pending then.
 func (h *host) startAfter(d time.Duration) {
-	h.opening++
+	h.pendingStarts++
 	h.w.after(d, func() {
-		h.opening--
-		if h.machine == nil && !h.gone && h.opening == 0 {
+		h.pendingStarts--
+		if h.machine == nil && !h.removed && h.pendingStarts == 0 {
 			h.open()
 		}
 	})
 }
 
+// open starts the process. It schedules a retry if power is lost meanwhile or the disk is full.
 func (h *host) open() {
 	h.incarnation++
 	machine, err := configstore.OpenMachine(h.config(), h.disk, h.w.now)
 	switch {
 	case h.disk.Died():
-		h.losePower(h.w.between(restartAfter, 2*time.Second))
+		h.losePower(h.w.randomDuration(minRestartDelay, 2*time.Second))
 		return
 	case errors.Is(err, configstore.ErrNotBegun):
 		h.startAfter(100 * time.Millisecond)
 		return
 	case err != nil:
-		h.w.fail("host %d does not open: %v", h.index, err)
+		h.w.fail("host %d failed to start: %v", h.index, err)
 		return
 	}
-	h.machine, h.beats = machine, registry.NewBeats()
+	h.machine, h.heartbeats = machine, registry.NewBeats()
 	if p := h.predecessor; p != nil {
-		p.lostUntil, h.predecessor = h.w.now.Add(catchUp), nil
+		p.lostUntil, h.predecessor = h.w.now.Add(catchUpTimeout), nil
 	}
-	h.busyUntil = h.w.now.Add(h.disk.TakeSpent() + turnTime)
-	h.w.trace("host %d starts as %s", h.index, machine.Self().ID)
+	h.busyUntil = h.w.now.Add(h.disk.TakeSpent() + stepTime)
+	h.w.trace("host %d started as %s", h.index, machine.Self().ID)
 	h.tick()
-	h.beginReporting()
+	h.startReporting()
 }
 
 func (h *host) config() configstore.MachineConfig {
@@ -107,56 +111,56 @@
 		lease = reportLease
 	}
 	return configstore.MachineConfig{DutyLease: lease, IP: ipOf(h.index), Address: h.address, Founders: w.founders, FirstStart: h.founder && h.wipes == 0,
-		Contacts: h.seeds(), Tolerate: w.tolerate, Timing: consensus.Usual,
+		Contacts: h.contacts(), Tolerate: w.maxFailures, Timing: consensus.Usual,
 		Seed: w.options.Seed<<16 | uint64(h.index)<<8 | uint64(incarnation), Weak: w.options.Weak, Log: hclog.NewNullLogger(),
 		Send: func(m consensus.Message) { h.outbox = append(h.outbox, m) }, Identity: func() string { return fmt.Sprint("life-", incarnation) },
 		Clock:  func() time.Time { return w.now.Add(h.disk.Spent) },
-		Limits: consensus.Limits{TailEntries: tailEntries, TailBytes: 1 << 20, PieceBytes: pieceBytes}, RenewEntries: renewEntries,
+		Limits: consensus.Limits{TailEntries: tailEntries, TailBytes: 1 << 20, PieceBytes: snapshotPieceBytes}, RenewEntries: maxLogEntries,
 		Committed: func(all []consensus.Entry) { w.checkCommitted(h, all) }}
 }
 
-// seeds are three machines that are there when a process is started, as its settings name them.
-func (h *host) seeds() (addresses []string) {
+// contacts returns the addresses of three other existing machines, as the settings of a starting process name them.
+func (h *host) contacts() (addresses []string) {
 	for _, o := range h.w.hosts {
-		if !o.gone && o != h && len(addresses) < len(h.w.founders) {
+		if !o.removed && o != h && len(addresses) < len(h.w.founders) {
 			addresses = append(addresses, o.address)
 		}
 	}
 	return addresses
 }
 
-// tick lets the process's loop come round, as its ticker does.
+// tick schedules iterations of the process's loop at tickInterval, as its ticker does.
 func (h *host) tick() {
 	incarnation := h.incarnation
-	h.run(func() {})
-	h.w.after(tickEvery, func() {
+	h.enqueue(func() {})
+	h.w.after(tickInterval, func() {
 		if h.incarnation == incarnation && h.machine != nil {
 			h.tick()
 		}
 	})
 }
 
-// run does something in the process, when its loop comes to it.
-func (h *host) run(do func()) {
-	if h.machine == nil || len(h.inbox) >= mostInFlight {
+// enqueue queues do for the process's loop. It drops do if no process runs or the queue is full.
+func (h *host) enqueue(do func()) {
+	if h.machine == nil || len(h.inbox) >= maxInboxLength {
 		return
 	}
 	h.inbox = append(h.inbox, do)
 	h.drain()
 }
 
-// drain lets the loop come round: it takes all that waits, then turns once.
+// drain schedules an iteration of the loop, which runs all queued actions and then steps the machine once.
 func (h *host) drain() {
-	if h.draining || h.frozen || h.machine == nil {
+	if h.drainScheduled || h.frozen || h.machine == nil {
 		return
 	}
-	h.draining = true
+	h.drainScheduled = true
 	incarnation := h.incarnation
-	h.w.at(later(h.w.now, h.busyUntil), func() {
+	h.w.at(laterOf(h.w.now, h.busyUntil), func() {
 		if h.incarnation != incarnation || h.machine == nil {
 			return
 		}
-		h.draining = false
+		h.drainScheduled = false
 		if h.frozen {
 			return
 		}
@@ -165,38 +169,40 @@
 		for _, do := range inbox {
 			do()
 		}
-		h.turn()
+		h.step()
 	})
 }
 
-func later(a, b time.Time) time.Time {
+// laterOf returns the later of two times.
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-func (h *host) turn() {
+// step advances the machine, and sends its messages once the time for processor and disk has passed.
+func (h *host) step() {
 	if err := h.machine.Turn(h.w.now); err != nil && !h.disk.Died() {
-		h.w.fail("host %d ends: %v", h.index, err)
+		h.w.fail("host %d stopped with an error: %v", h.index, err)
 		return
 	}
-	h.busyUntil = h.w.now.Add(h.disk.TakeSpent() + turnTime)
+	h.busyUntil = h.w.now.Add(h.disk.TakeSpent() + stepTime)
 	if h.disk.Died() {
-		h.losePower(h.w.between(restartAfter, 2*time.Second))
+		h.losePower(h.w.randomDuration(minRestartDelay, 2*time.Second))
 		return
 	}
 	outbox := h.outbox
 	h.outbox = nil
 	incarnation := h.incarnation
 	h.w.at(h.busyUntil, func() {
-		if h.incarnation == incarnation && h.machine != nil { // else it ended before they left
+		if h.incarnation == incarnation && h.machine != nil { // else the process ended before the messages were sent
 			for _, m := range outbox {
-				h.w.transmit(h, m)
+				h.w.sendConsensus(h, m)
 			}
 		}
 	})
-	h.w.checkTurn(h)
+	h.w.checkAfterStep(h)
 	if h.leaving && h.machine != nil && h.machine.Left() {
 		h.w.trace("host %d has left", h.index)
 		h.stop()
@@ -208,50 +214,52 @@
 	if h.machine != nil {
 		h.machine.Close()
 	}
-	h.machine, h.outbox, h.inbox, h.waiting = nil, nil, nil, nil
-	h.draining, h.frozen, h.leaving = false, false, false
+	h.machine, h.outbox, h.inbox, h.deferred = nil, nil, nil, nil
+	h.drainScheduled, h.frozen, h.leaving = false, false, false
 	h.incarnation++
 }
 
-// kill ends the process; its files stay as it left them.
-func (h *host) kill(back time.Duration) {
+// kill ends the process and schedules its restart. Its files stay as it left them, including unsynced writes.
+func (h *host) kill(restartDelay time.Duration) {
 	h.stop()
-	h.lost(back)
-	h.startAfter(back)
+	h.markLost(restartDelay)
+	h.startAfter(restartDelay)
 }
 
-func (h *host) losePower(back time.Duration) {
+// losePower ends the process, loses unsynced data of the disk and schedules a restart.
+func (h *host) losePower(restartDelay time.Duration) {
 	h.stop()
 	h.disk.PowerLost()
-	h.lost(back)
-	h.startAfter(back)
+	h.markLost(restartDelay)
+	h.startAfter(restartDelay)
 }
 
-// wipe takes the disk away as well.
-func (h *host) wipe(back time.Duration) {
+// wipe ends the process, deletes everything on its disk and schedules a restart.
+func (h *host) wipe(restartDelay time.Duration) {
 	h.w.trace("host %d loses its disk", h.index)
 	h.stop()
 	h.disk.Wipe()
 	h.w.disksLost++
 	h.wipes++
-	h.lost(back)
-	h.startAfter(back)
+	h.markLost(restartDelay)
+	h.startAfter(restartDelay)
 }
 
-// remove takes the machine away for good.
+// remove removes the machine for good.
 func (h *host) remove() {
 	h.stop()
-	h.gone = true
+	h.removed = true
 	h.w.disksLost++
-	h.lostUntil = h.w.now.Add(time.Hour) // until its successor has had its time
+	h.lostUntil = h.w.now.Add(time.Hour) // shortened once its replacement has started
 }
 
+// freeze stops the process for a time.
 func (h *host) freeze(span time.Duration) {
 	if h.machine == nil || h.frozen {
 		return
 	}
 	h.frozen = true
-	h.lost(span)
+	h.markLost(span)
 	incarnation := h.incarnation
 	h.w.after(span, func() {
 		if h.incarnation == incarnation {
@@ -260,32 +268,33 @@
 	})
 }
 
+// thaw resumes the process and runs the deferred actions.
 func (h *host) thaw() {
 	if !h.frozen {
 		return
 	}
 	h.frozen = false
-	waiting := h.waiting
-	h.waiting = nil
-	for _, turn := range waiting {
-		turn()
+	deferred := h.deferred
+	h.deferred = nil
+	for _, do := range deferred {
+		do()
 	}
 	h.drain()
 }
 
-// terminate is SIGTERM: the process leaves, and ends when it may or when its time is over.
+// terminate simulates SIGTERM: the process leaves the cluster and ends when it has left or after leaveTimeout. Then then is called.
 func (h *host) terminate(then func()) {
 	if h.machine == nil {
 		then()
 		return
 	}
 	h.leaving = true
-	h.run(func() { h.machine.Leave() })
+	h.enqueue(func() { h.machine.Leave() })
 	incarnation := h.incarnation
 	var wait func()
-	begun := h.w.now
+	started := h.w.now
 	wait = func() {
-		if h.incarnation == incarnation && h.machine != nil && h.w.now.Sub(begun) < leaveWithin {
+		if h.incarnation == incarnation && h.machine != nil && h.w.now.Sub(started) < leaveTimeout {
 			h.w.after(10*time.Millisecond, wait)
 			return
 		}
@@ -297,24 +306,24 @@
 	wait()
 }
 
-// lost notes that the machine counts as lost for a span, and for a while after it.
-func (h *host) lost(span time.Duration) {
-	if until := h.w.now.Add(span + catchUp); until.After(h.lostUntil) {
+// markLost marks the machine as lost for span and for catchUpTimeout after it.
+func (h *host) markLost(span time.Duration) {
+	if until := h.w.now.Add(span + catchUpTimeout); until.After(h.lostUntil) {
 		h.lostUntil = until
 	}
-	if until := h.w.now.Add(span); until.After(h.w.calm) {
-		h.w.calm = until
+	if until := h.w.now.Add(span); until.After(h.w.quietSince) {
+		h.w.quietSince = until
 	}
 }
 
-// isLost tells whether a machine counts as lost.
+// isLost reports whether the machine counts as lost.
 func (h *host) isLost() bool {
-	return h.machine == nil && !h.gone || h.frozen || h.disk.Slow || h.disk.Full || h.w.now.Before(h.lostUntil)
+	return h.machine == nil && !h.removed || h.frozen || h.disk.Slow || h.disk.Full || h.w.now.Before(h.lostUntil)
 }
 
-// mayLose tells whether one more machine may lose its disk now, beside those that count as lost.
-func (w *world) mayLose(h *host) bool {
-	if h.gone || h.machine == nil || !w.network.calm || w.now.Before(w.tooMany) {
+// mayLoseDisk reports whether the machine may lose its disk now, in addition to those that count as lost.
+func (w *world) mayLoseDisk(h *host) bool {
+	if h.removed || h.machine == nil || !w.network.reliable || w.now.Before(w.noDiskLossUntil) {
 		return false
 	}
 	others := 0
@@ -323,15 +332,16 @@
 			others++
 		}
 	}
-	return others < w.tolerate
+	return others < w.maxFailures
 }
 
-const countLostEvery = 50 * time.Millisecond
+const lostCheckInterval = 50 * time.Millisecond
 
-// countLost gives all machines their time anew to come back after more were lost than must be tolerated, and to those that
-// succeed one that is gone: whoever lost its disk before, or has come, can't become a voter without a majority.
-func (w *world) countLost() {
-	if w.since() > faultsUntil {
+// trackLost checks periodically how many machines are lost. While more are lost than must be tolerated, it extends the time to recover
+// of all machines, including those that replace a removed one: a machine that lost its disk before or is new can't become a voter
+// without a majority.
+func (w *world) trackLost() {
+	if w.since() > faultsEnd {
 		return
 	}
 	lost := 0
@@ -340,13 +350,13 @@
 			lost++
 		}
 	}
-	if lost > w.tolerate {
-		w.tooMany = w.now.Add(catchUp)
+	if lost > w.maxFailures {
+		w.noDiskLossUntil = w.now.Add(catchUpTimeout)
 		for _, h := range w.hosts {
-			if h.gone && w.now.Before(h.lostUntil) && h.lostUntil.Before(w.tooMany) {
-				h.lostUntil = w.tooMany
+			if h.removed && w.now.Before(h.lostUntil) && h.lostUntil.Before(w.noDiskLossUntil) {
+				h.lostUntil = w.noDiskLossUntil
 			}
 		}
 	}
-	w.after(countLostEvery, w.countLost)
+	w.after(lostCheckInterval, w.trackLost)
 }
--- a/internal/cdn/simulation/network.go
+++ b/internal/cdn/simulation/network.go
@@ -7,88 +7,89 @@
 	"cedarmast/internal/cdn/consensus"
 )
 
-// network is how messages travel: with delay, lost, doubled, out of order, and not at all over a cut, either way by itself.
+// network delays, loses, duplicates and reorders messages, and drops those that cross a cut. Each direction can be cut by itself.
 type network struct {
-	cuts   map[[2]string]int // from one address to another
-	loss   float64
-	double float64
-	jitter time.Duration
-	calm   bool // nothing is lost or late by the network's own
-	cutNow map[int]func()
-	nextID int
+	cutCounts     map[[2]string]int // number of active cuts by source and destination address
+	lossRate      float64
+	duplicateRate float64
+	maxDelay      time.Duration
+	reliable      bool // no degradation: messages are lost only over cuts
+	activeCuts    map[int]func()
+	lastCutID     int
 }
 
 const (
-	leastDelay = 400 * time.Microsecond
-	usualDelay = 3 * time.Millisecond
-	lateOne    = 10 // in so many messages takes so many times as long
+	minDelay          = 400 * time.Microsecond
+	defaultMaxDelay   = 3 * time.Millisecond
+	slowMessageFactor = 10 // one in 10 messages, on average, has 10 times the maximum delay
 )
 
 func newNetwork() network {
-	return network{cuts: map[[2]string]int{}, jitter: usualDelay, calm: true, cutNow: map[int]func(){}}
+	return network{cutCounts: map[[2]string]int{}, maxDelay: defaultMaxDelay, reliable: true, activeCuts: map[int]func(){}}
 }
 
+// heal ends all cuts and restores the default delay without loss.
 func (n *network) heal() {
-	for _, end := range n.cutNow {
+	for _, end := range n.activeCuts {
 		end()
 	}
-	clear(n.cuts)
-	clear(n.cutNow)
-	n.loss, n.double, n.jitter, n.calm = 0, 0, usualDelay, true
+	clear(n.cutCounts)
+	clear(n.activeCuts)
+	n.lossRate, n.duplicateRate, n.maxDelay, n.reliable = 0, 0, defaultMaxDelay, true
 }
 
-// cut cuts two groups off from each other, one way or both, until the returned function is called.
+// cut drops messages between two groups of addresses, one way or both, until the returned function is called.
 func (n *network) cut(from, to []string, bothWays bool) (end func()) {
-	change := func(by int) {
+	adjust := func(delta int) {
 		for _, a := range from {
 			for _, b := range to {
-				n.cuts[[2]string{a, b}] += by
+				n.cutCounts[[2]string{a, b}] += delta
 				if bothWays {
-					n.cuts[[2]string{b, a}] += by
+					n.cutCounts[[2]string{b, a}] += delta
 				}
 			}
 		}
 	}
-	change(1)
-	n.nextID++
-	id := n.nextID
-	n.cutNow[id] = func() {}
+	adjust(1)
+	n.lastCutID++
+	id := n.lastCutID
+	n.activeCuts[id] = func() {}
 	return func() {
-		if _, there := n.cutNow[id]; there {
-			delete(n.cutNow, id)
-			change(-1)
+		if _, active := n.activeCuts[id]; active {
+			delete(n.activeCuts, id)
+			adjust(-1)
 		}
 	}
 }
 
-func (n *network) reaches(from, to string) bool { return n.cuts[[2]string{from, to}] <= 0 }
+func (n *network) reaches(from, to string) bool { return n.cutCounts[[2]string{from, to}] <= 0 }
 
-// carry brings something from one address to another, unless it is lost on its way.
-func (w *world) carry(from, to string, arrive func()) { w.carryBy(w.rng, from, to, arrive) }
+// deliver calls arrive after the network delay, twice if the message is duplicated, never if it is lost.
+func (w *world) deliver(from, to string, arrive func()) { w.deliverWith(w.rng, from, to, arrive) }
 
-// carryBy is carry by a lot of the caller's.
-func (w *world) carryBy(rng *rand.Rand, from, to string, arrive func()) {
-	if !w.network.reaches(from, to) || rng.Float64() < w.network.loss {
+// deliverWith is deliver with a random source of the caller's.
+func (w *world) deliverWith(rng *rand.Rand, from, to string, arrive func()) {
+	if !w.network.reaches(from, to) || rng.Float64() < w.network.lossRate {
 		return
 	}
-	most := w.network.jitter
-	if rng.IntN(lateOne) == 0 {
-		most *= lateOne
+	maxDelay := w.network.maxDelay
+	if rng.IntN(slowMessageFactor) == 0 {
+		maxDelay *= slowMessageFactor
 	}
-	w.after(between(rng, leastDelay, most), arrive)
-	if rng.Float64() < w.network.double {
-		w.after(between(rng, leastDelay, 2*w.network.jitter), arrive)
+	w.after(randomDuration(rng, minDelay, maxDelay), arrive)
+	if rng.Float64() < w.network.duplicateRate {
+		w.after(randomDuration(rng, minDelay, 2*w.network.maxDelay), arrive)
 	}
 }
 
-// transmit brings a message of the agreement.
-func (w *world) transmit(from *host, m consensus.Message) {
+// sendConsensus delivers a message of the consensus protocol to the host that it addresses.
+func (w *world) sendConsensus(from *host, m consensus.Message) {
 	w.messages++
-	w.carry(from.address, m.ToAddr, func() {
+	w.deliver(from.address, m.ToAddr, func() {
 		to := w.hostAt(m.ToAddr)
 		if to == nil || to.machine == nil || !w.network.reaches(from.address, m.ToAddr) {
 			return
 		}
-		to.run(func() { to.machine.Deliver(w.now, []consensus.Message{m}) })
+		to.enqueue(func() { to.machine.Deliver(w.now, []consensus.Message{m}) })
 	})
 }
--- a/internal/cdn/simulation/play.go
+++ b/internal/cdn/simulation/play.go
@@ -13,53 +13,53 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("simulation")
 
-const garbagePercent = 400 // runs are short and leave much behind
+const gcPercent = 400 // runs are short and produce much garbage
 
-// Play plays seeds on all cores and hands the runs over one at a time, until it is told to end.
-func Play(from, seeds uint64, options func(seed uint64) Options, took func(Result) (goOn bool)) {
+// Play runs consecutive seeds on all processors and passes the results to onResult one at a time, until onResult returns false.
+func Play(from, seeds uint64, options func(seed uint64) Options, onResult func(Result) (proceed bool)) {
 	var mu sync.Mutex
 	var running sync.WaitGroup
-	next, over := from, false
-	take := func(r *Result) (seed uint64, more bool) {
+	next, stopped := from, false
+	finishAndNext := func(r *Result) (seed uint64, more bool) {
 		mu.Lock()
 		defer mu.Unlock()
-		if r != nil && !over {
-			over = !took(*r)
+		if r != nil && !stopped {
+			stopped = !onResult(*r)
 		}
 		next++
-		return next - 1, !over && next <= from+seeds
+		return next - 1, !stopped && next <= from+seeds
 	}
 	for range runtime.GOMAXPROCS(0) {
 		running.Go(func() {
-			for seed, more := take(nil); more; {
+			for seed, more := finishAndNext(nil); more; {
 				r := Run(options(seed))
-				seed, more = take(&r)
+				seed, more = finishAndNext(&r)
 			}
 		})
 	}
 	running.Wait()
 }
 
-// Sweep plays seeds and writes down which of them failed.
+// Sweep runs consecutive seeds and writes the failed ones and a summary to out. It returns an error if any failed.
 func Sweep(from, seeds uint64, out io.Writer) error {
-	debug.SetGCPercent(garbagePercent)
-	failed, orders, reads, lost := 0, 0, 0, 0
+	debug.SetGCPercent(gcPercent)
+	failed, updates, reads, lost := 0, 0, 0, 0
 	Play(from, seeds, func(seed uint64) Options { return Options{Seed: seed} }, func(r Result) bool {
-		orders, reads, lost = orders+r.Orders, reads+r.Reads, lost+r.DisksLost
+		updates, reads, lost = updates+r.Orders, reads+r.Reads, lost+r.DisksLost
 		if r.Failure != "" {
 			failed++
 			fmt.Fprintf(out, "seed %d at %v: %s\n", r.Seed, r.At, r.Failure)
 		}
 		return true
 	})
-	fmt.Fprintf(out, "%d seeds from %d: %d orders acknowledged, %d reads answered, %d disks lost, %d failed\n", seeds, from, orders, reads, lost, failed)
+	fmt.Fprintf(out, "%d seeds from %d: %d updates acknowledged, %d reads answered, %d disks lost, %d failed\n", seeds, from, updates, reads, lost, failed)
 	if failed > 0 {
 		return Error.New("%d of %d seeds failed", failed, seeds)
 	}
 	return nil
 }
 
-// Replay plays one seed, with the fewest faults if it fails, and writes down what happens.
+// Replay runs one seed and writes its trace to out. A failing run is first shrunk to fewer faults.
 func Replay(seed uint64, out io.Writer) error {
 	o := Options{Seed: seed}
 	r := Run(o)
@@ -72,6 +72,6 @@
 	if r.Failure != "" {
 		return Error.New("seed %d fails with %d faults at %v: %s", seed, len(r.Faults), r.At, r.Failure)
 	}
-	fmt.Fprintf(out, "seed %d: %d orders acknowledged, %d reads answered, no rule broken\n", seed, r.Orders, r.Reads)
+	fmt.Fprintf(out, "seed %d: %d updates acknowledged, %d reads answered, no invariant violated\n", seed, r.Orders, r.Reads)
 	return nil
 }
--- a/internal/cdn/simulation/reports_test.go
+++ b/internal/cdn/simulation/reports_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-var reportSeeds = flag.Uint64("simulation.reports", 100, "how many seeds of the duty are played")
+var reportSeeds = flag.Uint64("simulation.reports", 100, "number of seeds to run with usage reporting")
 
-// Whatever goes wrong, the platform is told each window once, by one holder at a time, and on time once all is calm.
+// Under faults the platform receives each window once, from one holder at a time, and on time once the faults have ended.
 func TestReports(t *testing.T) {
 	failed := 0
 	Play(0, *reportSeeds, func(seed uint64) Options { return Options{Seed: seed, Reports: true} }, func(r Result) bool {
@@ -25,12 +25,12 @@
 	assert.DeepEqual(t, Run(Options{Seed: 5, Reports: true}), Run(Options{Seed: 5, Reports: true}))
 }
 
-// Each guard of the duty, taken out, is found.
+// Disabling any safeguard of usage reporting leads to a violated invariant.
 func TestReportConvictions(t *testing.T) {
 	cases := []struct {
 		name string
 		weak ReportWeaknesses
-		says string // of the rule that it breaks
+		says string // part of the failure of the invariant that it violates
 	}{
 		{"calls carry no fence", ReportWeaknesses{SameFence: true}, "fence 1 of"},
 		{"a holder does not look at its lease", ReportWeaknesses{NoLook: true}, "was appointed"},
@@ -39,7 +39,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			runs, first := 0, ""
-			Play(0, mostForConviction, func(seed uint64) Options { return Options{Seed: seed, Reports: true, ReportWeak: c.weak} }, func(r Result) bool {
+			Play(0, maxSeedsPerSafeguard, func(seed uint64) Options { return Options{Seed: seed, Reports: true, ReportWeak: c.weak} }, func(r Result) bool {
 				runs++
 				if strings.Contains(r.Failure, c.says) {
 					first = fmt.Sprintf("seed %d: %.200s", r.Seed, r.Failure)
--- a/internal/cdn/simulation/simulation_test.go
+++ b/internal/cdn/simulation/simulation_test.go
@@ -13,23 +13,23 @@
 	"gotest.tools/v3/assert"
 )
 
-var seeds = flag.Uint64("simulation.seeds", 300, "how many seeds are played")
+var seeds = flag.Uint64("simulation.seeds", 300, "number of seeds to run")
 
-var oneSeed = flag.Int64("simulation.seed", -1, "play this seed alone, and tell what happens")
+var replaySeed = flag.Int64("simulation.seed", -1, "run only this seed and log its trace")
 
-// TestSeed replays one seed.
+// TestSeed replays the seed that the flag names.
 func TestSeed(t *testing.T) {
-	if *oneSeed >= 0 {
-		r := Run(Options{Seed: uint64(*oneSeed), Trace: t.Logf})
+	if *replaySeed >= 0 {
+		r := Run(Options{Seed: uint64(*replaySeed), Trace: t.Logf})
 		assert.Equal(t, r.Failure, "")
 	}
 }
 
-// Whatever goes wrong, the rules of the control side hold: see the package.
+// No invariant of the control plane is violated under the faults of any seed.
 func TestSeeds(t *testing.T) {
-	failed, orders, lost, ran, refused, neighbours := 0, 0, 0, 0, 0, 0
+	failed, updates, lost, ran, refused, neighbours := 0, 0, 0, 0, 0, 0
 	Play(0, *seeds, func(seed uint64) Options { return Options{Seed: seed} }, func(r Result) bool {
-		orders, lost = orders+r.Orders, lost+r.DisksLost
+		updates, lost = updates+r.Orders, lost+r.DisksLost
 		ran, refused, neighbours = ran+r.Ran, refused+r.Refused, neighbours+r.Neighbours
 		if r.Failure != "" {
 			failed++
@@ -37,12 +37,13 @@
 		}
 		return true
 	})
-	t.Logf("%d seeds, %d orders acknowledged, %d disks lost, %d failed; %d keyed requests let run, %d refused, %d questions to neighbours", *seeds, orders, lost, failed,
+	t.Logf("%d seeds, %d updates acknowledged, %d disks lost, %d failed; %d keyed requests run, %d refused, %d polls of neighbours", *seeds, updates, lost, failed,
 		ran, refused, neighbours)
 	assert.Assert(t, refused > 0 && ran > 4*refused)
 }
 
-// Edges that are cut off from the core run keyed requests on as long as a neighbour proves what they hold, and none when all are.
+// Edges that are cut off from the core keep running keyed requests as long as a neighbour proves that their replicas are fresh, and
+// refuse them when all edges are cut off.
 func TestEdgesThatAreCutOff(t *testing.T) {
 	for _, c := range []struct {
 		edges    int
@@ -60,18 +61,18 @@
 		assert.Equal(t, r.Failure, "", "%+v", c)
 		assert.Equal(t, r.Refused > 4*100, c.refuse, "%+v: %d of %d refused", c, r.Refused, r.Refused+r.Ran)
 		assert.Assert(t, c.refuse || r.Refused < 4*20, "%+v: %d refused", c, r.Refused)
-		assert.Equal(t, r.Neighbours > edgeNeighbours*edgeCount, c.edges > 0, "%+v: %d questions to neighbours", c, r.Neighbours)
+		assert.Equal(t, r.Neighbours > neighboursPerEdge*edgeCount, c.edges > 0, "%+v: %d polls of neighbours", c, r.Neighbours)
 	}
 }
 
-// A seed is a run: what fails is found again, and can be shrunk.
-func TestASeedIsARun(t *testing.T) {
+// Two runs of a seed are equal, so that a failure can be replayed and shrunk.
+func TestRunsAreDeterministic(t *testing.T) {
 	for seed := range uint64(12) {
 		assert.DeepEqual(t, Run(Options{Seed: seed}), Run(Options{Seed: seed}))
 	}
 }
 
-// A failing run is shrunk to the faults that it takes.
+// Shrink removes faults from a failing run and leaves it failing.
 func TestShrink(t *testing.T) {
 	o := Options{Seed: 4, Weak: configstore.Weaknesses{Consensus: consensus.Weaknesses{ReplaceBySmallerSet: true}}}
 	r := Run(o)
@@ -80,19 +81,20 @@
 	assert.Assert(t, small.Failure != "" && len(small.Faults) < len(r.Faults), "%v", small.Faults)
 }
 
-const mostForConviction = 2000
+const maxSeedsPerSafeguard = 2000
 
-// Each guard, taken out, is found within 2,000 seeds: rules that nothing breaks would show nothing.
+// Disabling any safeguard violates an invariant within 2,000 seeds. This shows that the simulation detects the faults that the
+// safeguards prevent.
 func TestConvictions(t *testing.T) {
 	type weak = configstore.Weaknesses
 	cases := []struct {
 		name string
 		weak weak
 		no   bool
-		all  bool // servers' calls are acknowledged without the log
+		all  bool // heartbeats are acknowledged without a log entry
 		copy statesync.Weaknesses
-		late bool // a proof is counted from the answer
-		runs bool // keyed requests run whatever is proven
+		late bool // a freshness proof is dated from the response
+		runs bool // keyed requests run without a recent proof
 	}{
 		{name: "a machine that lost its disk votes under its old name", weak: weak{KeepIdentity: true}},
 		{name: "answers leave before the sync", weak: weak{SendBeforeSave: true}},
@@ -112,7 +114,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			runs, first := 0, ""
-			Play(0, mostForConviction, func(seed uint64) Options {
+			Play(0, maxSeedsPerSafeguard, func(seed uint64) Options {
 				return Options{Seed: seed, Weak: c.weak, NoSync: c.no, SettleAll: c.all, WeakCopies: c.copy, CountFromAnswer: c.late, RunUnproven: c.runs}
 			}, func(r Result) bool {
 				runs++
--- a/internal/cdn/simulation/voters_test.go
+++ b/internal/cdn/simulation/voters_test.go
@@ -9,12 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// What voters cost and what they are worth, by how many there are: orders while nothing goes wrong, and with the leader killed again and again.
+// BenchmarkVoters measures the latency and cost of configuration updates by the number of voters, without faults and with the leader
+// killed every 3 seconds.
 // `go test -run XXX -bench Voters -benchtime 1x ./internal/cdn/simulation`
 func BenchmarkVoters(b *testing.B) {
 	var kills []Fault
-	for at := 4 * time.Second; at < faultsUntil-2*time.Second; at += 3 * time.Second {
-		kills = append(kills, Fault{Kind: Kill, At: at, For: 2 * time.Second, Who: leaderLot})
+	for at := 4 * time.Second; at < faultsEnd-2*time.Second; at += 3 * time.Second {
+		kills = append(kills, Fault{Kind: Kill, At: at, For: 2 * time.Second, Who: targetLeader})
 	}
 	const seeds = 30
 	for _, voters := range []int{3, 5, 7, 9, 12} {
@@ -22,19 +23,19 @@
 			b.Run(fmt.Sprintf("%d/%s", voters, name), func(b *testing.B) {
 				for b.Loop() {
 					var took []time.Duration
-					messages, syncs, orders := 0, uint64(0), 0
+					messages, syncs, updates := 0, uint64(0), 0
 					for seed := range uint64(seeds) {
 						r := Run(Options{Seed: seed, Faults: faults, Machine: voters})
 						assert.Equal(b, r.Failure, "")
-						took, messages, syncs, orders = append(took, r.Acknowledged...), messages+r.Messages, syncs+r.Syncs, orders+r.Orders
+						took, messages, syncs, updates = append(took, r.Acknowledged...), messages+r.Messages, syncs+r.Syncs, updates+r.Orders
 					}
 					slices.Sort(took)
-					quantile := func(part float64) float64 { return took[int(part*float64(len(took)-1))].Seconds() * 1e3 }
+					quantile := func(fraction float64) float64 { return took[int(fraction*float64(len(took)-1))].Seconds() * 1e3 }
 					b.ReportMetric(quantile(0.5), "p50-ms")
 					b.ReportMetric(quantile(0.99), "p99-ms")
 					b.ReportMetric(quantile(1), "worst-ms")
-					b.ReportMetric(float64(messages)/float64(orders), "messages/order")
-					b.ReportMetric(float64(syncs)/float64(orders), "syncs/order")
+					b.ReportMetric(float64(messages)/float64(updates), "messages/order")
+					b.ReportMetric(float64(syncs)/float64(updates), "syncs/order")
 				}
 			})
 		}
--- a/internal/cdn/simulation/weaknesses_test.go
+++ b/internal/cdn/simulation/weaknesses_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Weaknesses are set by tests alone: no program and no setting reaches one. Where they are declared and handed on, the code
-// names the type, and nowhere else.
+// Safeguards are disabled by tests only: no other code constructs a Weaknesses value, and only the packages that declare or pass on
+// such a type name it.
 func TestWeaknessesAreForTests(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
 	allowed := map[string]bool{"internal/cdn/consensus": true, "internal/cdn/configstore": true, "internal/cdn/simulation": true, "internal/cdn/statesync": true}
@@ -22,10 +22,10 @@
 		text, err := os.ReadFile(path)
 		name, _ := filepath.Rel(root, path)
 		if strings.Contains(string(text), "Weaknesses{") {
-			assert.Check(t, false, "%s sets a weakness", name)
+			assert.Check(t, false, "%s sets a Weaknesses value", name)
 		}
 		if strings.Contains(string(text), "Weaknesses") {
-			assert.Check(t, allowed[filepath.Dir(name)], "%s names weaknesses", name)
+			assert.Check(t, allowed[filepath.Dir(name)], "%s names a Weaknesses type", name)
 		}
 		return err
 	})
--- a/internal/cdn/simulation/world.go
+++ b/internal/cdn/simulation/world.go
@@ -1,7 +1,7 @@
-// Package simulation plays the control side of the network in one goroutine under virtual time and a seed: the agreement,
-// the journal, the common state and the core machines as they are deployed (configstore.Machine), copies of the state as
-// registries and edges hold them, operators and servers. What lies between is the simulation's: the network, the disks, the processes'
-// ends and stops. A seed is a run; the same seed is the same run. Rules are checked after every step.
+// Package simulation is a deterministic simulation of the control plane. It runs the deployed code (consensus, the Raft log, the
+// cluster state and the core machines, configstore.Machine) together with the state replicas of registries and edges, operators and
+// servers in one goroutine under virtual time. The network, the disks and the stops and restarts of processes are simulated. A run is
+// determined by its seed: the same seed gives the same run. Invariants are checked after every step.
 package simulation
 
 import (
@@ -17,60 +17,61 @@
 )
 
 const (
-	tickEvery    = 30 * time.Millisecond
-	catchUp      = 4 * time.Second // how long a machine counts as lost after it is back
-	faultsFrom   = 3 * time.Second
-	faultsUntil  = 26 * time.Second
-	calmAfter    = 8 * time.Second // at the end, in which nothing goes wrong any more
-	mostInFlight = 4000            // messages to one host
+	tickInterval   = 30 * time.Millisecond
+	catchUpTimeout = 4 * time.Second // how long a machine still counts as lost after its restart
+	faultsStart    = 3 * time.Second
+	faultsEnd      = 26 * time.Second
+	quietPeriod    = 8 * time.Second // fault-free time at the end of a run
+	maxInboxLength = 4000            // messages queued for one host
 )
 
-// Options says what is played.
+// Options configures a run.
 type Options struct {
 	Seed   uint64
-	Faults []Fault // in the place of those that the seed draws; nil: those
+	Faults []Fault // replace the faults drawn from the seed; nil draws them
 	Weak   configstore.Weaknesses
-	NoSync bool // a weakness, for tests: a folder's sync does nothing
-	// SettleAll is a weakness, for tests: registries acknowledge every call of a server without the log.
+	NoSync bool // disables a safeguard, for tests: syncing a directory does nothing
+	// SettleAll disables a safeguard, for tests: registries acknowledge every heartbeat without a log entry.
 	SettleAll bool
-	// Reports plays the duty to report the tenants' usage as well.
+	// Reports also simulates the reporting of the tenants' usage by the duty holder.
 	Reports    bool
 	ReportWeak ReportWeaknesses
-	// Weaknesses of edges, for tests: of their copies; a proof is counted from the answer and not from the question; keyed requests run whatever
-	// is proven.
+	// Disabled safeguards of edges, for tests. WeakCopies applies to their replicas, CountFromAnswer dates a freshness proof from the
+	// response instead of the request, RunUnproven runs keyed requests without a recent proof.
 	WeakCopies      statesync.Weaknesses
 	CountFromAnswer bool
 	RunUnproven     bool
-	Machine         int // core machines; 0: as the seed draws
+	Machine         int // number of core machines; 0 draws it from the seed
 	Trace           func(format string, args ...any)
 }
 
-// Result is how a run ended.
+// Result is the outcome of a run.
 type Result struct {
 	Seed      uint64
-	Failure   string // empty: all rules were kept
+	Failure   string // the first violated invariant; empty if there was none
 	At        time.Duration
 	Faults    []Fault
-	Orders    int           // of operators that were acknowledged
-	Reads     int           // that were answered
-	Elapsed   time.Duration // in virtual time
+	Orders    int           // acknowledged configuration updates
+	Reads     int           // answered reads of the configuration
+	Elapsed   time.Duration // virtual time
 	Messages  int
-	DisksLost int // and machines that were gone for good
+	DisksLost int // includes the disks of machines removed for good
 
-	Acknowledged []time.Duration // from an operator's first sending of an order to its acknowledgement, in the order in which they came
-	Syncs        uint64          // of all disks, by the processes that run at the end
+	Acknowledged []time.Duration // latency from an operator's first attempt at an update to its acknowledgement, in order of acknowledgement
+	Syncs        uint64          // disk syncs by the processes that run at the end
 
-	Ran, Refused int // keyed requests that edges let run, and that they refused as unproven
-	Neighbours   int // questions of edges to neighbours
+	Ran, Refused int // keyed requests that edges ran, and refused for lack of a recent proof
+	Neighbours   int // polls of neighbours by edges
 }
 
-// event is something that happens at a time. Events of one time happen in the order in which they were made.
+// event is an action scheduled for a point in time. Events with equal times run in the order in which they were scheduled.
 type event struct {
 	at  time.Time
 	seq uint64
 	do  func()
 }
 
+// events is a priority queue by time, then by sequence number.
 type events []*event
 
 func (e events) Len() int { return len(e) }
@@ -79,42 +80,42 @@
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (e *events) Push(x any) { *e = append(*e, x.(*event)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-// world is one run.
+// world holds the state of one run.
 type world struct {
-	options   Options
-	rng       *rand.Rand
-	start     time.Time
-	now       time.Time
-	queue     events
-	seq       uint64
-	tolerate  int
-	founders  []consensus.Member
-	hosts     []*host
-	network   network
-	faults    []Fault
-	checks    checks
-	client    clients
-	copies    []*stateCopy
-	reports   reports
-	edges     edges
-	messages  int
-	disksLost int
-	calm      time.Time // since when nothing is wrong
-	tooMany   time.Time // until when no disk may be lost, for more are lost than must be tolerated
-	failure   string
-}
-
-// Run plays a seed.
+	options         Options
+	rng             *rand.Rand
+	start           time.Time
+	now             time.Time
+	queue           events
+	seq             uint64
+	maxFailures     int
+	founders        []consensus.Member
+	hosts           []*host
+	network         network
+	faults          []Fault
+	checks          checks
+	clients         clients
+	copies          []*stateCopy
+	reports         reports
+	edges           edges
+	messages        int
+	disksLost       int
+	quietSince      time.Time // end of the last fault that affects a host
+	noDiskLossUntil time.Time // set when more hosts are lost than must be tolerated
+	failure         string
+}
+
+// Run executes one run until its end or the first violated invariant.
 func Run(o Options) Result {
 	w := newWorld(o)
 	for len(w.queue) > 0 && w.failure == "" {
@@ -125,13 +126,13 @@
 	if w.failure == "" {
 		w.checkHistory()
 	}
-	return Result{Seed: o.Seed, Failure: w.failure, At: w.since(), Faults: w.faults, Orders: w.client.acknowledged, Reads: w.client.answered,
-		Elapsed: w.since(), Messages: w.messages, DisksLost: w.disksLost, Acknowledged: w.client.took, Syncs: w.syncs(),
-		Ran: w.edges.ran, Refused: w.edges.refused, Neighbours: w.edges.asked}
+	return Result{Seed: o.Seed, Failure: w.failure, At: w.since(), Faults: w.faults, Orders: w.clients.updatesAcknowledged, Reads: w.clients.readsAnswered,
+		Elapsed: w.since(), Messages: w.messages, DisksLost: w.disksLost, Acknowledged: w.clients.updateLatencies, Syncs: w.syncCount(),
+		Ran: w.edges.ran, Refused: w.edges.refused, Neighbours: w.edges.neighbourPolls}
 }
 
-// syncs is how often the disks were synced by the processes that run.
-func (w *world) syncs() (sum uint64) {
+// syncCount returns the number of disk syncs by the running processes.
+func (w *world) syncCount() (sum uint64) {
 	for _, h := range w.hosts {
 		if h.machine != nil {
 			sum += h.machine.View.Status(w.now).Syncs
@@ -142,15 +143,15 @@
 
 func newWorld(o Options) *world {
 	start := time.Unix(1_000_000, 0)
-	w := &world{options: o, rng: rand.New(rand.NewPCG(o.Seed, 0x51a)), start: start, now: start, calm: start, checks: newChecks()}
-	lots := rand.New(rand.NewPCG(o.Seed, 0xfa17)) // apart, so that a run with fewer faults is otherwise the same
+	w := &world{options: o, rng: rand.New(rand.NewPCG(o.Seed, 0x51a)), start: start, now: start, quietSince: start, checks: newChecks()}
+	faultRNG := rand.New(rand.NewPCG(o.Seed, 0xfa17)) // separate, so that a run with fewer faults is otherwise the same
 	size := o.Machine
 	if size == 0 {
-		size = 3 + lots.IntN(3)
+		size = 3 + faultRNG.IntN(3)
 	}
-	w.tolerate = 1
-	if size >= 5 && lots.IntN(2) == 0 {
-		w.tolerate = 2
+	w.maxFailures = 1
+	if size >= 5 && faultRNG.IntN(2) == 0 {
+		w.maxFailures = 2
 	}
 	w.network = newNetwork()
 	for i := range 3 {
@@ -159,36 +160,40 @@
 	for i := range size {
 		w.addHost(i, true)
 	}
-	w.trace("%d machines, %d may be lost at once", size, w.tolerate)
+	w.trace("%d machines, %d may fail at once", size, w.maxFailures)
 	w.faults = o.Faults
 	if w.faults == nil {
-		w.faults = append(drawFaults(lots, size), drawEdgeFaults(rand.New(rand.NewPCG(o.Seed, 0xedfa)))...)
+		w.faults = append(drawFaults(faultRNG, size), drawEdgeFaults(rand.New(rand.NewPCG(o.Seed, 0xedfa)))...)
 	}
 	for i := range w.faults {
-		f := w.faults[i]
-		w.at(w.start.Add(f.At), func() { w.strike(f) })
+		fault := w.faults[i]
+		w.at(w.start.Add(fault.At), func() { w.injectFault(fault) })
 	}
-	w.beginClients()
-	w.beginCopies()
-	w.beginReports()
-	w.beginEdges()
-	w.countLost()
-	w.after(faultsUntil, w.heal)
+	w.startClients()
+	w.startCopies()
+	w.startReports()
+	w.startEdges()
+	w.trackLost()
+	w.after(faultsEnd, w.heal)
 	return w
 }
 
 func ipOf(i int) string      { return fmt.Sprintf("10.0.0.%d", i+1) }
 func addressOf(i int) string { return ipOf(i) + ":7660" }
 
+// since returns the virtual time that has elapsed since the start of the run.
 func (w *world) since() time.Duration { return w.now.Sub(w.start) }
 
+// at schedules do for a point in virtual time.
 func (w *world) at(t time.Time, do func()) {
 	w.seq++
 	heap.Push(&w.queue, &event{t, w.seq, do})
 }
 
+// after schedules do for a delay from now.
 func (w *world) after(d time.Duration, do func()) { w.at(w.now.Add(d), do) }
 
+// fail records the first violated invariant, which ends the run.
 func (w *world) fail(format string, args ...any) {
 	if w.failure == "" {
 		w.failure = fmt.Sprintf(format, args...)
@@ -202,47 +207,49 @@
 	}
 }
 
-// between draws a span.
-func (w *world) between(least, most time.Duration) time.Duration { return between(w.rng, least, most) }
+// randomDuration draws a duration between shortest and longest, inclusive.
+func (w *world) randomDuration(shortest, longest time.Duration) time.Duration {
+	return randomDuration(w.rng, shortest, longest)
+}
 
-func between(rng *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(rng.Int64N(int64(most-least)+1))
+func randomDuration(rng *rand.Rand, shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(rng.Int64N(int64(longest-shortest)+1))
 }
 
-// heal ends all that is wrong. What follows is calm, and everything must come right in it.
+// heal ends all faults and starts the quiet period, in which all processes must recover and catch up.
 func (w *world) heal() {
-	w.trace("all is calm from here on")
+	w.trace("all faults end here")
 	w.network.heal()
-	w.client.storm = false
+	w.clients.updateStorm = false
 	for _, h := range w.hosts {
 		h.disk.Full, h.disk.Slow, h.disk.FailSyncs, h.disk.DiesAfter = false, false, 0, 0
 		h.thaw()
-		if h.machine == nil && !h.gone && h.opening == 0 {
+		if h.machine == nil && !h.removed && h.pendingStarts == 0 {
 			h.startAfter(0)
 		}
 	}
 	for _, e := range w.edges.all {
 		e.thaw()
 	}
-	w.calm = w.now
-	w.after(catchUp, w.checkCaughtUp)
-	w.after(w.calmSpan(), w.end)
+	w.quietSince = w.now
+	w.after(catchUpTimeout, w.checkCaughtUp)
+	w.after(w.quietDuration(), w.finish)
 }
 
-// calmSpan is how long it is calm at the end.
-func (w *world) calmSpan() time.Duration {
+// quietDuration returns the length of the fault-free time at the end of the run.
+func (w *world) quietDuration() time.Duration {
 	if w.options.Reports {
-		return reportCalm
+		return reportQuietPeriod
 	}
-	return calmAfter
+	return quietPeriod
 }
 
-func (w *world) end() {
+func (w *world) finish() {
 	w.checkCaughtUp()
 	w.checkEnd()
 	w.checkReports()
 	w.queue = nil
 }
 
-// state is a machine's state, read.
-func state(m *configstore.Machine, look func(*clusterstate.State)) { m.View.Read(look) }
+// readState calls read with a machine's cluster state.
+func readState(m *configstore.Machine, read func(*clusterstate.State)) { m.View.Read(read) }
