--- a/internal/cdn/simulation/edges.go
+++ b/internal/cdn/simulation/edges.go
@@ -125,9 +125,9 @@
 // pollCore asks a core machine for changes, applies them and repeats.
 func (e *edge) pollCore() {
 	h, index := e.randomHost(), e.replica.Index()
-	answer := e.startPoll(pollTimeout, func(n clusterstate.News, begun time.Time) {
+	answer := e.startPoll(pollTimeout, func(n clusterstate.News, started time.Time) {
 		pause := pollPause
-		if coverage := e.replica.Take(n, begun); coverage == statesync.Part || coverage == statesync.All && n.Fresh {
+		if coverage := e.replica.Take(n, started); coverage == statesync.Part || coverage == statesync.All && n.Fresh {
 			pause = 0
 		}
 		e.checkProof()
@@ -177,8 +177,8 @@
 func (e *edge) pollNeighbour(other *edge) {
 	e.w.edges.neighbourPolls++
 	index := e.replica.Index()
-	answer := e.startPoll(neighbourPollTimeout, func(n clusterstate.News, begun time.Time) {
-		e.replica.TakeFromNeighbour(n, begun)
+	answer := e.startPoll(neighbourPollTimeout, func(n clusterstate.News, started time.Time) {
+		e.replica.TakeFromNeighbour(n, started)
 		e.checkProof()
 	}, func() {})
 	e.deliver(e.address, other.address, func() {
@@ -274,17 +274,17 @@
 	first := w.edges.all[max(f.Who, 0)%edgeCount]
 	switch f.Kind {
 	case EdgesCut, EdgesCutOneWay:
-		var edges, core []string
+		var edgeAddresses, coreAddresses []string
 		for i := range 1 + f.X%edgeCount {
-			edges = append(edges, w.edges.all[(first.index+i)%edgeCount].address)
+			edgeAddresses = append(edgeAddresses, w.edges.all[(first.index+i)%edgeCount].address)
 		}
 		for _, h := range w.hosts {
-			core = append(core, h.address)
+			coreAddresses = append(coreAddresses, h.address)
 		}
 		if f.Kind == EdgesCutOneWay && f.X%2 == 0 {
-			edges, core = core, edges
+			edgeAddresses, coreAddresses = coreAddresses, edgeAddresses
 		}
-		w.after(f.For, w.network.cut(edges, core, f.Kind == EdgesCut))
+		w.after(f.For, w.network.cut(edgeAddresses, coreAddresses, f.Kind == EdgesCut))
 	case EdgesApart:
 		var others []string
 		for _, e := range w.edges.all {
