--- a/internal/build/build.go
+++ b/internal/build/build.go
@@ -1,4 +1,4 @@
-// Package build tells which build of the project a program is.
+// Package build identifies the version and build of a program.
 package build
 
 import (
@@ -7,10 +7,10 @@
 	"runtime/debug"
 )
 
-// Version is the release that this tree leads to.
+// Version is the next release, which this source tree is developed towards.
 const Version = "0.2.0-dev"
 
-// Line is the one line that `version` prints: program, version, revision if known, tool chain.
+// Line returns the line that the `version` command prints: program, version, revision if known, Go version and platform.
 func Line(program string) string {
 	revision := ""
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -1,46 +1,48 @@
-// Package explore walks all orders of what can happen in a small model, for tests. A model's states are values that share nothing.
+// Package explore is a small explicit-state model checker for tests: it visits all states that a model can reach, in breadth-first order.
+// States must not share mutable memory.
 package explore
 
-// Step is one thing that can happen: its name, and the state after it.
+// Step is a transition: the name of an action and the state after it.
 type Step[S any] struct {
 	Name string
 	Then S
 }
 
-// Model is what is walked.
+// Model defines a state space.
 type Model[S any] struct {
 	Start S
-	Next  func(S) []Step[S]
-	Fault func(S) string // empty: the state is as it should be
-	ID    func(S) string // equal for states that need not be told apart
-	Depth int            // steps at most; 0: as many as there are
-	Most  int            // states; a model that has more is too wide for a test
+	Next  func(S) []Step[S] // transitions from a state
+	Fault func(S) string    // describes the violated invariant; empty if there is none
+	ID    func(S) string    // equal for equivalent states, of which only the first is visited
+	Depth int               // maximum number of steps; 0: unlimited
+	Most  int               // maximum number of states: the search visits no more, so a caller should check that Walk returns fewer
 }
 
-// Walk looks at every state, the nearest first. It returns the first fault with the steps that lead there, and how many states it has seen.
-func (m Model[S]) Walk() (fault string, way []string, states int) {
-	type place struct {
+// Walk visits every reachable state after Start, fewest steps first. It returns the first fault with the names of the steps that lead to
+// it, and the number of states seen.
+func (m Model[S]) Walk() (fault string, path []string, states int) {
+	type node struct {
 		state S
-		way   []string
+		path  []string
 	}
-	seen, front := map[string]bool{m.ID(m.Start): true}, []place{{state: m.Start}}
-	for depth := 0; len(front) > 0 && (m.Depth == 0 || depth < m.Depth); depth++ {
-		var then []place
-		for _, p := range front {
+	seen, frontier := map[string]bool{m.ID(m.Start): true}, []node{{state: m.Start}}
+	for depth := 0; len(frontier) > 0 && (m.Depth == 0 || depth < m.Depth); depth++ {
+		var next []node
+		for _, p := range frontier {
 			for _, s := range m.Next(p.state) {
 				if id := m.ID(s.Then); seen[id] || len(seen) >= m.Most {
 					continue
 				} else {
 					seen[id] = true
 				}
-				way := append(p.way[:len(p.way):len(p.way)], s.Name)
+				path := append(p.path[:len(p.path):len(p.path)], s.Name)
 				if f := m.Fault(s.Then); f != "" {
-					return f, way, len(seen)
+					return f, path, len(seen)
 				}
-				then = append(then, place{s.Then, way})
+				next = append(next, node{s.Then, path})
 			}
 		}
-		front = then
+		frontier = next
 	}
 	return "", nil, len(seen)
 }
--- a/internal/facts/codec.go
+++ b/internal/facts/codec.go
@@ -9,207 +9,211 @@
 	"time"
 )
 
-// A message is one datagram of the platform's, MostBytes at most: a mark, a version, what it is, and its body. Another version is left
-// unread: what it says comes by a peer that speaks this one, or not at all. A body that is cut short is refused whole.
+// A message is one datagram of at most MostBytes: a magic byte, a version, a message type and the body. Messages of another version are
+// ignored; their facts arrive through a peer that speaks this version, or not at all. A truncated message is rejected as a whole.
 
-// MostBytes is a datagram's length at most.
+// MostBytes is the maximum length of a datagram in bytes.
 const MostBytes = 256
 
 const (
-	mark    = 0xFA // with version and kind one message on attempts in eight million begins so by chance
-	version = 1
+	magicByte = 0xFA // about one attempt message in eight million starts with these magic, version and type bytes by chance
+	version   = 1
 )
 
-type what byte
+type messageType byte
 
 const (
-	tellsFacts  what = 1 // facts, and whether the sender wants what the receiver has under the same prefix
-	tellsDigest what = 2 // the hashes of a prefix's sixteen parts
-	asksDigest  what = 3 // the same, of all, by a router that wants to hear of it if they are the receiver's as well
+	typeFacts       messageType = 1 // facts, and whether the sender wants the receiver's facts under the same prefix
+	typeDigest      messageType = 2 // the hashes of a prefix's sixteen children
+	typeDigestQuery messageType = 3 // the hashes of the root prefix, from a router that asks for a confirmation if the receiver's are equal
 )
 
-// IsMessage tells whether a datagram is one of facts, by what it begins with.
-func IsMessage(text []byte) bool {
-	return len(text) > 2 && text[0] == mark && text[1] == version && text[2] >= byte(tellsFacts) && text[2] <= byte(asksDigest)
+// IsMessage reports whether a datagram is a message of this package, judging by its first three bytes.
+func IsMessage(data []byte) bool {
+	return len(data) > 2 && data[0] == magicByte && data[1] == version && data[2] >= byte(typeFacts) && data[2] <= byte(typeDigestQuery)
 }
 
-// ErrMessage is of a datagram that is none of ours, or a broken one.
+// ErrMessage is returned for a datagram that is malformed or is not a message of this package.
 var ErrMessage = errors.New("not a message of facts")
 
-// message is a datagram's content.
+// message is the decoded content of a datagram.
 type message struct {
-	what   what
-	prefix prefix
-	wants  bool // facts: asks for what the receiver has under the prefix
-	facts  []named
-	parts  [16]uint32
+	typ         messageType
+	prefix      prefix
+	wantsReply  bool // typeFacts: the sender asks for the receiver's facts under the prefix
+	facts       []namedFact
+	childHashes [16]uint32
 }
 
-type named struct {
+// namedFact is a fact with its name.
+type namedFact struct {
 	name Name
 	fact Fact
 }
 
-// appendFact writes a fact: its name, the lives seen, and its copies by the place of their life among them. Times are ages in whole
-// seconds, rounded down: the earliest that anybody says is kept, and must not become earlier with each way.
-func appendFact(to []byte, now time.Duration, n Name, f Fact) []byte {
-	to = append(append(to, byte(n.Kind), byte(len(n.Subject))), n.Subject...)
-	lives := slices.Sorted(maps.Keys(f.Seen))
-	to = append(to, byte(len(lives)))
-	for _, l := range lives {
-		to = binary.AppendUvarint(binary.BigEndian.AppendUint32(to, uint32(l)), uint64(f.Seen[l]))
-	}
-	to = append(to, byte(len(f.Copies)))
+// appendFact appends the encoding of a fact to buf: its name, the incarnations seen, and its copies, each with the index of its
+// incarnation in that list. Times are encoded as ages in whole seconds, rounded down: Merge keeps the earliest time, which must not
+// become earlier each time a fact is forwarded.
+func appendFact(buf []byte, now time.Duration, n Name, f Fact) []byte {
+	buf = append(append(buf, byte(n.Kind), byte(len(n.Subject))), n.Subject...)
+	incarnations := slices.Sorted(maps.Keys(f.Seen))
+	buf = append(buf, byte(len(incarnations)))
+	for _, l := range incarnations {
+		buf = binary.AppendUvarint(binary.BigEndian.AppendUint32(buf, uint32(l)), uint64(f.Seen[l]))
+	}
+	buf = append(buf, byte(len(f.Copies)))
 	for _, c := range f.Copies {
 		age := uint64(max(now-c.Since, 0) / time.Second)
-		to = append(to, byte(slices.Index(lives, c.Dot.Life)))
-		to = binary.AppendUvarint(to, uint64(c.Dot.Count))
-		to = binary.AppendVarint(to, c.Value)
-		to = binary.AppendUvarint(to, min(age, mostAge))
+		buf = append(buf, byte(slices.Index(incarnations, c.Dot.Life)))
+		buf = binary.AppendUvarint(buf, uint64(c.Dot.Count))
+		buf = binary.AppendVarint(buf, c.Value)
+		buf = binary.AppendUvarint(buf, min(age, maxAgeSeconds))
 	}
-	return to
+	return buf
 }
 
-const mostAge = 10 * 365 * 24 * 3600 // seconds
+const maxAgeSeconds = 10 * 365 * 24 * 3600 // seconds
 
+// reader decodes fields from the front of data. After an error malformed is set and all reads return zero values.
 type reader struct {
-	text []byte
-	bad  bool
+	data      []byte
+	malformed bool
 }
 
 func (r *reader) bytes(n int) []byte {
-	if n > len(r.text) {
-		r.bad, r.text = true, nil
+	if n > len(r.data) {
+		r.malformed, r.data = true, nil
 		return make([]byte, n)
 	}
-	b := r.text[:n]
-	r.text = r.text[n:]
+	b := r.data[:n]
+	r.data = r.data[n:]
 	return b
 }
 
 func (r *reader) byte() int { return int(r.bytes(1)[0]) }
 
-func (r *reader) uvarint(most uint64) uint64 {
-	v, n := binary.Uvarint(r.text)
-	if n <= 0 || v > most {
-		r.bad, r.text = true, nil
+func (r *reader) uvarint(limit uint64) uint64 {
+	v, n := binary.Uvarint(r.data)
+	if n <= 0 || v > limit {
+		r.malformed, r.data = true, nil
 		return 0
 	}
-	r.text = r.text[n:]
+	r.data = r.data[n:]
 	return v
 }
 
 func (r *reader) varint() int64 {
-	v, n := binary.Varint(r.text)
+	v, n := binary.Varint(r.data)
 	if n <= 0 {
-		r.bad, r.text = true, nil
+		r.malformed, r.data = true, nil
 		return 0
 	}
-	r.text = r.text[n:]
+	r.data = r.data[n:]
 	return v
 }
 
 func (r *reader) fact(now time.Duration) (n Name, f Fact) {
 	n.Kind = Kind(r.byte())
 	n.Subject = string(r.bytes(r.byte()))
-	lives := make([]Life, r.byte())
-	if f.Seen = map[Life]uint32{}; len(lives) > mostLives {
-		r.bad = true
+	incarnations := make([]Life, r.byte())
+	if f.Seen = map[Life]uint32{}; len(incarnations) > maxIncarnations {
+		r.malformed = true
 	}
-	for i := range lives {
-		if r.bad {
+	for i := range incarnations {
+		if r.malformed {
 			return n, f
 		}
-		lives[i] = Life(binary.BigEndian.Uint32(r.bytes(4)))
-		f.Seen[lives[i]] = uint32(r.uvarint(math.MaxUint32))
+		incarnations[i] = Life(binary.BigEndian.Uint32(r.bytes(4)))
+		f.Seen[incarnations[i]] = uint32(r.uvarint(math.MaxUint32))
 	}
 	for range r.byte() {
-		place := r.byte()
+		index := r.byte()
 		count := uint32(r.uvarint(math.MaxUint32))
 		value := r.varint()
-		age := time.Duration(r.uvarint(mostAge)) * time.Second
-		if r.bad || place >= len(lives) || count == 0 || count > f.Seen[lives[place]] {
-			r.bad = true // a copy of a write that its teller has not seen
+		age := time.Duration(r.uvarint(maxAgeSeconds)) * time.Second
+		if r.malformed || index >= len(incarnations) || count == 0 || count > f.Seen[incarnations[index]] {
+			r.malformed = true // a copy of a write that the sender has not seen
 			return n, f
 		}
-		f.Copies = append(f.Copies, Copy{Dot{lives[place], count}, value, now - age})
+		f.Copies = append(f.Copies, Copy{Dot{incarnations[index], count}, value, now - age})
 	}
 	slices.SortFunc(f.Copies, byDot)
-	if !valid(n) || len(f.Seen) != len(lives) || len(f.Copies) == 0 || slices.Contains(slices.Collect(maps.Values(f.Seen)), 0) ||
+	if !validName(n) || len(f.Seen) != len(incarnations) || len(f.Copies) == 0 || slices.Contains(slices.Collect(maps.Values(f.Seen)), 0) ||
 		len(slices.CompactFunc(slices.Clone(f.Copies), func(a, b Copy) bool { return a.Dot.Life == b.Dot.Life })) != len(f.Copies) {
-		r.bad = true // of one life the last copy alone can stand
+		r.malformed = true // only the last write of an incarnation can be a current copy
 	}
 	return n, f
 }
 
-// decode reads a datagram at a moment of the receiver's clock.
-func decode(now time.Duration, text []byte) (m message, err error) {
-	r := &reader{text: text}
-	if len(text) > MostBytes || r.byte() != mark || r.byte() != version {
+// decode decodes a datagram received at now, by the receiver's clock.
+func decode(now time.Duration, data []byte) (m message, err error) {
+	r := &reader{data: data}
+	if len(data) > MostBytes || r.byte() != magicByte || r.byte() != version {
 		return m, ErrMessage
 	}
-	m.what = what(r.byte())
+	m.typ = messageType(r.byte())
 	m.prefix = prefix{uint64(binary.BigEndian.Uint32(r.bytes(4))) << 32, r.byte()}
-	if m.prefix.depth > mostDepth || m.prefix != m.prefix.parent(m.prefix.depth) {
+	if m.prefix.depth > maxPrefixDepth || m.prefix != m.prefix.truncate(m.prefix.depth) {
 		return m, ErrMessage
 	}
-	switch m.what {
-	case tellsFacts:
-		m.wants = r.byte() == 1
-		for len(r.text) > 0 && !r.bad {
+	switch m.typ {
+	case typeFacts:
+		m.wantsReply = r.byte() == 1
+		for len(r.data) > 0 && !r.malformed {
 			n, f := r.fact(now)
-			m.facts = append(m.facts, named{n, f})
+			m.facts = append(m.facts, namedFact{n, f})
 		}
-	case tellsDigest, asksDigest:
-		for i := range m.parts {
-			m.parts[i] = binary.BigEndian.Uint32(r.bytes(4))
+	case typeDigest, typeDigestQuery:
+		for i := range m.childHashes {
+			m.childHashes[i] = binary.BigEndian.Uint32(r.bytes(4))
 		}
 	default:
 		return m, ErrMessage
 	}
-	if r.bad || m.what != tellsFacts && len(r.text) > 0 {
+	if r.malformed || m.typ != typeFacts && len(r.data) > 0 {
 		return m, ErrMessage
 	}
 	return m, nil
 }
 
-func (m message) head() []byte {
-	to := binary.BigEndian.AppendUint32([]byte{mark, version, byte(m.what)}, uint32(m.prefix.bits>>32))
-	return append(to, byte(m.prefix.depth))
+func (m message) appendHeader() []byte {
+	buf := binary.BigEndian.AppendUint32([]byte{magicByte, version, byte(m.typ)}, uint32(m.prefix.bits>>32))
+	return append(buf, byte(m.prefix.depth))
 }
 
-func (m message) digest() []byte {
-	to := m.head()
-	for _, p := range m.parts {
-		to = binary.BigEndian.AppendUint32(to, p)
+func (m message) encodeDigest() []byte {
+	buf := m.appendHeader()
+	for _, hash := range m.childHashes {
+		buf = binary.BigEndian.AppendUint32(buf, hash)
 	}
-	return to
+	return buf
 }
 
-// Snapshot is all facts, for a disk or a successor; Load takes it up in another life.
+// Snapshot encodes all facts, for storage on disk or for a successor process. Load reads it, usually in another incarnation.
 func (s *Store) Snapshot(now time.Duration) []byte {
-	text := []byte{version}
+	data := []byte{version}
 	for _, n := range s.Names() {
-		text = appendFact(text, now, n, s.facts[n].Fact)
+		data = appendFact(data, now, n, s.facts[n].Fact)
 	}
-	return text
+	return data
 }
 
-// ErrSnapshot is of a snapshot that can't be read.
+// ErrSnapshot is returned for a snapshot that is malformed or has another version.
 var ErrSnapshot = errors.New("not a snapshot of facts")
 
-// Load merges a snapshot that was written at a moment of this store's clock, before its start as a rule. A faulty one changes nothing.
-func (s *Store) Load(written time.Duration, text []byte) error {
-	r := &reader{text: text}
+// Load merges a snapshot into the store. written is when the snapshot was taken, by this store's clock, and is usually before the clock's
+// start (negative). A malformed snapshot leaves the store unchanged.
+func (s *Store) Load(written time.Duration, data []byte) error {
+	r := &reader{data: data}
 	if r.byte() != version {
 		return ErrSnapshot
 	}
-	var all []named
-	for len(r.text) > 0 {
+	var all []namedFact
+	for len(r.data) > 0 {
 		n, f := r.fact(written)
-		all = append(all, named{n, f})
+		all = append(all, namedFact{n, f})
 	}
-	if r.bad {
+	if r.malformed {
 		return ErrSnapshot
 	}
 	for _, f := range all {
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -1,6 +1,7 @@
-// Package facts is what routers know in common: a store of small facts whose copies differ for a while and become one. It decides what a
-// copy says, which one wins and what is told to whom. It has no I/O, no clock and no goroutines, and belongs to one owner.
-// docs/design/shared-state.md weighs the options.
+// Package facts implements the state that routers share: an eventually consistent, replicated store of small facts. It defines how copies
+// are merged, which copy wins, and which messages are sent to which peer (rumors, and anti-entropy by comparing digests). It does no I/O,
+// reads no clock and starts no goroutines. A store has one owner and is not safe for concurrent use.
+// docs/design/shared-state.md compares the design options.
 package facts
 
 import (
@@ -14,16 +15,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind is what a fact is about. Its number is on the wire: none is ever given anew.
+// Kind is the type of a fact. Its number is on the wire, so a number is never reused.
 type Kind uint8
 
-// The kinds, with the rule for copies of which neither is later.
+// The kinds of facts, each with the rule that decides between concurrent copies.
 const (
-	Order Kind = 1 // an operator's word on a cache server: Back or Out; Out wins, for it keeps a drain
-	Cold  Kind = 2 // a cache server's start, Unix milliseconds; the latest wins, for cold beats warm
+	Order Kind = 1 // an operator's order for a cache server, Back or Out; Out wins, because it preserves a drain
+	Cold  Kind = 2 // start time of a cache server in Unix milliseconds; the latest wins: a server that may be cold is treated as cold
 )
 
-// String names a kind as operators read it.
+// String returns the kind's name as shown to operators.
 func (k Kind) String() string {
 	switch k {
 	case Order:
@@ -34,7 +35,7 @@
 	return strconv.Itoa(int(k))
 }
 
-// Says is a value of this kind as operators read it.
+// Says formats a value of this kind for operators.
 func (k Kind) Says(value int64) string {
 	switch {
 	case k == Order && value == Out:
@@ -49,41 +50,41 @@
 
 // Values of an Order.
 const (
-	Back int64 = 0
-	Out  int64 = 1
+	Back int64 = 0 // the server is in service
+	Out  int64 = 1 // the server is drained
 )
 
-// Name is of one fact.
+// Name identifies a fact.
 type Name struct {
 	Kind    Kind
-	Subject string // a server's name, MostSubject bytes at most
+	Subject string // the server's name, at most MostSubject bytes
 }
 
-// Bounds of a fact: one always fits a datagram.
+// Limits on a fact's size, so that any single fact fits into one datagram. MostSubject is in bytes.
 const (
-	MostSubject = 48
-	mostLives   = 6 // that have written one fact
+	MostSubject     = 48
+	maxIncarnations = 6 // incarnations that are remembered as writers of one fact
 )
 
-// Life is one process's life, from a start without memory to the end of what it stored: drawn at random, so that a router that has
-// forgotten what it wrote can't write the same number twice.
+// Life identifies an incarnation of a router: the writer of facts from a start without stored state until that state is lost. It is drawn
+// at random, so that a router that has lost its state can't issue the same Dot for two writes.
 type Life uint32
 
-// Dot is one write: a life's so many-th of a fact.
+// Dot identifies one write of a fact: the writer's incarnation and its count of writes to this fact, from 1.
 type Dot struct {
 	Life  Life
 	Count uint32
 }
 
-// Copy is one value with the write that it is of.
+// Copy is a value of a fact with the write that produced it.
 type Copy struct {
 	Dot   Dot
 	Value int64
-	Since time.Duration // when it was written, by the clock of this store's owner: as early as anybody says
+	Since time.Duration // when it was written, by the local clock: the earliest time that any router reported
 }
 
-// Fact is all that is known of a name: the copies of which none is later than another, and for each life how much of its writing has been
-// seen. A write that has been seen and is not among the copies has been written over.
+// Fact is the replicated state of a name: the concurrent copies, none of which supersedes another, and for each incarnation the number of
+// its writes that have been seen (a version vector). A write that has been seen and is not among the copies has been superseded.
 type Fact struct {
 	Copies []Copy // by dot
 	Seen   map[Life]uint32
@@ -93,43 +94,43 @@
 	return cmp.Or(cmp.Compare(a.Dot.Life, b.Dot.Life), cmp.Compare(a.Dot.Count, b.Dot.Count))
 }
 
-// Merge returns what two copies of a fact say together. It is commutative, associative and idempotent while no more than mostLives have
-// written; past that the least of those without a copy are let go, by which an old copy can only come back as one that is not later:
-// then the rule of its kind decides, and operators see both.
+// Merge merges two replicas of a fact. It is commutative, associative and idempotent as long as at most maxIncarnations have written the
+// fact. Beyond that, incarnations without a copy and with the fewest writes are forgotten. An old copy may then return, but only as a
+// concurrent one: the rule of its kind decides, and operators see both.
 func Merge(a, b Fact) Fact {
-	m := Fact{Seen: maps.Clone(a.Seen)}
-	if m.Seen == nil {
-		m.Seen = map[Life]uint32{}
+	merged := Fact{Seen: maps.Clone(a.Seen)}
+	if merged.Seen == nil {
+		merged.Seen = map[Life]uint32{}
 	}
 	for life, n := range b.Seen {
-		m.Seen[life] = max(m.Seen[life], n)
+		merged.Seen[life] = max(merged.Seen[life], n)
 	}
-	keep := func(from, other Fact) {
+	addSurviving := func(from, other Fact) {
 		for _, c := range from.Copies {
 			i := slices.IndexFunc(other.Copies, func(o Copy) bool { return o.Dot == c.Dot })
 			if i < 0 && other.Seen[c.Dot.Life] >= c.Dot.Count {
-				continue // written over, as the other one knows
+				continue // superseded according to the other replica
 			}
 			if i >= 0 {
 				c.Since = min(c.Since, other.Copies[i].Since)
-				c.Value = max(c.Value, other.Copies[i].Value) // two values of one write: only a liar has them
+				c.Value = max(c.Value, other.Copies[i].Value) // only a faulty peer sends two values for one write
 			}
-			if !slices.ContainsFunc(m.Copies, func(o Copy) bool { return o.Dot == c.Dot }) {
-				m.Copies = append(m.Copies, c)
+			if !slices.ContainsFunc(merged.Copies, func(o Copy) bool { return o.Dot == c.Dot }) {
+				merged.Copies = append(merged.Copies, c)
 			}
 		}
 	}
-	keep(a, b)
-	keep(b, a)
-	slices.SortFunc(m.Copies, byDot)
-	m.bound()
-	return m
+	addSurviving(a, b)
+	addSurviving(b, a)
+	slices.SortFunc(merged.Copies, byDot)
+	merged.limitIncarnations()
+	return merged
 }
 
-// bound lets go of lives past the most: first those that have no copy, the one that wrote least first; then, of a partition with more
-// writers than that, copies whose value others have too, then the least.
-func (f *Fact) bound() {
-	for len(f.Seen) > mostLives {
+// limitIncarnations forgets incarnations beyond maxIncarnations: first those without a copy, the one with the fewest writes first. If a
+// partition had more writers than that, it drops copies whose value another copy has as well, and then those with the fewest writes.
+func (f *Fact) limitIncarnations() {
+	for len(f.Seen) > maxIncarnations {
 		weight := func(l Life) int {
 			i := slices.IndexFunc(f.Copies, func(c Copy) bool { return c.Dot.Life == l })
 			if i < 0 {
@@ -140,69 +141,70 @@
 			}
 			return 2
 		}
-		least := slices.MinFunc(slices.Collect(maps.Keys(f.Seen)), func(a, b Life) int {
+		victim := slices.MinFunc(slices.Collect(maps.Keys(f.Seen)), func(a, b Life) int {
 			return cmp.Or(cmp.Compare(weight(a), weight(b)), cmp.Compare(f.Seen[a], f.Seen[b]), cmp.Compare(a, b))
 		})
-		delete(f.Seen, least)
-		f.Copies = slices.DeleteFunc(f.Copies, func(c Copy) bool { return c.Dot.Life == least })
+		delete(f.Seen, victim)
+		f.Copies = slices.DeleteFunc(f.Copies, func(c Copy) bool { return c.Dot.Life == victim })
 	}
 }
 
-// Value is what a fact says by the rule of its kind; false if it says nothing.
+// Value returns the value that wins by the rule of the fact's kind. It returns false if the fact has no copies.
 func (f Fact) Value() (int64, bool) {
 	if len(f.Copies) == 0 {
 		return 0, false
 	}
-	// Both kinds have the greater value as the one that keeps a rule. One that has not says so here.
+	// For both kinds the greater value wins. A kind with another rule has to be handled here.
 	return slices.MaxFunc(f.Copies, func(a, b Copy) int { return cmp.Compare(a.Value, b.Value) }).Value, true
 }
 
-// hash is of what a fact says: equal for equal facts, whoever holds them and since when.
+// hash returns a hash of the fact's name, version vector and copies. It ignores Since, so that equal facts have equal hashes at all routers.
 func (f Fact) hash(n Name) uint64 {
-	text := append([]byte{byte(n.Kind)}, n.Subject...)
+	buf := append([]byte{byte(n.Kind)}, n.Subject...)
 	for _, l := range slices.Sorted(maps.Keys(f.Seen)) {
-		text = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(append(text, 0), uint32(l)), f.Seen[l])
+		buf = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(append(buf, 0), uint32(l)), f.Seen[l])
 	}
 	for _, c := range f.Copies {
-		text = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(append(text, 1), uint32(c.Dot.Life)), c.Dot.Count)
-		text = binary.BigEndian.AppendUint64(text, uint64(c.Value))
+		buf = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(append(buf, 1), uint32(c.Dot.Life)), c.Dot.Count)
+		buf = binary.BigEndian.AppendUint64(buf, uint64(c.Value))
 	}
-	return xxhash.Sum64(text)
+	return xxhash.Sum64(buf)
 }
 
-// Store is one router's copies of all facts.
+// Store is one router's replica of all facts.
 type Store struct {
-	own    Life
-	facts  map[Name]held
-	most   int
-	wanted func(Name) bool // nil: all
+	incarnation Life
+	facts       map[Name]entry
+	maxFacts    int
+	filter      func(Name) bool // names that are accepted; nil: all
 }
 
-// held is a fact with what is compared of it: where its name lies and what it says.
-type held struct {
+// entry is a fact with the hashes that digests are computed from.
+type entry struct {
 	Fact
-	at, sum uint64
+	nameHash, contentHash uint64
 }
 
-func (s *Store) put(n Name, f Fact) { s.facts[n] = held{f, place(n), f.hash(n)} }
+func (s *Store) put(n Name, f Fact) { s.facts[n] = entry{f, hashName(n), f.hash(n)} }
 
-// NewStore returns a store that holds so many facts at most. A life is drawn at random at each start that finds nothing stored.
-func NewStore(own Life, most int) *Store {
-	return &Store{own: own, facts: map[Name]held{}, most: most}
+// NewStore returns an empty store that holds at most maxFacts facts. The incarnation must be drawn at random at each start without stored
+// state.
+func NewStore(incarnation Life, maxFacts int) *Store {
+	return &Store{incarnation: incarnation, facts: map[Name]entry{}, maxFacts: maxFacts}
 }
 
-// Len is how many facts there are.
+// Len returns the number of facts.
 func (s *Store) Len() int { return len(s.facts) }
 
-// Sum is the same at routers that know the same, and hardly ever at others.
+// Sum returns a digest of all facts. It is equal at routers with equal facts and, barring a hash collision, at no others.
 func (s *Store) Sum() (sum uint64) {
 	for _, f := range s.facts {
-		sum += f.sum
+		sum += f.contentHash
 	}
 	return sum
 }
 
-// Names are the names of all facts, in order.
+// Names returns the names of all facts, sorted.
 func (s *Store) Names() []Name {
 	return slices.SortedFunc(maps.Keys(s.facts), byName)
 }
@@ -211,58 +213,59 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
 }
 
-// Get is what is known of a name, for operators with all copies.
+// Get returns the fact with the given name, including all its copies.
 func (s *Store) Get(n Name) (Fact, bool) {
 	f, ok := s.facts[n]
 	return f.Fact, ok
 }
 
-// Write writes a value over all copies that this router has seen, and tells whether there was room. A value that all copies have already is
-// not written again, but for an order that keeps a drain: it is to hold against a contrary one that its giver's router has not heard of.
+// Write sets a fact to a value that supersedes all copies seen by this router. It returns false if the store is full or does not accept the
+// name. A value that all copies already have is not written again, except for the order Out: it must win over an order Back that this
+// router has not received yet.
 func (s *Store) Write(now time.Duration, n Name, value int64) bool {
-	was, known := s.facts[n]
-	f := was.Fact
+	previous, known := s.facts[n]
+	f := previous.Fact
 	if known && (n.Kind != Order || value != Out) && !slices.ContainsFunc(f.Copies, func(c Copy) bool { return c.Value != value }) {
 		return true
 	}
-	if !known && len(s.facts) >= s.most || !s.may(n) {
+	if !known && len(s.facts) >= s.maxFacts || !s.accepts(n) {
 		return false
 	}
-	dot := Dot{s.own, f.Seen[s.own] + 1}
+	dot := Dot{s.incarnation, f.Seen[s.incarnation] + 1}
 	seen := maps.Clone(f.Seen)
 	if seen == nil {
 		seen = map[Life]uint32{}
 	}
-	seen[s.own] = dot.Count
+	seen[s.incarnation] = dot.Count
 	f = Fact{Copies: []Copy{{dot, value, now}}, Seen: seen}
-	f.bound()
+	f.limitIncarnations()
 	s.put(n, f)
 	return true
 }
 
-// Take merges what another router says of a name, and tells whether that was news.
+// Take merges another router's replica of a fact into the store and reports whether that changed the fact.
 func (s *Store) Take(n Name, f Fact) bool {
-	was, known := s.facts[n]
-	if !s.may(n) || len(f.Seen) == 0 || !known && len(s.facts) >= s.most {
+	previous, known := s.facts[n]
+	if !s.accepts(n) || len(f.Seen) == 0 || !known && len(s.facts) >= s.maxFacts {
 		return false
 	}
-	m := Merge(was.Fact, f)
-	if len(m.Copies) == 0 { // only a liar's copies cover each other
+	merged := Merge(previous.Fact, f)
+	if len(merged.Copies) == 0 { // only a faulty peer sends a fact whose copies supersede each other
 		return false
 	}
-	s.put(n, m)
-	return s.facts[n].sum != was.sum
+	s.put(n, merged)
+	return s.facts[n].contentHash != previous.contentHash
 }
 
-// Keep lets go of all facts but those that are wanted, and takes no others from then on: a server that has been off the list for longer
-// than any router goes on without a list takes its facts along, and one that still holds them can't bring them back.
+// Keep removes all facts whose name the filter rejects, and rejects them from then on. Facts of a server that has been off the discovery
+// list for longer than any router runs without a list are removed this way, and a router that still holds them can't bring them back.
 func (s *Store) Keep(wanted func(Name) bool) {
-	s.wanted = wanted
-	maps.DeleteFunc(s.facts, func(n Name, _ held) bool { return !s.may(n) })
+	s.filter = wanted
+	maps.DeleteFunc(s.facts, func(n Name, _ entry) bool { return !s.accepts(n) })
 }
 
-func (s *Store) may(n Name) bool { return valid(n) && (s.wanted == nil || s.wanted(n)) }
+func (s *Store) accepts(n Name) bool { return validName(n) && (s.filter == nil || s.filter(n)) }
 
-func valid(n Name) bool {
+func validName(n Name) bool {
 	return (n.Kind == Order || n.Kind == Cold) && n.Subject != "" && len(n.Subject) <= MostSubject
 }
--- a/internal/facts/facts_test.go
+++ b/internal/facts/facts_test.go
@@ -13,10 +13,10 @@
 	"cedarmast/internal/explore"
 )
 
-var one = Name{Order, "north-c1"}
+var testName = Name{Order, "north-c1"}
 
-// somewhere draws what some routers hold of one fact after they wrote and heard of one another in any order.
-func somewhere(t *rapid.T) []*Store {
+// drawStores draws three stores that hold one fact after writes and merges between them in a random order.
+func drawStores(t *rapid.T) []*Store {
 	all := make([]*Store, 3)
 	for i := range all {
 		all[i] = NewStore(Life(i+1), 10)
@@ -24,21 +24,21 @@
 	for range rapid.IntRange(0, 12).Draw(t, "steps") {
 		a, b := rapid.IntRange(0, 2).Draw(t, "a"), rapid.IntRange(0, 2).Draw(t, "b")
 		if a == b {
-			all[a].Write(time.Duration(rapid.IntRange(0, 100).Draw(t, "at")), one, rapid.Int64Range(0, 2).Draw(t, "value"))
-		} else if f, ok := all[b].Get(one); ok {
-			all[a].Take(one, f)
+			all[a].Write(time.Duration(rapid.IntRange(0, 100).Draw(t, "at")), testName, rapid.Int64Range(0, 2).Draw(t, "value"))
+		} else if f, ok := all[b].Get(testName); ok {
+			all[a].Take(testName, f)
 		}
 	}
 	return all
 }
 
-// Loss, repeats and any order of what is heard lead to one result only if the merge has these laws.
+// Merge must satisfy these laws, so that replicas converge whatever messages are lost, repeated or reordered.
 func TestMergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := somewhere(t)
+		all := drawStores(t)
 		var f [3]Fact
 		for i, s := range all {
-			f[i], _ = s.Get(one)
+			f[i], _ = s.Get(testName)
 		}
 		same := func(law string, a, b Fact) {
 			if len(a.Copies)+len(b.Copies)+len(a.Seen)+len(b.Seen) > 0 && !reflect.DeepEqual(a, b) {
@@ -52,7 +52,7 @@
 	})
 }
 
-// The rule for copies that differ, row by row: what is later wins whatever it says; where neither is, the one that keeps a rule does.
+// A later write wins whatever its value. Between concurrent copies the greater value wins, for both kinds.
 func TestRuleForCopies(t *testing.T) {
 	for _, c := range []struct {
 		kind      Kind
@@ -65,12 +65,12 @@
 		{Order, Back, Out, true, Out, 1},
 		{Order, Out, Back, false, Out, 2},
 		{Order, Back, Out, false, Out, 2},
-		{Cold, 2000, 1000, true, 1000, 1}, // discovery has corrected a start
+		{Cold, 2000, 1000, true, 1000, 1}, // discovery has corrected a start time
 		{Cold, 2000, 1000, false, 2000, 2},
 	} {
 		n := Name{c.kind, "c1"}
 		x, y := NewStore(1, 10), NewStore(2, 10)
-		x.Write(time.Hour, n, c.a) // by a clock far ahead: it has no say
+		x.Write(time.Hour, n, c.a) // by a clock far ahead, which must not matter
 		if c.later {
 			f, _ := x.Get(n)
 			y.Take(n, f)
@@ -82,142 +82,143 @@
 		if got, ok := f.Value(); !ok || got != c.want || len(f.Copies) != c.wantCount {
 			t.Errorf("%+v: %d, %d copies", c, got, len(f.Copies))
 		}
-		if x.Write(0, n, c.a); c.wantCount == 2 { // an operator settles it
+		if x.Write(0, n, c.a); c.wantCount == 2 { // a new order resolves the conflict
 			if f, _ = x.Get(n); len(f.Copies) != 1 {
-				t.Errorf("%+v: not settled: %+v", c, f)
+				t.Errorf("%+v: conflict not resolved: %+v", c, f)
 			}
 		}
 	}
 }
 
-// Past the bound of lives a store stays bounded, goes on, and where copies differ the one that keeps a rule is still there.
-func TestManyLives(t *testing.T) {
+// With more writers than maxIncarnations a fact stays bounded, further writes are accepted, and among copies that differ the winning value
+// is kept. A full store and an unknown kind reject a new fact.
+func TestIncarnationsAreBounded(t *testing.T) {
 	f, out := Fact{}, NewStore(1000, 1)
-	out.Write(0, one, Out)
-	o, _ := out.Get(one)
+	out.Write(0, testName, Out)
+	o, _ := out.Get(testName)
 	for l := range 50 {
 		s := NewStore(Life(l+1), 1)
-		s.Write(0, one, Back)
-		g, _ := s.Get(one)
+		s.Write(0, testName, Back)
+		g, _ := s.Get(testName)
 		f = Merge(f, g)
 		if l == 25 {
 			f = Merge(f, o)
 		}
 	}
-	if v, _ := f.Value(); v != Out || len(f.Seen) > mostLives || len(f.Copies) > mostLives {
+	if v, _ := f.Value(); v != Out || len(f.Seen) > maxIncarnations || len(f.Copies) > maxIncarnations {
 		t.Errorf("value %d, %d lives, %d copies", v, len(f.Seen), len(f.Copies))
 	}
 	s := NewStore(1, 1)
-	if !s.Write(0, one, Out) || s.Write(0, Name{Order, "c2"}, Out) || s.Write(0, Name{9, "c2"}, 1) {
-		t.Error("a full store took another fact, or one of no kind")
+	if !s.Write(0, testName, Out) || s.Write(0, Name{Order, "c2"}, Out) || s.Write(0, Name{9, "c2"}, 1) {
+		t.Error("a full store accepted another fact, or one of an unknown kind")
 	}
 }
 
-// A fact that was let go is not brought back by a router that still has it.
-func TestLetGo(t *testing.T) {
+// A removed fact is not brought back by a router that still has it.
+func TestDroppedFactStaysDropped(t *testing.T) {
 	a, b := NewStore(1, 10), NewStore(2, 10)
-	a.Write(0, one, Out)
-	f, _ := a.Get(one)
-	b.Take(one, f)
-	a.Keep(func(n Name) bool { return n.Subject != one.Subject })
-	if a.Take(one, f) || a.Len() > 0 {
-		t.Error("it came back")
+	a.Write(0, testName, Out)
+	f, _ := a.Get(testName)
+	b.Take(testName, f)
+	a.Keep(func(n Name) bool { return n.Subject != testName.Subject })
+	if a.Take(testName, f) || a.Len() > 0 {
+		t.Error("a removed fact was accepted again")
 	}
 }
 
-// world is three routers, what each has seen (the truth, which no router knows), one message that was caught on its way and may come late,
-// twice or never, and the writes: each with those that its writer knew.
-type world struct {
-	stores [3]Fact
-	lives  [3]Life
-	next   Life
-	knows  [3]uint // writes, as bits
-	caught Fact
-	of     uint // what the caught one tells of
-	writes []write
-	starts int
+// modelState is a state of the model: three routers, the writes that each has seen (ground truth, not visible to the routers), one delayed
+// message that may arrive late, twice or never, and all writes, each with the set of writes that its writer had seen.
+type modelState struct {
+	stores          [3]Fact
+	incarnations    [3]Life
+	lastIncarnation Life
+	knownWrites     [3]uint // sets of indices into writes, as bits
+	delayed         Fact
+	delayedWrites   uint // writes that the delayed message contains
+	writes          []modelWrite
+	restarts        int
 }
 
-type write struct {
+type modelWrite struct {
 	dot   Dot
-	knew  uint
+	known uint
 	value int64
 }
 
-// step is one thing that happens; false if it can't happen here. stale is the seeded fault: a router that lost its memory goes on with
-// its old life, and counts anew.
-func (w world) step(action, a, b int, stale bool) (world, string, bool) {
+// step applies one action to the state and names it; false if the action is not possible. reuseIncarnation injects a fault: a router that
+// lost its state keeps its old incarnation and counts its writes from 1 again.
+func (w modelState) step(action, a, b int, reuseIncarnation bool) (modelState, string, bool) {
 	w.writes = slices.Clone(w.writes)
 	switch action {
 	case 0, 1: // writes Back or Out
 		if len(w.writes) == 2 {
 			return w, "", false
 		}
-		s := NewStore(w.lives[a], 10)
-		s.Take(one, w.stores[a])
-		before, _ := s.Get(one)
-		s.Write(0, one, int64(action))
-		f, _ := s.Get(one)
+		s := NewStore(w.incarnations[a], 10)
+		s.Take(testName, w.stores[a])
+		before, _ := s.Get(testName)
+		s.Write(0, testName, int64(action))
+		f, _ := s.Get(testName)
 		if reflect.DeepEqual(before, f) {
 			return w, "", false
 		}
 		w.stores[a] = f
-		w.writes = append(w.writes, write{f.Copies[0].Dot, w.knows[a], int64(action)})
-		w.knows[a] |= 1 << (len(w.writes) - 1)
+		w.writes = append(w.writes, modelWrite{f.Copies[0].Dot, w.knownWrites[a], int64(action)})
+		w.knownWrites[a] |= 1 << (len(w.writes) - 1)
 		return w, fmt.Sprintf("%d writes %d", a, action), true
-	case 2: // a message is caught on its way
-		w.caught, w.of = w.stores[a], w.knows[a]
-		return w, fmt.Sprintf("%d sends", a), w.of != 0
-	case 3: // the caught one arrives, perhaps again
-		w.stores[a], w.knows[a] = Merge(w.stores[a], w.caught), w.knows[a]|w.of
-		return w, fmt.Sprintf("%d hears the message", a), w.of != 0
-	case 4: // restarts without memory
-		if w.starts++; w.starts > 1 {
+	case 2: // sends a message that is delayed
+		w.delayed, w.delayedWrites = w.stores[a], w.knownWrites[a]
+		return w, fmt.Sprintf("%d sends", a), w.delayedWrites != 0
+	case 3: // the delayed message arrives, possibly again
+		w.stores[a], w.knownWrites[a] = Merge(w.stores[a], w.delayed), w.knownWrites[a]|w.delayedWrites
+		return w, fmt.Sprintf("%d receives the message", a), w.delayedWrites != 0
+	case 4: // restarts without stored state
+		if w.restarts++; w.restarts > 1 {
 			return w, "", false
 		}
-		w.stores[a], w.knows[a] = Fact{}, 0
-		if !stale {
-			w.next++
-			w.lives[a] = w.next
+		w.stores[a], w.knownWrites[a] = Fact{}, 0
+		if !reuseIncarnation {
+			w.lastIncarnation++
+			w.incarnations[a] = w.lastIncarnation
 		}
-		return w, fmt.Sprintf("%d restarts without memory", a), true
+		return w, fmt.Sprintf("%d restarts without stored state", a), true
 	default:
-		w.stores[a], w.knows[a] = Merge(w.stores[a], w.stores[b]), w.knows[a]|w.knows[b]
-		return w, fmt.Sprintf("%d hears %d", a, b), a != b
+		w.stores[a], w.knownWrites[a] = Merge(w.stores[a], w.stores[b]), w.knownWrites[a]|w.knownWrites[b]
+		return w, fmt.Sprintf("%d receives from %d", a, b), a != b
 	}
 }
 
-// id is the same for worlds that are.
-func (w world) id() string {
-	text := []byte{byte(w.next), byte(w.starts), byte(w.of)}
-	for i, f := range append(w.stores[:], w.caught) {
-		text = appendFact(text, 0, one, f)
-		if i < len(w.knows) {
-			text = append(text, byte(w.knows[i]), byte(w.lives[i]))
+// key encodes the state for comparison.
+func (w modelState) key() string {
+	text := []byte{byte(w.lastIncarnation), byte(w.restarts), byte(w.delayedWrites)}
+	for i, f := range append(w.stores[:], w.delayed) {
+		text = appendFact(text, 0, testName, f)
+		if i < len(w.knownWrites) {
+			text = append(text, byte(w.knownWrites[i]), byte(w.incarnations[i]))
 		}
 	}
 	for _, x := range w.writes {
-		text = append(text, byte(x.dot.Life), byte(x.dot.Count), byte(x.knew), byte(x.value))
+		text = append(text, byte(x.dot.Life), byte(x.dot.Count), byte(x.known), byte(x.value))
 	}
 	return string(text)
 }
 
-// check lets all routers hear of one another and compares the copies with the truth: of all writes that any of them knows, exactly those
-// stand that no other one of them knew of.
-func (w world) check() string {
+// findFault merges the facts of all routers and compares the result with the ground truth: of all writes known to any router, exactly those
+// must remain that no other known write superseded.
+func (w modelState) findFault() string {
 	all, known := Fact{}, uint(0)
 	for i := range w.stores {
-		all, known = Merge(all, w.stores[i]), known|w.knows[i]
+		all, known = Merge(all, w.stores[i]), known|w.knownWrites[i]
 	}
 	for i := range w.stores {
 		if other := Merge(w.stores[i], all); len(all.Seen) > 0 && !reflect.DeepEqual(other, all) {
-			return "routers differ when it is quiet"
+			return "routers differ after all messages are exchanged"
 		}
 	}
 	covered := uint(0)
 	for i, x := range w.writes {
 		if known&(1<<i) != 0 {
-			covered |= x.knew
+			covered |= x.known
 		}
 	}
 	var want []Dot
@@ -236,72 +237,74 @@
 	order(want)
 	order(got)
 	if !slices.Equal(want, got) {
-		return fmt.Sprintf("stands %v, should %v", got, want)
+		return fmt.Sprintf("remaining writes %v, want %v", got, want)
 	}
 	return ""
 }
 
-// search walks every order of what can happen. Facts are merged each for itself: one stands for all.
-func search(stale bool) (fault string, states int) {
-	m := explore.Model[world]{Start: world{lives: [3]Life{1, 2, 3}, next: 3}, Fault: world.check, ID: world.id, Most: 300_000}
-	m.Next = func(w world) (all []explore.Step[world]) {
+// exploreOrders explores every order of actions. Facts are merged independently of one another, so one fact is enough.
+func exploreOrders(reuseIncarnation bool) (fault string, states int) {
+	m := explore.Model[modelState]{Start: modelState{incarnations: [3]Life{1, 2, 3}, lastIncarnation: 3}, Fault: modelState.findFault, ID: modelState.key, Most: 300_000}
+	m.Next = func(w modelState) (all []explore.Step[modelState]) {
 		for action := range 6 {
 			for a := range 3 {
 				for b := range 3 {
-					if next, did, ok := w.step(action, a, b, stale); ok && (action == 5 || b == 0) {
-						all = append(all, explore.Step[world]{Name: did, Then: next})
+					if next, did, ok := w.step(action, a, b, reuseIncarnation); ok && (action == 5 || b == 0) {
+						all = append(all, explore.Step[modelState]{Name: did, Then: next})
 					}
 				}
 			}
 		}
 		return all
 	}
-	fault, way, states := m.Walk()
+	fault, steps, states := m.Walk()
 	if fault != "" {
-		fault = strings.Join(way, "; ") + ": " + fault
+		fault = strings.Join(steps, "; ") + ": " + fault
 	}
 	return fault, states
 }
 
-// Every order of two writes at three routers, messages that come late, twice or never, and one restart without memory: when it is quiet all
-// agree, no write that a living router knows is lost, and nothing that was written over comes back. A router that keeps its life over
-// a restart without memory is found.
+// Explores every order of two writes at three routers with messages that come late, twice or never, and one restart without stored state.
+// Once all messages are exchanged the routers agree, no write known to a running router is lost, and no superseded write returns. The model
+// must detect the injected fault of a router that keeps its incarnation over a restart without stored state.
 func TestEveryOrder(t *testing.T) {
-	fault, states := search(false)
+	fault, states := exploreOrders(false)
 	if fault != "" || states < 1000 || states >= 300_000 {
 		t.Errorf("%d states, %s", states, fault)
 	}
 	t.Logf("%d states", states)
-	if fault, _ := search(true); fault == "" {
-		t.Error("a life that is used twice is not found")
+	if fault, _ := exploreOrders(true); fault == "" {
+		t.Error("the reuse of an incarnation is not detected")
 	} else {
 		t.Log(fault)
 	}
 }
 
-// What all copies say already is not written again: a server that is called back twice would count as cold anew at all who hear of it.
-func TestSaidAlready(t *testing.T) {
+// A value that all copies already have is not written again: a server put back into service twice would be treated as cold again by every
+// router that receives the second write.
+func TestRepeatedValueIsNotRewritten(t *testing.T) {
 	x, y := NewStore(1, 10), NewStore(2, 10)
-	x.Write(0, one, Back)
-	y.Write(0, one, Back)
-	f, _ := y.Get(one)
-	x.Take(one, f)
+	x.Write(0, testName, Back)
+	y.Write(0, testName, Back)
+	f, _ := y.Get(testName)
+	x.Take(testName, f)
 	sum := x.Sum()
-	if !x.Write(time.Hour, one, Back) || x.Sum() != sum {
-		t.Error("two copies that say the same were written over")
+	if !x.Write(time.Hour, testName, Back) || x.Sum() != sum {
+		t.Error("a value that both copies already have was written again")
 	}
-	if !x.Write(time.Hour, one, Out) || x.Sum() == sum {
-		t.Error("an order that says something else was not written")
+	if !x.Write(time.Hour, testName, Out) || x.Sum() == sum {
+		t.Error("an order with another value was not written")
 	}
-	if sum = x.Sum(); !x.Write(time.Hour, one, Out) || x.Sum() == sum {
-		t.Error("an order that keeps a drain does not hold against one not heard of")
+	if sum = x.Sum(); !x.Write(time.Hour, testName, Out) || x.Sum() == sum {
+		t.Error("a repeated order Out is not written again, so a concurrent Back that has not arrived could win")
 	}
 }
 
-// A snapshot taken up in another life says what the store said, whatever the clock says by then; one that is cut short changes nothing.
+// A snapshot loaded in another incarnation restores the same facts, with times relative to the new clock. A truncated snapshot changes
+// nothing.
 func TestSnapshot(t *testing.T) {
 	a, b := NewStore(1, 10), NewStore(2, 10)
-	a.Write(time.Hour, one, Out)
+	a.Write(time.Hour, testName, Out)
 	a.Write(time.Hour, Name{Order, "south-c1"}, Back)
 	text := a.Snapshot(time.Hour + time.Minute)
 	if err := b.Load(0, text[:len(text)-1]); err != ErrSnapshot || b.Len() > 0 {
@@ -313,36 +316,36 @@
 	if err := b.Load(-time.Minute, text); err != nil || b.Sum() != a.Sum() {
 		t.Errorf("%v, %d facts of %d", err, b.Len(), a.Len())
 	}
-	if f, _ := b.Get(one); f.Copies[0].Since != -2*time.Minute {
+	if f, _ := b.Get(testName); f.Copies[0].Since != -2*time.Minute {
 		t.Errorf("written %v before the start", f.Copies[0].Since)
 	}
-	b.Write(0, one, Back) // later than all that was stored, though the life is another
-	f, _ := b.Get(one)
-	a.Take(one, f)
-	if f, _ = a.Get(one); len(f.Copies) != 1 || f.Copies[0].Value != Back {
+	b.Write(0, testName, Back) // supersedes the stored copy, although the incarnation differs
+	f, _ := b.Get(testName)
+	a.Take(testName, f)
+	if f, _ = a.Get(testName); len(f.Copies) != 1 || f.Copies[0].Value != Back {
 		t.Errorf("an order after the restart: %+v", f)
 	}
 }
 
-// Facts of a server that has been off the list for the span go, and those who still hold them can't bring them back; one that is listed
-// again has facts anew. A router without a list lets go of nothing.
+// Facts of a server that has been off the list for After are removed, and routers that still hold them can't bring them back. A server that
+// is listed again can have facts again. A router without a list removes nothing.
 func TestForgetter(t *testing.T) {
 	s, g := NewStore(1, 10), Forgetter{After: time.Hour}
-	s.Write(0, one, Out)
-	kept := s.facts[one].Fact
-	listed := map[string]bool{one.Subject: true}
+	s.Write(0, testName, Out)
+	kept := s.facts[testName].Fact
+	listed := map[string]bool{testName.Subject: true}
 	for _, step := range []struct {
 		at   time.Duration
 		list map[string]bool
 		has  bool
 	}{{0, listed, true}, {2 * time.Hour, nil, true}, {2 * time.Hour, map[string]bool{"b": true}, true}, {150 * time.Minute, map[string]bool{"b": true}, true},
 		{3 * time.Hour, map[string]bool{"b": true}, false}, {200 * time.Minute, listed, true}} {
-		_, had := s.Get(one)
+		_, had := s.Get(testName)
 		if gone := g.Listed(step.at, s, step.list); (len(gone) == 1) != (had && !step.has) {
-			t.Errorf("at %v: let go of %v", step.at, gone)
+			t.Errorf("at %v: removed %v", step.at, gone)
 		}
-		s.Take(one, kept)
-		if _, has := s.Get(one); has != step.has {
+		s.Take(testName, kept)
+		if _, has := s.Get(testName); has != step.has {
 			t.Errorf("at %v with %v: held %v", step.at, step.list, has)
 		}
 	}
--- a/internal/facts/forget.go
+++ b/internal/facts/forget.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Forgetter lets go of facts about servers that have been off the list for long. The span has to be longer than any router goes on without
-// a list: one that has not heard of a server's end must not bring its facts back.
+// Forgetter removes facts about servers that have been off the discovery list for After. After must be longer than any router runs without
+// a list: a router that has not learned of a server's removal must not bring its facts back.
 type Forgetter struct {
-	After time.Duration // off the list
+	After time.Duration // how long a server must have been off the list
 
-	off map[string]time.Duration // since when, of servers with facts or let go of
+	unlistedSince map[string]time.Duration // since when, for servers whose facts are stored or were removed
 }
 
-// Listed takes the list as it is at a moment, by names, and returns the facts that are let go. An empty list says nothing: it is that of
-// a router that has none yet.
-func (g *Forgetter) Listed(now time.Duration, s *Store, listed map[string]bool) (gone []Name) {
+// Listed applies the discovery list as of now, a set of server names, and returns the names of the facts that were removed. An empty list
+// is ignored: a router that has received no list yet has an empty one.
+func (f *Forgetter) Listed(now time.Duration, s *Store, listed map[string]bool) (dropped []Name) {
 	if len(listed) == 0 {
 		return nil
 	}
-	if g.off == nil {
-		g.off = map[string]time.Duration{}
+	if f.unlistedSince == nil {
+		f.unlistedSince = map[string]time.Duration{}
 	}
 	for n := range s.facts {
-		if _, known := g.off[n.Subject]; !known {
-			g.off[n.Subject] = now
+		if _, known := f.unlistedSince[n.Subject]; !known {
+			f.unlistedSince[n.Subject] = now
 		}
 	}
-	// A name is remembered for as long again, while others may still hold its facts.
-	maps.DeleteFunc(g.off, func(name string, since time.Duration) bool { return listed[name] || now-since > 2*g.After })
-	held := s.Names()
+	// A name is remembered for another After, because other routers may still hold its facts.
+	maps.DeleteFunc(f.unlistedSince, func(name string, since time.Duration) bool { return listed[name] || now-since > 2*f.After })
+	before := s.Names()
 	s.Keep(func(n Name) bool {
-		since, off := g.off[n.Subject]
-		return !off || now-since < g.After
+		since, unlisted := f.unlistedSince[n.Subject]
+		return !unlisted || now-since < f.After
 	})
-	return slices.DeleteFunc(held, s.may)
+	return slices.DeleteFunc(before, s.accepts)
 }
--- a/internal/facts/spread.go
+++ b/internal/facts/spread.go
@@ -11,163 +11,169 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Period is how often a Spreader's Tick is to be called, and HurryPeriod while it has not been in step: clients wait for it.
+// Period is the interval between calls of a Spreader's Tick. HurryPeriod is the interval until it is in step, since clients wait for that.
 const (
 	Period      = 200 * time.Millisecond
 	HurryPeriod = 50 * time.Millisecond
 )
 
-// What a router sends at most. Quiet, it is one digest of 72 bytes a period, whatever there is of routers and facts.
+// Limits on what a router sends. With nothing new it sends one digest of 72 bytes a period, however many routers and facts there are.
 const (
-	behind    = 4  // digests a period while there is news: it may be behind with more
-	rumours   = 4  // datagrams of news a period
-	replies   = 24 // datagrams in answer to others a period: a flood of questions costs no more
-	together  = 8  // facts under a prefix that are told outright; of more, digests of their parts are compared first
-	inReply   = 8  // datagrams in one answer
-	mostDepth = 8  // of prefixes, in sixteenths
+	catchUpDigests        = 4  // digests per tick after news has arrived, when the router may lack more facts
+	maxNewsPerTick        = 4  // datagrams with news per tick
+	maxRepliesPerTick     = 24 // datagrams in answer to peers per tick, which bounds the cost of a flood of queries
+	maxFactsSentOutright  = 8  // facts under a prefix that are sent at once; with more, the digests of its children are compared first
+	maxDatagramsPerAnswer = 8  // datagrams with facts under one prefix
+	maxPrefixDepth        = 8  // length of a prefix in hexadecimal digits
 )
 
-// prefix is the part of all names whose hash begins with so many sixteenths.
+// prefix is the set of names whose hash starts with the given hexadecimal digits. Prefixes form a tree of sixteen children per node.
 type prefix struct {
 	bits  uint64
 	depth int
 }
 
-func (p prefix) parent(depth int) prefix {
+// truncate returns the ancestor of the prefix at the given depth.
+func (p prefix) truncate(depth int) prefix {
 	if depth == 0 {
 		return prefix{}
 	}
 	return prefix{p.bits &^ (1<<(64-4*depth) - 1), depth}
 }
 
-func (p prefix) has(hash uint64) bool { return prefix{hash, 0}.parent(p.depth).bits == p.bits }
+func (p prefix) contains(hash uint64) bool { return prefix{hash, 0}.truncate(p.depth).bits == p.bits }
 
-func (p prefix) part(i int) prefix { return prefix{p.bits | uint64(i)<<(60-4*p.depth), p.depth + 1} }
+func (p prefix) child(i int) prefix { return prefix{p.bits | uint64(i)<<(60-4*p.depth), p.depth + 1} }
 
-func place(n Name) uint64 { return xxhash.Sum64(append([]byte{byte(n.Kind)}, n.Subject...)) }
+// hashName returns the hash that places a name in the tree of prefixes.
+func hashName(n Name) uint64 { return xxhash.Sum64(append([]byte{byte(n.Kind)}, n.Subject...)) }
 
-// Message is a datagram to another router, by its number.
+// Message is a datagram to the router with index To.
 type Message struct {
 	To   int
 	Text []byte
 }
 
-// Spreader tells a store's facts to the other routers: news to a few drawn ones, over and over in a growing circle, and by comparing
-// digests with one drawn router after another, which finds whatever rumours lost. A router that returns with nothing, or with old
-// copies, catches up by the same comparison, prefix by prefix; no router is needed for it, for the next digest goes to another one.
+// Spreader replicates a store's facts to the other routers by gossip. News goes to a few random peers, each of which forwards it in turn.
+// Anti-entropy compares digests with one random peer after another and finds whatever the forwarding lost. A router that returns with no
+// facts, or with old copies, catches up by the same comparison, prefix by prefix. It depends on no single peer: the next digest goes to
+// another one.
 type Spreader struct {
 	*Store
-	routers, number int
-	rng             *rand.Rand
-	news            map[Name]int // facts to be told, and how often yet
-	answered        int          // datagrams of this period
-	learned         int          // facts in the last one
-	inStep          bool
-	changed         map[Name]bool // by others' word, since last asked
-	ever            int64         // how often facts have been, since the start
+	routerCount, self int
+	rng               *rand.Rand
+	pendingNews       map[Name]int // remaining sends of each fact with news
+	repliesSent       int          // datagrams since the last tick
+	learnedSinceTick  int          // facts changed by peers since the last tick
+	synced            bool
+	changed           map[Name]bool // facts changed by peers since the last call of Changed
+	learnedTotal      int64         // changes of facts by peers since the start
 }
 
-// NewSpreader returns the spreader of one router of so many, by its number.
-func NewSpreader(s *Store, routers, number int, seed uint64) *Spreader {
-	return &Spreader{Store: s, routers: routers, number: number, rng: rand.New(rand.NewPCG(seed, uint64(number))), news: map[Name]int{}, changed: map[Name]bool{}}
+// NewSpreader returns the spreader of the router with index self, from 0, among routerCount routers.
+func NewSpreader(s *Store, routerCount, self int, seed uint64) *Spreader {
+	return &Spreader{Store: s, routerCount: routerCount, self: self, rng: rand.New(rand.NewPCG(seed, uint64(self))), pendingNews: map[Name]int{}, changed: map[Name]bool{}}
 }
 
-// InStep tells whether this router has been as far as another one that was in step itself, or has been told that there is none.
-func (s *Spreader) InStep() bool { return s.inStep }
+// InStep reports whether this router's facts have been equal to those of a peer that was itself in step, or Alone has been called. It
+// stays true from then on.
+func (s *Spreader) InStep() bool { return s.synced }
 
-// Learned is how often others have told something new since the start.
-func (s *Spreader) Learned() int64 { return s.ever }
+// Learned returns how many times a peer's message has changed a fact since the start.
+func (s *Spreader) Learned() int64 { return s.learnedTotal }
 
-// Told says whether Changed has anything.
+// Told reports whether Changed would return any names.
 func (s *Spreader) Told() bool { return len(s.changed) > 0 }
 
-// Changed are the facts of which others have told anything new since the last call, in order.
+// Changed returns the names of the facts that peers have changed since the last call, sorted.
 func (s *Spreader) Changed() []Name {
-	all := slices.SortedFunc(maps.Keys(s.changed), byName)
+	names := slices.SortedFunc(maps.Keys(s.changed), byName)
 	clear(s.changed)
-	return all
+	return names
 }
 
-// Due is how long after a Tick the next one is to come.
+// Due returns the interval until the next call of Tick.
 func (s *Spreader) Due() time.Duration {
-	if s.inStep {
+	if s.synced {
 		return Period
 	}
 	return HurryPeriod
 }
 
-// Alone says that nobody is heard who could be ahead: what this router holds is all there is.
-func (s *Spreader) Alone() { s.inStep = true }
+// Alone marks this router as in step because no peer can be reached that could have newer facts.
+func (s *Spreader) Alone() { s.synced = true }
 
-// Set writes a value, as Store.Write, and has it told.
+// Set writes a value, as Store.Write does, and queues the fact to be sent to peers.
 func (s *Spreader) Set(now time.Duration, n Name, value int64) bool {
 	if !s.Write(now, n, value) {
 		return false
 	}
-	s.news[n] = s.rounds()
+	s.pendingNews[n] = s.newsRepeats()
 	return true
 }
 
-// rounds is how often a router tells a piece of news to one other: twice the doublings that reach all.
-func (s *Spreader) rounds() int { return 2*bits.Len(uint(s.routers)) + 1 }
+// newsRepeats returns how many times a router sends a changed fact, each time to one random peer: twice the number of
+// doublings after which all routers are reached, plus one.
+func (s *Spreader) newsRepeats() int { return 2*bits.Len(uint(s.routerCount)) + 1 }
 
-func (s *Spreader) peer() int {
-	to := s.rng.IntN(s.routers - 1)
-	if to >= s.number {
+// randomPeer returns the index of a random router other than this one.
+func (s *Spreader) randomPeer() int {
+	to := s.rng.IntN(s.routerCount - 1)
+	if to >= s.self {
 		to++
 	}
 	return to
 }
 
-// Tick sends what is due in a period.
+// Tick starts a new period and returns its datagrams: news, and digests to random peers. The caller calls it every Due.
 func (s *Spreader) Tick(now time.Duration) (out []Message) {
-	if s.answered = 0; s.routers < 2 {
+	if s.repliesSent = 0; s.routerCount < 2 {
 		return nil
 	}
-	asks := 1
-	if s.learned > 0 || s.Len() == 0 || !s.inStep { // it is behind: some that it asks are gone, and some answers are lost
-		asks = behind
+	digests := 1
+	if s.learnedSinceTick > 0 || s.Len() == 0 || !s.synced { // it may lack facts: some peers may be down and some answers lost
+		digests = catchUpDigests
 	}
-	s.learned = 0
-	out = s.tell(now)
-	m := s.digest(prefix{})
-	if !s.inStep {
-		m.what = asksDigest
+	s.learnedSinceTick = 0
+	out = s.sendNews(now)
+	query := s.digest(prefix{})
+	if !s.synced {
+		query.typ = typeDigestQuery
 	}
-	for text := m.digest(); asks > 0; asks-- {
-		out = append(out, Message{s.peer(), text})
+	for data := query.encodeDigest(); digests > 0; digests-- {
+		out = append(out, Message{s.randomPeer(), data})
 	}
 	return out
 }
 
-// Burst tells a fact to as many others at once as it will be told to one by one: due after a Set, for the router may die before its next
-// Tick, and of one datagram to one other nobody might ever hear.
+// Burst returns datagrams that send a fact to newsRepeats random peers at once. Call it after Set: the router may crash before its next
+// Tick, and a single datagram to a single peer may be lost.
 func (s *Spreader) Burst(now time.Duration, n Name) (out []Message) {
-	if _, ok := s.facts[n]; !ok || s.routers < 2 {
+	if _, ok := s.facts[n]; !ok || s.routerCount < 2 {
 		return nil
 	}
-	text, _ := s.pack(now, message{what: tellsFacts}, []Name{n})
-	for range s.rounds() {
-		out = append(out, Message{s.peer(), text})
+	data, _ := s.encodeFacts(now, message{typ: typeFacts}, []Name{n})
+	for range s.newsRepeats() {
+		out = append(out, Message{s.randomPeer(), data})
 	}
 	return out
 }
 
-// tell sends the news that is due in a period.
-func (s *Spreader) tell(now time.Duration) (out []Message) {
-	due := make([]Name, 0, len(s.news))
-	for n := range s.news {
+// sendNews returns the datagrams with news for one tick.
+func (s *Spreader) sendNews(now time.Duration) (out []Message) {
+	due := make([]Name, 0, len(s.pendingNews))
+	for n := range s.pendingNews {
 		due = append(due, n)
 	}
-	slices.SortFunc(due, func(a, b Name) int { // what was told least goes first, alike ones in an order that hangs on no map
-		return cmp.Or(s.news[b]-s.news[a], cmp.Compare(place(a), place(b)))
+	slices.SortFunc(due, func(a, b Name) int { // least sent first; ties in a fixed order that does not depend on map iteration
+		return cmp.Or(s.pendingNews[b]-s.pendingNews[a], cmp.Compare(hashName(a), hashName(b)))
 	})
-	for len(due) > 0 && len(out) < rumours {
-		text, n := s.pack(now, message{what: tellsFacts}, due)
-		out = append(out, Message{s.peer(), text})
+	for len(due) > 0 && len(out) < maxNewsPerTick {
+		data, n := s.encodeFacts(now, message{typ: typeFacts}, due)
+		out = append(out, Message{s.randomPeer(), data})
 		for _, name := range due[:n] {
-			if s.news[name]--; s.news[name] <= 0 {
-				delete(s.news, name)
+			if s.pendingNews[name]--; s.pendingNews[name] <= 0 {
+				delete(s.pendingNews, name)
 			}
 		}
 		due = due[n:]
@@ -175,111 +181,114 @@
 	return out
 }
 
-// pack writes as many facts as one datagram holds, and tells how many; names whose facts have been let go count as told.
-func (s *Spreader) pack(now time.Duration, m message, names []Name) (text []byte, n int) {
+// encodeFacts encodes as many of the named facts as fit one datagram and returns how many names were consumed. Names whose facts have been
+// removed count as consumed.
+func (s *Spreader) encodeFacts(now time.Duration, m message, names []Name) (data []byte, n int) {
 	flag := byte(0)
-	if m.wants {
+	if m.wantsReply {
 		flag = 1
 	}
-	text = append(m.head(), flag)
+	data = append(m.appendHeader(), flag)
 	for _, name := range names {
 		if f, ok := s.facts[name]; ok {
-			longer := appendFact(text, now, name, f.Fact)
-			if len(longer) > MostBytes {
+			extended := appendFact(data, now, name, f.Fact)
+			if len(extended) > MostBytes {
 				break
 			}
-			text = longer
+			data = extended
 		}
 		n++
 	}
-	return text, n
+	return data, n
 }
 
-// all tells a router the facts under a prefix, as many as one answer may, from anywhere among them: the next answer goes on elsewhere.
-func (s *Spreader) all(now time.Duration, to int, p prefix) (out []Message) {
-	names := s.under(p)
+// answerWithFacts returns datagrams with the facts under a prefix, up to maxDatagramsPerAnswer, starting at a random one, so that further
+// answers cover other facts.
+func (s *Spreader) answerWithFacts(now time.Duration, to int, p prefix) (out []Message) {
+	names := s.namesUnder(p)
 	if len(names) > 0 {
-		at := s.rng.IntN(len(names))
-		names = append(names[at:], names[:at]...)
+		start := s.rng.IntN(len(names))
+		names = append(names[start:], names[:start]...)
 	}
-	for len(names) > 0 && len(out) < inReply {
-		text, n := s.pack(now, message{what: tellsFacts, prefix: p}, names)
-		out, names = append(out, Message{to, text}), names[n:]
+	for len(names) > 0 && len(out) < maxDatagramsPerAnswer {
+		data, n := s.encodeFacts(now, message{typ: typeFacts, prefix: p}, names)
+		out, names = append(out, Message{to, data}), names[n:]
 	}
 	return out
 }
 
-// digest is what a store holds under a prefix: for each of its parts the sum of the facts' hashes.
+// digest returns a digest message for a prefix: for each child the sum of the hashes of the facts under it.
 func (s *Spreader) digest(p prefix) message {
-	m := message{what: tellsDigest, prefix: p}
+	m := message{typ: typeDigest, prefix: p}
 	for _, f := range s.facts {
-		if p.has(f.at) {
-			m.parts[f.at<<(4*p.depth)>>60] += uint32(f.sum)
+		if p.contains(f.nameHash) {
+			m.childHashes[f.nameHash<<(4*p.depth)>>60] += uint32(f.contentHash)
 		}
 	}
 	return m
 }
 
-func (s *Spreader) under(p prefix) (all []Name) {
+// namesUnder returns the names of the facts under a prefix, ordered by the hash of the name.
+func (s *Spreader) namesUnder(p prefix) (names []Name) {
 	for n, f := range s.facts {
-		if p.has(f.at) {
-			all = append(all, n)
+		if p.contains(f.nameHash) {
+			names = append(names, n)
 		}
 	}
-	slices.SortFunc(all, func(a, b Name) int { return cmp.Compare(s.facts[a].at, s.facts[b].at) })
-	return all
+	slices.SortFunc(names, func(a, b Name) int { return cmp.Compare(s.facts[a].nameHash, s.facts[b].nameHash) })
+	return names
 }
 
-// Handle takes a datagram from another router, whatever it holds, and returns the answers to it.
-func (s *Spreader) Handle(now time.Duration, from int, text []byte) (out []Message) {
-	m, err := decode(now, text)
-	if err != nil || from == s.number || from < 0 || from >= s.routers {
+// Handle processes a datagram from the router with index from and returns the answers. Malformed datagrams are ignored.
+func (s *Spreader) Handle(now time.Duration, from int, data []byte) (out []Message) {
+	m, err := decode(now, data)
+	if err != nil || from == s.self || from < 0 || from >= s.routerCount {
 		return nil
 	}
-	switch m.what {
-	case tellsFacts:
+	switch m.typ {
+	case typeFacts:
 		for _, f := range m.facts {
 			if s.Take(f.name, f.fact) {
-				s.news[f.name], s.changed[f.name] = s.rounds(), true
-				s.learned++
-				s.ever++
+				s.pendingNews[f.name], s.changed[f.name] = s.newsRepeats(), true
+				s.learnedSinceTick++
+				s.learnedTotal++
 			}
 		}
-		if m.wants && s.answered < replies {
-			out = s.all(now, from, m.prefix)
+		if m.wantsReply && s.repliesSent < maxRepliesPerTick {
+			out = s.answerWithFacts(now, from, m.prefix)
 		}
-	case tellsDigest, asksDigest:
-		if s.answered >= replies { // before any work: a flood is not to cost that either
+	case typeDigest, typeDigestQuery:
+		if s.repliesSent >= maxRepliesPerTick { // checked before any work, which a flood must not cause
 			return nil
 		}
 		own := s.digest(m.prefix)
-		if m.prefix == (prefix{}) && own.parts == m.parts {
-			if m.what == tellsDigest { // by one that is in step
-				s.inStep = true
-			} else if s.inStep {
-				out = append(out, Message{from, own.digest()})
+		if m.prefix == (prefix{}) && own.childHashes == m.childHashes {
+			if m.typ == typeDigest { // the sender is in step
+				s.synced = true
+			} else if s.synced {
+				out = append(out, Message{from, own.encodeDigest()})
 			}
 		}
-		for _, i := range s.rng.Perm(len(own.parts)) {
-			if own.parts[i] == m.parts[i] {
+		for _, i := range s.rng.Perm(len(own.childHashes)) {
+			if own.childHashes[i] == m.childHashes[i] {
 				continue
 			}
-			part := m.prefix.part(i)
-			if m.parts[i] == 0 { // it has nothing there: there is nothing to compare
-				out = append(out, s.all(now, from, part)...)
-			} else if names := s.under(part); len(names) > together && part.depth < mostDepth {
-				out = append(out, Message{from, s.digest(part).digest()})
-			} else { // tells what it has, and asks
-				text, n := s.pack(now, message{what: tellsFacts, prefix: part, wants: true}, names)
-				out = append(out, Message{from, text})
+			part := m.prefix.child(i)
+			if m.childHashes[i] == 0 { // the peer has no facts there, so there is nothing to compare
+				out = append(out, s.answerWithFacts(now, from, part)...)
+			} else if names := s.namesUnder(part); len(names) > maxFactsSentOutright && part.depth < maxPrefixDepth {
+				out = append(out, Message{from, s.digest(part).encodeDigest()})
+			} else { // sends its own facts and asks for the peer's
+				data, n := s.encodeFacts(now, message{typ: typeFacts, prefix: part, wantsReply: true}, names)
+				out = append(out, Message{from, data})
 				if n < len(names) {
-					text, _ = s.pack(now, message{what: tellsFacts, prefix: part}, names[n:])
-					out = append(out, Message{from, text})
+					data, _ = s.encodeFacts(now, message{typ: typeFacts, prefix: part}, names[n:])
+					out = append(out, Message{from, data})
 				}
 			}
 		}
 	}
-	out = out[:min(len(out), max(replies-s.answered, 0))]
-	s.answered += len(out)
+	out = out[:min(len(out), max(maxRepliesPerTick-s.repliesSent, 0))]
+	s.repliesSent += len(out)
 	return out
 }
--- a/internal/facts/spread_test.go
+++ b/internal/facts/spread_test.go
@@ -5,65 +5,65 @@
 	"time"
 )
 
-// A flood of questions costs a router no more than its bound of a period.
-func TestFlood(t *testing.T) {
+// A flood of queries is answered with at most maxRepliesPerTick datagrams per tick.
+func TestQueryFloodIsBounded(t *testing.T) {
 	s := NewSpreader(NewStore(1, 500), 3, 0, 1)
 	for i := range 500 {
 		s.Write(0, Name{Order, string(rune('a'+i%26)) + string(rune('a'+i/26))}, Out)
 	}
 	sent := 0
-	question := NewSpreader(NewStore(2, 1), 3, 1, 1).digest(prefix{}).digest()
+	question := NewSpreader(NewStore(2, 1), 3, 1, 1).digest(prefix{}).encodeDigest()
 	for range 10_000 {
 		for _, m := range s.Handle(0, 1, question) {
 			sent += len(m.Text)
 		}
 	}
-	if sent == 0 || sent > replies*MostBytes {
+	if sent == 0 || sent > maxRepliesPerTick*MostBytes {
 		t.Errorf("a flood was answered with %d bytes", sent)
 	}
 }
 
-// Whatever comes, a router takes it without harm, and what it takes can be told again in one datagram.
+// Any datagram is handled without a panic or the loss of an order, and each fact that was accepted can be sent again in one datagram.
 func FuzzHandle(f *testing.F) {
 	s := NewSpreader(NewStore(7, 100), 3, 0, 1)
-	s.Set(0, one, Out)
+	s.Set(0, testName, Out)
 	s.Set(0, Name{Cold, "c2"}, 1_800_000_000_000)
 	for _, m := range s.Tick(0) {
 		f.Add(m.Text)
 	}
-	f.Add([]byte{mark, version, byte(tellsFacts), 0, 0, 0, 0, 0, 1})
-	f.Add([]byte{mark, 9})
+	f.Add([]byte{magicByte, version, byte(typeFacts), 0, 0, 0, 0, 0, 1})
+	f.Add([]byte{magicByte, 9})
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s := NewSpreader(NewStore(1, 100), 3, 0, 1)
-		s.Set(0, one, Back)
+		s.Set(0, testName, Back)
 		for _, m := range s.Handle(time.Hour, 1, text) {
 			if len(m.Text) > MostBytes {
 				t.Fatalf("%d bytes", len(m.Text))
 			}
 		}
-		if got, _ := s.Get(one); len(got.Copies) == 0 {
+		if got, _ := s.Get(testName); len(got.Copies) == 0 {
 			t.Fatalf("an order was lost: %+v", got)
 		}
 		for _, n := range s.Names() {
-			text, fits := s.pack(time.Hour, message{what: tellsFacts}, []Name{n})
+			text, fits := s.encodeFacts(time.Hour, message{typ: typeFacts}, []Name{n})
 			if fits != 1 {
 				t.Fatalf("%v does not fit a datagram", n)
 			}
 			if _, err := decode(time.Hour, text); err != nil {
-				t.Fatalf("%v can't be told: %v", n, err)
+				t.Fatalf("%v can't be sent: %v", n, err)
 			}
 		}
 	})
 }
 
-// A router that starts is in step once one that is in step itself has said so, and not by the word of others that have just started and
-// know as little: after a restart of many, those would tell one another that there is nothing to know.
-func TestInStep(t *testing.T) {
+// A starting router is in step once a peer that is in step has confirmed equal facts, and not because of peers that have just started as
+// well: after a restart of many routers, these would confirm to one another that there are no facts.
+func TestSyncedOnlyByASyncedPeer(t *testing.T) {
 	fleet := func(held bool) (old, a, b *Spreader) {
 		old, a, b = NewSpreader(NewStore(1, 10), 3, 0, 1), NewSpreader(NewStore(2, 10), 3, 1, 1), NewSpreader(NewStore(3, 10), 3, 2, 1)
 		if old.Alone(); held {
-			old.Write(0, one, Out)
+			old.Write(0, testName, Out)
 		}
 		return old, a, b
 	}
@@ -84,28 +84,28 @@
 		old, a, b := fleet(held)
 		talk(a, b, 1, 2)
 		if a.InStep() || b.InStep() {
-			t.Error("two that know nothing take one another's word")
+			t.Error("two routers that have just started count as in step")
 		}
 		talk(old, a, 0, 1)
-		if _, has := a.Get(one); !a.InStep() || has != held {
+		if _, has := a.Get(testName); !a.InStep() || has != held {
 			t.Errorf("in step %v, the fact %v", a.InStep(), has)
 		}
 		talk(a, b, 1, 2)
-		if _, has := b.Get(one); !b.InStep() || has != held {
+		if _, has := b.Get(testName); !b.InStep() || has != held {
 			t.Errorf("by way of another: in step %v, the fact %v", b.InStep(), has)
 		}
 	}
 }
 
-// What is set is told at once to so many that of ten routers whose yes was their last word none takes an order along, with half of the datagrams
-// lost. Guard: one datagram to one other lost one in three on real processes.
+// Burst sends an order to so many peers at once that none is lost when the router crashes right after it, for ten seeds with half of the
+// datagrams lost. With one datagram to one peer, one order in three was lost on real processes.
 func TestBurst(t *testing.T) {
 	for seed := range uint64(10) {
 		s := NewSpreader(NewStore(1, 10), 8, 0, seed)
-		s.Set(0, one, Out)
+		s.Set(0, testName, Out)
 		told := map[int]bool{}
-		for i, m := range s.Burst(0, one) {
-			if i%2 == 0 { // the others are lost
+		for i, m := range s.Burst(0, testName) {
+			if i%2 == 0 { // the other datagrams are lost
 				told[m.To] = true
 			}
 		}
@@ -113,7 +113,7 @@
 			t.Errorf("seed %d: told %v", seed, told)
 		}
 	}
-	if out := NewSpreader(NewStore(1, 10), 8, 0, 1).Burst(0, one); len(out) > 0 {
-		t.Errorf("%d datagrams of a fact that nobody knows", len(out))
+	if out := NewSpreader(NewStore(1, 10), 8, 0, 1).Burst(0, testName); len(out) > 0 {
+		t.Errorf("%d datagrams for a fact that does not exist", len(out))
 	}
 }
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -1,6 +1,6 @@
-// Package migrate turns a router's configuration for the old shape of deployment (a pool of routers that talk to one
-// another, one request at a time on a connection) into its counterpart for the new one (a router for each client process,
-// which hears of no other, and connections that carry many requests). It reads no file and writes none.
+// Package migrate converts a router's configuration from the old deployment shape (a pool of routers that exchange
+// messages, one request at a time on a connection) to the new one (one router in each client process, which receives no
+// messages from others, and connections that carry many requests at once). It does no file I/O.
 package migrate
 
 import (
@@ -16,66 +16,66 @@
 	settingsfile "cedarmast/internal/settings"
 )
 
-// Shape is what the new deployment is like, as far as an old configuration can't tell.
+// Shape describes the new deployment, as far as it does not follow from the old configuration.
 type Shape struct {
-	Routers  int           // client processes, each with a router of its own
-	Number   int           // of this one among them, from 0
-	Name     string        // of this router; empty keeps the old one's
-	Listen   string        // address:port; empty keeps the old one's
-	Zone     string        // of this router; empty keeps the old one's
-	Zones    []string      // the locations; servers known elsewhere are left behind. Empty keeps all
-	Streams  int           // requests that a connection carries at once
-	ConnIdle time.Duration // after which servers close an idle connection; 0 keeps the old one
+	Routers  int           // number of client processes, each with its own router
+	Number   int           // index of this router, from 0
+	Name     string        // name of this router; empty keeps the old one
+	Listen   string        // address:port; empty keeps the old one
+	Zone     string        // zone of this router; empty keeps the old one
+	Zones    []string      // zones of the deployment; known servers in other zones are dropped. Empty keeps all
+	Streams  int           // maximum concurrent requests on a connection
+	ConnIdle time.Duration // time after which servers close an idle connection; 0 keeps the old setting
 }
 
-// Note tells of one key: how it was changed, or why what stood there is left behind.
+// Note describes what was done with a key: how its value was changed, or why it was dropped.
 type Note struct {
 	Key  string
 	Text string
-	Lost bool // the new shape has no place for what stood there
+	Lost bool // the new shape has no counterpart for the old value
 }
 
 type object = map[string]any
 
-// Move returns the counterpart of a configuration, indented, and what was changed and left behind, in the order of keys.
-// Keys that it does not know are carried as they are, numbers to the digit. A key that stands twice in one object, text that
-// is no JSON (with its line) and a configuration that has the new shape already are errors.
+// Move converts a configuration and returns it, indented, with notes on what was changed and dropped, sorted by key.
+// Unknown keys are kept as they are, with numbers unchanged to the digit. A duplicate key in an object, malformed JSON (reported
+// with its line) and a configuration that already has the new shape are errors.
 func Move(text []byte, to Shape) ([]byte, []Note, error) {
 	switch {
 	case to.Routers < 1:
-		return nil, nil, fmt.Errorf("routers: %d is under 1", to.Routers)
+		return nil, nil, fmt.Errorf("routers: %d is less than 1", to.Routers)
 	case to.Number < 0 || to.Number >= to.Routers:
-		return nil, nil, fmt.Errorf("number: %d is none of %d routers", to.Number, to.Routers)
+		return nil, nil, fmt.Errorf("number: %d is outside the range of %d routers", to.Number, to.Routers)
 	case to.Streams < 1:
-		return nil, nil, fmt.Errorf("streams: %d is under 1", to.Streams)
+		return nil, nil, fmt.Errorf("streams: %d is less than 1", to.Streams)
 	case to.ConnIdle < 0:
-		return nil, nil, fmt.Errorf("idle: %v is under 0", to.ConnIdle)
+		return nil, nil, fmt.Errorf("idle: %v is negative", to.ConnIdle)
 	case to.Zone != "" && len(to.Zones) > 0 && !slices.Contains(to.Zones, to.Zone):
-		return nil, nil, fmt.Errorf("zone: %q is none of %s", to.Zone, strings.Join(to.Zones, ", "))
+		return nil, nil, fmt.Errorf("zone: %q is not one of %s", to.Zone, strings.Join(to.Zones, ", "))
 	}
-	config, err := read(text)
+	config, err := decodeObject(text)
 	if err != nil {
 		return nil, nil, err
 	}
 	settings, ok := config["settings"].(object)
 	if !ok {
-		return nil, nil, errors.New("settings: missing, or no object")
+		return nil, nil, errors.New("settings: missing, or not an object")
 	}
-	m := mover{to: to}
-	m.top(config)
-	if err := m.settings(settings); err != nil {
+	m := converter{to: to}
+	m.convertTopLevel(config)
+	if err := m.convertSettings(settings); err != nil {
 		return nil, nil, err
 	}
 	for _, key := range settingsfile.Unread(settings) {
 		m.notes = append(m.notes, Note{"settings." + key, "carried as it is; no router reads it", false})
 	}
 	slices.SortStableFunc(m.notes, func(a, b Note) int { return strings.Compare(a.Key, b.Key) })
-	moved, err := json.MarshalIndent(config, "", "  ")
-	return append(moved, '\n'), m.notes, err
+	encoded, err := json.MarshalIndent(config, "", "  ")
+	return append(encoded, '\n'), m.notes, err
 }
 
-// read takes a JSON object token by token: encoding/json alone lets the last of two keys win without a word.
-func read(text []byte) (object, error) {
+// decodeObject decodes a JSON object token by token to detect duplicate keys: json.Unmarshal silently keeps the last one.
+func decodeObject(text []byte) (object, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	line := func() int { return 1 + bytes.Count(text[:min(d.InputOffset(), int64(len(text)))], []byte("\n")) }
@@ -101,10 +101,10 @@
 				if err != nil {
 					return nil, err
 				}
-				name := key.(string) // the decoder takes nothing else here
+				name := key.(string) // the decoder accepts only a string here
 				at := strings.TrimPrefix(path+"."+name, ".")
 				if _, twice := all[name]; twice {
-					return nil, fmt.Errorf("%s: stands there twice", at)
+					return nil, fmt.Errorf("%s: duplicate key", at)
 				}
 				if all[name], err = value(at); err != nil {
 					return nil, err
@@ -121,44 +121,47 @@
 	}
 	config, ok := v.(object)
 	if _, more := d.Token(); !ok || more != io.EOF {
-		return nil, fmt.Errorf("line %d: not one JSON object", line())
+		return nil, fmt.Errorf("line %d: not a single JSON object", line())
 	}
 	return config, nil
 }
 
-type mover struct {
+// converter applies a Shape to a configuration and collects notes.
+type converter struct {
 	to    Shape
 	notes []Note
 }
 
-func (m *mover) lose(key, why string) { m.notes = append(m.notes, Note{key, why, true}) }
+// drop notes that the value of a key has no counterpart.
+func (m *converter) drop(key, reason string) { m.notes = append(m.notes, Note{key, reason, true}) }
 
-// set puts a value in place of another, and notes it if they differ.
-func (m *mover) set(in object, path, key string, value any) {
-	was, there := in[key]
+// replace sets a key to a value, and notes it if the key is new or the value differs.
+func (m *converter) replace(in object, path, key string, value any) {
+	previous, present := in[key]
 	in[key] = value
-	if old := fmt.Sprint(was); !there {
+	if old := fmt.Sprint(previous); !present {
 		m.notes = append(m.notes, Note{path + key, fmt.Sprintf("set to %v", value), false})
 	} else if old != fmt.Sprint(value) {
 		m.notes = append(m.notes, Note{path + key, fmt.Sprintf("%s becomes %v", old, value), false})
 	}
 }
 
-func (m *mover) top(config object) {
-	for key, why := range map[string]string{"peer_listen": "routers send one another no messages",
-		"peers": "routers send one another no messages"} {
-		if was, there := config[key]; there {
+// convertTopLevel converts all keys outside of "settings".
+func (m *converter) convertTopLevel(config object) {
+	for key, reason := range map[string]string{"peer_listen": "routers no longer exchange messages",
+		"peers": "routers no longer exchange messages"} {
+		if value, present := config[key]; present {
 			delete(config, key)
-			if fmt.Sprint(was) != "" && fmt.Sprint(was) != "[]" {
-				m.lose(key, fmt.Sprintf("%v: %s", was, why))
+			if fmt.Sprint(value) != "" && fmt.Sprint(value) != "[]" {
+				m.drop(key, fmt.Sprintf("%v: %s", value, reason))
 			}
 		}
 	}
 	if m.to.Name != "" {
-		m.set(config, "", "name", m.to.Name)
+		m.replace(config, "", "name", m.to.Name)
 	}
 	if m.to.Listen != "" {
-		m.set(config, "", "listen", m.to.Listen)
+		m.replace(config, "", "listen", m.to.Listen)
 	}
 	known, _ := config["known"].(object)
 	all, _ := known["endpoints"].([]any)
@@ -171,43 +174,44 @@
 		if zone := fmt.Sprint(entry["zone"]); slices.Contains(m.to.Zones, zone) {
 			kept = append(kept, e)
 		} else {
-			m.lose("known.endpoints", fmt.Sprintf("server %v: its zone %s is no location any more", entry["name"], zone))
+			m.drop("known.endpoints", fmt.Sprintf("server %v: its zone %s is not part of the new deployment", entry["name"], zone))
 		}
 	}
 	known["endpoints"] = kept
 }
 
-func (m *mover) settings(settings object) error {
+// convertSettings converts the object "settings".
+func (m *converter) convertSettings(settings object) error {
 	const path = "settings."
 	if zone := fmt.Sprint(settings["Zone"]); m.to.Zone == "" && len(m.to.Zones) > 0 && !slices.Contains(m.to.Zones, zone) {
-		return fmt.Errorf("zone: the old one, %q, is none of %s; tell which this router is in", zone, strings.Join(m.to.Zones, ", "))
+		return fmt.Errorf("zone: the old one, %q, is not one of %s; set the zone of this router", zone, strings.Join(m.to.Zones, ", "))
 	}
 	if m.to.Zone != "" {
-		m.set(settings, path, "Zone", m.to.Zone)
+		m.replace(settings, path, "Zone", m.to.Zone)
 	}
-	m.set(settings, path, "FleetSize", m.to.Routers)
-	m.set(settings, path, "MyNumber", m.to.Number)
+	m.replace(settings, path, "FleetSize", m.to.Routers)
+	m.replace(settings, path, "MyNumber", m.to.Number)
 	limits, ok := settings["Limits"].(object)
 	if !ok {
 		if settings["Limits"] != nil {
-			return errors.New("settings.Limits: no object")
+			return errors.New("settings.Limits: not an object")
 		}
 		limits = object{}
 		settings["Limits"] = limits
 	}
 	if streams := fmt.Sprint(limits["StreamsPerConn"]); limits["PeerMessages"] == false && limits["StreamsPerConn"] != nil && streams != "1" {
-		return fmt.Errorf("settings.Limits.StreamsPerConn: %s, and no messages: the configuration has the new shape already", streams)
+		return fmt.Errorf("settings.Limits.StreamsPerConn: %s, and PeerMessages is false: the configuration has the new shape already", streams)
 	}
 	if family, _ := settings["FamilyInfo"].(object); family["Mode"] == "aside" {
-		m.lose(path+"FamilyInfo.Mode", "aside: no page says how a router asks the origin; it stands as it was and is not served")
+		m.drop(path+"FamilyInfo.Mode", "aside: it is not specified how a router asks the origin; the value is kept but this mode is not served")
 	}
 	if limits["PeerMessages"] == true {
-		m.lose(path+"Limits.PeerMessages", "true: routers send one another no messages")
+		m.drop(path+"Limits.PeerMessages", "true: routers no longer exchange messages")
 	}
 	limits["PeerMessages"] = false
-	m.set(limits, path+"Limits.", "StreamsPerConn", m.to.Streams)
+	m.replace(limits, path+"Limits.", "StreamsPerConn", m.to.Streams)
 	if m.to.ConnIdle > 0 {
-		m.set(limits, path+"Limits.", "ConnIdle", m.to.ConnIdle.Nanoseconds())
+		m.replace(limits, path+"Limits.", "ConnIdle", m.to.ConnIdle.Nanoseconds())
 	}
 	return nil
 }
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-const old = `{"peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7947"],
+const oldConfig = `{"peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7947"],
  "known":{"endpoints":[{"name":"a","zone":"north"},{"name":"b","zone":"west"}]},
  "settings":{"FleetSize":3,"Zone":"north","Big":12345678901234567890,"FamilyInfo":{"Mode":"aside"},"Limits":{"PeerMessages":true}}}`
 
-func TestMoveCarriesAndTells(t *testing.T) {
-	text, notes, err := Move([]byte(old), Shape{Routers: 80, Number: 17, Zones: []string{"north", "south"}, Streams: 100, ConnIdle: time.Minute})
+func TestMoveKeepsUnknownKeysAndReportsLosses(t *testing.T) {
+	text, notes, err := Move([]byte(oldConfig), Shape{Routers: 80, Number: 17, Zones: []string{"north", "south"}, Streams: 100, ConnIdle: time.Minute})
 	lost := ""
 	for _, n := range notes {
 		if n.Lost {
@@ -19,27 +19,27 @@
 		}
 	}
 	if err != nil || lost != "known.endpoints peer_listen peers settings.FamilyInfo.Mode settings.Limits.PeerMessages " {
-		t.Errorf("%v, left behind: %s", err, lost)
+		t.Errorf("%v, dropped: %s", err, lost)
 	}
 	if got := strings.Join(strings.Fields(string(text)), ""); got != `{"known":{"endpoints":[{"name":"a","zone":"north"}]},"settings":{"Big":`+
 		`12345678901234567890,"FamilyInfo":{"Mode":"aside"},"FleetSize":80,"Limits":{"ConnIdle":60000000000,"PeerMessages":false,`+
 		`"StreamsPerConn":100},"MyNumber":17,"Zone":"north"}}` {
-		t.Errorf("moved to %s", got)
+		t.Errorf("converted to %s", got)
 	}
 }
 
-// What the command can't know it asks for; it guesses nothing, and names what is wrong.
-func TestMoveRefuses(t *testing.T) {
+// Invalid or missing input is an error that names it; nothing is guessed.
+func TestMoveRejectsInvalidInput(t *testing.T) {
 	for want, c := range map[string]struct {
 		text  string
 		shape Shape
 	}{
-		"number: 2":                   {old, Shape{Routers: 2, Number: 2, Streams: 1}},
-		"streams: 0":                  {old, Shape{Routers: 2}},
-		`zone: the old one, "north"`:  {old, Shape{Routers: 2, Streams: 1, Zones: []string{"south"}}},
-		"line 3":                      {"{\n\"a\":1,\n}", Shape{Routers: 2, Streams: 1}},
-		"line 1: not one JSON object": {"{} {}", Shape{Routers: 2, Streams: 1}},
-		"a[0].b: stands there twice":  {`{"a":[{"b":1,"b":2}]}`, Shape{Routers: 2, Streams: 1}},
+		"number: 2":                        {oldConfig, Shape{Routers: 2, Number: 2, Streams: 1}},
+		"streams: 0":                       {oldConfig, Shape{Routers: 2}},
+		`zone: the old one, "north"`:       {oldConfig, Shape{Routers: 2, Streams: 1, Zones: []string{"south"}}},
+		"line 3":                           {"{\n\"a\":1,\n}", Shape{Routers: 2, Streams: 1}},
+		"line 1: not a single JSON object": {"{} {}", Shape{Routers: 2, Streams: 1}},
+		"a[0].b: duplicate key":            {`{"a":[{"b":1,"b":2}]}`, Shape{Routers: 2, Streams: 1}},
 	} {
 		if _, _, err := Move([]byte(c.text), c.shape); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v, want %q", c.text, err, want)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement says which cache a key belongs to by the list alone: weighted rendezvous hashing (Thaler and Ravishankar, 1998). Routers
-// that know the same caches agree on each key, whatever they have been through. It has no I/O and no clock.
+// Package placement maps keys to caches by weighted rendezvous hashing (Thaler and Ravishankar, 1998). The mapping depends on the set of
+// caches and their weights alone, so routers with the same set agree on each key whatever their history. It does no I/O and reads no clock.
 package placement
 
 import (
@@ -11,11 +11,12 @@
 	"cedarmast/balance"
 )
 
-// Rendezvous draws a number for each pair of a key and a cache; the cache with the best one has the key. A cache that leaves gives up its
-// own keys alone, one that comes takes its part from all alike, and parts are as weights are. An owner costs some nanoseconds a cache.
+// Rendezvous computes a score for each pair of a key and a cache; the cache with the best score owns the key. A cache that is removed gives
+// up only its own keys, a cache that is added takes its share evenly from all others, and shares are proportional to weights. Owner takes
+// some nanoseconds per cache.
 type Rendezvous struct {
-	caches []cache
-	even   bool // all weights are alike
+	caches       []cache
+	equalWeights bool // all weights are equal
 }
 
 type cache struct {
@@ -24,19 +25,19 @@
 	weight float64
 }
 
-// New returns the placement of a fleet without caches.
+// New returns a placement without caches.
 func New() *Rendezvous { return &Rendezvous{} }
 
-// Follow takes the caches that keys belong to, with their weights; those of none or less get nothing.
+// Follow sets the caches and their weights. Caches with a weight of zero or less own no keys.
 func (r *Rendezvous) Follow(weights map[balance.ServerID]float64) {
-	r.caches, r.even = r.caches[:0], true
+	r.caches, r.equalWeights = r.caches[:0], true
 	for id, w := range weights {
 		if w > 0 {
 			r.caches = append(r.caches, cache{id, xxhash.Sum64String(string(id)), w})
-			r.even = r.even && w == r.caches[0].weight
+			r.equalWeights = r.equalWeights && w == r.caches[0].weight
 		}
 	}
-	slices.SortFunc(r.caches, func(a, b cache) int { // of two caches with one seed, which can't be helped, the first one has all
+	slices.SortFunc(r.caches, func(a, b cache) int { // of two caches with equal seeds (a hash collision) the first by ID owns the keys of both
 		if a.id < b.id {
 			return -1
 		}
@@ -44,26 +45,26 @@
 	})
 }
 
-// Owner is the cache that a mixed key belongs to; empty where there is none.
+// Owner returns the cache that owns the key with the given hash; empty if there are no caches.
 func (r *Rendezvous) Owner(hash uint64) (owner balance.ServerID) {
-	best, least := uint64(0), math.Inf(1)
+	best, lowest := uint64(0), math.Inf(1)
 	for _, c := range r.caches {
-		draw := mix(hash ^ c.seed)
-		if r.even {
-			if owner == "" || draw > best {
-				owner, best = c.id, draw
+		score := mix(hash ^ c.seed)
+		if r.equalWeights {
+			if owner == "" || score > best {
+				owner, best = c.id, score
 			}
 			continue
 		}
-		// Exponential with the weight as its rate: the least of several falls to each in proportion to its weight.
-		if d := -math.Log((float64(draw>>11)+0.5)/(1<<53)) / c.weight; owner == "" || d < least {
-			owner, least = c.id, d
+		// Exponentially distributed with the weight as rate: each cache has the lowest value with a probability proportional to its weight.
+		if d := -math.Log((float64(score>>11)+0.5)/(1<<53)) / c.weight; owner == "" || d < lowest {
+			owner, lowest = c.id, d
 		}
 	}
 	return owner
 }
 
-// mix is the finalizer of SplitMix64: each bit of the key and of the cache's seed moves all others.
+// mix is the finalizer of SplitMix64: each input bit affects all output bits.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -20,15 +20,15 @@
 	return all
 }
 
-func even(int) float64 { return 1 }
+func equalWeight(int) float64 { return 1 }
 
 const keys = 40_000
 
 func key(i int) uint64 { return rand.New(rand.NewPCG(uint64(i), 7)).Uint64() }
 
-// Parts are as weights are, within what 40,000 keys can show.
-func TestParts(t *testing.T) {
-	for _, weight := range []func(int) float64{even, func(i int) float64 { return float64(1 + i%3) }, func(i int) float64 { return float64(i % 2) }} {
+// Shares of keys are proportional to weights, within the statistical error of 40,000 keys.
+func TestSharesFollowWeights(t *testing.T) {
+	for _, weight := range []func(int) float64{equalWeight, func(i int) float64 { return float64(1 + i%3) }, func(i int) float64 { return float64(i % 2) }} {
 		all, r, got, total := fleet(20, weight), New(), map[balance.ServerID]int{}, 0.0
 		r.Follow(all)
 		for _, w := range all {
@@ -40,7 +40,7 @@
 		for id, w := range all {
 			want := keys * w / total
 			if math.Abs(float64(got[id])-want) > 5*math.Sqrt(want) {
-				t.Errorf("%s of weight %v has %d keys, %.0f wanted", id, w, got[id], want)
+				t.Errorf("%s of weight %v has %d keys, want %.0f", id, w, got[id], want)
 			}
 		}
 	}
@@ -49,11 +49,11 @@
 	}
 }
 
-// Whatever a router has been through, in whatever batches and orders, it has the places of one that knows the list alone; and a change moves the
-// keys of who left and what newcomers take, and no others.
-func TestAgreement(t *testing.T) {
+// Owners depend on the current weights alone, not on the batches and order in which caches came and went. A change moves only the keys of
+// removed caches and the keys that added caches take.
+func TestOwnersDependOnlyOnWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		weight := map[bool]func(int) float64{true: even, false: func(i int) float64 { return 1 + float64(i%2)/2 }}[rapid.Bool().Draw(t, "even")]
+		weight := map[bool]func(int) float64{true: equalWeight, false: func(i int) float64 { return 1 + float64(i%2)/2 }}[rapid.Bool().Draw(t, "even")]
 		present := map[balance.ServerID]float64{}
 		r := New()
 		for range rapid.IntRange(1, 12).Draw(t, "batches") {
@@ -77,10 +77,10 @@
 			for i, old := range before {
 				now := r.Owner(key(i))
 				if now != fresh.Owner(key(i)) {
-					t.Fatalf("key %d: %s, and %s by the list alone", i, now, fresh.Owner(key(i)))
+					t.Fatalf("key %d: owner %s, but %s for a new placement with the same weights", i, now, fresh.Owner(key(i)))
 				}
 				if _, stays := present[old]; now != old && stays && was[now] > 0 {
-					t.Fatalf("key %d went from %s to %s, which were there before and after", i, old, now)
+					t.Fatalf("key %d moved from %s to %s, which were both present before and after", i, old, now)
 				}
 			}
 		}
@@ -91,7 +91,7 @@
 	for _, n := range []int{10, 200, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := New()
-			r.Follow(fleet(n, even))
+			r.Follow(fleet(n, equalWeight))
 			for i := range b.N {
 				r.Owner(uint64(i) * 0x9e3779b97f4a7c15)
 			}
--- a/internal/shared/shared.go
+++ b/internal/shared/shared.go
@@ -1,5 +1,5 @@
-// Package shared hosts a router's facts: it brings datagrams of other routers to them and takes theirs away, keeps time, and says that
-// something has changed. It decides nothing; what is told, and which copy wins, stands in internal/facts.
+// Package shared runs a router's replica of the shared facts: it delivers datagrams of other routers, sends the replica's own, drives its
+// timer and notifies of changes. The replication rules, such as what is sent and which copy wins, are in internal/facts.
 package shared
 
 import (
@@ -12,94 +12,97 @@
 	"cedarmast/internal/facts"
 )
 
-// Facts are one router's, from New to the end of its process. Their methods may be called from any goroutine.
+// Facts is one router's replica of the shared facts, from New to the end of its process. Its methods are safe for concurrent use.
 type Facts struct {
-	tell   func(to int, text []byte) // returns at once
-	counts *exchange.Counters
-	began  time.Time
-	life   facts.Life
-	inbox  chan datagram
-	news   chan struct{}
+	sendDatagram func(to int, text []byte) // does not block
+	counters     *exchange.Counters
+	started      time.Time
+	incarnation  facts.Life
+	inbox        chan datagram
+	notify       chan struct{}
 
 	mu     sync.Mutex
-	s      *facts.Spreader
-	forget facts.Forgetter
+	gossip *facts.Spreader
+	expiry facts.Forgetter
 }
 
+// datagram is a received datagram with the index of the sending router.
 type datagram struct {
 	from int
-	text []byte
+	data []byte
 }
 
-// Options are a router's place among those that share.
+// Options configures a router's replica.
 type Options struct {
-	Routers, Number int
-	Life            facts.Life // drawn anew for each process
-	Forget          time.Duration
-	Tell            func(to int, text []byte)
+	Routers, Number int                       // number of routers, and the index of this one, from 0
+	Life            facts.Life                // drawn at random for each process
+	Forget          time.Duration             // how long a server must be off the list before its facts are removed
+	Tell            func(to int, text []byte) // sends a datagram to the router with index to; must not block
 	Counts          *exchange.Counters
 }
 
 const (
-	most       = 16384       // facts: 8.5 MB at the most, measured with six lives each
-	queue      = 256         // datagrams that wait; more are lost, and what they said is told again
-	aloneAfter = time.Second // without anybody in step: there is nobody to wait for
+	maxFacts    = 16384       // facts: 8.5 MB at most with six incarnations each
+	inboxSize   = 256         // datagrams; more are dropped, and gossip sends their facts again
+	syncTimeout = time.Second // without a peer in step, after which this router counts as in step
 )
 
-// New returns the facts of a process that starts.
+// New returns the replica of a starting process. Call Run to start replication.
 func New(o Options) *Facts {
-	f := &Facts{tell: o.Tell, counts: o.Counts, began: time.Now(), life: o.Life, inbox: make(chan datagram, queue), news: make(chan struct{}, 1),
-		s: facts.NewSpreader(facts.NewStore(o.Life, most), o.Routers, o.Number, uint64(o.Life)), forget: facts.Forgetter{After: o.Forget}}
+	f := &Facts{sendDatagram: o.Tell, counters: o.Counts, started: time.Now(), incarnation: o.Life, inbox: make(chan datagram, inboxSize), notify: make(chan struct{}, 1),
+		gossip: facts.NewSpreader(facts.NewStore(o.Life, maxFacts), o.Routers, o.Number, uint64(o.Life)), expiry: facts.Forgetter{After: o.Forget}}
 	if o.Routers < 2 {
-		f.s.Alone()
+		f.gossip.Alone()
 	}
 	return f
 }
 
-func (f *Facts) now() time.Duration { return time.Since(f.began) }
+func (f *Facts) now() time.Duration { return time.Since(f.started) }
 
-// Load takes up a snapshot of so long ago.
-func (f *Facts) Load(text []byte, age time.Duration) error {
+// Load merges a snapshot that was taken age ago.
+func (f *Facts) Load(data []byte, age time.Duration) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.s.Load(f.now()-max(age, 0), text)
+	return f.gossip.Load(f.now()-max(age, 0), data)
 }
 
-// Snapshot is all that is known.
+// Snapshot encodes all facts for Load.
 func (f *Facts) Snapshot() []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.s.Snapshot(f.now())
+	return f.gossip.Snapshot(f.now())
 }
 
-// Heard takes a datagram of another router, and never waits.
-func (f *Facts) Heard(from int, text []byte) {
+// Heard queues a datagram from another router. It never blocks: a datagram that finds the queue full is dropped.
+func (f *Facts) Heard(from int, data []byte) {
 	select {
-	case f.inbox <- datagram{from, text}:
+	case f.inbox <- datagram{from, data}:
 	default:
-		f.counts.FactsDropped.Add(1)
+		f.counters.FactsDropped.Add(1)
 	}
 }
 
-// Set writes a value over all copies that are known here, and tells others before it returns. It is false where there is no room.
+// Set writes a value that supersedes all copies known to this router, and sends it to several peers before it returns. It returns false if
+// the store is full or does not accept the name.
 func (f *Facts) Set(n facts.Name, value int64) bool {
 	f.mu.Lock()
-	ok := f.s.Set(f.now(), n, value)
+	ok := f.gossip.Set(f.now(), n, value)
 	var out []facts.Message
 	if ok {
-		out = f.s.Burst(f.now(), n)
+		out = f.gossip.Burst(f.now(), n)
 	}
-	f.count()
+	f.updateCounters()
 	f.mu.Unlock()
 	f.send(out)
 	return ok
 }
 
-// Value is what a fact says by its rule, and how long ago the newest copy that says so was written; false if there is none.
+// Value returns the value that wins by the rule of the fact's kind and the age of the newest copy with that value. It returns false if the
+// fact does not exist.
 func (f *Facts) Value(n facts.Name) (value int64, age time.Duration, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fact, _ := f.s.Get(n)
+	fact, _ := f.gossip.Get(n)
 	if value, ok = fact.Value(); !ok {
 		return 0, 0, false
 	}
@@ -112,68 +115,69 @@
 	return value, age, true
 }
 
-// Names are those of all facts, in order.
+// Names returns the names of all facts, sorted.
 func (f *Facts) Names() []facts.Name {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.s.Names()
+	return f.gossip.Names()
 }
 
-// News is sent to when others have told something, or this router has come in step. Changed says what.
-func (f *Facts) News() <-chan struct{} { return f.news }
+// News returns a channel that receives a value when peers have changed facts or this router has come in step. Changed returns what changed.
+func (f *Facts) News() <-chan struct{} { return f.notify }
 
-// Changed are the facts that others have told something of since the last call, and whether this router was in step before them all: then
-// what it needs to know is among them, or has been.
+// Changed returns the names of the facts that peers have changed since the last call, and whether this router is in step. If it is, this
+// and earlier calls have returned every fact that it was missing.
 func (f *Facts) Changed() (names []facts.Name, inStep bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.s.Changed(), f.s.InStep()
+	return f.gossip.Changed(), f.gossip.InStep()
 }
 
-// Listed takes the names of the servers that are listed, and returns the facts about servers that are long gone, which are let go.
-func (f *Facts) Listed(names map[string]bool) (gone []facts.Name) {
+// Listed applies the discovery list, a set of server names. It removes the facts about servers that have been off the list for
+// Options.Forget, and returns their names.
+func (f *Facts) Listed(names map[string]bool) (dropped []facts.Name) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	gone = f.forget.Listed(f.now(), f.s.Store, names)
-	f.count()
-	return gone
+	dropped = f.expiry.Listed(f.now(), f.gossip.Store, names)
+	f.updateCounters()
+	return dropped
 }
 
-// Run hears and tells until the context ends.
+// Run processes received datagrams and sends periodic ones until the context is done.
 func (f *Facts) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	began := time.Now()
+	started := time.Now()
 	for {
 		var out []facts.Message
-		var heard *datagram
+		var received *datagram
 		select {
 		case d := <-f.inbox:
-			heard = &d
+			received = &d
 		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
 		f.mu.Lock()
-		was := f.s.InStep()
-		if heard != nil {
-			f.counts.FactsHeard.Add(1)
-			out = f.s.Handle(f.now(), heard.from, heard.text)
+		wasSynced := f.gossip.InStep()
+		if received != nil {
+			f.counters.FactsHeard.Add(1)
+			out = f.gossip.Handle(f.now(), received.from, received.data)
 		} else {
-			if time.Since(began) >= aloneAfter {
-				f.s.Alone()
+			if time.Since(started) >= syncTimeout {
+				f.gossip.Alone()
 			}
-			out = f.s.Tick(f.now())
-			timer.Reset(f.s.Due())
+			out = f.gossip.Tick(f.now())
+			timer.Reset(f.gossip.Due())
 		}
-		news := f.s.InStep() != was || f.s.Told()
-		f.count()
+		changed := f.gossip.InStep() != wasSynced || f.gossip.Told()
+		f.updateCounters()
 		f.mu.Unlock()
 		f.send(out)
-		if news {
+		if changed {
 			select {
-			case f.news <- struct{}{}:
-			default: // there is one to be read
+			case f.notify <- struct{}{}:
+			default: // a notification is already pending
 			}
 		}
 	}
@@ -181,59 +185,59 @@
 
 func (f *Facts) send(out []facts.Message) {
 	for _, m := range out {
-		f.tell(m.To, m.Text)
+		f.sendDatagram(m.To, m.Text)
 	}
-	f.counts.FactsTold.Add(int64(len(out)))
+	f.counters.FactsTold.Add(int64(len(out)))
 }
 
-func (f *Facts) count() {
-	f.counts.FactsHeld.Store(int64(f.s.Len()))
-	f.counts.FactsLearned.Store(f.s.Learned())
-	if f.s.InStep() {
-		f.counts.FactsInStep.Store(1)
+func (f *Facts) updateCounters() {
+	f.counters.FactsHeld.Store(int64(f.gossip.Len()))
+	f.counters.FactsLearned.Store(f.gossip.Learned())
+	if f.gossip.InStep() {
+		f.counters.FactsInStep.Store(1)
 	}
 }
 
-// Report is what one router holds, for operators.
+// Report describes the facts that one router holds, for operators.
 type Report struct {
 	Router string `json:"router"`
-	Life   string `json:"life"`   // of its process
-	Digest string `json:"digest"` // the same at routers that hold the same
+	Life   string `json:"life"`   // incarnation of its process
+	Digest string `json:"digest"` // equal at routers with equal facts
 	InStep bool   `json:"in_step"`
 	Facts  []Fact `json:"facts"`
 }
 
-// Fact is one of them. Of several copies none had been seen by who wrote the others.
+// Fact is one fact of a Report. Several copies are concurrent: the writer of each had not seen the others.
 type Fact struct {
 	Kind    string `json:"kind"`
 	Subject string `json:"subject"`
-	Says    string `json:"says"` // by the rule of its kind
+	Says    string `json:"says"` // the value that wins by the rule of its kind
 	Copies  []Copy `json:"copies"`
 }
 
-// Copy is one value, as a process wrote it.
+// Copy is one copy of a fact.
 type Copy struct {
 	Says  string `json:"says"`
-	Life  string `json:"life"` // of the process that wrote it
+	Life  string `json:"life"` // incarnation of the process that wrote it
 	Count uint32 `json:"count"`
 	AgeS  int64  `json:"age_s"`
 }
 
-// Report tells all copies of all facts.
+// Report returns all copies of all facts.
 func (f *Facts) Report(router string) Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := Report{Router: router, Life: lifeName(f.life), Digest: fmt.Sprintf("%016x", f.s.Sum()), InStep: f.s.InStep(), Facts: []Fact{}}
-	for _, n := range f.s.Names() {
-		fact, _ := f.s.Get(n)
+	r := Report{Router: router, Life: formatIncarnation(f.incarnation), Digest: fmt.Sprintf("%016x", f.gossip.Sum()), InStep: f.gossip.InStep(), Facts: []Fact{}}
+	for _, n := range f.gossip.Names() {
+		fact, _ := f.gossip.Get(n)
 		value, _ := fact.Value()
-		one := Fact{Kind: n.Kind.String(), Subject: n.Subject, Says: n.Kind.Says(value)}
+		entry := Fact{Kind: n.Kind.String(), Subject: n.Subject, Says: n.Kind.Says(value)}
 		for _, c := range fact.Copies {
-			one.Copies = append(one.Copies, Copy{n.Kind.Says(c.Value), lifeName(c.Dot.Life), c.Dot.Count, int64(max(f.now()-c.Since, 0) / time.Second)})
+			entry.Copies = append(entry.Copies, Copy{n.Kind.Says(c.Value), formatIncarnation(c.Dot.Life), c.Dot.Count, int64(max(f.now()-c.Since, 0) / time.Second)})
 		}
-		r.Facts = append(r.Facts, one)
+		r.Facts = append(r.Facts, entry)
 	}
 	return r
 }
 
-func lifeName(l facts.Life) string { return fmt.Sprintf("%08x", uint32(l)) }
+func formatIncarnation(l facts.Life) string { return fmt.Sprintf("%08x", uint32(l)) }
--- a/internal/simwire/codec.go
+++ b/internal/simwire/codec.go
@@ -1,5 +1,5 @@
-// Package simwire speaks the simulator's wire: it decodes batches of events, hosts one balancer for each instance
-// and encodes their actions. It decides nothing.
+// Package simwire connects balancers to the simulator: it decodes batches of events, runs one balancer for each instance and encodes their
+// actions. All decisions are made by package balance.
 package simwire
 
 import (
@@ -11,8 +11,8 @@
 	"cedarmast/internal/settings"
 )
 
-// line is any message from the simulator; each uses the fields that it needs. Unknown fields are passed over.
-type line struct {
+// message is a message from the simulator, one JSON object a line. Each kind uses some of the fields. Unknown fields are ignored.
+type message struct {
 	Name      string             `json:"m"`
 	Clock     int64              `json:"T"`
 	Batch     int64              `json:"n"`
@@ -38,6 +38,7 @@
 	Reference int64              `json:"Ref"`
 }
 
+// member is a server in an Announce message.
 type member struct {
 	Started int64   `json:"StartTime"`
 	Kind    string  `json:"Hw"`
@@ -51,17 +52,17 @@
 var (
 	modes = map[string]balance.ListKind{"Partial": balance.Partial, "Complete": balance.Complete,
 		"Persisted": balance.Persisted, "Error": balance.Failed}
-	states  = map[string]balance.State{"U": balance.Up, "L": balance.Draining, "D": balance.Gone}
-	results = map[string]balance.Result{"delivered": balance.OK, "app_error": balance.Errored, "shed": balance.Full,
+	serverStates = map[string]balance.State{"U": balance.Up, "L": balance.Draining, "D": balance.Gone}
+	results      = map[string]balance.Result{"delivered": balance.OK, "app_error": balance.Errored, "shed": balance.Full,
 		"expired": balance.TimedOut, "dial_failed": balance.NoConnect, "dropped": balance.Reset,
 		"revoked": balance.Cancelled, "unused": balance.Moot, "empty": balance.Miss}
 )
 
-// noteFetching is the note of a miss while the server waits for another request's fetch of the key.
+// noteFetching is the detail code of a miss while the server waits for another request's fetch of the key.
 const noteFetching = 3
 
-// event turns a line into the balancer's event; nil if the balancer has no use for it.
-func (l *line) event() (balance.Event, error) {
+// toEvent converts a message to a balancer event; nil if the balancer does not handle it.
+func (l *message) toEvent() (balance.Event, error) {
 	id, server := balance.RequestID(l.ID), balance.ServerID(l.Server)
 	switch l.Name {
 	case "Announce":
@@ -71,7 +72,7 @@
 		}
 		list := balance.List{Kind: kind, Version: l.Version}
 		for _, m := range l.Members {
-			state, ok := states[m.Status]
+			state, ok := serverStates[m.Status]
 			if !ok {
 				return nil, fmt.Errorf("unknown status %q of server %q", m.Status, m.Server)
 			}
@@ -107,8 +108,8 @@
 	return nil, fmt.Errorf("unknown message %q", l.Name)
 }
 
-// order is any message to the simulator.
-type order struct {
+// command is a message to the simulator. Each kind uses some of the fields.
+type command struct {
 	Name      string `json:"m"`
 	Instance  int    `json:"I"`
 	ID        string `json:"Corr,omitempty"`
@@ -122,9 +123,9 @@
 	Enable    bool   `json:"Enable,omitempty"`
 }
 
-// encode turns an action into a line.
+// encode encodes an instance's action as a message, without a line end.
 func encode(instance int, a balance.Action) ([]byte, error) {
-	o := order{Instance: instance}
+	o := command{Instance: instance}
 	switch a := a.(type) {
 	case balance.Send:
 		o.Name, o.ID, o.Server = "Issue", string(a.ID), string(a.Server)
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -12,19 +12,19 @@
 	"cedarmast/internal/settings"
 )
 
-// host runs the instances of one process; they share nothing but it.
+// host runs the instances of one process, which share no state.
 type host struct {
 	out       *bufio.Writer
 	operator  *settings.Operator
 	instances map[int]*balance.Balancer
 	pending   map[int][]balance.Event
-	order     []int // instances with events in this batch, in order of the first
-	open      bool
+	active    []int // instances with events in this batch, in order of their first event
+	inBatch   bool
 	clock     balance.Time
 	batch     int64
 }
 
-// Run answers the batches read from in on out until the input ends. An error names the line that was wrong.
+// Run reads batches from in and writes the responses to out until the input ends. An error names the line that caused it.
 func Run(in io.Reader, out io.Writer, operator *settings.Operator) error {
 	h := &host{operator: operator, out: bufio.NewWriterSize(out, 1<<16), instances: map[int]*balance.Balancer{},
 		pending: map[int][]balance.Event{}}
@@ -35,12 +35,12 @@
 			return fmt.Errorf("line %d: reading: %w", n, err)
 		}
 		if text = bytes.TrimSpace(text); len(text) > 0 {
-			if err := h.take(text); err != nil {
+			if err := h.handleLine(text); err != nil {
 				return fmt.Errorf("line %d: %w", n, err)
 			}
 		}
 		if err != nil {
-			if h.open {
+			if h.inBatch {
 				return fmt.Errorf("line %d: input ends inside batch %d", n, h.batch)
 			}
 			return nil
@@ -48,34 +48,34 @@
 	}
 }
 
-// take handles one line.
-func (h *host) take(text []byte) error {
-	var l line
+// handleLine handles one message.
+func (h *host) handleLine(text []byte) error {
+	var l message
 	if err := json.Unmarshal(text, &l); err != nil {
 		return fmt.Errorf("malformed message: %w", err)
 	}
 	switch {
-	case l.Name == "Frame" && h.open:
+	case l.Name == "Frame" && h.inBatch:
 		return fmt.Errorf("Frame %d inside batch %d", l.Batch, h.batch)
 	case l.Name == "Frame" && balance.Time(l.Clock) < h.clock:
 		return fmt.Errorf("Frame %d goes back in time, from %d to %d", l.Batch, h.clock, l.Clock)
 	case l.Name == "Frame" && l.Batch <= h.batch:
 		return fmt.Errorf("Frame %d out of order, after batch %d", l.Batch, h.batch)
 	case l.Name == "Frame":
-		h.open, h.clock, h.batch = true, balance.Time(l.Clock), l.Batch
+		h.inBatch, h.clock, h.batch = true, balance.Time(l.Clock), l.Batch
 		return nil
-	case !h.open:
+	case !h.inBatch:
 		return fmt.Errorf("message %q outside a batch", l.Name)
 	case l.Name == "Flush":
 		return h.flush()
 	case l.Instance == nil:
 		return fmt.Errorf("message %q names no instance", l.Name)
 	}
-	return h.queue(*l.Instance, &l)
+	return h.queueEvent(*l.Instance, &l)
 }
 
-// queue keeps an event for its instance, or starts or stops that instance.
-func (h *host) queue(i int, l *line) error {
+// queueEvent queues an event for its instance until the batch ends, or starts or stops the instance.
+func (h *host) queueEvent(i int, l *message) error {
 	switch l.Name {
 	case "Start":
 		if l.Profile == nil {
@@ -84,7 +84,7 @@
 		set := l.Profile.Settings()
 		h.operator.Apply(&set)
 		h.instances[i] = balance.New(set, l.Seed)
-	case "Shutdown": // with it goes all that it was told
+	case "Shutdown": // its queued events are dropped as well
 		delete(h.instances, i)
 		h.pending[i] = nil
 		return nil
@@ -95,20 +95,20 @@
 	if l.Name == "Start" {
 		return nil
 	}
-	e, err := l.event()
+	e, err := l.toEvent()
 	if err != nil || e == nil {
 		return err
 	}
 	if len(h.pending[i]) == 0 {
-		h.order = append(h.order, i)
+		h.active = append(h.active, i)
 	}
 	h.pending[i] = append(h.pending[i], e)
 	return nil
 }
 
-// flush hands each instance its events and writes the reply.
+// flush passes the queued events to their instances and writes their actions, followed by the end of the batch.
 func (h *host) flush() error {
-	for _, i := range h.order {
+	for _, i := range h.active {
 		if len(h.pending[i]) == 0 || h.instances[i] == nil {
 			continue
 		}
@@ -122,7 +122,7 @@
 		}
 		h.pending[i] = h.pending[i][:0]
 	}
-	h.order, h.open = h.order[:0], false
+	h.active, h.inBatch = h.active[:0], false
 	fmt.Fprintf(h.out, "{\"m\":\"Yield\",\"n\":%d}\n", h.batch)
 	if err := h.out.Flush(); err != nil {
 		return fmt.Errorf("writing the reply to batch %d: %w", h.batch, err)
--- a/internal/simwire/host_test.go
+++ b/internal/simwire/host_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// A stop and a start in one batch: the new instance knows nothing of the old one's requests.
+// With a stop and a start in one batch, the new instance must not know the old one's requests.
 func TestStopAndStartInOneBatch(t *testing.T) {
 	got := run(t, batch(1, start, list)+batch(2, call("aa"), `{"m":"Shutdown","I":3}`, start, list, call("bb")))
 	if strings.Contains(got, `"aa"`) || !strings.Contains(got, `"Issue","I":3,"Corr":"bb"`) {
@@ -63,18 +63,18 @@
 		input += batch(i+2, call(fmt.Sprint(i)), call(fmt.Sprint("x", i)))
 	}
 	if a, b := run(t, input), run(t, input); a != b {
-		t.Error("the same events gave other actions")
+		t.Error("the same events gave different actions")
 	}
 }
 
 func TestVeryLongLines(t *testing.T) {
 	long := strings.Replace(call("aa"), `[1]`, `"`+strings.Repeat("x", 4<<20)+`"`, 1)
 	if got := run(t, batch(1, start, list, long)); !strings.Contains(got, `"Issue"`) {
-		t.Error("a line of megabytes was not understood")
+		t.Error("a line of several megabytes was not handled")
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestInvalidInputErrors(t *testing.T) {
 	for _, c := range []struct{ name, input, want string }{
 		{"malformed", "{\"m\":\n", "line 1: malformed"},
 		{"unknown message", batch(1, start, `{"m":"Nonsense","I":3}`), `line 3: unknown message "Nonsense"`},
--- a/internal/socket/shared.go
+++ b/internal/socket/reuseport.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Shared listens at addresses that another process of the same user may listen at too, if it says so as well: of two
-// processes of one router, one replaces the other.
+// Shared listens with SO_REUSEPORT: another process of the same user that sets it as well may listen on the same address, so that a
+// router's new process can take over from the old one.
 var Shared = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	var err error
 	if e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket asks the system what it holds of a connection, without taking anything.
+// Package socket inspects connections in the kernel without reading from them, and listens on addresses shared between processes.
 package socket
 
 import (
@@ -6,31 +6,31 @@
 	"syscall"
 )
 
-// State is what the system holds of a connection that its reader has not been given yet.
+// State describes what the kernel holds for a connection that has not been read yet.
 type State int
 
-// The states.
+// The states of a connection.
 const (
 	Unknown State = iota // not a socket
-	Quiet                // nothing
-	Unread               // bytes
-	Closed               // the peer's close, or an error
+	Quiet                // nothing to read
+	Unread               // unread bytes
+	Closed               // closed by the peer, or an error
 )
 
-// Peek asks the system. It takes nothing and does not wait, also while the connection's reader does.
+// Peek returns the state of a connection. It consumes no data and does not block, even while another goroutine blocks in Read.
 func Peek(c net.Conn) State {
-	sc, ok := c.(syscall.Conn)
+	syscallConn, ok := c.(syscall.Conn)
 	if !ok {
 		return Unknown
 	}
-	raw, err := sc.SyscallConn()
+	rawConn, err := syscallConn.SyscallConn()
 	if err != nil {
 		return Closed
 	}
 	state := Closed
-	raw.Control(func(fd uintptr) {
-		var one [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	rawConn.Control(func(fd uintptr) {
+		var buf [1]byte
+		n, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == syscall.EAGAIN || err == syscall.EINTR:
 			state = Quiet
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin has small stand-ins for the router's neighbours, for tests: a cache server whose every answer the
-// test writes, and discovery. They speak just enough of the protocol and decide nothing.
+// Package standin provides fakes of the services that a router talks to, for tests: a cache server whose responses the test writes, and
+// service discovery. They implement only the part of the protocol that the tests need.
 package standin
 
 import (
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// Request is a request as a server got it, whole.
+// Request is a request that a server received, with its whole body.
 type Request struct {
 	*http.Request
-	Text []byte // its body
+	Text []byte // the request body
 	Conn net.Conn
-	N    int // the how manieth on its connection, from 1
+	N    int // ordinal of the request on its connection, from 1
 }
 
-// Answer writes an answer with a body; extra header lines may follow, each without its line end.
+// Answer writes a response with a body and optional extra header lines, each without its line end. It reports whether the write succeeded.
 func (r *Request) Answer(status int, body string, lines ...string) bool {
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
 	for _, line := range lines {
@@ -33,7 +33,7 @@
 	return err == nil
 }
 
-// Server is a listener on loopback that hands each request to the test.
+// Server is an HTTP server on the loopback interface that passes each request to the test.
 type Server struct {
 	Address string
 
@@ -44,7 +44,7 @@
 	requests int
 }
 
-// NewServer starts a server; serve returns false to close the connection. It ends with the test.
+// NewServer starts a server that is closed at the end of the test. serve handles a request and returns false to close the connection.
 func NewServer(t testing.TB, serve func(r *Request) bool) *Server {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,7 +101,7 @@
 	s.CloseConns()
 }
 
-// CloseConns closes the connections and goes on listening.
+// CloseConns closes all connections and keeps listening.
 func (s *Server) CloseConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,28 +110,28 @@
 	}
 }
 
-// Open is how many connections are open, Accepted how many have ever been, Requests how many requests have come.
+// Open returns the number of open connections.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Accepted is how many connections have been accepted so far.
+// Accepted returns the number of connections accepted so far.
 func (s *Server) Accepted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted
 }
 
-// Requests is how many requests have come so far.
+// Requests returns the number of requests received so far.
 func (s *Server) Requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests
 }
 
-// Endpoint is one line of discovery's list.
+// Endpoint is an entry of the discovery list.
 type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -143,80 +143,81 @@
 	SinceMS int64   `json:"since_ms"`
 }
 
-// Discovery keeps a list and lets itself be watched.
+// Discovery is a fake service discovery: it serves a list of endpoints and long-polling watches of its changes.
 type Discovery struct {
 	*Server
 
-	mu      sync.Mutex
-	index   int64
-	all     map[string]Endpoint
-	changes []change
-	news    chan struct{} // closed at a change
-	silent  bool
-	status  int // if not 0, answered instead of a list
-	watches []string
+	mu        sync.Mutex
+	index     int64
+	endpoints map[string]Endpoint
+	changes   []change
+	changed   chan struct{} // closed and replaced at each change
+	silent    bool          // no response is sent
+	status    int           // if not 0, the status of all responses, sent instead of the list
+	targets   []string
 }
 
+// change is a change of an endpoint with the list version that it produced.
 type change struct {
 	index int64
 	Endpoint
 }
 
-// NewDiscovery starts discovery with a list of the given version.
+// NewDiscovery starts discovery with a list of the given version (index).
 func NewDiscovery(t testing.TB, index int64, all ...Endpoint) *Discovery {
 	t.Helper()
-	d := &Discovery{index: index, all: map[string]Endpoint{}, news: make(chan struct{})}
+	d := &Discovery{index: index, endpoints: map[string]Endpoint{}, changed: make(chan struct{})}
 	for _, e := range all {
-		d.all[e.Name] = e
+		d.endpoints[e.Name] = e
 	}
 	d.Server = NewServer(t, d.answer)
 	return d
 }
 
-// Change tells a change.
+// Change adds or replaces an endpoint, or removes it if its status is DELETED, and notifies watchers.
 func (d *Discovery) Change(e Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.index++
 	d.changes = append(d.changes, change{d.index, e})
-	if d.all[e.Name] = e; e.Status == "DELETED" {
-		delete(d.all, e.Name)
+	if d.endpoints[e.Name] = e; e.Status == "DELETED" {
+		delete(d.endpoints, e.Name)
 	}
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// Break makes discovery answer with a status from now on, or nothing at all with -1; 0 mends it.
+// Break makes discovery respond with the given HTTP status from now on, or not respond at all if it is -1; 0 restores normal responses.
 func (d *Discovery) Break(status int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent, d.status = status < 0, max(status, 0)
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// Targets returns the request targets of all calls so far.
+// Targets returns the request targets of all requests so far.
 func (d *Discovery) Targets() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]string(nil), d.watches...)
+	return append([]string(nil), d.targets...)
 }
 
 func (d *Discovery) answer(r *Request) bool {
 	index, err := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
-	whole := err != nil
-	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
-	until := time.Now().Add(time.Duration(wait) * time.Millisecond)
+	full := err != nil
+	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait"))
+	deadline := time.Now().Add(time.Duration(waitMS) * time.Millisecond)
 	d.mu.Lock()
-	d.watches = append(d.watches, r.RequestURI)
+	d.targets = append(d.targets, r.RequestURI)
 	d.mu.Unlock()
 	for {
 		d.mu.Lock()
-		news, silent, status := d.news, d.silent, d.status
-		list := map[string]any{"index": d.index, "snapshot": whole}
+		changed, silent, status := d.changed, d.silent, d.status
+		list := map[string]any{"index": d.index, "snapshot": full}
 		entries := []Endpoint{}
-		if whole {
-			for _, e := range d.all {
+		if full {
+			for _, e := range d.endpoints {
 				entries = append(entries, e)
 			}
 		} else {
@@ -231,25 +232,25 @@
 		switch {
 		case status != 0:
 			return r.Answer(status, "broken\n")
-		case !silent && (whole || len(entries) > 0 || !time.Now().Before(until)):
-			text, _ := json.Marshal(list)
-			return r.Answer(http.StatusOK, string(text))
+		case !silent && (full || len(entries) > 0 || !time.Now().Before(deadline)):
+			body, _ := json.Marshal(list)
+			return r.Answer(http.StatusOK, string(body))
 		case silent:
-			<-news
+			<-changed
 		default:
 			select {
-			case <-news:
-			case <-time.After(time.Until(until)):
+			case <-changed:
+			case <-time.After(time.Until(deadline)):
 			}
 		}
 	}
 }
 
-// Eventually fails the test unless the condition holds within some seconds.
+// Eventually waits until the condition holds, and fails the test if that takes more than 5 s.
 func Eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for until := time.Now().Add(5 * time.Second); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(until) {
+	for deadline := time.Now().Add(5 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("not within 5 s: %s", what)
 		}
 	}
