--- a/internal/facts/codec.go
+++ b/internal/facts/codec.go
@@ -20,6 +20,7 @@
 	version   = 1
 )
 
+// messageType is the kind of a message, its third byte.
 type messageType byte
 
 const (
@@ -54,15 +55,15 @@
 // appendFact appends the encoding of a fact to buf: its name, the incarnations seen, and its copies, each with the index of its
 // incarnation in that list. Times are encoded as ages in whole seconds, rounded down: Merge keeps the earliest time, which must not
 // become earlier each time a fact is forwarded.
-func appendFact(buf []byte, now time.Duration, n Name, f Fact) []byte {
-	buf = append(append(buf, byte(n.Kind), byte(len(n.Subject))), n.Subject...)
-	incarnations := slices.Sorted(maps.Keys(f.Seen))
+func appendFact(buf []byte, now time.Duration, name Name, fact Fact) []byte {
+	buf = append(append(buf, byte(name.Kind), byte(len(name.Subject))), name.Subject...)
+	incarnations := slices.Sorted(maps.Keys(fact.Seen))
 	buf = append(buf, byte(len(incarnations)))
-	for _, l := range incarnations {
-		buf = binary.AppendUvarint(binary.BigEndian.AppendUint32(buf, uint32(l)), uint64(f.Seen[l]))
+	for _, incarnation := range incarnations {
+		buf = binary.AppendUvarint(binary.BigEndian.AppendUint32(buf, uint32(incarnation)), uint64(fact.Seen[incarnation]))
 	}
-	buf = append(buf, byte(len(f.Copies)))
-	for _, c := range f.Copies {
+	buf = append(buf, byte(len(fact.Copies)))
+	for _, c := range fact.Copies {
 		age := uint64(max(now-c.Since, 0) / time.Second)
 		buf = append(buf, byte(slices.Index(incarnations, c.Dot.Life)))
 		buf = binary.AppendUvarint(buf, uint64(c.Dot.Count))
@@ -72,7 +73,7 @@
 	return buf
 }
 
-const maxAgeSeconds = 10 * 365 * 24 * 3600 // seconds
+const maxAgeSeconds = 10 * 365 * 24 * 3600 // 10 years; an older copy is sent with this age
 
 // reader decodes fields from the front of data. After an error malformed is set and all reads return zero values.
 type reader struct {
@@ -80,6 +81,7 @@
 	malformed bool
 }
 
+// bytes reads n bytes.
 func (r *reader) bytes(n int) []byte {
 	if n > len(r.data) {
 		r.malformed, r.data = true, nil
@@ -92,6 +94,7 @@
 
 func (r *reader) byte() int { return int(r.bytes(1)[0]) }
 
+// uvarint reads a varint of at most limit.
 func (r *reader) uvarint(limit uint64) uint64 {
 	v, n := binary.Uvarint(r.data)
 	if n <= 0 || v > limit {
@@ -112,37 +115,39 @@
 	return v
 }
 
-func (r *reader) fact(now time.Duration) (n Name, f Fact) {
-	n.Kind = Kind(r.byte())
-	n.Subject = string(r.bytes(r.byte()))
+// fact reads a fact that appendFact has encoded and validates it. now is the time that the encoded ages refer to.
+func (r *reader) fact(now time.Duration) (name Name, fact Fact) {
+	name.Kind = Kind(r.byte())
+	name.Subject = string(r.bytes(r.byte()))
 	incarnations := make([]Life, r.byte())
-	if f.Seen = map[Life]uint32{}; len(incarnations) > maxIncarnations {
+	if fact.Seen = map[Life]uint32{}; len(incarnations) > maxIncarnations {
 		r.malformed = true
 	}
 	for i := range incarnations {
 		if r.malformed {
-			return n, f
+			return name, fact
 		}
 		incarnations[i] = Life(binary.BigEndian.Uint32(r.bytes(4)))
-		f.Seen[incarnations[i]] = uint32(r.uvarint(math.MaxUint32))
+		fact.Seen[incarnations[i]] = uint32(r.uvarint(math.MaxUint32))
 	}
 	for range r.byte() {
 		index := r.byte()
 		count := uint32(r.uvarint(math.MaxUint32))
 		value := r.varint()
 		age := time.Duration(r.uvarint(maxAgeSeconds)) * time.Second
-		if r.malformed || index >= len(incarnations) || count == 0 || count > f.Seen[incarnations[index]] {
+		if r.malformed || index >= len(incarnations) || count == 0 || count > fact.Seen[incarnations[index]] {
 			r.malformed = true // a copy of a write that the sender has not seen
-			return n, f
+			return name, fact
 		}
-		f.Copies = append(f.Copies, Copy{Dot{incarnations[index], count}, value, now - age})
+		fact.Copies = append(fact.Copies, Copy{Dot{incarnations[index], count}, value, now - age})
 	}
-	slices.SortFunc(f.Copies, byDot)
-	if !validName(n) || len(f.Seen) != len(incarnations) || len(f.Copies) == 0 || slices.Contains(slices.Collect(maps.Values(f.Seen)), 0) ||
-		len(slices.CompactFunc(slices.Clone(f.Copies), func(a, b Copy) bool { return a.Dot.Life == b.Dot.Life })) != len(f.Copies) {
+	slices.SortFunc(fact.Copies, byDot)
+	if !validName(name) || len(fact.Seen) != len(incarnations) || len(fact.Copies) == 0 ||
+		slices.Contains(slices.Collect(maps.Values(fact.Seen)), 0) ||
+		len(slices.CompactFunc(slices.Clone(fact.Copies), func(a, b Copy) bool { return a.Dot.Life == b.Dot.Life })) != len(fact.Copies) {
 		r.malformed = true // only the last write of an incarnation can be a current copy
 	}
-	return n, f
+	return name, fact
 }
 
 // decode decodes a datagram received at now, by the receiver's clock.
@@ -176,13 +181,15 @@
 	return m, nil
 }
 
-func (m message) appendHeader() []byte {
+// encodeHeader encodes the fields that all messages start with.
+func (m message) encodeHeader() []byte {
 	buf := binary.BigEndian.AppendUint32([]byte{magicByte, version, byte(m.typ)}, uint32(m.prefix.bits>>32))
 	return append(buf, byte(m.prefix.depth))
 }
 
+// encodeDigest encodes a message of type typeDigest or typeDigestQuery.
 func (m message) encodeDigest() []byte {
-	buf := m.appendHeader()
+	buf := m.encodeHeader()
 	for _, hash := range m.childHashes {
 		buf = binary.BigEndian.AppendUint32(buf, hash)
 	}
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -102,8 +102,8 @@
 	if merged.Seen == nil {
 		merged.Seen = map[Life]uint32{}
 	}
-	for life, n := range b.Seen {
-		merged.Seen[life] = max(merged.Seen[life], n)
+	for incarnation, count := range b.Seen {
+		merged.Seen[incarnation] = max(merged.Seen[incarnation], count)
 	}
 	addSurviving := func(from, other Fact) {
 		for _, c := range from.Copies {
@@ -131,12 +131,12 @@
 // partition had more writers than that, it drops copies whose value another copy has as well, and then those with the fewest writes.
 func (f *Fact) limitIncarnations() {
 	for len(f.Seen) > maxIncarnations {
-		weight := func(l Life) int {
-			i := slices.IndexFunc(f.Copies, func(c Copy) bool { return c.Dot.Life == l })
+		weight := func(incarnation Life) int {
+			i := slices.IndexFunc(f.Copies, func(c Copy) bool { return c.Dot.Life == incarnation })
 			if i < 0 {
 				return 0
 			}
-			if slices.ContainsFunc(f.Copies, func(c Copy) bool { return c.Dot.Life != l && c.Value == f.Copies[i].Value }) {
+			if slices.ContainsFunc(f.Copies, func(c Copy) bool { return c.Dot.Life != incarnation && c.Value == f.Copies[i].Value }) {
 				return 1
 			}
 			return 2
@@ -158,7 +158,7 @@
 	return slices.MaxFunc(f.Copies, func(a, b Copy) int { return cmp.Compare(a.Value, b.Value) }).Value, true
 }
 
-// hash returns a hash of the fact's name, version vector and copies. It ignores Since, so that equal facts have equal hashes at all routers.
+// hash returns a hash of the fact's name, version vector and copies, without Since, so that equal facts have equal hashes at all routers.
 func (f Fact) hash(n Name) uint64 {
 	buf := append([]byte{byte(n.Kind)}, n.Subject...)
 	for _, l := range slices.Sorted(maps.Keys(f.Seen)) {
@@ -259,11 +259,12 @@
 
 // Keep removes all facts whose name the filter rejects, and rejects them from then on. Facts of a server that has been off the discovery
 // list for longer than any router runs without a list are removed this way, and a router that still holds them can't bring them back.
-func (s *Store) Keep(wanted func(Name) bool) {
-	s.filter = wanted
+func (s *Store) Keep(accepted func(Name) bool) {
+	s.filter = accepted
 	maps.DeleteFunc(s.facts, func(n Name, _ entry) bool { return !s.accepts(n) })
 }
 
+// accepts reports whether the store may hold a fact of this name.
 func (s *Store) accepts(n Name) bool { return validName(n) && (s.filter == nil || s.filter(n)) }
 
 func validName(n Name) bool {
--- a/internal/facts/facts_test.go
+++ b/internal/facts/facts_test.go
@@ -244,7 +244,8 @@
 
 // exploreOrders explores every order of actions. Facts are merged independently of one another, so one fact is enough.
 func exploreOrders(reuseIncarnation bool) (fault string, states int) {
-	m := explore.Model[modelState]{Start: modelState{incarnations: [3]Life{1, 2, 3}, lastIncarnation: 3}, Fault: modelState.findFault, ID: modelState.key, Most: 300_000}
+	m := explore.Model[modelState]{Start: modelState{incarnations: [3]Life{1, 2, 3}, lastIncarnation: 3},
+		Fault: modelState.findFault, ID: modelState.key, Most: 300_000}
 	m.Next = func(w modelState) (all []explore.Step[modelState]) {
 		for action := range 6 {
 			for a := range 3 {
@@ -338,7 +339,8 @@
 		at   time.Duration
 		list map[string]bool
 		has  bool
-	}{{0, listed, true}, {2 * time.Hour, nil, true}, {2 * time.Hour, map[string]bool{"b": true}, true}, {150 * time.Minute, map[string]bool{"b": true}, true},
+	}{{0, listed, true}, {2 * time.Hour, nil, true},
+		{2 * time.Hour, map[string]bool{"b": true}, true}, {150 * time.Minute, map[string]bool{"b": true}, true},
 		{3 * time.Hour, map[string]bool{"b": true}, false}, {200 * time.Minute, listed, true}} {
 		_, had := s.Get(testName)
 		if gone := g.Listed(step.at, s, step.list); (len(gone) == 1) != (had && !step.has) {
--- a/internal/facts/spread.go
+++ b/internal/facts/gossip.go
@@ -72,7 +72,8 @@
 
 // NewSpreader returns the spreader of the router with index self, from 0, among routerCount routers.
 func NewSpreader(s *Store, routerCount, self int, seed uint64) *Spreader {
-	return &Spreader{Store: s, routerCount: routerCount, self: self, rng: rand.New(rand.NewPCG(seed, uint64(self))), pendingNews: map[Name]int{}, changed: map[Name]bool{}}
+	return &Spreader{Store: s, routerCount: routerCount, self: self,
+		rng: rand.New(rand.NewPCG(seed, uint64(self))), pendingNews: map[Name]int{}, changed: map[Name]bool{}}
 }
 
 // InStep reports whether this router's facts have been equal to those of a peer that was itself in step, or Alone has been called. It
@@ -188,7 +189,7 @@
 	if m.wantsReply {
 		flag = 1
 	}
-	data = append(m.appendHeader(), flag)
+	data = append(m.encodeHeader(), flag)
 	for _, name := range names {
 		if f, ok := s.facts[name]; ok {
 			extended := appendFact(data, now, name, f.Fact)
@@ -273,16 +274,16 @@
 			if own.childHashes[i] == m.childHashes[i] {
 				continue
 			}
-			part := m.prefix.child(i)
+			child := m.prefix.child(i)
 			if m.childHashes[i] == 0 { // the peer has no facts there, so there is nothing to compare
-				out = append(out, s.answerWithFacts(now, from, part)...)
-			} else if names := s.namesUnder(part); len(names) > maxFactsSentOutright && part.depth < maxPrefixDepth {
-				out = append(out, Message{from, s.digest(part).encodeDigest()})
+				out = append(out, s.answerWithFacts(now, from, child)...)
+			} else if names := s.namesUnder(child); len(names) > maxFactsSentOutright && child.depth < maxPrefixDepth {
+				out = append(out, Message{from, s.digest(child).encodeDigest()})
 			} else { // sends its own facts and asks for the peer's
-				data, n := s.encodeFacts(now, message{typ: typeFacts, prefix: part, wantsReply: true}, names)
+				data, n := s.encodeFacts(now, message{typ: typeFacts, prefix: child, wantsReply: true}, names)
 				out = append(out, Message{from, data})
 				if n < len(names) {
-					data, _ = s.encodeFacts(now, message{typ: typeFacts, prefix: part}, names[n:])
+					data, _ = s.encodeFacts(now, message{typ: typeFacts, prefix: child}, names[n:])
 					out = append(out, Message{from, data})
 				}
 			}
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -61,17 +61,17 @@
 	if !ok {
 		return nil, nil, errors.New("settings: missing, or not an object")
 	}
-	m := converter{to: to}
-	m.convertTopLevel(config)
-	if err := m.convertSettings(settings); err != nil {
+	c := converter{to: to}
+	c.convertTopLevel(config)
+	if err := c.convertSettings(settings); err != nil {
 		return nil, nil, err
 	}
 	for _, key := range settingsfile.Unread(settings) {
-		m.notes = append(m.notes, Note{"settings." + key, "carried as it is; no router reads it", false})
+		c.notes = append(c.notes, Note{"settings." + key, "carried as it is; no router reads it", false})
 	}
-	slices.SortStableFunc(m.notes, func(a, b Note) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortStableFunc(c.notes, func(a, b Note) int { return strings.Compare(a.Key, b.Key) })
 	encoded, err := json.MarshalIndent(config, "", "  ")
-	return append(encoded, '\n'), m.notes, err
+	return append(encoded, '\n'), c.notes, err
 }
 
 // decodeObject decodes a JSON object token by token to detect duplicate keys: json.Unmarshal silently keeps the last one.
@@ -132,65 +132,65 @@
 	notes []Note
 }
 
-// drop notes that the value of a key has no counterpart.
-func (m *converter) drop(key, reason string) { m.notes = append(m.notes, Note{key, reason, true}) }
+// noteLost notes that the value of a key has no counterpart.
+func (c *converter) noteLost(key, reason string) { c.notes = append(c.notes, Note{key, reason, true}) }
 
 // replace sets a key to a value, and notes it if the key is new or the value differs.
-func (m *converter) replace(in object, path, key string, value any) {
+func (c *converter) replace(in object, path, key string, value any) {
 	previous, present := in[key]
 	in[key] = value
 	if old := fmt.Sprint(previous); !present {
-		m.notes = append(m.notes, Note{path + key, fmt.Sprintf("set to %v", value), false})
+		c.notes = append(c.notes, Note{path + key, fmt.Sprintf("set to %v", value), false})
 	} else if old != fmt.Sprint(value) {
-		m.notes = append(m.notes, Note{path + key, fmt.Sprintf("%s becomes %v", old, value), false})
+		c.notes = append(c.notes, Note{path + key, fmt.Sprintf("%s becomes %v", old, value), false})
 	}
 }
 
 // convertTopLevel converts all keys outside of "settings".
-func (m *converter) convertTopLevel(config object) {
+func (c *converter) convertTopLevel(config object) {
 	for key, reason := range map[string]string{"peer_listen": "routers no longer exchange messages",
 		"peers": "routers no longer exchange messages"} {
 		if value, present := config[key]; present {
 			delete(config, key)
 			if fmt.Sprint(value) != "" && fmt.Sprint(value) != "[]" {
-				m.drop(key, fmt.Sprintf("%v: %s", value, reason))
+				c.noteLost(key, fmt.Sprintf("%v: %s", value, reason))
 			}
 		}
 	}
-	if m.to.Name != "" {
-		m.replace(config, "", "name", m.to.Name)
+	if c.to.Name != "" {
+		c.replace(config, "", "name", c.to.Name)
 	}
-	if m.to.Listen != "" {
-		m.replace(config, "", "listen", m.to.Listen)
+	if c.to.Listen != "" {
+		c.replace(config, "", "listen", c.to.Listen)
 	}
 	known, _ := config["known"].(object)
 	all, _ := known["endpoints"].([]any)
-	if len(m.to.Zones) == 0 || len(all) == 0 {
+	if len(c.to.Zones) == 0 || len(all) == 0 {
 		return
 	}
 	kept := []any{}
 	for _, e := range all {
 		entry, _ := e.(object)
-		if zone := fmt.Sprint(entry["zone"]); slices.Contains(m.to.Zones, zone) {
+		if zone := fmt.Sprint(entry["zone"]); slices.Contains(c.to.Zones, zone) {
 			kept = append(kept, e)
 		} else {
-			m.drop("known.endpoints", fmt.Sprintf("server %v: its zone %s is not part of the new deployment", entry["name"], zone))
+			c.noteLost("known.endpoints", fmt.Sprintf("server %v: its zone %s is not part of the new deployment", entry["name"], zone))
 		}
 	}
 	known["endpoints"] = kept
 }
 
 // convertSettings converts the object "settings".
-func (m *converter) convertSettings(settings object) error {
+func (c *converter) convertSettings(settings object) error {
 	const path = "settings."
-	if zone := fmt.Sprint(settings["Zone"]); m.to.Zone == "" && len(m.to.Zones) > 0 && !slices.Contains(m.to.Zones, zone) {
-		return fmt.Errorf("zone: the old one, %q, is not one of %s; set the zone of this router", zone, strings.Join(m.to.Zones, ", "))
+	if zone := fmt.Sprint(settings["Zone"]); c.to.Zone == "" && len(c.to.Zones) > 0 && !slices.Contains(c.to.Zones, zone) {
+		return fmt.Errorf("zone: the old one, %q, is not one of %s; set the zone of this router", zone, strings.Join(c.to.Zones, ", "))
 	}
-	if m.to.Zone != "" {
-		m.replace(settings, path, "Zone", m.to.Zone)
+	if c.to.Zone != "" {
+		c.replace(settings, path, "Zone", c.to.Zone)
 	}
-	m.replace(settings, path, "FleetSize", m.to.Routers)
-	m.replace(settings, path, "MyNumber", m.to.Number)
+	c.replace(settings, path, "FleetSize", c.to.Routers)
+	c.replace(settings, path, "MyNumber", c.to.Number)
 	limits, ok := settings["Limits"].(object)
 	if !ok {
 		if settings["Limits"] != nil {
@@ -203,15 +203,16 @@
 		return fmt.Errorf("settings.Limits.StreamsPerConn: %s, and PeerMessages is false: the configuration has the new shape already", streams)
 	}
 	if family, _ := settings["FamilyInfo"].(object); family["Mode"] == "aside" {
-		m.drop(path+"FamilyInfo.Mode", "aside: it is not specified how a router asks the origin; the value is kept but this mode is not served")
+		c.noteLost(path+"FamilyInfo.Mode",
+			"aside: it is not specified how a router asks the origin; the value is kept but this mode is not served")
 	}
 	if limits["PeerMessages"] == true {
-		m.drop(path+"Limits.PeerMessages", "true: routers no longer exchange messages")
+		c.noteLost(path+"Limits.PeerMessages", "true: routers no longer exchange messages")
 	}
 	limits["PeerMessages"] = false
-	m.replace(limits, path+"Limits.", "StreamsPerConn", m.to.Streams)
-	if m.to.ConnIdle > 0 {
-		m.replace(limits, path+"Limits.", "ConnIdle", m.to.ConnIdle.Nanoseconds())
+	c.replace(limits, path+"Limits.", "StreamsPerConn", c.to.Streams)
+	if c.to.ConnIdle > 0 {
+		c.replace(limits, path+"Limits.", "ConnIdle", c.to.ConnIdle.Nanoseconds())
 	}
 	return nil
 }
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -11,7 +11,8 @@
  "settings":{"FleetSize":3,"Zone":"north","Big":12345678901234567890,"FamilyInfo":{"Mode":"aside"},"Limits":{"PeerMessages":true}}}`
 
 func TestMoveKeepsUnknownKeysAndReportsLosses(t *testing.T) {
-	text, notes, err := Move([]byte(oldConfig), Shape{Routers: 80, Number: 17, Zones: []string{"north", "south"}, Streams: 100, ConnIdle: time.Minute})
+	text, notes, err := Move([]byte(oldConfig), Shape{Routers: 80, Number: 17,
+		Zones: []string{"north", "south"}, Streams: 100, ConnIdle: time.Minute})
 	lost := ""
 	for _, n := range notes {
 		if n.Lost {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -57,8 +57,8 @@
 			continue
 		}
 		// Exponentially distributed with the weight as rate: each cache has the lowest value with a probability proportional to its weight.
-		if d := -math.Log((float64(score>>11)+0.5)/(1<<53)) / c.weight; owner == "" || d < lowest {
-			owner, lowest = c.id, d
+		if value := -math.Log((float64(score>>11)+0.5)/(1<<53)) / c.weight; owner == "" || value < lowest {
+			owner, lowest = c.id, value
 		}
 	}
 	return owner
--- a/internal/shared/shared.go
+++ b/internal/shared/shared.go
@@ -49,8 +49,10 @@
 
 // New returns the replica of a starting process. Call Run to start replication.
 func New(o Options) *Facts {
-	f := &Facts{sendDatagram: o.Tell, counters: o.Counts, started: time.Now(), incarnation: o.Life, inbox: make(chan datagram, inboxSize), notify: make(chan struct{}, 1),
-		gossip: facts.NewSpreader(facts.NewStore(o.Life, maxFacts), o.Routers, o.Number, uint64(o.Life)), expiry: facts.Forgetter{After: o.Forget}}
+	f := &Facts{sendDatagram: o.Tell, counters: o.Counts, started: time.Now(), incarnation: o.Life,
+		inbox: make(chan datagram, inboxSize), notify: make(chan struct{}, 1),
+		gossip: facts.NewSpreader(facts.NewStore(o.Life, maxFacts), o.Routers, o.Number, uint64(o.Life)),
+		expiry: facts.Forgetter{After: o.Forget}}
 	if o.Routers < 2 {
 		f.gossip.Alone()
 	}
@@ -227,13 +229,15 @@
 func (f *Facts) Report(router string) Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := Report{Router: router, Life: formatIncarnation(f.incarnation), Digest: fmt.Sprintf("%016x", f.gossip.Sum()), InStep: f.gossip.InStep(), Facts: []Fact{}}
+	r := Report{Router: router, Life: formatIncarnation(f.incarnation), Digest: fmt.Sprintf("%016x", f.gossip.Sum()),
+		InStep: f.gossip.InStep(), Facts: []Fact{}}
 	for _, n := range f.gossip.Names() {
 		fact, _ := f.gossip.Get(n)
 		value, _ := fact.Value()
 		entry := Fact{Kind: n.Kind.String(), Subject: n.Subject, Says: n.Kind.Says(value)}
 		for _, c := range fact.Copies {
-			entry.Copies = append(entry.Copies, Copy{n.Kind.Says(c.Value), formatIncarnation(c.Dot.Life), c.Dot.Count, int64(max(f.now()-c.Since, 0) / time.Second)})
+			entry.Copies = append(entry.Copies, Copy{n.Kind.Says(c.Value), formatIncarnation(c.Dot.Life), c.Dot.Count,
+				int64(max(f.now()-c.Since, 0) / time.Second)})
 		}
 		r.Facts = append(r.Facts, entry)
 	}
--- a/internal/sites/sites.go
+++ b/internal/sites/sites.go
@@ -1,5 +1,6 @@
-// Package sites decides in which sites a router's requests are served, in what order and by how much: at home while that
-// is well, at the next site up to a limit while it is not, and home again in steps. It does no I/O and reads no clock.
+// Package sites decides which sites serve a router's requests, in what order and up to what limit: the home site while it is
+// healthy, otherwise the next site up to a limit (failover), and the home site again in steps (failback). It does no I/O and
+// reads no clock.
 package sites
 
 import (
@@ -14,25 +15,25 @@
 	"cedarmast/balance"
 )
 
-// Config is what operators say of sites. Its zero value is not usable; Fill gives what was left out.
+// Config configures the use of sites. The zero value is not usable; Fill sets defaults.
 type Config struct {
-	Prefer []string      // sites by preference, the router's own first; empty: Home, then by the time to connect
-	Home   string        // the router's own site, where Prefer is empty; empty as well: the nearest
-	Spill  float64       // the part of each cache's limit that requests of other sites may hold, over 0 to 1
-	Steps  []float64     // the parts of its keys that a site has again after a loss, one after the other, rising, under 1
-	Hold   time.Duration // the least time on a step
-	Aim    time.Duration // the shortest aim of any class: the pace at which a site is judged
-	Share  float64       // this router's part of all, as far as it can know: what it begins with
+	Prefer []string      // sites by preference, the router's own first; empty: Home, then by connect time
+	Home   string        // the router's own site if Prefer is empty; if both are empty, the nearest site
+	Spill  float64       // share of each cache's limit that requests of other sites may use, above 0, at most 1
+	Steps  []float64     // shares of its keys that a returning site serves, one after the other; ascending, below 1
+	Hold   time.Duration // minimum time on a step
+	Aim    time.Duration // shortest latency target of any class, the time scale on which sites are evaluated
+	Share  float64       // this router's estimated share of all requests, for the initial fetch limit
 }
 
-// Defaults for what Config leaves out. Steps double, as what is not yet warm costs as much at each as at all before.
+// Defaults for Config. Steps double, so that each step adds as many cold keys as all steps before it together.
 var (
-	defaultSteps = []float64{1.0 / 16, 1.0 / 8, 1.0 / 4, 1.0 / 2}
-	defaultSpill = 0.5
-	holdAims     = 4 // aims that a step is held: a fetch and the answers that tell of it come well within
+	defaultSteps       = []float64{1.0 / 16, 1.0 / 8, 1.0 / 4, 1.0 / 2}
+	defaultSpill       = 0.5
+	defaultHoldTargets = 4 // latency targets that a step is held: enough for a fetch and the answers that show its effect
 )
 
-// Fill returns c with defaults.
+// Fill returns c with defaults for fields that are not set.
 func (c Config) Fill() Config {
 	if c.Spill == 0 {
 		c.Spill = defaultSpill
@@ -44,7 +45,7 @@
 		c.Aim = time.Second
 	}
 	if c.Hold == 0 {
-		c.Hold = time.Duration(holdAims) * c.Aim
+		c.Hold = time.Duration(defaultHoldTargets) * c.Aim
 	}
 	if !(c.Share > 0) {
 		c.Share = 1
@@ -52,7 +53,7 @@
 	return c
 }
 
-// Check names the first key that is faulty, as it is written in the operators' file.
+// Check returns an error that names the first invalid key, spelled as in the operators' file.
 func (c Config) Check() error {
 	if c.Spill < 0 || c.Spill > 1 || math.IsNaN(c.Spill) {
 		return fmt.Errorf("spill: %v is not within 0 and 1", c.Spill)
@@ -75,127 +76,129 @@
 		}
 		last = step
 	}
-	if len(c.Steps) > mostSteps {
+	if len(c.Steps) > maxSteps {
 		return errors.New("steps: more than 16")
 	}
 	return nil
 }
 
 const (
-	mostSteps  = 16
-	forgetSite = time.Hour // after it was listed last
+	maxSteps      = 16
+	siteRetention = time.Hour // how long a site without listed caches is remembered
 )
 
-// State is what a router holds of a site.
+// State is a site's health as seen by a router.
 type State int
 
-// The states, each with its ways in and out; docs/design/sites.md has the table.
+// The states of a site. docs/design/sites.md has the table of transitions.
 const (
-	Home      State = iota // it has all its keys
-	Failing                // half of what is sent there finds nobody: it keeps failingPart of its keys
-	Lost                   // nobody has answered there for an aim, or none of its caches is listed: single trials go there
-	Returning              // a trial was answered: it has a growing part of its keys
+	Home      State = iota // healthy: it serves all its keys
+	Failing                // half of the attempts there get no answer: it keeps failingShare of its keys
+	Lost                   // no answer for a latency target, or none of its caches is listed: it gets single trial requests
+	Returning              // a trial was answered: it serves a growing share of its keys
 )
 
 func (s State) String() string { return [...]string{"home", "failing", "lost", "returning"}[s] }
 
 const (
-	memory      = 12.0     // attempts over which a site's absences are averaged
-	failAt      = 0.5      // of them found nobody: failing
-	lostAt      = 0.8      // and nobody has answered for an aim: lost
-	wellAt      = 0.2      // back from failing, or on to the next step: well under failAt, so that an edge does not flap
-	failingPart = 0.25     // of its keys that a failing site keeps: enough to see what becomes of it
-	trialsMost  = 4        // aims between trials at most
-	holdMost    = 8        // times that a step's time is drawn out by relapses
-	lookEvery   = 256      // safe requests for one that goes to a site whose distance is not known yet
-	looksMost   = 8        // of them to a site: where no time to connect is told they teach nothing
-	nearer      = 0.8      // of another's time to connect makes a site the nearer one
-	firstNews   = 24.0     // fetches out at once that routers together begin with
-	newsMemory  = 8        // fetches over which their time is averaged
-	newsCut     = 0.85     // what a late or failed fetch leaves of them
-	newsFloor   = 1.0 / 16 // of a fetch: below one it is drawn, so that something is still learned
-	knownMost   = 1 << 15  // keys in each of two generations of what sites are known to hold
+	failRateWindow         = 12.0     // attempts over which a site's failRate is averaged
+	failingThreshold       = 0.5      // failRate above which a site is failing
+	lostThreshold          = 0.8      // failRate above which a site without an answer for a latency target is lost
+	healthyThreshold       = 0.2      // failRate below which a site recovers or advances a step; far below failingThreshold to avoid flapping
+	failingShare           = 0.25     // share of its keys that a failing site keeps: enough to observe its health
+	maxTrialBackoffTargets = 4        // maximum time between trials, in latency targets
+	maxHoldFactor          = 8        // maximum factor by which relapses prolong a step
+	measureEvery           = 256      // one in so many safe requests goes to a site whose connect time is not known yet
+	maxMeasurements        = 8        // such requests per site: where connect times are not reported, more of them yield nothing
+	nearerRatio            = 0.8      // a site moves ahead of another if its connect time is below this fraction of the other's
+	initialFetchLimit      = 24.0     // concurrent fetches that all routers together start with
+	fetchTimeWindow        = 8        // fetches over which fetchTime is averaged
+	fetchLimitDecrease     = 0.85     // factor applied to the fetch limit after a late or failed fetch
+	minFetchLimit          = 1.0 / 16 // minimum fetch limit; below 1 fetches are admitted at random, so that recovery is still noticed
+	maxKnownKeys           = 1 << 15  // keys in each of the two generations of knownKeys
 )
 
-// site is what is held of one.
+// site is the state of one site.
 type site struct {
-	name    string
-	up      int // caches listed as up
-	state   State
-	step    int          // while returning
-	resume  int          // the step that its next return begins with
-	since   balance.Time // of state and step
-	absent  float64      // smoothed part of attempts that found nobody
-	heard   balance.Time // the last answer of any kind
-	open    int          // attempts out
-	drawn   float64      // by how much a step's time is drawn out, from 1
-	trial   balance.Time // no trial before
-	backoff time.Duration
-	connect time.Duration // smoothed; 0: not known
-	looks   int
-	epoch   uint32 // goes into what is known of its keys: none after a loss
+	name         string
+	upCaches     int // caches listed as up
+	state        State
+	step         int          // index into Config.Steps while returning
+	resumeStep   int          // step at which its next return starts
+	stateSince   balance.Time // when state or step last changed
+	failRate     float64      // smoothed share of attempts that got no answer
+	lastAnswer   balance.Time // time of the last answer of any kind
+	inFlight     int          // attempts in flight
+	holdFactor   float64      // factor by which a step is prolonged after relapses, from 1
+	nextTrial    balance.Time // earliest time of the next trial
+	backoff      time.Duration
+	connectTime  time.Duration // smoothed; 0: not known
+	measurements int
+	epoch        uint32 // part of knownKeys entries; incremented at a loss, which invalidates them
 }
 
-// Tiers is one router's. It belongs to the balance.Balancer that it was made for.
+// Tiers implements balance.Tiers for one router. It belongs to one balance.Balancer and is not safe for concurrent use.
 type Tiers struct {
-	set   Config
-	sites map[string]*site
-	order []*site // by preference
-	tiers []balance.Tier
-	asked int // safe requests, for looks
-
-	news     float64 // fetches that may be out at once
-	newsOut  int
-	newsTook time.Duration // smoothed
-	newsCut  balance.Time
-	draw     uint64
-	known    [2]map[uint64]struct{}
+	config       Config
+	sites        map[string]*site
+	order        []*site // by preference
+	tiers        []balance.Tier
+	safeRequests int // safe requests so far, for measureEvery
+
+	fetchLimit      float64 // maximum concurrent fetches
+	fetchesInFlight int
+	fetchTime       time.Duration // smoothed
+	lastDecrease    balance.Time
+	draws           uint64
+	knownKeys       [2]map[uint64]struct{}
 }
 
-// New returns the tiers of one router. The configuration is to have passed Check.
+// New returns the tiers of one router. The configuration must have passed Check.
 func New(c Config) *Tiers {
 	c = c.Fill()
-	return &Tiers{set: c, sites: map[string]*site{}, news: max(firstNews*c.Share, newsFloor), newsTook: c.Aim / 8,
-		known: [2]map[uint64]struct{}{{}, {}}}
+	return &Tiers{config: c, sites: map[string]*site{},
+		fetchLimit: max(initialFetchLimit*c.Share, minFetchLimit), fetchTime: c.Aim / 8,
+		knownKeys: [2]map[uint64]struct{}{{}, {}}}
 }
 
 var _ balance.Tiers = (*Tiers)(nil)
 
-// Listed takes the list's word of how many caches are up. A site with none is lost at once; one that is listed again is
-// tried, whatever the list says of its starts.
+// Listed sets the number of caches that the discovery list shows as up, by site. A site with none is lost at once; a site
+// that is listed again gets a trial at once, whatever start times the list has for its caches.
 func (t *Tiers) Listed(now balance.Time, up map[string]int) {
 	for _, name := range slices.Sorted(maps.Keys(up)) {
 		if t.sites[name] == nil {
-			t.sites[name] = &site{name: name, drawn: 1, since: now, heard: now}
+			t.sites[name] = &site{name: name, holdFactor: 1, stateSince: now, lastAnswer: now}
 		}
 	}
 	for name, s := range t.sites {
-		was := s.up
-		switch s.up = up[name]; {
-		case s.up == 0 && s.state != Lost:
-			t.move(now, s, Lost)
-		case s.up > 0 && was == 0:
-			s.trial = now
-		case s.up == 0 && s.open == 0 && now.Sub(s.since) > forgetSite:
+		previouslyUp := s.upCaches
+		switch s.upCaches = up[name]; {
+		case s.upCaches == 0 && s.state != Lost:
+			t.setState(now, s, Lost)
+		case s.upCaches > 0 && previouslyUp == 0:
+			s.nextTrial = now
+		case s.upCaches == 0 && s.inFlight == 0 && now.Sub(s.stateSince) > siteRetention:
 			delete(t.sites, name)
 		}
 	}
-	t.sort()
+	t.sortSites()
 }
 
-// sort orders the sites: as stated, else home first and the nearer before the farther; unknown ones go last, by name.
-func (t *Tiers) sort() {
+// sortSites orders the sites: by Prefer, or else the home site first and then by connect time. Sites without a rank come last,
+// by name.
+func (t *Tiers) sortSites() {
 	rank := func(s *site) (int, time.Duration) {
-		if i := slices.Index(t.set.Prefer, s.name); i >= 0 {
+		if i := slices.Index(t.config.Prefer, s.name); i >= 0 {
 			return i, 0
 		}
 		switch {
-		case len(t.set.Prefer) == 0 && s.name == t.set.Home:
+		case len(t.config.Prefer) == 0 && s.name == t.config.Home:
 			return -1, 0
-		case s.connect == 0:
+		case s.connectTime == 0:
 			return math.MaxInt, 0
 		}
-		return math.MaxInt - 1, s.connect
+		return math.MaxInt - 1, s.connectTime
 	}
 	t.order = t.order[:0]
 	for _, s := range t.sites {
@@ -209,47 +212,47 @@
 	t.tiers = slices.Grow(t.tiers[:0], len(t.order)+1)
 }
 
-// Order tells where a request may be served. Its own site comes first if the key is one of those that the site has now;
-// then, as a guest, each other site that has it. A lost site comes before all for a trial. While no site is well those that
-// are not lost serve as they can, and with none of them whoever is listed.
+// Order returns the sites that may serve a request, in order of preference. The home site comes first if it currently owns the
+// key, then each other site that owns it, with a guest's limit. A lost site that is due for a trial comes before all others.
+// While no site is healthy, sites that are not lost keep all keys; if all are lost, every site with listed caches is used.
 func (t *Tiers) Order(now balance.Time, v balance.Visit) []balance.Tier {
 	t.tiers = t.tiers[:0]
 	if len(t.order) == 0 {
-		return append(t.tiers, balance.Tier{Part: 1}) // no cache is listed: all are drawn from, and none is found
+		return append(t.tiers, balance.Tier{Part: 1}) // no cache is listed: the balancer chooses from all caches and finds none
 	}
 	if v.Safe {
-		t.asked++
-		if s := t.unknown(); s != nil && t.asked%lookEvery == 0 {
-			s.looks++
-			t.guest(s, v)
+		t.safeRequests++
+		if s := t.unmeasuredSite(); s != nil && t.safeRequests%measureEvery == 0 {
+			s.measurements++
+			t.addGuestTier(s, v)
 		}
 	}
-	home, well := t.order[0], 0
+	home, healthySites := t.order[0], 0
 	for _, s := range t.order {
 		if s.state == Home {
-			well++
+			healthySites++
 		}
-		if s != home && s.state == Lost && !v.Again && t.has(now, s, v, 1) { // a trial, or nobody would know of its return
-			t.guest(s, v)
+		if s != home && s.state == Lost && !v.Again && t.ownsKey(now, s, v, 1) { // a trial, without which its return would go unnoticed
+			t.addGuestTier(s, v)
 		}
 	}
-	// What found nobody at home is not to wait there once more, nor to use up a trial.
-	has := !(v.Again && home.absent > wellAt) && t.has(now, home, v, well)
-	fetches := home.state != Returning || t.mayFetch(home, v)
-	if has && fetches {
+	// A retry must not wait for a home site that is failing to answer, nor use up a trial.
+	ownedAtHome := !(v.Again && home.failRate > healthyThreshold) && t.ownsKey(now, home, v, healthySites)
+	homeMayFetch := home.state != Returning || t.mayFetch(home, v)
+	if ownedAtHome && homeMayFetch {
 		t.tiers = append(t.tiers, balance.Tier{Zone: home.name, Part: 1})
 	}
 	for _, s := range t.order[1:] {
-		if s.state != Lost && t.has(now, s, v, well) {
-			t.guest(s, v)
+		if s.state != Lost && t.ownsKey(now, s, v, healthySites) {
+			t.addGuestTier(s, v)
 		}
 	}
-	if !has && fetches && home.state != Lost { // rather than refuse what no other site has a place for
+	if !ownedAtHome && homeMayFetch && home.state != Lost { // last resort, instead of rejecting what no other site has capacity for
 		t.tiers = append(t.tiers, balance.Tier{Zone: home.name, Part: 1})
 	}
-	if len(t.tiers) == 0 { // nobody is well: whoever is listed is asked, and the rules for single caches hold
+	if len(t.tiers) == 0 { // all sites are lost: use every listed one, and leave the choice to the rules for single caches
 		for _, s := range t.order {
-			if s.up > 0 {
+			if s.upCaches > 0 {
 				t.tiers = append(t.tiers, balance.Tier{Zone: s.name, Part: 1})
 			}
 		}
@@ -257,278 +260,286 @@
 	return t.tiers
 }
 
-// guest adds a site for a request whose own it is not.
-func (t *Tiers) guest(s *site, v balance.Visit) {
-	part := t.set.Spill
-	if part >= 1 {
-		part = math.Nextafter(1, 0) // it stays a guest
+// addGuestTier adds a site that is not the request's home, with a share of its limit, or 0 if the fetch limit is reached.
+func (t *Tiers) addGuestTier(s *site, v balance.Visit) {
+	share := t.config.Spill
+	if share >= 1 {
+		share = math.Nextafter(1, 0) // a share of 1 means a home request
 	}
 	if !t.mayFetch(s, v) {
-		part = 0
+		share = 0
 	}
-	t.tiers = append(t.tiers, balance.Tier{Zone: s.name, Part: part})
+	t.tiers = append(t.tiers, balance.Tier{Zone: s.name, Part: share})
 }
 
-// has tells whether a request belongs to a site now. Which keys those are is the same at every router, and keys that have
-// gone home stay there as the part grows.
-func (t *Tiers) has(now balance.Time, s *site, v balance.Visit, well int) bool {
-	if s.state == Home || well == 0 && s.state != Lost { // the last one standing keeps all
+// ownsKey reports whether a site currently serves a request's key. The set of keys is the same at every router, and keys that
+// have returned to a site stay there as its share grows.
+func (t *Tiers) ownsKey(now balance.Time, s *site, v balance.Visit, healthySites int) bool {
+	if s.state == Home || healthySites == 0 && s.state != Lost { // without a healthy site, those that are not lost keep all keys
 		return true
 	}
-	part := failingPart
+	share := failingShare
 	switch s.state {
 	case Lost:
-		if s.up == 0 || !v.Safe || now < s.trial {
+		if s.upCaches == 0 || !v.Safe || now < s.nextTrial {
 			return false
 		}
-		s.trial = now.Add(s.backoff) // one trial, and no more until its time
+		s.nextTrial = now.Add(s.backoff) // a single trial per backoff
 		return true
 	case Returning:
-		t.climb(now, s)
+		t.advanceStep(now, s)
 		if s.state == Home {
 			return true
 		}
-		part = t.set.Steps[s.step]
+		share = t.config.Steps[s.step]
 	}
-	return float64(uint16(v.Key)) < part*(1<<16)
+	return float64(uint16(v.Key)) < share*(1<<16)
 }
 
-// climb takes a returning site to its next step once it has been well on this one for long enough.
-func (t *Tiers) climb(now balance.Time, s *site) {
-	if now.Sub(s.since) < time.Duration(float64(t.set.Hold)*s.drawn) || s.absent > wellAt || s.heard < s.since {
+// advanceStep moves a returning site to its next step after it has been healthy on the current one for the hold time.
+func (t *Tiers) advanceStep(now balance.Time, s *site) {
+	if now.Sub(s.stateSince) < time.Duration(float64(t.config.Hold)*s.holdFactor) || s.failRate > healthyThreshold ||
+		s.lastAnswer < s.stateSince {
 		return
 	}
-	if s.step++; s.step < len(t.set.Steps) {
-		s.since = now
+	if s.step++; s.step < len(t.config.Steps) {
+		s.stateSince = now
 		return
 	}
-	t.move(now, s, Home)
+	t.setState(now, s, Home)
 }
 
-// move changes a site's state. A return that is cut short goes on a step below if it was not gone for long.
-func (t *Tiers) move(now balance.Time, s *site, to State) {
-	long := now.Sub(s.since) > holdMost*t.set.Hold
+// setState changes a site's state. A site that is lost while returning resumes one step lower, unless it was lost for long.
+func (t *Tiers) setState(now balance.Time, s *site, to State) {
+	settled := now.Sub(s.stateSince) > maxHoldFactor*t.config.Hold
 	switch {
 	case to == Lost:
-		s.resume = 0
+		s.resumeStep = 0
 		if s.state == Returning {
-			s.resume = max(s.step-1, 0)
+			s.resumeStep = max(s.step-1, 0)
 		}
-		s.backoff = t.set.Aim
-		s.trial, s.epoch = now.Add(s.backoff), s.epoch+1
+		s.backoff = t.config.Aim
+		s.nextTrial, s.epoch = now.Add(s.backoff), s.epoch+1
 	case to == Returning:
-		if s.step, s.absent = s.resume, 0; long {
-			s.step, s.drawn = 0, 1
+		if s.step, s.failRate = s.resumeStep, 0; settled {
+			s.step, s.holdFactor = 0, 1
 		}
 	}
-	if s.state == Home && long { // it has been well for long: what it did before is forgotten
-		s.drawn = 1
+	if s.state == Home && settled { // healthy for long: earlier relapses no longer count
+		s.holdFactor = 1
 	}
-	s.state, s.since = to, now
+	s.state, s.stateSince = to, now
 }
 
-// Begun counts an attempt and tells whether its site may have to fetch the key: it is a guest's or a returning site's, and
-// not known to have been answered there lately.
+// Begun counts an attempt and reports whether its site may have to fetch the key from the origin: the request is a guest or the
+// site is returning, and the site is not known to have answered for the key recently.
 func (t *Tiers) Begun(now balance.Time, zone string, key uint64, read, guest bool) bool {
 	s := t.sites[zone]
 	if s == nil {
 		return false
 	}
-	s.open++
-	news := read && (guest || s.state == Returning) && !t.knows(s, key)
-	if news {
-		t.newsOut++
+	s.inFlight++
+	fetches := read && (guest || s.state == Returning) && !t.knows(s, key)
+	if fetches {
+		t.fetchesInFlight++
 	}
-	return news
+	return fetches
 }
 
-// Ended books an attempt. Any answer, an error as well, proves that the site is there; who was late or full is not lost.
+// Ended records the result of an attempt. Any answer, even an error, shows that the site is reachable: a slow or overloaded site
+// is not lost.
 func (t *Tiers) Ended(now balance.Time, e balance.Stay) {
 	s := t.sites[e.Zone]
 	if s == nil {
 		return
 	}
-	s.open--
+	s.inFlight--
 	if e.News {
-		t.fetched(now, e)
+		t.adjustFetchLimit(now, e)
 	}
 	if e.Connect > 0 {
-		t.connected(s, e.Connect)
+		t.recordConnectTime(s, e.Connect)
 	}
 	answered := true
 	switch e.Result {
 	case balance.OK, balance.Miss, balance.Errored, balance.Full, balance.Spoilt:
-		s.heard = now
+		s.lastAnswer = now
 		if e.Result == balance.OK && e.News {
-			t.learn(s, e.Key)
+			t.remember(s, e.Key)
 		}
 	case balance.TimedOut, balance.NoConnect, balance.Reset, balance.Unknown:
 		answered = false
 	case balance.Cancelled:
-		if answered = false; e.Took < t.set.Aim/2 { // withdrawn for another's answer
+		if answered = false; e.Took < t.config.Aim/2 { // cancelled early because another attempt was answered
 			return
 		}
-	default: // it never came so far
+	default: // the request was not sent
 		return
 	}
-	// A site that returns has to keep up as well: what it can't do yet is taken back by a step.
-	good := answered && (s.state != Returning || e.Result != balance.Full && e.Took < t.set.Aim/2)
-	s.absent -= s.absent / memory
+	// A returning site must also keep up with its load: if it rejects requests or is slow, it goes back a step.
+	good := answered && (s.state != Returning || e.Result != balance.Full && e.Took < t.config.Aim/2)
+	s.failRate -= s.failRate / failRateWindow
 	if !good {
-		s.absent += 1 / memory
+		s.failRate += 1 / failRateWindow
 	}
-	t.judge(now, s, answered)
+	t.updateState(now, s, answered)
 }
 
-// judge moves a site along by what is known of it.
-func (t *Tiers) judge(now balance.Time, s *site, answered bool) {
-	silent := now.Sub(s.heard) > t.set.Aim
+// updateState applies the state transitions after an attempt.
+func (t *Tiers) updateState(now balance.Time, s *site, answered bool) {
+	noAnswers := now.Sub(s.lastAnswer) > t.config.Aim
 	switch s.state {
 	case Home:
-		if s.absent > failAt {
-			t.move(now, s, Failing)
+		if s.failRate > failingThreshold {
+			t.setState(now, s, Failing)
 		}
 	case Failing:
 		switch {
-		case s.absent < wellAt:
-			t.move(now, s, Home)
-		case s.absent > lostAt && silent:
-			t.move(now, s, Lost)
+		case s.failRate < healthyThreshold:
+			t.setState(now, s, Home)
+		case s.failRate > lostThreshold && noAnswers:
+			t.setState(now, s, Lost)
 		}
 	case Lost:
-		if answered && s.up > 0 {
-			t.move(now, s, Returning)
+		if answered && s.upCaches > 0 {
+			t.setState(now, s, Returning)
 		} else {
-			s.backoff = min(2*s.backoff, trialsMost*t.set.Aim)
-			s.trial = now.Add(s.backoff)
+			s.backoff = min(2*s.backoff, maxTrialBackoffTargets*t.config.Aim)
+			s.nextTrial = now.Add(s.backoff)
 		}
 	case Returning:
-		if s.absent <= failAt {
+		if s.failRate <= failingThreshold {
 			return
 		}
-		s.drawn = min(2*s.drawn, holdMost)
-		if s.step == 0 && silent {
-			t.move(now, s, Lost)
+		s.holdFactor = min(2*s.holdFactor, maxHoldFactor)
+		if s.step == 0 && noAnswers {
+			t.setState(now, s, Lost)
 			return
 		}
-		s.step, s.since, s.absent = max(s.step-1, 0), now, 0
+		s.step, s.stateSince, s.failRate = max(s.step-1, 0), now, 0
 	}
 }
 
-// connected notes a time to connect. Sites change places only where one is clearly nearer.
-func (t *Tiers) connected(s *site, took time.Duration) {
-	was := s.connect
-	if was == 0 {
-		s.connect = took
+// recordConnectTime updates a site's smoothed connect time. Sites are reordered only if one is clearly nearer than the one
+// before it.
+func (t *Tiers) recordConnectTime(s *site, took time.Duration) {
+	previous := s.connectTime
+	if previous == 0 {
+		s.connectTime = took
 	} else {
-		s.connect += (took - was) / 8
+		s.connectTime += (took - previous) / 8
 	}
-	if len(t.set.Prefer) > 0 {
+	if len(t.config.Prefer) > 0 {
 		return
 	}
-	if was == 0 {
-		t.sort()
+	if previous == 0 {
+		t.sortSites()
 		return
 	}
 	for i, o := range t.order[:max(len(t.order)-1, 0)] {
 		next := t.order[i+1]
-		if o.name != t.set.Home && o.connect > 0 && next.connect > 0 && float64(next.connect) < nearer*float64(o.connect) {
-			t.sort()
+		if o.name != t.config.Home && o.connectTime > 0 && next.connectTime > 0 &&
+			float64(next.connectTime) < nearerRatio*float64(o.connectTime) {
+			t.sortSites()
 			return
 		}
 	}
 }
 
-// unknown is a site that is well and whose distance is not known, if the order is to be learned.
-func (t *Tiers) unknown() *site {
-	if len(t.set.Prefer) > 0 {
+// unmeasuredSite returns a healthy site whose connect time is not known; nil if there is none or the order is configured.
+func (t *Tiers) unmeasuredSite() *site {
+	if len(t.config.Prefer) > 0 {
 		return nil
 	}
 	for _, s := range t.order[1:] {
-		if s.connect == 0 && s.looks < looksMost && s.state == Home {
+		if s.connectTime == 0 && s.measurements < maxMeasurements && s.state == Home {
 			return s
 		}
 	}
 	return nil
 }
 
-// mayFetch tells whether a site may get a request whose key it may have to fetch: if fewer are out than the origin has
-// been seen to carry. Below one they are drawn.
+// mayFetch reports whether a site may get a request whose key it may have to fetch from the origin: if fewer fetches than the
+// fetch limit are in flight. With a limit below one, a fetch is admitted at random with that probability if none
+// is in flight.
 func (t *Tiers) mayFetch(s *site, v balance.Visit) bool {
 	if !v.Read || t.knows(s, v.Key) {
 		return true
 	}
-	news := t.news * min(1, 0.5+v.Worth) // what is worth little leaves part of it to the others
-	if news >= 1 {
-		return float64(t.newsOut+1) <= news
+	limit := t.fetchLimit * min(1, 0.5+v.Worth) // requests of low priority leave part of the limit to others
+	if limit >= 1 {
+		return float64(t.fetchesInFlight+1) <= limit
 	}
-	t.draw++
-	return t.newsOut == 0 && float64(t.draw*0x9e3779b97f4a7c15>>11)/(1<<53) < news
+	t.draws++
+	return t.fetchesInFlight == 0 && float64(t.draws*0x9e3779b97f4a7c15>>11)/(1<<53) < limit
 }
 
-// fetched learns from a fetch how many may be out: more while they come well within an aim, fewer, once a fetch's time,
-// by one that is late or failed while the mean of the last ones is late as well: single ones are late for the work behind
-// them. All routers see the same origin, so all step back together.
-func (t *Tiers) fetched(now balance.Time, e balance.Stay) {
-	t.newsOut--
+// adjustFetchLimit adapts the fetch limit to the result of a fetch (additive increase, multiplicative decrease). The limit rises
+// while fetches take less than half a latency target and use up half of it. It falls, at most once per mean fetch time, after
+// a late or failed fetch if the mean of the last ones is late as well: a single fetch may be late because of work queued behind
+// it. All routers see the same origin, so all reduce their limits together.
+func (t *Tiers) adjustFetchLimit(now balance.Time, e balance.Stay) {
+	t.fetchesInFlight--
 	took := e.Took
 	switch e.Result {
 	case balance.OK, balance.Miss:
 	case balance.Errored, balance.TimedOut:
-		took = max(took, t.set.Aim)
+		took = max(took, t.config.Aim)
 	case balance.Cancelled:
-		if took < t.set.Aim/2 {
+		if took < t.config.Aim/2 {
 			return
 		}
-	default: // it did not fetch
+	default: // it caused no fetch
 		return
 	}
-	t.newsTook += (took - t.newsTook) / newsMemory
+	t.fetchTime += (took - t.fetchTime) / fetchTimeWindow
 	switch {
-	case took < t.set.Aim/2 && float64(2*t.newsOut+2) < t.news: // they are not used up
-	case took < t.set.Aim/2 && t.newsCut == 0: // nothing has shown yet how many are too many
-		t.news += 0.25
-	case took < t.set.Aim/2:
-		t.news += 0.25 / max(t.news, 1)
-	case t.newsTook > t.set.Aim/2 && now.Sub(t.newsCut) > t.newsTook:
-		t.news, t.newsCut = max(t.news*newsCut, newsFloor), now
+	case took < t.config.Aim/2 && float64(2*t.fetchesInFlight+2) < t.fetchLimit: // the limit is not used up
+	case took < t.config.Aim/2 && t.lastDecrease == 0: // no decrease yet: rise fast until the first one
+		t.fetchLimit += 0.25
+	case took < t.config.Aim/2:
+		t.fetchLimit += 0.25 / max(t.fetchLimit, 1)
+	case t.fetchTime > t.config.Aim/2 && now.Sub(t.lastDecrease) > t.fetchTime:
+		t.fetchLimit, t.lastDecrease = max(t.fetchLimit*fetchLimitDecrease, minFetchLimit), now
 	}
 }
 
-func (s *site) mark(key uint64) uint64 {
-	h := uint64(14695981039346656037)
+// knownKey returns the entry of knownKeys for a key at this site in its current epoch.
+func (s *site) knownKey(key uint64) uint64 {
+	hash := uint64(14695981039346656037)
 	for i := range len(s.name) {
-		h = (h ^ uint64(s.name[i])) * 1099511628211
+		hash = (hash ^ uint64(s.name[i])) * 1099511628211
 	}
-	return key ^ (h+uint64(s.epoch))*0x9e3779b97f4a7c15
+	return key ^ (hash+uint64(s.epoch))*0x9e3779b97f4a7c15
 }
 
-// knows tells whether a site has answered for a key lately, as far as is remembered.
+// knows reports whether a site is remembered to have answered for a key recently.
 func (t *Tiers) knows(s *site, key uint64) bool {
-	mark := s.mark(key)
-	if _, ok := t.known[0][mark]; ok {
+	entry := s.knownKey(key)
+	if _, ok := t.knownKeys[0][entry]; ok {
 		return true
 	}
-	_, ok := t.known[1][mark]
+	_, ok := t.knownKeys[1][entry]
 	return ok
 }
 
-// learn remembers it, in two generations.
-func (t *Tiers) learn(s *site, key uint64) {
-	if len(t.known[0]) >= knownMost {
-		t.known = [2]map[uint64]struct{}{{}, t.known[0]}
+// remember records that a site has answered for a key. When the newer generation is full it replaces the older one.
+func (t *Tiers) remember(s *site, key uint64) {
+	if len(t.knownKeys[0]) >= maxKnownKeys {
+		t.knownKeys = [2]map[uint64]struct{}{{}, t.knownKeys[0]}
 	}
-	t.known[0][s.mark(key)] = struct{}{}
+	t.knownKeys[0][s.knownKey(key)] = struct{}{}
 }
 
-// View tells what is held of each site.
-func (t *Tiers) View() (all []balance.SiteView, fetches float64) {
+// View returns the state of each site, in order of preference, and the fetch limit.
+func (t *Tiers) View() (all []balance.SiteView, limit float64) {
 	for _, s := range t.order {
-		part := map[State]float64{Home: 1, Failing: failingPart}[s.state]
+		share := map[State]float64{Home: 1, Failing: failingShare}[s.state]
 		if s.state == Returning {
-			part = t.set.Steps[s.step]
+			share = t.config.Steps[s.step]
 		}
-		all = append(all, balance.SiteView{Zone: s.name, State: s.state.String(), Part: part, Up: s.up, Absent: s.absent, Connect: s.connect})
+		all = append(all, balance.SiteView{Zone: s.name, State: s.state.String(), Part: share,
+			Up: s.upCaches, Absent: s.failRate, Connect: s.connectTime})
 	}
-	return all, t.news
+	return all, t.fetchLimit
 }
--- a/internal/sites/sites_test.go
+++ b/internal/sites/sites_test.go
@@ -8,27 +8,27 @@
 	"cedarmast/balance"
 )
 
-const aim = time.Second
+const latencyTarget = time.Second
 
-// rig is one router's tiers with a clock.
-type rig struct {
+// testTiers is one router's tiers with a simulated clock.
+type testTiers struct {
 	*Tiers
 	t   *testing.T
 	now balance.Time
 	key uint64
 }
 
-func newRig(t *testing.T, c Config) *rig {
-	c.Aim = aim
+func newTestTiers(t *testing.T, c Config) *testTiers {
+	c.Aim = latencyTarget
 	if err := c.Check(); err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Tiers: New(c), t: t, now: 1e15}
-	r.list(3, 3, 3)
+	r := &testTiers{Tiers: New(c), t: t, now: 1e15}
+	r.setUpCaches(3, 3, 3)
 	return r
 }
 
-func (r *rig) list(north, south, west int) {
+func (r *testTiers) setUpCaches(north, south, west int) {
 	up := map[string]int{}
 	for zone, n := range map[string]int{"north": north, "south": south, "west": west} {
 		if n > 0 {
@@ -38,9 +38,9 @@
 	r.Listed(r.now, up)
 }
 
-// ask takes the first site that an even spread of keys is offered, and ends the attempt there.
-func (r *rig) ask(n int, every time.Duration, answer func(zone string) (balance.Result, time.Duration)) map[string]int {
-	to := map[string]int{}
+// request makes n requests with evenly spread keys, each to the first site that Order offers, and returns their number by site.
+func (r *testTiers) request(n int, every time.Duration, answer func(zone string) (balance.Result, time.Duration)) map[string]int {
+	counts := map[string]int{}
 	for range n {
 		r.now = r.now.Add(every)
 		r.key++
@@ -51,147 +51,148 @@
 				zone = tier.Zone
 				news := r.Begun(r.now, zone, v.Key, true, tier.Part < 1)
 				result, took := answer(zone)
-				r.Ended(r.now, balance.Stay{Zone: zone, Key: v.Key, Took: took, Result: result, News: news, Connect: connects[zone]})
+				r.Ended(r.now, balance.Stay{Zone: zone, Key: v.Key, Took: took, Result: result, News: news, Connect: connectTimes[zone]})
 				break
 			}
 		}
-		to[zone]++
+		counts[zone]++
 	}
-	return to
+	return counts
 }
 
-var connects = map[string]time.Duration{"north": 30 * time.Millisecond, "south": time.Millisecond, "west": 10 * time.Millisecond}
+var connectTimes = map[string]time.Duration{"north": 30 * time.Millisecond, "south": time.Millisecond, "west": 10 * time.Millisecond}
 
-func well(string) (balance.Result, time.Duration) { return balance.OK, aim / 10 }
+func healthyAnswer(string) (balance.Result, time.Duration) { return balance.OK, latencyTarget / 10 }
 
-func without(lost ...string) func(string) (balance.Result, time.Duration) {
+func unreachable(lost ...string) func(string) (balance.Result, time.Duration) {
 	return func(zone string) (balance.Result, time.Duration) {
 		for _, name := range lost {
 			if zone == name {
-				return balance.TimedOut, aim / 2
+				return balance.TimedOut, latencyTarget / 2
 			}
 		}
-		return well(zone)
+		return healthyAnswer(zone)
 	}
 }
 
-func (r *rig) want(zone string, s State) {
+func (r *testTiers) wantState(zone string, s State) {
 	r.t.Helper()
 	if got := r.sites[zone].state; got != s {
-		r.t.Errorf("%s is %v, not %v", zone, got, s)
+		r.t.Errorf("%s is %v, want %v", zone, got, s)
 	}
 }
 
-// Guard: the order of sites decides who floods whom. It is as stated; else home, then by the time to connect, which a few of
-// the requests are spent on learning, and does not change for a little.
+// The order of sites decides where load overflows to. It is as configured, or else the home site first and then by connect time, which
+// a few of the requests measure. It does not change for a small difference.
 func TestOrder(t *testing.T) {
 	for want, c := range map[string]Config{"[west south north]": {Prefer: []string{"west", "south"}},
 		"[north south west]": {Home: "north"}, "[south west north]": {}} {
-		r := newRig(t, c)
-		r.ask(4*lookEvery, time.Millisecond, well)
+		r := newTestTiers(t, c)
+		r.request(4*measureEvery, time.Millisecond, healthyAnswer)
 		var got []string
 		for _, s := range r.order {
 			got = append(got, s.name)
 		}
 		if fmt.Sprint(got) != want {
-			t.Errorf("%+v: %v, not %s", c, got, want)
+			t.Errorf("%+v: %v, want %s", c, got, want)
 		}
 		for range 50 {
-			r.connected(r.sites["west"], 9*time.Millisecond)
-			r.connected(r.sites["south"], 9100*time.Microsecond)
+			r.recordConnectTime(r.sites["west"], 9*time.Millisecond)
+			r.recordConnectTime(r.sites["south"], 9100*time.Microsecond)
 		}
 		if fmt.Sprint(r.order[0].name) != got[0] {
-			t.Errorf("%s first, for a tenth of the way", r.order[0].name)
+			t.Errorf("%s moved to the front for a tenth less connect time", r.order[0].name)
 		}
 	}
 }
 
-// Guard: a silent site is given up within two aims, asked single trials only, and comes back by steps; each takes its time.
+// A site that does not answer is lost within two latency targets, gets only single trials, and returns in steps that are each held for
+// the hold time.
 func TestLostAndBack(t *testing.T) {
-	r := newRig(t, Config{Home: "south"})
-	r.ask(100, aim/50, well)
-	r.ask(100, aim/50, without("south"))
-	r.want("south", Lost)
-	if to := r.ask(1000, aim/50, without("south")); to["south"] > 8 {
-		t.Errorf("%d requests in 20 aims went to a lost site", to["south"])
+	r := newTestTiers(t, Config{Home: "south"})
+	r.request(100, latencyTarget/50, healthyAnswer)
+	r.request(100, latencyTarget/50, unreachable("south"))
+	r.wantState("south", Lost)
+	if to := r.request(1000, latencyTarget/50, unreachable("south")); to["south"] > 8 {
+		t.Errorf("%d requests in 20 latency targets went to a lost site", to["south"])
 	}
 	last, begun := 0, balance.Time(0)
 	for r.sites["south"].state != Home {
-		to := r.ask(100, aim/50, well)["south"]
+		to := r.request(100, latencyTarget/50, healthyAnswer)["south"]
 		if r.sites["south"].state == Returning && begun == 0 {
 			begun = r.now
 		}
 		if to < last-15 {
-			t.Errorf("%d of 100 at home, %d before", to, last)
+			t.Errorf("%d of 100 requests at the home site, %d before", to, last)
 		}
-		if last = to; r.now.Sub(begun) > 60*aim && begun != 0 {
-			t.Fatal("it never came home")
+		if last = to; r.now.Sub(begun) > 60*latencyTarget && begun != 0 {
+			t.Fatal("the site did not become healthy again")
 		}
 	}
-	if took := r.now.Sub(begun); took < time.Duration(holdAims*len(defaultSteps)-2)*aim {
-		t.Errorf("it was home after %v", took)
+	if took := r.now.Sub(begun); took < time.Duration(defaultHoldTargets*len(defaultSteps)-2)*latencyTarget {
+		t.Errorf("the site was healthy again after only %v", took)
 	}
 }
 
-// Guard: a return that fails on its third step went back to the start, and one that flaps was taken home again and again.
-func TestReturnsThatFail(t *testing.T) {
-	r := newRig(t, Config{Home: "south"})
-	r.ask(150, aim/50, without("south"))
+// Regression: a return that failed on its third step went back to the first one, and a flapping site was repeatedly made healthy again.
+func TestReturnThatFails(t *testing.T) {
+	r := newTestTiers(t, Config{Home: "south"})
+	r.request(150, latencyTarget/50, unreachable("south"))
 	for r.sites["south"].step < 2 {
-		r.ask(10, aim/50, well)
+		r.request(10, latencyTarget/50, healthyAnswer)
 	}
-	for r.sites["south"].step == 2 { // it answers, and can't keep up
-		r.ask(1, aim/50, func(zone string) (balance.Result, time.Duration) {
+	for r.sites["south"].step == 2 { // it answers but rejects requests
+		r.request(1, latencyTarget/50, func(zone string) (balance.Result, time.Duration) {
 			if zone == "south" {
 				return balance.Full, 0
 			}
-			return well(zone)
+			return healthyAnswer(zone)
 		})
 	}
-	if s := r.sites["south"]; s.state != Returning || s.step != 1 || s.drawn != 2 {
-		t.Errorf("%v at step %d, drawn out by %v", s.state, s.step, s.drawn)
+	if s := r.sites["south"]; s.state != Returning || s.step != 1 || s.holdFactor != 2 {
+		t.Errorf("%v at step %d, hold factor %v", s.state, s.step, s.holdFactor)
 	}
-	changes, was := 0, r.sites["south"].state
-	for n := range 40 { // three aims gone, three back
-		how := well
+	changes, state := 0, r.sites["south"].state
+	for n := range 40 { // unreachable for three latency targets, then reachable for three
+		answer := healthyAnswer
 		if n%2 == 0 {
-			how = without("south")
+			answer = unreachable("south")
 		}
-		r.ask(150, aim/50, how)
-		if s := r.sites["south"].state; s != was {
-			changes, was = changes+1, s
+		r.request(150, latencyTarget/50, answer)
+		if s := r.sites["south"].state; s != state {
+			changes, state = changes+1, s
 		}
 	}
-	if home := r.sites["south"].state == Home; home || changes > 40 || r.sites["south"].drawn != holdMost {
-		t.Errorf("home %v after flapping, %d changes seen, drawn out by %v", home, changes, r.sites["south"].drawn)
+	if home := r.sites["south"].state == Home; home || changes > 40 || r.sites["south"].holdFactor != maxHoldFactor {
+		t.Errorf("healthy %v after flapping, %d state changes, hold factor %v", home, changes, r.sites["south"].holdFactor)
 	}
 }
 
-// Guard: what is only slow, full or failing behind is there. Taken for lost it would push its load onto the others.
+// A site that is only slow, full, or returns errors is reachable. If it counted as lost, its load would move to the other sites.
 func TestSlowIsNotLost(t *testing.T) {
 	for _, result := range []balance.Result{balance.OK, balance.Full, balance.Errored, balance.Spoilt} {
-		r := newRig(t, Config{Home: "south"})
-		r.ask(200, aim/50, func(string) (balance.Result, time.Duration) { return result, 2 * aim })
-		r.want("south", Home)
+		r := newTestTiers(t, Config{Home: "south"})
+		r.request(200, latencyTarget/50, func(string) (balance.Result, time.Duration) { return result, 2 * latencyTarget })
+		r.wantState("south", Home)
 	}
 }
 
-// Guard: the list's word. A site without caches is lost at once and one that is listed again is tried at once; silence is seen
-// whatever the list says (TestLostAndBack). With all sites lost whoever is listed is asked, or none would ever come back.
-func TestListAndLast(t *testing.T) {
-	r := newRig(t, Config{Home: "south"})
-	r.list(3, 0, 3)
-	if to := r.ask(50, aim/50, well); to["south"] > 0 {
-		t.Errorf("%v while none is listed at south", to)
-	}
-	r.list(3, 3, 3)
-	r.ask(2, aim/50, well)
-	r.want("south", Returning)
-	r.ask(600, aim/50, without("north", "south", "west"))
-	if to := r.ask(100, aim/50, without("north", "south", "west")); to["none"] > 0 {
-		t.Errorf("%v while all are lost", to)
-	}
-	r.ask(3000, aim/50, well)
+// A site without listed caches is lost at once, and one that is listed again is tried at once. A site that does not answer is lost
+// whatever the list says (TestLostAndBack). With all sites lost every listed one is used, or none would ever return.
+func TestDiscoveryListAndAllSitesLost(t *testing.T) {
+	r := newTestTiers(t, Config{Home: "south"})
+	r.setUpCaches(3, 0, 3)
+	if to := r.request(50, latencyTarget/50, healthyAnswer); to["south"] > 0 {
+		t.Errorf("requests %v while no cache is listed at south", to)
+	}
+	r.setUpCaches(3, 3, 3)
+	r.request(2, latencyTarget/50, healthyAnswer)
+	r.wantState("south", Returning)
+	r.request(600, latencyTarget/50, unreachable("north", "south", "west"))
+	if to := r.request(100, latencyTarget/50, unreachable("north", "south", "west")); to["none"] > 0 {
+		t.Errorf("requests %v while all sites are lost", to)
+	}
+	r.request(3000, latencyTarget/50, healthyAnswer)
 	for _, zone := range []string{"north", "south", "west"} {
 		if r.sites[zone].state == Lost {
 			t.Errorf("%s is still lost", zone)
@@ -199,178 +200,179 @@
 	}
 }
 
-// Guard: keys that a site has to fetch, guests' and a cold return's alike, wait on one limit, which late fetches lower, whoever
-// else asks the origin. Keys that it has answered for cost nothing.
+// Keys that a site has to fetch, for guests and while it returns cold, share one fetch limit, which late fetches lower whoever else
+// loads the origin. Keys that the site has answered for are not limited.
 func TestFetchesAreBounded(t *testing.T) {
-	r := newRig(t, Config{Home: "south", Share: 0.1})
-	r.ask(150, aim/50, without("south"))
-	before := r.news
-	var out []uint64
-	for key := range uint64(200) { // none ends
+	r := newTestTiers(t, Config{Home: "south", Share: 0.1})
+	r.request(150, latencyTarget/50, unreachable("south"))
+	before := r.fetchLimit
+	var fetching []uint64
+	for key := range uint64(200) { // none of the fetches ends
 		v := balance.Visit{Key: 1<<40 + key<<20, Read: true, Worth: 1}
 		if all := r.Order(r.now, v); len(all) > 0 && all[0].Part > 0 {
 			if r.Begun(r.now, all[0].Zone, v.Key, true, true) {
-				out = append(out, v.Key)
+				fetching = append(fetching, v.Key)
 			}
 		}
 	}
-	if len(out) == 0 || float64(len(out)) > before {
-		t.Errorf("%d fetches out, %.1f allowed", len(out), before)
+	if len(fetching) == 0 || float64(len(fetching)) > before {
+		t.Errorf("%d fetches in flight, limit %.1f", len(fetching), before)
 	}
 	for range 20 {
-		for _, key := range out {
-			r.now = r.now.Add(aim)
-			r.Ended(r.now, balance.Stay{Zone: "north", Key: key, Took: aim, Result: balance.Errored, News: true})
+		for _, key := range fetching {
+			r.now = r.now.Add(latencyTarget)
+			r.Ended(r.now, balance.Stay{Zone: "north", Key: key, Took: latencyTarget, Result: balance.Errored, News: true})
 			r.Begun(r.now, "north", key, true, true)
 		}
 	}
-	if r.news > before/2 {
-		t.Errorf("%.1f fetches allowed while they fail, %.1f before", r.news, before)
+	if r.fetchLimit > before/2 {
+		t.Errorf("fetch limit %.1f after failed fetches, %.1f before", r.fetchLimit, before)
 	}
-	r.learn(r.sites["north"], 77)
+	r.remember(r.sites["north"], 77)
 	if all := r.Order(r.now, balance.Visit{Key: 77, Read: true}); all[0].Part == 0 {
-		t.Error("a key that is known is refused")
+		t.Error("a known key is rejected")
 	}
-	if len(r.known[0])+len(r.known[1]) > 2*knownMost {
-		t.Error("what is known is not bounded")
+	if len(r.knownKeys[0])+len(r.knownKeys[1]) > 2*maxKnownKeys {
+		t.Error("the number of known keys is not bounded")
 	}
 }
 
-// first is the site that a request is offered first, with its part.
-func (r *rig) first(v balance.Visit) string {
-	all := r.Order(r.now, v)
-	return fmt.Sprintf("%s %.1f", all[0].Zone, all[0].Part)
+// firstTier returns the first site that Order offers for a request, with its share.
+func (r *testTiers) firstTier(v balance.Visit) string {
+	tiers := r.Order(r.now, v)
+	return fmt.Sprintf("%s %.1f", tiers[0].Zone, tiers[0].Part)
 }
 
-// Guard: a request that may not be sent again was spent on a trial of a silent site, or waited there a second time; and what no
-// other site had a place for was refused though its own, on its way back, had one.
-func TestWhoGoesWhere(t *testing.T) {
-	r := newRig(t, Config{Home: "south"})
-	r.ask(8, aim/50, without("south"))
-	r.want("south", Failing)
+// Regression: a request that must not be repeated was used as a trial of a lost site, a retry waited a second time for a site that did
+// not answer, and a request that no other site had capacity for was rejected although its returning home site had.
+func TestTierOrderByState(t *testing.T) {
+	r := newTestTiers(t, Config{Home: "south"})
+	r.request(8, latencyTarget/50, unreachable("south"))
+	r.wantState("south", Failing)
 	v := balance.Visit{Key: 1, Read: true, Worth: 1}
-	if got := r.first(v); got != "south 1.0" {
-		t.Errorf("a key of the quarter that a failing site keeps goes to %s", got)
+	if got := r.firstTier(v); got != "south 1.0" {
+		t.Errorf("a key in the quarter that a failing site keeps goes to %s", got)
 	}
 	v.Again = true
-	if got := r.first(v); got != "north 0.5" {
-		t.Errorf("once nobody has answered at home it goes to %s", got)
+	if got := r.firstTier(v); got != "north 0.5" {
+		t.Errorf("a retry after no answer at home goes to %s", got)
 	}
 	v.Key = 0xffff
 	if all := r.Order(r.now, v); all[len(all)-1].Zone != "south" {
-		t.Errorf("home is no last resort: %v", all)
+		t.Errorf("the home site is not the last resort: %v", all)
 	}
-	r.ask(100, aim/50, without("south"))
-	r.want("south", Lost)
-	r.now = r.now.Add(5 * aim)
-	if got := r.first(balance.Visit{Key: 5, Read: true, Worth: 1}); got != "north 0.5" {
+	r.request(100, latencyTarget/50, unreachable("south"))
+	r.wantState("south", Lost)
+	r.now = r.now.Add(5 * latencyTarget)
+	if got := r.firstTier(balance.Visit{Key: 5, Read: true, Worth: 1}); got != "north 0.5" {
 		t.Errorf("an unsafe request goes to %s, which is lost", got)
 	}
-	if got := r.first(balance.Visit{Key: 5, Read: true, Safe: true, Worth: 1}); got != "south 1.0" {
+	if got := r.firstTier(balance.Visit{Key: 5, Read: true, Safe: true, Worth: 1}); got != "south 1.0" {
 		t.Errorf("the trial goes to %s", got)
 	}
-	r.list(3, 0, 3)
-	r.list(3, 3, 3)
-	if got := r.first(balance.Visit{Key: 5, Safe: true, Worth: 1}); got != "south 1.0" {
-		t.Errorf("listed again it is not tried at once: %s", got)
+	r.setUpCaches(3, 0, 3)
+	r.setUpCaches(3, 3, 3)
+	if got := r.firstTier(balance.Visit{Key: 5, Safe: true, Worth: 1}); got != "south 1.0" {
+		t.Errorf("a site that is listed again is not tried at once: %s", got)
 	}
-	for _, s := range r.sites { // while no site is home, those that are there keep all
+	for _, s := range r.sites { // while no site is healthy, those that are reachable keep all keys
 		s.state = Failing
 	}
-	if got := r.first(balance.Visit{Key: 0xffff, Worth: 1}); got != "south 1.0" {
-		t.Errorf("with all failing a key goes to %s", got)
+	if got := r.firstTier(balance.Visit{Key: 0xffff, Worth: 1}); got != "south 1.0" {
+		t.Errorf("with all sites failing a key goes to %s", got)
 	}
 }
 
-// Guard: a key that had gone home went away again as the part grew; a return cut short began from the start; what a site knew
-// before it was lost was not counted as a fetch; fetches of little worth took the places of others.
-func TestWhatAReturnKeeps(t *testing.T) {
-	r := newRig(t, Config{Home: "south"})
-	r.ask(150, aim/50, without("south"))
+// Regression: a key that had returned home left again as the share grew; a return that was cut short restarted at the first step; keys
+// that a site had before it was lost were not counted as fetches; fetches of low priority used up the limit.
+func TestReturningSiteKeepsKeysAndStep(t *testing.T) {
+	r := newTestTiers(t, Config{Home: "south"})
+	r.request(150, latencyTarget/50, unreachable("south"))
 	south := r.sites["south"]
 	for south.step < 2 {
-		r.ask(10, aim/50, well)
+		r.request(10, latencyTarget/50, healthyAnswer)
 	}
 	for key := range uint64(1 << 16) {
 		v := balance.Visit{Key: key, Worth: 1}
-		if low := r.has(r.now, south, v, 1); low != (key < 1<<14) {
-			t.Fatalf("key %x is at home: %v, at a quarter", key, low)
+		if owned := r.ownsKey(r.now, south, v, 1); owned != (key < 1<<14) {
+			t.Fatalf("key %x is owned: %v, with a share of a quarter", key, owned)
 		}
 	}
-	r.learn(south, 9)
-	r.list(3, 0, 3)
+	r.remember(south, 9)
+	r.setUpCaches(3, 0, 3)
 	if r.knows(south, 9) {
-		t.Error("a site that was lost is taken to have kept what it had")
+		t.Error("keys that were known before a site was lost still count as known")
 	}
-	r.list(3, 3, 3)
-	r.ask(1, aim/50, well)
+	r.setUpCaches(3, 3, 3)
+	r.request(1, latencyTarget/50, healthyAnswer)
 	if south.state != Returning || south.step != 1 {
 		t.Errorf("%v at step %d after a loss on step 2", south.state, south.step)
 	}
-	r.now = r.now.Add(100 * aim) // nobody asks: that is no proof that it is well
-	r.climb(r.now, south)
-	r.climb(r.now, south)
+	r.now = r.now.Add(100 * latencyTarget) // no requests, which does not show that the site is healthy
+	r.advanceStep(r.now, south)
+	r.advanceStep(r.now, south)
 	if south.step > 2 {
 		t.Errorf("step %d without an answer", south.step)
 	}
-	r.newsOut, r.news = 0, 2
+	r.fetchesInFlight, r.fetchLimit = 0, 2
 	r.Begun(r.now, "north", 100, true, true)
-	high, low := balance.Visit{Key: 101, Read: true, Worth: 1}, balance.Visit{Key: 102, Read: true, Worth: 0.1}
-	if north := r.sites["north"]; !r.mayFetch(north, high) || r.mayFetch(north, low) {
-		t.Error("what is worth little leaves no place")
+	high, owned := balance.Visit{Key: 101, Read: true, Worth: 1}, balance.Visit{Key: 102, Read: true, Worth: 0.1}
+	if north := r.sites["north"]; !r.mayFetch(north, high) || r.mayFetch(north, owned) {
+		t.Error("a fetch of low priority is admitted, or one of high priority is not")
 	}
-	r.learn(r.sites["north"], 100)
+	r.remember(r.sites["north"], 100)
 	if r.Begun(r.now, "north", 100, true, true) {
 		t.Error("a known key counts as a fetch")
 	}
-	for key := range uint64(3 * knownMost) {
-		r.learn(south, key)
+	for key := range uint64(3 * maxKnownKeys) {
+		r.remember(south, key)
 	}
-	if n := len(r.known[0]) + len(r.known[1]); n > 2*knownMost {
+	if n := len(r.knownKeys[0]) + len(r.knownKeys[1]); n > 2*maxKnownKeys {
 		t.Errorf("%d keys are remembered", n)
 	}
-	before := r.news
-	for range 3 { // single late ones among quick ones
-		r.newsTook = aim / 10
-		r.newsOut++
-		r.fetched(r.now.Add(9*aim), balance.Stay{Took: aim, Result: balance.OK, News: true})
+	before := r.fetchLimit
+	for range 3 { // single late fetches among fast ones
+		r.fetchTime = latencyTarget / 10
+		r.fetchesInFlight++
+		r.adjustFetchLimit(r.now.Add(9*latencyTarget), balance.Stay{Took: latencyTarget, Result: balance.OK, News: true})
 	}
-	if r.news < before {
+	if r.fetchLimit < before {
 		t.Error("a single late fetch lowers the limit")
 	}
 }
 
-// Guard: the list named another zone for a server with an attempt out. The attempt was booked off the new zone, and the old one
-// counted it for ever: never let go, and the new one with less than none.
-func TestServerChangesItsZone(t *testing.T) {
+// Regression: the list moved a server to another zone while an attempt was in flight. The end of the attempt was counted for the new zone,
+// whose count became negative, and the old one kept counting it and was never removed.
+func TestServerChangesZone(t *testing.T) {
 	tiers := New(Config{})
 	b := balance.New(balance.Settings{Tiers: func() balance.Tiers { return tiers },
-		Classes: []balance.Class{{Name: "read", Aim: aim, Worth: 1}}}, 1)
+		Classes: []balance.Class{{Name: "read", Aim: latencyTarget, Worth: 1}}}, 1)
 	list := func(zone string) balance.List {
 		return balance.List{Kind: balance.Complete, Entries: []balance.Entry{{Server: "a", Zone: zone, Weight: 1}}}
 	}
 	b.Handle(1e15, []balance.Event{list("old"), balance.Request{ID: "r", Class: "read", Key: 1, HasKey: true, Due: 2e15}})
-	if tiers.sites["old"].open != 1 {
+	if tiers.sites["old"].inFlight != 1 {
 		t.Fatal("no attempt was made")
 	}
 	b.Handle(1e15+1, []balance.Event{list("new"), balance.Outcome{ID: "r", Server: "a", Result: balance.OK, Done: true}})
-	if o, n := tiers.sites["old"].open, tiers.sites["new"].open; o != 0 || n != 0 {
-		t.Errorf("%d attempts out at the old zone, %d at the new", o, n)
+	if o, n := tiers.sites["old"].inFlight, tiers.sites["new"].inFlight; o != 0 || n != 0 {
+		t.Errorf("%d attempts in flight in the old zone, %d in the new", o, n)
 	}
 }
 
-// BenchmarkRequest is one request and its answer, all decisions included, before fleets of three sites.
+// BenchmarkRequest measures one request and its answer, with all decisions, for fleets at three sites.
 func BenchmarkRequest(b *testing.B) {
 	for _, caches := range []int{30, 300, 3000} {
-		for _, how := range []string{"off", "home", "lost"} {
-			b.Run(fmt.Sprint(caches, "/", how), func(b *testing.B) {
-				set := balance.Settings{Routers: 3, Zone: "z0", MaxAttempts: 3, Classes: []balance.Class{{Name: "read", Aim: aim, Worth: 1, Effect: balance.Safe}}}
-				if how != "off" {
+		for _, mode := range []string{"off", "home", "lost"} {
+			b.Run(fmt.Sprint(caches, "/", mode), func(b *testing.B) {
+				set := balance.Settings{Routers: 3, Zone: "z0", MaxAttempts: 3,
+					Classes: []balance.Class{{Name: "read", Aim: latencyTarget, Worth: 1, Effect: balance.Safe}}}
+				if mode != "off" {
 					set.Tiers = func() balance.Tiers { return New(Config{Home: "z0"}) }
 				}
 				r, l := balance.New(set, 1), balance.List{Kind: balance.Complete}
 				for i := range caches {
-					if zone := fmt.Sprint("z", i%3); how != "lost" || zone != "z0" {
+					if zone := fmt.Sprint("z", i%3); mode != "lost" || zone != "z0" {
 						l.Entries = append(l.Entries, balance.Entry{Server: balance.ServerID(fmt.Sprint("c", i)), Zone: zone, Weight: 1})
 					}
 				}
@@ -380,7 +382,8 @@
 				for i := 0; b.Loop(); i++ {
 					now = now.Add(time.Millisecond)
 					id := balance.RequestID(fmt.Sprint(i))
-					for _, a := range r.Handle(now, []balance.Event{balance.Request{ID: id, Class: "read", Key: uint64(i % 5000), HasKey: true, Due: now.Add(aim)}}) {
+					for _, a := range r.Handle(now, []balance.Event{balance.Request{ID: id, Class: "read", Key: uint64(i % 5000), HasKey: true,
+						Due: now.Add(latencyTarget)}}) {
 						if s, ok := a.(balance.Send); ok {
 							r.Handle(now.Add(time.Microsecond), []balance.Event{balance.Outcome{ID: id, Server: s.Server, Result: balance.OK, Done: true}})
 						}
