--- a/internal/facts/gossip.go
+++ b/internal/facts/gossip.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Period is the interval between calls of a Spreader's Tick. HurryPeriod is the interval until it is in step, since clients wait for that.
+// Period is the interval between calls of a Spreader's Tick. HurryPeriod is the interval until the router is synced, since clients wait for that.
 const (
 	Period      = 200 * time.Millisecond
 	HurryPeriod = 50 * time.Millisecond
@@ -76,7 +76,7 @@
 		rng: rand.New(rand.NewPCG(seed, uint64(self))), pendingNews: map[Name]int{}, changed: map[Name]bool{}}
 }
 
-// InStep reports whether this router's facts have been equal to those of a peer that was itself in step, or Alone has been called. It
+// InStep reports whether this router's facts have been equal to those of a peer that was itself synced, or Alone has been called. It
 // stays true from then on.
 func (s *Spreader) InStep() bool { return s.synced }
 
@@ -101,7 +101,7 @@
 	return HurryPeriod
 }
 
-// Alone marks this router as in step because no peer can be reached that could have newer facts.
+// Alone marks this router as synced because no peer can be reached that could have newer facts.
 func (s *Spreader) Alone() { s.synced = true }
 
 // Set writes a value, as Store.Write does, and queues the fact to be sent to peers.
@@ -264,7 +264,7 @@
 		}
 		own := s.digest(m.prefix)
 		if m.prefix == (prefix{}) && own.childHashes == m.childHashes {
-			if m.typ == typeDigest { // the sender is in step
+			if m.typ == typeDigest { // the sender is synced
 				s.synced = true
 			} else if s.synced {
 				out = append(out, Message{from, own.encodeDigest()})
--- a/internal/facts/gossip_test.go
+++ b/internal/facts/gossip_test.go
@@ -57,42 +57,42 @@
 	})
 }
 
-// A starting router is in step once a peer that is in step has confirmed equal facts, and not because of peers that have just started as
+// A starting router is synced once a synced peer has confirmed equal facts, and not because of peers that have just started as
 // well: after a restart of many routers, these would confirm to one another that there are no facts.
 func TestSyncedOnlyByASyncedPeer(t *testing.T) {
-	fleet := func(held bool) (old, a, b *Spreader) {
+	newRouters := func(held bool) (old, a, b *Spreader) {
 		old, a, b = NewSpreader(NewStore(1, 10), 3, 0, 1), NewSpreader(NewStore(2, 10), 3, 1, 1), NewSpreader(NewStore(3, 10), 3, 2, 1)
 		if old.Alone(); held {
 			old.Write(0, testName, Out)
 		}
 		return old, a, b
 	}
-	talk := func(x, y *Spreader, number, other int) {
+	exchange := func(x, y *Spreader, number, other int) {
 		for range 20 {
-			mail := append(x.Tick(0), y.Tick(0)...)
-			for len(mail) > 0 {
-				m := mail[0]
-				if mail = mail[1:]; m.To == other {
-					mail = append(mail, y.Handle(0, number, m.Text)...)
+			queue := append(x.Tick(0), y.Tick(0)...)
+			for len(queue) > 0 {
+				m := queue[0]
+				if queue = queue[1:]; m.To == other {
+					queue = append(queue, y.Handle(0, number, m.Text)...)
 				} else if m.To == number {
-					mail = append(mail, x.Handle(0, other, m.Text)...)
+					queue = append(queue, x.Handle(0, other, m.Text)...)
 				}
 			}
 		}
 	}
 	for _, held := range []bool{false, true} {
-		old, a, b := fleet(held)
-		talk(a, b, 1, 2)
+		old, a, b := newRouters(held)
+		exchange(a, b, 1, 2)
 		if a.InStep() || b.InStep() {
-			t.Error("two routers that have just started count as in step")
+			t.Error("two routers that have just started count as synced")
 		}
-		talk(old, a, 0, 1)
+		exchange(old, a, 0, 1)
 		if _, has := a.Get(testName); !a.InStep() || has != held {
-			t.Errorf("in step %v, the fact %v", a.InStep(), has)
+			t.Errorf("synced %v, the fact %v", a.InStep(), has)
 		}
-		talk(a, b, 1, 2)
+		exchange(a, b, 1, 2)
 		if _, has := b.Get(testName); !b.InStep() || has != held {
-			t.Errorf("by way of another: in step %v, the fact %v", b.InStep(), has)
+			t.Errorf("by way of another: synced %v, the fact %v", b.InStep(), has)
 		}
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -28,7 +28,8 @@
 
 // Shares of keys are proportional to weights, within the statistical error of 40,000 keys.
 func TestSharesFollowWeights(t *testing.T) {
-	for _, weight := range []func(int) float64{equalWeight, func(i int) float64 { return float64(1 + i%3) }, func(i int) float64 { return float64(i % 2) }} {
+	for _, weight := range []func(int) float64{equalWeight,
+		func(i int) float64 { return float64(1 + i%3) }, func(i int) float64 { return float64(i % 2) }} {
 		all, r, got, total := fleet(20, weight), New(), map[balance.ServerID]int{}, 0.0
 		r.Follow(all)
 		for _, w := range all {
@@ -53,7 +54,8 @@
 // removed caches and the keys that added caches take.
 func TestOwnersDependOnlyOnWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		weight := map[bool]func(int) float64{true: equalWeight, false: func(i int) float64 { return 1 + float64(i%2)/2 }}[rapid.Bool().Draw(t, "even")]
+		weight := map[bool]func(int) float64{true: equalWeight,
+			false: func(i int) float64 { return 1 + float64(i%2)/2 }}[rapid.Bool().Draw(t, "even")]
 		present := map[balance.ServerID]float64{}
 		r := New()
 		for range rapid.IntRange(1, 12).Draw(t, "batches") {
--- a/internal/shared/shared.go
+++ b/internal/shared/shared.go
@@ -14,7 +14,7 @@
 
 // Facts is one router's replica of the shared facts, from New to the end of its process. Its methods are safe for concurrent use.
 type Facts struct {
-	sendDatagram func(to int, text []byte) // does not block
+	sendDatagram func(to int, data []byte) // does not block
 	counters     *exchange.Counters
 	started      time.Time
 	incarnation  facts.Life
@@ -37,14 +37,14 @@
 	Routers, Number int                       // number of routers, and the index of this one, from 0
 	Life            facts.Life                // drawn at random for each process
 	Forget          time.Duration             // how long a server must be off the list before its facts are removed
-	Tell            func(to int, text []byte) // sends a datagram to the router with index to; must not block
+	Tell            func(to int, data []byte) // sends a datagram to the router with index to; must not block
 	Counts          *exchange.Counters
 }
 
 const (
 	maxFacts    = 16384       // facts: 8.5 MB at most with six incarnations each
 	inboxSize   = 256         // datagrams; more are dropped, and gossip sends their facts again
-	syncTimeout = time.Second // without a peer in step, after which this router counts as in step
+	syncTimeout = time.Second // without a synced peer, after which this router counts as synced
 )
 
 // New returns the replica of a starting process. Call Run to start replication.
@@ -124,10 +124,11 @@
 	return f.gossip.Names()
 }
 
-// News returns a channel that receives a value when peers have changed facts or this router has come in step. Changed returns what changed.
+// News returns a channel that receives a value when peers have changed facts or this router has become synced. Changed returns the
+// changes.
 func (f *Facts) News() <-chan struct{} { return f.notify }
 
-// Changed returns the names of the facts that peers have changed since the last call, and whether this router is in step. If it is, this
+// Changed returns the names of the facts that peers have changed since the last call, and whether this router is synced. If it is, this
 // and earlier calls have returned every fact that it was missing.
 func (f *Facts) Changed() (names []facts.Name, inStep bool) {
 	f.mu.Lock()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -203,6 +203,7 @@
 	return append([]string(nil), d.targets...)
 }
 
+// answer responds with the full list, or with the changes after the requested index, for which it waits up to the requested time.
 func (d *Discovery) answer(r *Request) bool {
 	index, err := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
 	full := err != nil
