--- a/internal/kit/baseline/baseline.go
+++ b/internal/kit/baseline/baseline.go
@@ -1,7 +1,7 @@
-// Package baseline holds policies that a rehearsal measures the decisions in service against. Two are textbook: a random server,
-// and the one with less in flight of two drawn at random. They keep the rules on losing requests, on effects and on
-// drains as the decisions in service do, know nothing of keys, and spare no cold server. One more name, no-sites, is the
-// decisions in service with tiers of sites off, whatever the operators' file says; oracle, in virtual time alone, sees the true state.
+// Package baseline provides policies against which a rehearsal compares the production decisions. Two are from the textbook: a
+// random server, and the less loaded of two drawn at random. They keep the rules on lost requests, effects and drains as the
+// production decisions do, but ignore keys and don't spare cold servers. The policy no-sites is the production decisions with
+// site tiers off, whatever the operators' file says; oracle, in virtual time only, sees the true state.
 package baseline
 
 import (
@@ -12,10 +12,10 @@
 	"cedarmast/internal/exchange"
 )
 
-// Names are the policies.
+// Names are the names of the policies.
 var Names = []string{"random", "least-of-two", "no-sites"}
 
-// New returns what makes a policy's decisions; nil if there is none of that name.
+// New returns the constructor of a policy's decisions; nil if there is no policy of that name.
 func New(name string) func(balance.Settings, uint64) exchange.Decider {
 	if name == "no-sites" {
 		return func(set balance.Settings, seed uint64) exchange.Decider {
@@ -30,7 +30,7 @@
 	return func(set balance.Settings, seed uint64) exchange.Decider {
 		p := newPolicy(set)
 		rng := rand.New(rand.NewPCG(seed, 1))
-		p.choose = func(r *request) (balance.ServerID, bool) { return p.drawn(rng, candidates, r) }
+		p.choose = func(r *request) (balance.ServerID, bool) { return p.drawServer(rng, candidates, r) }
 		return p
 	}
 }
@@ -42,34 +42,34 @@
 
 type server struct {
 	balance.Entry
-	out int
+	inFlight int
 }
 
 type request struct {
 	balance.Request
-	class    balance.Class
-	attempts []balance.ServerID
-	out      bool
-	ran      bool // or may have
-	since    balance.Time
-	done     bool
+	class      balance.Class
+	attempts   []balance.ServerID
+	inFlight   bool
+	mayHaveRun bool // a node may have run the request
+	firstSent  balance.Time
+	done       bool
 }
 
 type policy struct {
 	set      balance.Settings
-	choose   func(*request) (balance.ServerID, bool) // where a request is sent next; false: nowhere
+	choose   func(*request) (balance.ServerID, bool) // the next server for a request; false: none
 	servers  map[balance.ServerID]*server
 	up       []*server
 	requests map[balance.RequestID]*request
 	timers   map[int64]balance.RequestID
 	token    int64
 	now      balance.Time
-	acts     []balance.Action
+	actions  []balance.Action
 }
 
-// Handle takes the events of one moment.
+// Handle handles the events of one moment and returns the actions.
 func (p *policy) Handle(now balance.Time, events []balance.Event) []balance.Action {
-	p.now, p.acts = now, nil
+	p.now, p.actions = now, nil
 	for _, e := range events {
 		switch e := e.(type) {
 		case balance.List:
@@ -77,7 +77,7 @@
 		case balance.Request:
 			p.onRequest(e)
 		case balance.Outcome:
-			if r := p.requests[e.ID]; r != nil && e.Attempt == len(r.attempts)-1 && r.out {
+			if r := p.requests[e.ID]; r != nil && e.Attempt == len(r.attempts)-1 && r.inFlight {
 				p.onOutcome(r, e)
 			}
 		case balance.ClientGone:
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	return p.acts
+	return p.actions
 }
 
 func (p *policy) onList(l balance.List) {
@@ -117,11 +117,11 @@
 		switch {
 		case s.State == balance.Up:
 			p.up = append(p.up, s)
-		case s.State == balance.Gone && s.out == 0:
+		case s.State == balance.Gone && s.inFlight == 0:
 			delete(p.servers, id)
 		}
 	}
-	slices.SortFunc(p.up, func(a, b *server) int { // draws hang on no map's order
+	slices.SortFunc(p.up, func(a, b *server) int { // a fixed order: random draws must not depend on map order
 		if a.Server < b.Server {
 			return -1
 		}
@@ -142,92 +142,92 @@
 	p.requests[q.ID] = r
 	p.token++
 	p.timers[p.token] = q.ID
-	p.acts = append(p.acts, balance.SetTimer{After: max(q.Due.Sub(p.now), 0), Token: p.token})
+	p.actions = append(p.actions, balance.SetTimer{After: max(q.Due.Sub(p.now), 0), Token: p.token})
 	p.send(r)
 }
 
-// drawn is a server that has not been asked yet: the one with least in flight of some drawn at random.
-func (p *policy) drawn(rng *rand.Rand, candidates int, r *request) (balance.ServerID, bool) {
-	var may []*server
+// drawServer returns the server with the fewest requests in flight among some drawn at random, of those not tried yet.
+func (p *policy) drawServer(rng *rand.Rand, candidates int, r *request) (balance.ServerID, bool) {
+	var eligible []*server
 	for _, s := range p.up {
 		if !slices.Contains(r.attempts, s.Server) {
-			may = append(may, s)
+			eligible = append(eligible, s)
 		}
 	}
-	if len(may) == 0 {
+	if len(eligible) == 0 {
 		return "", false
 	}
-	best := may[rng.IntN(len(may))]
+	best := eligible[rng.IntN(len(eligible))]
 	for range candidates - 1 {
-		if other := may[rng.IntN(len(may))]; other.out < best.out {
+		if other := eligible[rng.IntN(len(eligible))]; other.inFlight < best.inFlight {
 			best = other
 		}
 	}
 	return best.Server, true
 }
 
-// send asks the server that is chosen, or gives up.
+// send sends a request to the chosen server, or gives up.
 func (p *policy) send(r *request) {
 	id, ok := p.choose(r)
 	if !ok {
 		p.giveUp(r)
 		return
 	}
-	if !r.ran {
-		r.since = p.now
+	if !r.mayHaveRun {
+		r.firstSent = p.now
 	}
 	s := p.servers[id]
-	s.out++
-	r.out, r.attempts = true, append(r.attempts, id)
-	p.acts = append(p.acts, balance.Send{ID: r.ID, Server: id})
+	s.inFlight++
+	r.inFlight, r.attempts = true, append(r.attempts, id)
+	p.actions = append(p.actions, balance.Send{ID: r.ID, Server: id})
 }
 
 func (p *policy) onOutcome(r *request, o balance.Outcome) {
-	r.out = false
+	r.inFlight = false
 	if s := p.servers[o.Server]; s != nil {
-		s.out--
+		s.inFlight--
 	}
-	r.ran = r.ran || !o.Result.NeverRan()
-	left := p.set.MaxAttempts <= 0 || len(r.attempts) < p.set.MaxAttempts
-	again := !r.ran || r.class.Effect == balance.Safe ||
-		r.class.Effect == balance.Keyed && r.class.Group == balance.GroupAll && p.now < r.since.Add(r.class.Memory)
+	r.mayHaveRun = r.mayHaveRun || !o.Result.NeverRan()
+	attemptsLeft := p.set.MaxAttempts <= 0 || len(r.attempts) < p.set.MaxAttempts
+	retryAllowed := !r.mayHaveRun || r.class.Effect == balance.Safe ||
+		r.class.Effect == balance.Keyed && r.class.Group == balance.GroupAll && p.now < r.firstSent.Add(r.class.Memory)
 	switch {
 	case r.done:
 		delete(p.requests, r.ID)
 	case o.Done || o.Result == balance.OK:
 		p.end(r)
-	case left && again && p.now < r.Due:
+	case attemptsLeft && retryAllowed && p.now < r.Due:
 		p.send(r)
 	default:
 		p.giveUp(r)
 	}
 }
 
-// giveUp gives the final answer: a refusal where trying again is harmless.
+// giveUp gives the final answer: a refusal if a retry is harmless, else a failure.
 func (p *policy) giveUp(r *request) {
 	switch {
-	case r.out || r.ran && r.class.Effect != balance.Safe:
-		p.acts = append(p.acts, balance.Fail{ID: r.ID})
+	case r.inFlight || r.mayHaveRun && r.class.Effect != balance.Safe:
+		p.actions = append(p.actions, balance.Fail{ID: r.ID})
 	default:
-		p.acts = append(p.acts, balance.Refuse{ID: r.ID})
+		p.actions = append(p.actions, balance.Refuse{ID: r.ID})
 	}
 	p.end(r)
 }
 
-// end lets go of a request once nothing of it is out.
+// end marks a request as done. It is dropped once its last attempt has ended.
 func (p *policy) end(r *request) {
 	r.done = true
-	if !r.out {
+	if !r.inFlight {
 		delete(p.requests, r.ID)
 	} else if p.set.MayCancel {
-		p.acts = append(p.acts, balance.Cancel{ID: r.ID, Attempt: len(r.attempts) - 1})
+		p.actions = append(p.actions, balance.Cancel{ID: r.ID, Attempt: len(r.attempts) - 1})
 	}
 }
 
-// View tells what is counted at each server.
+// View returns the number of requests in flight at each server.
 func (p *policy) View(balance.Time) (all []balance.View) {
 	for _, s := range p.up {
-		all = append(all, balance.View{Server: s.Server, Out: s.out, Warmth: 1, Heard: -1})
+		all = append(all, balance.View{Server: s.Server, Out: s.inFlight, Warmth: 1, Heard: -1})
 	}
 	return all
 }
--- a/internal/kit/faulty/faulty.go
+++ b/internal/kit/faulty/faulty.go
@@ -1,5 +1,5 @@
-// Package faulty holds small routers that each break one rule on purpose, and one that breaks none. The rehearsal kit
-// tries its ledger on them: a judge that can't convict proves nothing. None of them is meant to serve anybody.
+// Package faulty provides small routers that each break one rule on purpose, and one that breaks none. The rehearsal kit uses
+// them to verify that its ledger detects each breach. None of them is meant for production.
 package faulty
 
 import (
@@ -21,7 +21,7 @@
 	"time"
 )
 
-// Kinds are the faults, and what each breaks; "none" breaks nothing.
+// Kinds are the faults and the rule that each breaks; "none" breaks nothing.
 var Kinds = []struct{ Name, Breaks string }{
 	{"none", ""},
 	{"loses", "lost"},
@@ -34,8 +34,8 @@
 	{"holds-back", "held"},
 }
 
-// often is the part of the requests that a fault strikes where it is not in all.
-const often = 0.1
+// faultRate is the share of the requests that a fault affects, for faults that don't affect all.
+const faultRate = 0.1
 
 type node struct {
 	Name    string `json:"name"`
@@ -54,13 +54,13 @@
 	kind      string
 	discovery string
 
-	mu    sync.Mutex
-	nodes map[string]node
-	last  string // a body that was served before
-	busy  sync.WaitGroup
+	mu       sync.Mutex
+	nodes    map[string]node
+	lastBody string // a body that was served before
+	active   sync.WaitGroup
 }
 
-// Main runs a faulty router by the configuration that $GW_CONFIG names, until SIGTERM.
+// Main runs a faulty router with the configuration file that $GW_CONFIG names, until SIGTERM.
 func Main(kind string, getenv func(string) string, stderr io.Writer) int {
 	signal.Ignore(syscall.SIGUSR1, syscall.SIGHUP, syscall.SIGPIPE)
 	text, err := os.ReadFile(getenv("GW_CONFIG"))
@@ -82,7 +82,7 @@
 		return 1
 	}
 	r := &router{kind: kind, discovery: c.Discovery, nodes: map[string]node{}}
-	r.take(c.Known)
+	r.applyList(c.Known)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	go r.watch(ctx, c.Known.Index)
@@ -97,11 +97,11 @@
 		}
 		go r.serve(ctx, conn)
 	}
-	r.busy.Wait()
+	r.active.Wait()
 	return 0
 }
 
-func (r *router) take(l list) {
+func (r *router) applyList(l list) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if l.Snapshot {
@@ -116,7 +116,7 @@
 	}
 }
 
-// watch follows discovery.
+// watch polls discovery for changes of the node list.
 func (r *router) watch(ctx context.Context, index int64) {
 	for ctx.Err() == nil {
 		req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s/registry/instances?index=%d&wait=2000", r.discovery, index), nil)
@@ -133,13 +133,13 @@
 		resp.Body.Close()
 		if err == nil {
 			index = l.Index
-			r.take(l)
+			r.applyList(l)
 		}
 	}
 }
 
-// order draws the order in which nodes are asked. One that has just started is mostly asked last.
-func (r *router) order() []node {
+// nodeOrder draws the order in which nodes are tried. A node that has just started usually comes last.
+func (r *router) nodeOrder() []node {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all, cold []node
@@ -178,9 +178,9 @@
 			io.WriteString(c, answer(200, "", "ready\n"))
 			continue
 		}
-		r.busy.Add(1)
-		ok := r.one(c, req, body)
-		r.busy.Done()
+		r.active.Add(1)
+		ok := r.handle(c, req, body)
+		r.active.Done()
 		if !ok {
 			return
 		}
@@ -191,33 +191,33 @@
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), lines, len(body), body)
 }
 
-// one sees to a request; false ends its connection.
-func (r *router) one(c net.Conn, req *http.Request, body []byte) bool {
-	begun := time.Now()
-	left, _ := strconv.Atoi(strings.TrimSuffix(req.Header.Get("X-Time-Left"), "m"))
-	due := begun.Add(time.Duration(left) * time.Millisecond)
-	struck := rand.Float64() < often
-	if r.kind == "loses" && struck {
+// handle answers a request; false closes its connection.
+func (r *router) handle(c net.Conn, req *http.Request, body []byte) bool {
+	started := time.Now()
+	timeLeftMS, _ := strconv.Atoi(strings.TrimSuffix(req.Header.Get("X-Time-Left"), "m"))
+	deadline := started.Add(time.Duration(timeLeftMS) * time.Millisecond)
+	faulted := rand.Float64() < faultRate
+	if r.kind == "loses" && faulted {
 		return false
 	}
 	ran, text := false, ""
-	for _, n := range r.order() {
-		status, got, sent := ask(n.Address, req, body, due)
+	for _, n := range r.nodeOrder() {
+		status, got, sent := forward(n.Address, req, body, deadline)
 		if status == 200 {
 			text = got
 			if r.kind == "resends" && req.Method == "PUT" {
-				ask(n.Address, req, body, due)
+				forward(n.Address, req, body, deadline)
 			}
 			break
 		}
 		if ran = ran || sent && status != 503; ran {
-			break // this one never sends again what may have run
+			break // never resend what may have run
 		}
 	}
 	switch {
-	case text == "" && !ran || r.kind == "refuses-what-ran" && req.Method == "PUT" && struck:
+	case text == "" && !ran || r.kind == "refuses-what-ran" && req.Method == "PUT" && faulted:
 		if r.kind == "holds-back" {
-			time.Sleep(time.Until(due) * 9 / 10)
+			time.Sleep(time.Until(deadline) * 9 / 10)
 		}
 		_, err := io.WriteString(c, answer(503, "Retry-After: 0.2\r\n", ""))
 		return err == nil
@@ -226,30 +226,30 @@
 		return err == nil
 	}
 	r.mu.Lock()
-	other := r.last
-	r.last = text
+	other := r.lastBody
+	r.lastBody = text
 	r.mu.Unlock()
-	if r.kind == "serves-anothers-bytes" && struck && other != "" {
+	if r.kind == "serves-anothers-bytes" && faulted && other != "" {
 		text = other
 	}
 	out := answer(200, "", text)
-	if r.kind == "answers-twice" && struck {
+	if r.kind == "answers-twice" && faulted {
 		out += out
 	}
 	_, err := io.WriteString(c, out)
 	return err == nil
 }
 
-// ask sends a request to a node on a connection of its own; sent tells that its last byte was written.
-func ask(address string, req *http.Request, body []byte, due time.Time) (status int, text string, sent bool) {
+// forward sends a request to a node on a new connection; sent reports whether its last byte was written.
+func forward(address string, req *http.Request, body []byte, deadline time.Time) (status int, text string, sent bool) {
 	c, err := net.DialTimeout("tcp", address, 250*time.Millisecond)
 	if err != nil {
 		return 0, "", false
 	}
 	defer c.Close()
-	c.SetDeadline(due.Add(-10 * time.Millisecond))
+	c.SetDeadline(deadline.Add(-10 * time.Millisecond))
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: node\r\nX-Time-Left: %dm\r\nContent-Length: %d\r\n", req.Method, req.RequestURI,
-		max(time.Until(due).Milliseconds(), 1), len(body))
+		max(time.Until(deadline).Milliseconds(), 1), len(body))
 	for _, name := range []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "Idempotency-Key"} {
 		if v := req.Header.Get(name); v != "" {
 			head += name + ": " + v + "\r\n"
--- a/internal/kit/kit.go
+++ b/internal/kit/kit.go
@@ -1,3 +1,3 @@
-// Package kit has no code of its own: below it stands all that only the rehearsal kit uses. The kit may import the router's
-// packages, and never the other way round, which the test beside this file holds.
+// Package kit has no code of its own; the packages below it belong to the rehearsal kit. The kit may import the router's
+// packages but not the reverse, which the test in this folder enforces.
 package kit
--- a/internal/kit/kit_test.go
+++ b/internal/kit/kit_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// TestNothingOfTheRouterImportsTheKit guards against a router that brings its rehearsal into service: what a package of the
-// kit's own wing opens, draws or links would be in every process. Tests of the router count as the router.
-func TestNothingOfTheRouterImportsTheKit(t *testing.T) {
-	const wing = "cedarmast/internal/kit"
+// TestRouterDoesNotImportKit guards against linking the rehearsal kit into the router: what a package of the kit opens, draws or
+// links would then run in every production process. Tests of the router count as the router.
+func TestRouterDoesNotImportKit(t *testing.T) {
+	const kitPrefix = "cedarmast/internal/kit"
 	cmd := exec.Command("go", "list", "-json=ImportPath,Imports,TestImports,XTestImports", "./...")
 	cmd.Dir = "../.."
 	out, err := cmd.Output()
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	outside := func(path string) bool {
-		return path != "cedarmast/cmd/rehearse" && !strings.HasPrefix(path+"/", wing+"/")
+		return path != "cedarmast/cmd/rehearse" && !strings.HasPrefix(path+"/", kitPrefix+"/")
 	}
 	router := 0
 	for d := json.NewDecoder(strings.NewReader(string(out))); ; {
--- a/internal/kit/ledger/ledger_test.go
+++ b/internal/kit/ledger/ledger_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-func books(t *testing.T) *Ledger {
+func newTestLedger(t *testing.T) *Ledger {
 	t.Helper()
 	s := scenario.Default()
 	s.Name, s.Length = "x", scenario.Duration(20*time.Second)
@@ -21,13 +21,13 @@
 	return New(&s, []Ask{{At: 0, Class: 0, Worth: 1, Within: true}, {At: time.Second, Class: 1, Worth: 3, Within: true}, {At: 2 * time.Second, Class: 2, Worth: 3, Within: true}})
 }
 
-// sum is what is booked of each rule: lost, effects, drains, cold falls, held back.
-func (l *Ledger) sum() [5]int {
+// breachCounts returns the number of breaches by rule: lost, effects, drains, cold falls, held back.
+func (l *Ledger) breachCounts() [5]int {
 	r := l.Report()
 	return [5]int{r.Lost, r.Double, r.Drain, r.ColdFalls, r.Held}
 }
 
-// Each case is a day's events and what they break; the first of each pair of a rule is the same day without its fault.
+// Each case is a sequence of events with the breaches it causes; the first case of each rule is the same sequence without a fault.
 func TestRules(t *testing.T) {
 	try := func(l *Ledger, n int, id string, at Time) { l.Tried(n, id, 0, at, time.Second) }
 	for name, c := range map[string]struct {
@@ -94,17 +94,17 @@
 			l.Answered("a", Failed, "", 900*ms)
 		}, [5]int{0, 0, 0, 0, 1}},
 	} {
-		l := books(t)
-		if c.day(l); l.sum() != c.want {
-			t.Errorf("%s: %v, not %v; %v", name, l.sum(), c.want, l.breach)
+		l := newTestLedger(t)
+		if c.day(l); l.breachCounts() != c.want {
+			t.Errorf("%s: %v, not %v; %v", name, l.breachCounts(), c.want, l.breaches)
 		}
 	}
 }
 
-// Latency and worth count from when the first try was due; a late answer earns its part; warming is not in the score.
+// Latency and worth count from the due time of the first try; a late answer earns its late share; warm-up requests don't count.
 func TestScoreCountsRetriesWithTheirFirstTry(t *testing.T) {
-	l := books(t)
-	l.asks = append(l.asks, ask{Ask: Ask{At: -time.Second, Worth: 100, Within: true}})
+	l := newTestLedger(t)
+	l.requests = append(l.requests, requestRecord{Ask: Ask{At: -time.Second, Worth: 100, Within: true}})
 	for n, at := range []Time{1500 * ms, 1200 * ms, 2900 * ms} { // 1.5 s after, 0.2 s after, 0.9 s after
 		id := string(rune('a' + n))
 		l.Tried(n, id, 0, at-100*ms, time.Second)
@@ -122,13 +122,13 @@
 		t.Errorf("worst class %v, held %v", r.WorstClass, r.RulesHeld)
 	}
 	low := 0.99
-	l.set.Expect.Score = &low
+	l.scenario.Expect.Score = &low
 	if r.Expected(l); r.RulesHeld || len(r.Missed) != 1 {
 		t.Errorf("a missed expectation: held %v, %v", r.RulesHeld, r.Missed)
 	}
 }
 
-// The time to regain a day's service counts from the end of the last trouble, and a lucky second is none of it.
+// The recovery time counts from the end of the last trouble, and a single good second does not end it.
 func TestRegained(t *testing.T) {
 	at := func(s int) scenario.Duration { return scenario.Duration(time.Duration(s) * time.Second) }
 	troubles := []scenario.Trouble{{At: at(2), For: at(2)}, {At: at(3), For: at(3)}}
--- a/internal/kit/ledger/recovery_test.go
+++ b/internal/kit/ledger/recovery_test.go
@@ -7,8 +7,8 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// Full service is ten seconds in a row after a trouble's end, by the measure of the ten before the first of those that follow one
-// another; a lucky second is none, and a day that is over too soon can't tell.
+// Full service is ten seconds in a row after a trouble's end, compared with the ten seconds before the first of a chain of
+// troubles. A single good second does not count, and a run that ends too soon gives no result.
 func TestFullService(t *testing.T) {
 	span := func(s float64) scenario.Duration { return scenario.Duration(s * float64(time.Second)) }
 	for name, c := range map[string]struct {
@@ -39,7 +39,7 @@
 		for range 9 {
 			l.Connected(14 * time.Second)
 		}
-		got := l.troubles(seconds)[1]
+		got := l.troubleReports(seconds)[1]
 		if c.want < 0 && got.FullServiceS != nil || c.want >= 0 && (got.FullServiceS == nil || *got.FullServiceS != c.want) {
 			t.Errorf("%s: %v, not %v", name, got.FullServiceS, c.want)
 		}
@@ -49,8 +49,9 @@
 	}
 }
 
-// A send is stale by what its router was told, or an operator ordered, past a restart; an order outlives a list that says otherwise too, and
-// breaks a rule until the restart. One that stood still is excused for what it held, and not for what the next process takes.
+// A send is stale if it contradicts what the router was told or an operator ordered, also before a restart. An order outlasts a
+// list that contradicts it, and ignoring it breaks a rule until the restart. A stalled router is excused for its open tries, but
+// not for those of its next process.
 func TestStale(t *testing.T) {
 	for name, c := range map[string]struct {
 		know        func(l *Ledger, out bool, at Time)
@@ -59,7 +60,7 @@
 		"told":    {func(l *Ledger, out bool, at Time) { l.Told(0, "n", !out, at) }, 2, 1},
 		"ordered": {func(l *Ledger, out bool, at Time) { l.Ordered(0, "n", out, at); l.Told(0, "m", true, at) }, 2, 1},
 	} {
-		l := books(t)
+		l := newTestLedger(t)
 		l.Tried(0, "a", 0, 0, time.Second)
 		c.know(l, true, 0)
 		l.Sent("a", 0, "n", time.Second, true)
@@ -79,7 +80,7 @@
 	}
 }
 
-// A refusal is stale when the last five sends of its router all ended well and quickly, and lately; not while one is out.
+// A refusal is stale if the router's last five sends were recent and all ended well and quickly; not while one is in flight.
 func TestStaleRefusals(t *testing.T) {
 	for name, c := range map[string]struct {
 		ends  int
@@ -93,7 +94,7 @@
 		"long ago":       {5, 100 * ms, 4 * time.Second, 0},
 		"nothing before": {0, 0, time.Second, 0},
 	} {
-		l := books(t)
+		l := newTestLedger(t)
 		for n := range 5 {
 			id := string(rune('a' + n))
 			l.Tried(0, id, 0, 0, 10*time.Second)
--- a/internal/kit/ledger/report.go
+++ b/internal/kit/ledger/report.go
@@ -7,7 +7,7 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// Report is a day's result. The keys of its JSON do not change; new ones may come.
+// Report is the result of a run. The keys of its JSON are stable; new ones may be added.
 type Report struct {
 	Scenario string  `json:"scenario"`
 	Seed     uint64  `json:"seed"`
@@ -47,36 +47,35 @@
 	HostLateMS   float64                `json:"host_late_ms"`
 	HostCPU      float64                `json:"host_cpu_s"`
 	HostMemoryMB float64                `json:"host_memory_mb"`
-	Events       int                    `json:"events,omitempty"` // that routers were given, in virtual time
+	Events       int                    `json:"events,omitempty"` // given to routers, in virtual time
 	Seconds      []Second               `json:"seconds"`
 	Troubles     []TroubleReport        `json:"troubles"`
-	Timeline     map[string][]int       `json:"timeline"` // by what is counted: how often in each second
+	Timeline     map[string][]int       `json:"timeline"` // number of events in each second, by counter
 	StaleSends   int                    `json:"stale_sends"`
 	StaleRefused int                    `json:"stale_refusals"`
 	Marks        []Mark                 `json:"marks"`
 	Nodes        []NodeReport           `json:"nodes"`
-	// Beliefs tell, by router and node, a letter for each second: what its decisions held of the node, as far as the
-	// router says.
+	// Beliefs has, by router and node, a letter for each second: the state of the node according to the router's own reports.
 	Beliefs   map[string]map[string]string `json:"beliefs"`
 	Breaches  []Breach                     `json:"breaches"`
 	Missed    []string                     `json:"expectations_missed"`
 	RulesHeld bool                         `json:"held"`
 }
 
-// Mark is something that happened in the day.
+// Mark is an event of the run that charts show.
 type Mark struct {
 	AtS  float64 `json:"at_s"`
 	What string  `json:"what"`
 }
 
-// NodeReport is a node's day, by second: the part of its cores that was busy, and a letter for its state.
+// NodeReport has a node's load and state by second: the busy share of its cores, and a letter for its state.
 type NodeReport struct {
 	Name  string    `json:"name"`
 	Load  []float64 `json:"load"`
 	State string    `json:"state"`
 }
 
-// The letters of a node's state.
+// The letters for a node's state.
 const (
 	StateUp       = 'u'
 	StateCold     = 'c'
@@ -85,14 +84,14 @@
 	StateDraining = 'r'
 )
 
-// The letters of what a router holds of a node.
+// The letters for a node's state as a router sees it.
 const (
 	BelievedUsed    = 'u'
 	BelievedAside   = 'x' // not in use: ejected, draining or gone
 	BelievedUnknown = '-'
 )
 
-// ClassReport is one class's.
+// ClassReport is the result of one request class.
 type ClassReport struct {
 	Score    float64 `json:"score"`
 	Requests int     `json:"requests"`
@@ -101,7 +100,7 @@
 	P999     float64 `json:"p999_ms"`
 }
 
-// Second is one second of the day, by when requests were due.
+// Second is the worth of the requests that were due in one second.
 type Second struct {
 	Asked  float64 `json:"worth_asked"`
 	Earned float64 `json:"worth_earned"`
@@ -109,23 +108,23 @@
 
 const windowSeconds = 10
 
-// Report closes the books. What is asked after the end of the window's seconds is in the score all the same.
+// Report computes the result. Requests after the last full second of the run count in the score too.
 func (l *Ledger) Report() *Report {
-	r := &Report{Scenario: l.set.Name, LengthS: l.set.Length.D().Seconds(), Tries: l.Counts.Tries,
+	r := &Report{Scenario: l.scenario.Name, LengthS: l.scenario.Length.D().Seconds(), Tries: l.Counts.Tries,
 		Lost: l.Counts.Lost, Double: l.Counts.Double, Drain: l.Counts.Drain, ColdFalls: l.Counts.ColdFalls, Held: l.Counts.Held,
 		Refused: l.answers[Refused], Failed: l.answers[Failed], Unheard: l.answers[Unheard],
 		Sends: l.Counts.Sends, Crossed: l.Counts.Crossed, Connections: l.Counts.Connections, DatabaseFell: l.Counts.DatabaseFalls,
-		Classes: map[string]ClassReport{}, Tenants: map[string]float64{}, Breaches: l.breach, Missed: []string{}}
+		Classes: map[string]ClassReport{}, Tenants: map[string]float64{}, Breaches: l.breaches, Missed: []string{}}
 	if r.Breaches == nil {
 		r.Breaches = []Breach{}
 	}
 	r.Seconds = make([]Second, int(math.Ceil(r.LengthS)))
-	classes, tenants := make([]Second, len(l.set.Classes)), make([]Second, len(l.set.Tenants))
+	classes, tenants := make([]Second, len(l.scenario.Classes)), make([]Second, len(l.scenario.Tenants))
 	counts := make([]int, len(classes))
 	var all Second
-	for i := range l.asks {
-		a := &l.asks[i]
-		if a.At < 0 { // of the time before the day
+	for i := range l.requests {
+		a := &l.requests[i]
+		if a.At < 0 { // warm-up
 			continue
 		}
 		r.Requests++
@@ -142,12 +141,12 @@
 		}
 	}
 	r.Score, r.WorstClass, r.WorstTenant, r.WorstWindow = all.share(), 1, 1, 1
-	for i, c := range l.set.Classes {
-		ms := func(q float64) float64 { return float64(l.hist[i].ValueAtQuantile(q)) / 1000 }
+	for i, c := range l.scenario.Classes {
+		ms := func(q float64) float64 { return float64(l.latencies[i].ValueAtQuantile(q)) / 1000 }
 		r.Classes[c.Name] = ClassReport{classes[i].share(), counts[i], ms(50), ms(99), ms(99.9)}
 		r.WorstClass = min(r.WorstClass, classes[i].share())
 	}
-	for i, t := range l.set.Tenants {
+	for i, t := range l.scenario.Tenants {
 		r.Tenants[t.Name] = tenants[i].share()
 		r.WorstTenant = min(r.WorstTenant, tenants[i].share())
 	}
@@ -158,22 +157,22 @@
 		}
 		r.WorstWindow = min(r.WorstWindow, w.share())
 	}
-	r.Troubles, r.Timeline = l.troubles(r.Seconds), l.tally.timeline(len(r.Seconds))
-	r.StaleSends, _ = l.tally.between(staleSends, 0, math.MaxInt)
-	r.StaleRefused, _ = l.tally.between(staleRefusals, 0, math.MaxInt)
-	r.Regained = regained(r.Seconds, l.set.Troubles)
+	r.Troubles, r.Timeline = l.troubleReports(r.Seconds), l.perSecond.timeline(len(r.Seconds))
+	r.StaleSends, _ = l.perSecond.sumAndPeak(staleSends, 0, math.MaxInt)
+	r.StaleRefused, _ = l.perSecond.sumAndPeak(staleRefusals, 0, math.MaxInt)
+	r.Regained = regained(r.Seconds, l.scenario.Troubles)
 	if r.Requests > 0 {
 		r.Nines = -math.Log10(max(1-float64(r.Answered)/float64(r.Requests), 1e-9))
 	}
-	if l.worked > 0 {
-		r.Wasted = 1 - l.useful.Seconds()/l.worked.Seconds()
+	if l.totalWork > 0 {
+		r.Wasted = 1 - l.usefulWork.Seconds()/l.totalWork.Seconds()
 	}
 	r.RulesHeld = r.Lost == 0 && r.Double == 0 && r.Drain == 0 && r.ColdFalls == 0 && r.Held == 0
 	return r
 }
 
-// regained is how long after the end of the last trouble three seconds on end earn 95% of what those before the first one
-// earned: 0 where nothing was lost or the trouble outlasts the day, the rest of the day if it never happens.
+// regained returns the seconds from the end of the last trouble until three consecutive seconds earn 95% of the share earned
+// before the first trouble: 0 if nothing was lost or the trouble outlasts the run, the rest of the run if that never happens.
 func regained(seconds []Second, troubles []scenario.Trouble) float64 {
 	first, last := len(seconds), 0
 	for _, t := range troubles {
@@ -201,13 +200,13 @@
 	return s.Earned / s.Asked
 }
 
-// Expected holds a report against what its scenario expects, and settles whether the day held. No day holds on which a
-// router ended by itself.
+// Expected compares the report with the scenario's expectations and sets RulesHeld. A run in which a router crashed does not
+// pass.
 func (r *Report) Expected(l *Ledger) {
 	if r.Crashes > 0 {
 		r.Missed = append(r.Missed, "router_crashes")
 	}
-	e, back := l.set.Expect, comingBack(r.Troubles)
+	e, back := l.scenario.Expect, worstRecovery(r.Troubles)
 	full := math.Inf(1)
 	if back.FullServiceS != nil {
 		full = *back.FullServiceS
--- a/internal/kit/model/database.go
+++ b/internal/kit/model/database.go
@@ -6,47 +6,47 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// database is what stands behind the nodes: workers, a queue, and a stall when it is asked for too much for too long.
+// database is the origin behind the nodes: workers and a queue. It stalls when its load exceeds its limit for too long.
 type database struct {
-	set     *scenario.Database
-	world   *World
-	busy    int
-	waiting []func(bool)
-	stalled int  // troubles that hold it now
-	until   Time // the last of them ends
-	held    []func()
-	gauge   fallGauge
-	second  int64
-	asked   int
-	Peak    float64 // most asked for in a second, as a multiple of what it can do
-	Fetches int
+	config             *scenario.Database
+	world              *World
+	busy               int
+	waiting            []func(bool)
+	stalls             int  // number of troubles that stall it now
+	stallEnd           Time // end of the last stall
+	heldCompletions    []func()
+	overload           overloadDetector
+	currentSecond      int64
+	requestsThisSecond int
+	Peak               float64 // most requests in one second, as a multiple of the capacity
+	Fetches            int
 }
 
-func (d *database) capacity() float64 { return float64(d.set.Workers) / d.set.Time.D().Seconds() }
+func (d *database) capacity() float64 { return float64(d.config.Workers) / d.config.Time.D().Seconds() }
 
-// do asks for one fetch or write; done hears how it went.
+// do requests one fetch or write and calls done with the result; ok is false if the queue is full.
 func (d *database) do(done func(ok bool)) {
 	now := d.world.Now()
-	if now < 0 { // caches are being warmed: that is not to push over what the day begins with
-		d.world.After(d.set.Time.D(), func() { done(true) })
+	if now < 0 { // warm-up requests must not overload the database for the start of the run
+		d.world.After(d.config.Time.D(), func() { done(true) })
 		return
 	}
-	if second := int64(now / time.Second); second != d.second {
-		d.second, d.asked = second, 0
+	if second := int64(now / time.Second); second != d.currentSecond {
+		d.currentSecond, d.requestsThisSecond = second, 0
 	}
-	d.asked++
-	d.world.led.Fetched(now)
+	d.requestsThisSecond++
+	d.world.ledger.Fetched(now)
 	d.Fetches++
-	d.Peak = max(d.Peak, float64(d.asked)/max(d.capacity(), 1))
-	if d.set.Fall > 0 && d.stalled == 0 && d.gauge.add(now, 1, d.capacity(), d.set.Fall, d.set.FallFor.D()) {
-		d.world.led.DatabaseFall(now)
-		d.stall(d.set.StallFor.D())
-		d.gauge = fallGauge{}
+	d.Peak = max(d.Peak, float64(d.requestsThisSecond)/max(d.capacity(), 1))
+	if d.config.Fall > 0 && d.stalls == 0 && d.overload.add(now, 1, d.capacity(), d.config.Fall, d.config.FallFor.D()) {
+		d.world.ledger.DatabaseFall(now)
+		d.stall(d.config.StallFor.D())
+		d.overload = overloadDetector{}
 	}
 	switch {
-	case d.busy < d.set.Workers:
+	case d.busy < d.config.Workers:
 		d.run(done)
-	case len(d.waiting) < d.set.Queue:
+	case len(d.waiting) < d.config.Queue:
 		d.waiting = append(d.waiting, done)
 	default:
 		done(false)
@@ -55,7 +55,7 @@
 
 func (d *database) run(done func(bool)) {
 	d.busy++
-	d.world.After(d.set.Time.D(), func() {
+	d.world.After(d.config.Time.D(), func() {
 		end := func() {
 			d.busy--
 			if len(d.waiting) > 0 {
@@ -65,24 +65,24 @@
 			}
 			done(true)
 		}
-		if d.stalled > 0 {
-			d.held = append(d.held, end)
+		if d.stalls > 0 {
+			d.heldCompletions = append(d.heldCompletions, end)
 			return
 		}
 		end()
 	})
 }
 
-// stall lets nothing finish for a while.
+// stall delays all completions for a span.
 func (d *database) stall(span time.Duration) {
-	d.stalled++
-	d.until = max(d.until, d.world.Now()+span)
+	d.stalls++
+	d.stallEnd = max(d.stallEnd, d.world.Now()+span)
 	d.world.After(span, func() {
-		if d.stalled--; d.stalled > 0 {
+		if d.stalls--; d.stalls > 0 {
 			return
 		}
-		held := d.held
-		d.held = nil
+		held := d.heldCompletions
+		d.heldCompletions = nil
 		for _, end := range held {
 			end()
 		}
--- a/internal/kit/model/link.go
+++ b/internal/kit/model/link.go
@@ -9,107 +9,107 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// link is a trouble on the messages between some routers and others.
-type link struct {
+// linkFault is a trouble on the messages between some routers and others.
+type linkFault struct {
 	scenario.Trouble
-	struck, to map[int]bool
+	affected, peers map[int]bool
 }
 
-// strikes tells whether a message from one router to another is on the link.
-func (l *link) strikes(from, to int) bool {
-	return l.Way != "in" && l.struck[from] && l.to[to] || l.Way != "out" && l.struck[to] && l.to[from]
+// affects reports whether a message from one router to another is subject to the fault.
+func (l *linkFault) affects(from, to int) bool {
+	return l.Way != "in" && l.affected[from] && l.peers[to] || l.Way != "out" && l.affected[to] && l.peers[from]
 }
 
-// heldFor is how long a message that is to be overtaken is held at most.
-const heldFor = 500 * time.Millisecond
+// maxReorderDelay is the longest extra delay of a message that is reordered.
+const maxReorderDelay = 500 * time.Millisecond
 
-// Carry draws the times after which a message from one router to another comes: one, none if it is lost, two if it is repeated.
-// The numbers come from the host's own stream.
+// Carry draws the delays after which a message from one router to another arrives: none if it is lost, two if it is
+// duplicated, otherwise one. The random numbers come from the host's own stream.
 func (w *World) Carry(rng *rand.Rand, from, to int) (after []time.Duration) {
-	m := w.set.Messages
+	m := w.scenario.Messages
 	if rng.Float64() < m.Loss {
 		return nil
 	}
-	usual := func(d [2]scenario.Duration) time.Duration {
+	drawDelay := func(d [2]scenario.Duration) time.Duration {
 		return d[0].D() + time.Duration(rng.Float64()*float64(d[1]-d[0]))
 	}
-	took, times := usual(m.Delay), 1
-	for _, l := range w.links {
-		if !l.strikes(from, to) {
+	delay, copies := drawDelay(m.Delay), 1
+	for _, l := range w.linkFaults {
+		if !l.affects(from, to) {
 			continue
 		}
 		if l.Loss == 0 && l.Delay[1] == 0 && l.Repeats == 0 && l.Reorder == 0 || rng.Float64() < l.Loss {
 			return nil
 		}
-		took += usual(l.Delay)
+		delay += drawDelay(l.Delay)
 		if rng.Float64() < l.Reorder {
-			took += time.Duration(rng.Float64() * float64(heldFor))
+			delay += time.Duration(rng.Float64() * float64(maxReorderDelay))
 		}
 		if rng.Float64() < l.Repeats {
-			times++
+			copies++
 		}
 	}
-	for range times {
-		after = append(after, took)
-		took += usual(m.Delay)
+	for range copies {
+		after = append(after, delay)
+		delay += drawDelay(m.Delay)
 	}
 	return after
 }
 
-// strikeLinks begins a trouble on links, and ends it.
-func (w *World) strikeLinks(i int, t scenario.Trouble, span time.Duration) {
-	l := &link{Trouble: t, struck: map[int]bool{}, to: map[int]bool{}}
-	for _, r := range w.struckRouters(i, t) {
-		l.struck[r] = true
+// startLinkFault starts a router-link trouble and schedules its end.
+func (w *World) startLinkFault(i int, t scenario.Trouble, span time.Duration) {
+	l := &linkFault{Trouble: t, affected: map[int]bool{}, peers: map[int]bool{}}
+	for _, r := range w.affectedRouters(i, t) {
+		l.affected[r] = true
 	}
-	for r, name := range w.set.RouterNames() {
-		l.to[r] = t.To == name || t.To == w.RouterSite(r) || t.To == "" && !l.struck[r]
+	for r, name := range w.scenario.RouterNames() {
+		l.peers[r] = t.To == name || t.To == w.RouterSite(r) || t.To == "" && !l.affected[r]
 	}
-	if t.To == "" && len(l.struck) == len(l.to) { // all routers are struck: all links
-		l.to = l.struck
+	if t.To == "" && len(l.affected) == len(l.peers) { // all routers are affected: so are all links
+		l.peers = l.affected
 	}
-	w.After(span, w.strike(l))
+	w.After(span, w.addLinkFault(l))
 }
 
-// strike strikes a link until heal is called.
-func (w *World) strike(l *link) (heal func()) {
-	w.links = append(w.links, l)
+// addLinkFault activates a link fault until heal is called.
+func (w *World) addLinkFault(l *linkFault) (heal func()) {
+	w.linkFaults = append(w.linkFaults, l)
 	return func() {
-		w.links = slices.DeleteFunc(w.links, func(o *link) bool { return o == l })
+		w.linkFaults = slices.DeleteFunc(w.linkFaults, func(o *linkFault) bool { return o == l })
 	}
 }
 
-// Strike strikes the links between some routers and others as a trouble of kind router-link does, until heal is called. Of the
-// trouble way, loss, delay, repeats and reorder count.
+// Strike applies a link fault to the links between routers and others, as a trouble of kind router-link does, until heal is
+// called. Only Way, Loss, Delay, Repeats and Reorder of the trouble are used.
 func (w *World) Strike(routers, others []int, t scenario.Trouble) (heal func()) {
-	l := &link{Trouble: t, struck: map[int]bool{}, to: map[int]bool{}}
+	l := &linkFault{Trouble: t, affected: map[int]bool{}, peers: map[int]bool{}}
 	for _, r := range routers {
-		l.struck[r] = true
+		l.affected[r] = true
 	}
 	for _, r := range others {
-		l.to[r] = true
+		l.peers[r] = true
 	}
-	return w.strike(l)
+	return w.addLinkFault(l)
 }
 
-// Stall has a router stand still, or go on.
+// Stall suspends a router, or resumes it.
 func (w *World) Stall(router int, on bool) {
-	w.stall([]int{router}, map[bool]int{true: 1, false: -1}[on])
+	w.adjustStalls([]int{router}, map[bool]int{true: 1, false: -1}[on])
 }
 
-// crashLoop kills routers and has them start and die again at drawn times; when it is over they stay.
+// crashLoop kills and restarts routers several times at drawn times; after the last restart they keep running.
 func (w *World) crashLoop(i int, t scenario.Trouble, all []int) {
-	part := t.For.D() / time.Duration(int(t.Size)+1)
+	interval := t.For.D() / time.Duration(int(t.Size)+1)
 	rng := Stream(w.seed, fmt.Sprint("crash loop ", i))
 	for _, r := range all {
 		for n := range int(t.Size) + 1 {
-			at := part * time.Duration(n)
+			at := interval * time.Duration(n)
 			w.After(at, func() { w.host.KillRouter(r) })
-			back := at + time.Duration((0.2+0.6*rng.Float64())*float64(part))
+			restartAt := at + time.Duration((0.2+0.6*rng.Float64())*float64(interval))
 			if n == int(t.Size) {
-				back = t.For.D()
+				restartAt = t.For.D()
 			}
-			w.After(back, func() { w.host.StartRouter(r, finds(t)) })
+			w.After(restartAt, func() { w.host.StartRouter(r, foundState(t)) })
 		}
 	}
 }
--- a/internal/kit/model/link_test.go
+++ b/internal/kit/model/link_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// A trouble on links strikes the messages it names and no others, in the directions it names, and ends. A cut that leaks, or
-// one that never heals, would prove nothing of what routers tell one another.
+// A link fault affects exactly the messages and directions it names, and only until it ends. With a leaking cut, or one that
+// never heals, tests of the messages between routers would prove nothing.
 func TestLinks(t *testing.T) {
 	const site = "[[trouble]]\nkind = \"router-link\"\nat = \"1s\"\nfor = \"2s\"\n"
-	// Routers of calm: 0 north, 1 south, 2 west.
+	// Routers of scenario calm: 0 north, 1 south, 2 west.
 	for text, cut := range map[string][][2]int{
 		"router = \"north-r1\"":                                        {{0, 1}, {1, 0}, {0, 2}, {2, 0}},
 		"router = \"north-r1\"\nway = \"out\"":                         {{0, 1}, {0, 2}},
@@ -18,7 +18,7 @@
 		"part = 1.0":                                                   {{0, 1}, {1, 0}, {0, 2}, {2, 0}, {1, 2}, {2, 1}},
 		"part = 1.0\nloss = 1.0\nrepeats = 1.0\ndelay=[\"1s\",\"1s\"]": {{0, 1}, {1, 0}, {0, 2}, {2, 0}, {1, 2}, {2, 1}},
 	} {
-		v := day(t, 1, site+text, "messages.loss=0.0")
+		v := newTestHost(t, 1, site+text, "messages.loss=0.0")
 		rng := Stream(1, "host")
 		lost := func() (all map[[2]int]bool) {
 			all = map[[2]int]bool{}
@@ -58,7 +58,7 @@
 		})
 		v.play()
 	}
-	v := day(t, 1, site+"part = 1.0\nrepeats = 1.0\ndelay=[\"1s\",\"2s\"]", "messages.loss=0.0")
+	v := newTestHost(t, 1, site+"part = 1.0\nrepeats = 1.0\ndelay=[\"1s\",\"2s\"]", "messages.loss=0.0")
 	v.At(2*time.Second, func() {
 		if all := v.Carry(Stream(1, "host"), 0, 1); len(all) != 2 || all[0] < time.Second || all[1] < all[0] {
 			t.Errorf("repeated and late: %v", all)
--- a/internal/kit/model/model_test.go
+++ b/internal/kit/model/model_test.go
@@ -12,17 +12,17 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// virtual is a host in virtual time: its one router sends each request to a node that a test chooses, and passes on what
-// comes back.
-type virtual struct {
+// testHost is a host in virtual time with one router that sends each request to a node chosen by the test and passes the
+// answer on.
+type testHost struct {
 	*World
 	choose  func(t *Try) *Node
-	told    map[string]string // by node, as the router was told last
+	told    map[string]string // by node: the last state that the router was told
 	notes   []string
 	started []int
 }
 
-func (v *virtual) Send(t *Try) {
+func (v *testHost) Send(t *Try) {
 	n := v.choose(t)
 	if n == nil || !n.up {
 		v.After(0, func() { v.Answered(t, Answer{Outcome: ledger.Refused}, v.Now()) })
@@ -42,11 +42,11 @@
 		})
 	}})
 }
-func (v *virtual) Leave(*Try) bool          { return true }
-func (v *virtual) Down(*Node)               {}
-func (v *virtual) Up(*Node)                 {}
-func (v *virtual) Silence(*Node, int, bool) {}
-func (v *virtual) News(router int) {
+func (v *testHost) Leave(*Try) bool          { return true }
+func (v *testHost) Down(*Node)               {}
+func (v *testHost) Up(*Node)                 {}
+func (v *testHost) Silence(*Node, int, bool) {}
+func (v *testHost) News(router int) {
 	_, whole, entries := v.List(router, 0, false)
 	for _, e := range entries {
 		v.told[e.Node.Name] = e.Status
@@ -62,16 +62,16 @@
 	}
 	v.Told(router, whole, entries)
 }
-func (v *virtual) SilenceDiscovery(bool)         {}
-func (v *virtual) FillDisk(int, bool)            {}
-func (v *virtual) StallRouter(int, bool)         {}
-func (v *virtual) StartRouter(r int, _ Finds)    { v.started = append(v.started, r); v.RouterReady(r) }
-func (v *virtual) KillRouter(r int)              { v.RouterEnded(r, true) }
-func (v *virtual) StopRouter(r int)              { v.RouterLeaving(r); v.RouterEnded(r, false) }
-func (v *virtual) ReloadRouter(int)              {}
-func (v *virtual) BadClients(int, time.Duration) {}
-func (v *virtual) Note(_ Time, what string)      { v.notes = append(v.notes, what) }
-func (v *virtual) play() *ledger.Report {
+func (v *testHost) SilenceDiscovery(bool)         {}
+func (v *testHost) FillDisk(int, bool)            {}
+func (v *testHost) StallRouter(int, bool)         {}
+func (v *testHost) StartRouter(r int, _ Finds)    { v.started = append(v.started, r); v.RouterReady(r) }
+func (v *testHost) KillRouter(r int)              { v.RouterEnded(r, true) }
+func (v *testHost) StopRouter(r int)              { v.RouterLeaving(r); v.RouterEnded(r, false) }
+func (v *testHost) ReloadRouter(int)              {}
+func (v *testHost) BadClients(int, time.Duration) {}
+func (v *testHost) Note(_ Time, what string)      { v.notes = append(v.notes, what) }
+func (v *testHost) play() *ledger.Report {
 	for r := range v.Routers() {
 		v.RouterReady(r)
 	}
@@ -79,24 +79,24 @@
 	for !v.Over() {
 		at, ok := v.Next()
 		if !ok {
-			at = v.set.Length.D()
+			at = v.scenario.Length.D()
 		}
 		v.Run(at)
 	}
 	return v.Ledger().Report()
 }
 
-func day(t *testing.T, seed uint64, text string, sets ...string) *virtual {
+func newTestHost(t *testing.T, seed uint64, text string, sets ...string) *testHost {
 	t.Helper()
 	s, err := scenario.Parse("day", []byte("name = \"day\"\nbase = \"calm\"\n"+text), sets...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &virtual{told: map[string]string{}}
+	v := &testHost{told: map[string]string{}}
 	v.World = New(s, seed, v)
-	v.choose = func(t *Try) *Node { // by key, past what is down
+	v.choose = func(t *Try) *Node { // by key, skipping nodes that are down
 		for k := range uint64(len(v.Nodes)) {
-			if n := v.Nodes[(t.Key+k)%uint64(len(v.Nodes))]; n.up && !n.mute {
+			if n := v.Nodes[(t.Key+k)%uint64(len(v.Nodes))]; n.up && !n.silentToAll {
 				return n
 			}
 		}
@@ -105,15 +105,15 @@
 	return v
 }
 
-// A day of one seed is the same each time, and what is drawn does not hang on what the router does.
+// A run is deterministic for a seed, and the drawn input doesn't depend on what the router does.
 func TestOneSeedOneDay(t *testing.T) {
-	play := func(seed uint64, choose func(v *virtual) func(*Try) *Node) (*ledger.Report, []Ask) {
-		v := day(t, seed, "length = \"20s\"\nshort = \"20s\"")
+	play := func(seed uint64, choose func(v *testHost) func(*Try) *Node) (*ledger.Report, []Ask) {
+		v := newTestHost(t, seed, "length = \"20s\"\nshort = \"20s\"")
 		if choose != nil {
 			v.choose = choose(v)
 		}
 		var drawn []Ask
-		for _, a := range v.asks {
+		for _, a := range v.requests {
 			drawn = append(drawn, *a)
 		}
 		return v.play(), drawn
@@ -123,7 +123,7 @@
 	if !reflect.DeepEqual(a, b) || !reflect.DeepEqual(asked, again) {
 		t.Error("the same seed played two days")
 	}
-	_, other := play(1, func(v *virtual) func(*Try) *Node { return func(*Try) *Node { return nil } })
+	_, other := play(1, func(v *testHost) func(*Try) *Node { return func(*Try) *Node { return nil } })
 	if !reflect.DeepEqual(asked, other) {
 		t.Error("another router met other requests")
 	}
@@ -135,9 +135,9 @@
 	}
 }
 
-// A cache keeps what it fetched, drops the longest unused, and is told of writes; reads of one key share a fetch.
+// A cache keeps what it fetched, evicts the least recently used entry and is invalidated by writes; reads of one key share a fetch.
 func TestCacheAndFetches(t *testing.T) {
-	v := day(t, 1, "rate = 0.1\nwarm_up = \"0s\"\nlength = \"1s\"\nshort = \"1s\"", "model[0].cache=2", "model[1].cache=2", "model[0].cold_from=1.0")
+	v := newTestHost(t, 1, "rate = 0.1\nwarm_up = \"0s\"\nlength = \"1s\"\nshort = \"1s\"", "model[0].cache=2", "model[1].cache=2", "model[0].cold_from=1.0")
 	n := v.Nodes[0]
 	ids, got := 0, []string{}
 	ask := func(class int, key uint64) {
@@ -146,7 +146,7 @@
 		v.tries[id] = &Try{Ask: &Ask{Class: class, Key: key, Work: time.Millisecond}, ID: id, Token: id}
 		n.Arrive(&Job{ID: id, Reply: func(r *Reply) { got = append(got, r.Lookup) }})
 	}
-	v.led = ledger.New(v.set, make([]ledger.Ask, 1))
+	v.ledger = ledger.New(v.scenario, make([]ledger.Ask, 1))
 	settle := func() string {
 		v.Run(v.Now() + 5*time.Second)
 		s := strings.Join(got, " ")
@@ -177,20 +177,20 @@
 	}
 }
 
-// A cold node that is sent a multiple of what it can do for a while falls over and stays down; sent as much while it is
-// warm it does not, and neither does a short burst push it over.
+// A cold node that is offered a multiple of its capacity for some time collapses and stays down. A warm node under the same
+// load does not, and neither does a cold one after a short burst.
 func TestColdNodesFall(t *testing.T) {
 	for name, c := range map[string]struct {
 		cold  bool
 		burst time.Duration
 		falls bool
 	}{"cold": {true, 4 * time.Second, true}, "warm": {false, 4 * time.Second, false}, "a burst": {true, 900 * time.Millisecond, false}} {
-		v := day(t, 1, "rate = 0.1\nwarm_up = \"0s\"\nlength = \"1s\"\nshort = \"1s\"", "model[0].queue=100000")
+		v := newTestHost(t, 1, "rate = 0.1\nwarm_up = \"0s\"\nlength = \"1s\"\nshort = \"1s\"", "model[0].queue=100000")
 		n := v.Nodes[0]
-		v.led = ledger.New(v.set, make([]ledger.Ask, 1))
+		v.ledger = ledger.New(v.scenario, make([]ledger.Ask, 1))
 		if c.cold {
-			v.down(n, false)
-			v.start(n)
+			v.stopNode(n, false)
+			v.startNode(n)
 		}
 		for at := time.Duration(0); at < c.burst; at += 10 * time.Millisecond { // 5 cores' worth; it has 2, cold 0.4
 			v.At(v.Now()+at, func() {
@@ -200,40 +200,42 @@
 			})
 		}
 		v.Run(20 * time.Second)
-		if n.fallen != c.falls || v.led.Counts.ColdFalls != map[bool]int{true: 1}[c.falls] {
-			t.Errorf("%s: fallen %v, %d falls booked", name, n.fallen, v.led.Counts.ColdFalls)
+		if n.collapsed != c.falls || v.ledger.Counts.ColdFalls != map[bool]int{true: 1}[c.falls] {
+			t.Errorf("%s: fallen %v, %d falls booked", name, n.collapsed, v.ledger.Counts.ColdFalls)
 		}
-		if v.start(n); n.up == c.falls {
+		if v.startNode(n); n.up == c.falls {
 			t.Errorf("%s: up %v after a start", name, n.up)
 		}
 	}
 }
 
-// Troubles do what the reference says, and leave the fleet as it was.
+// Each trouble has the effect that the reference describes, and leaves the fleet as it was.
 func TestTroubles(t *testing.T) {
 	const length = "length = \"40s\"\nshort = \"40s\"\nrate = 20\n"
 	trouble := func(lines string) string { return length + "[[trouble]]\nat = \"2s\"\n" + lines }
 	for name, c := range map[string]struct {
 		text string
 		at   Time
-		then func(v *virtual) bool
+		then func(v *testHost) bool
 	}{
-		"crash":   {trouble("kind = \"crash\"\nnodes = [\"north-c1\"]\nfor = \"8s\""), 9 * time.Second, func(v *virtual) bool { return !v.Nodes[0].up && v.told["north-c1"] == "gone" }},
-		"silence": {trouble("kind = \"silence\"\nnodes = [\"north-c1\"]\nfor = \"20s\""), 20 * time.Second, func(v *virtual) bool { return v.Nodes[0].Silent(2) && v.told["north-c1"] == "gone" }},
-		"cut":     {trouble("kind = \"cut\"\nnodes = [\"north-c1\"]\nrouter = \"south-r1\"\nfor = \"8s\""), 5 * time.Second, func(v *virtual) bool { return v.Nodes[0].Silent(1) && !v.Nodes[0].Silent(0) }},
-		"freeze":  {trouble("kind = \"freeze\"\nnodes = [\"north-c1\"]\nfor = \"8s\""), 9 * time.Second, func(v *virtual) bool { return v.Nodes[0].frozen && v.Nodes[0].busy == 2 }},
+		"crash":   {trouble("kind = \"crash\"\nnodes = [\"north-c1\"]\nfor = \"8s\""), 9 * time.Second, func(v *testHost) bool { return !v.Nodes[0].up && v.told["north-c1"] == "gone" }},
+		"silence": {trouble("kind = \"silence\"\nnodes = [\"north-c1\"]\nfor = \"20s\""), 20 * time.Second, func(v *testHost) bool { return v.Nodes[0].Silent(2) && v.told["north-c1"] == "gone" }},
+		"cut":     {trouble("kind = \"cut\"\nnodes = [\"north-c1\"]\nrouter = \"south-r1\"\nfor = \"8s\""), 5 * time.Second, func(v *testHost) bool { return v.Nodes[0].Silent(1) && !v.Nodes[0].Silent(0) }},
+		"freeze":  {trouble("kind = \"freeze\"\nnodes = [\"north-c1\"]\nfor = \"8s\""), 9 * time.Second, func(v *testHost) bool { return v.Nodes[0].frozen && v.Nodes[0].busy == 2 }},
 		"site-loss": {trouble("kind = \"site-loss\"\nsite = \"north\"\nwith_routers = true\nfor = \"8s\""), 5 * time.Second,
-			func(v *virtual) bool { return v.Nodes[3].mute && !v.Nodes[4].mute && !v.dealt[0] && v.dealt[1] }},
+			func(v *testHost) bool {
+				return v.Nodes[3].silentToAll && !v.Nodes[4].silentToAll && !v.inRotation[0] && v.inRotation[1]
+			}},
 		"shrink": {trouble("kind = \"shrink\"\nnodes = [\"north-c1\"]\nfor = \"15s\""), 7 * time.Second,
-			func(v *virtual) bool { return v.Nodes[0].draining && v.told["north-c1"] == "DRAINING" }},
-		"deploy":          {trouble("kind = \"deploy\"\nfor = \"25s\""), 10 * time.Second, func(v *virtual) bool { return v.Nodes[0].started > 0 && v.Nodes[0].up }},
-		"grow":            {length + "[[trouble]]\nat = \"6s\"\nkind = \"grow\"\nnodes = [\"north-c1\"]", 5 * time.Second, func(v *virtual) bool { return !v.Nodes[0].up }},
-		"flap":            {trouble("kind = \"discovery-flap\"\nnodes = [\"north-c1\"]\nfor = \"5s\""), 3 * time.Second, func(v *virtual) bool { return v.Nodes[0].up && v.told["north-c1"] == "gone" }},
-		"database-stall":  {trouble("kind = \"database-stall\"\nfor = \"5s\""), 6 * time.Second, func(v *virtual) bool { return len(v.db.held) > 0 }},
-		"router-stop":     {trouble("kind = \"router-stop\"\nrouter = \"north-r1\"\nfor = \"5s\""), 5 * time.Second, func(v *virtual) bool { return !v.dealt[0] }},
-		"discovery-stale": {trouble("kind = \"discovery-stale\"\nfor = \"15s\"\n[[trouble]]\nat = \"3s\"\nkind = \"crash\"\nnodes = [\"north-c1\"]\nfor = \"25s\""), 16 * time.Second, func(v *virtual) bool { return !v.Nodes[0].up && v.told["north-c1"] == "" }},
+			func(v *testHost) bool { return v.Nodes[0].draining && v.told["north-c1"] == "DRAINING" }},
+		"deploy":          {trouble("kind = \"deploy\"\nfor = \"25s\""), 10 * time.Second, func(v *testHost) bool { return v.Nodes[0].started > 0 && v.Nodes[0].up }},
+		"grow":            {length + "[[trouble]]\nat = \"6s\"\nkind = \"grow\"\nnodes = [\"north-c1\"]", 5 * time.Second, func(v *testHost) bool { return !v.Nodes[0].up }},
+		"flap":            {trouble("kind = \"discovery-flap\"\nnodes = [\"north-c1\"]\nfor = \"5s\""), 3 * time.Second, func(v *testHost) bool { return v.Nodes[0].up && v.told["north-c1"] == "gone" }},
+		"database-stall":  {trouble("kind = \"database-stall\"\nfor = \"5s\""), 6 * time.Second, func(v *testHost) bool { return len(v.db.heldCompletions) > 0 }},
+		"router-stop":     {trouble("kind = \"router-stop\"\nrouter = \"north-r1\"\nfor = \"5s\""), 5 * time.Second, func(v *testHost) bool { return !v.inRotation[0] }},
+		"discovery-stale": {trouble("kind = \"discovery-stale\"\nfor = \"15s\"\n[[trouble]]\nat = \"3s\"\nkind = \"crash\"\nnodes = [\"north-c1\"]\nfor = \"25s\""), 16 * time.Second, func(v *testHost) bool { return !v.Nodes[0].up && v.told["north-c1"] == "" }},
 	} {
-		v := day(t, 3, c.text)
+		v := newTestHost(t, 3, c.text)
 		reached := false
 		v.At(c.at, func() { reached = c.then(v) })
 		r := v.play()
@@ -242,15 +244,15 @@
 		}
 		v.Run(60 * time.Second)
 		for i, n := range v.Nodes {
-			if !n.up || n.mute || n.frozen || n.draining || len(n.silent) > 0 || v.told[n.Name] != "" && v.told[n.Name] != "SERVING" {
+			if !n.up || n.silentToAll || n.frozen || n.draining || len(n.silent) > 0 || v.told[n.Name] != "" && v.told[n.Name] != "SERVING" {
 				t.Errorf("%s: %s is not as it was: %+v, told %q", name, n.Name, *n, v.told[n.Name])
 			}
-			if n.busy != 0 || len(n.waiting) != 0 || len(n.fetches) != 0 {
+			if n.busy != 0 || len(n.waiting) != 0 || len(n.pendingReads) != 0 {
 				t.Errorf("%s: node %d holds work at the end", name, i)
 			}
 		}
-		if name != "site-loss" && !v.dealt[0] || v.db.stalled != 0 {
-			t.Errorf("%s: routers %v, database %+v", name, v.dealt, v.db.stalled)
+		if name != "site-loss" && !v.inRotation[0] || v.db.stalls != 0 {
+			t.Errorf("%s: routers %v, database %+v", name, v.inRotation, v.db.stalls)
 		}
 		if r.Double != 0 || r.ColdFalls > 0 && name != "deploy" && name != "site-loss" {
 			t.Errorf("%s: %v", name, r.Breaches)
@@ -258,13 +260,13 @@
 	}
 }
 
-// Popularity is as stated: hot keys take their part while they are hot, and changes of rank move what is popular.
+// Key popularity follows the settings: hot keys get their share while they are hot, and rank changes move the popularity.
 func TestKeys(t *testing.T) {
 	const text = "length = \"40s\"\nshort = \"40s\"\nrate = 300\nwarm_up = \"0s\"\n[[trouble]]\nkind = \"hot-key\"\nsize = 2\npart = 0.4\nat = \"10s\"\nfor = \"10s\"\n"
-	top := func(v *virtual, from, to Time) (part float64, keys map[uint64]int) {
+	top := func(v *testHost, from, to Time) (part float64, keys map[uint64]int) {
 		n := 0
 		keys = map[uint64]int{}
-		for _, a := range v.asks {
+		for _, a := range v.requests {
 			if a.At >= from && a.At < to {
 				keys[a.Key]++
 				n++
@@ -280,7 +282,7 @@
 		}
 		return float64(first+second) / float64(n), keys
 	}
-	v := day(t, 1, text)
+	v := newTestHost(t, 1, text)
 	before, _ := top(v, 0, 10*time.Second)
 	hot, _ := top(v, 10*time.Second, 20*time.Second)
 	after, _ := top(v, 20*time.Second, 30*time.Second)
@@ -288,7 +290,7 @@
 		t.Errorf("the two keys most asked for have %.2f, %.2f and %.2f of the requests", before, hot, after)
 	}
 	common := func(sets ...string) (n int) {
-		v := day(t, 1, text, sets...)
+		v := newTestHost(t, 1, text, sets...)
 		_, early := top(v, 0, 5*time.Second)
 		_, late := top(v, 35*time.Second, 40*time.Second)
 		for k, times := range early {
--- a/internal/kit/model/node.go
+++ b/internal/kit/model/node.go
@@ -9,7 +9,7 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// Status is an answer's, as HTTP has it.
+// Status is the HTTP status of an answer.
 type Status int
 
 // The statuses that nodes answer with.
@@ -17,32 +17,32 @@
 	Good     Status = 200
 	Unknown  Status = 400
 	Errored  Status = 500
-	TurnedAw Status = 503 // with the mark that nothing was run
+	TurnedAw Status = 503 // marked as not run
 )
 
 // Reply is a node's answer to one request.
 type Reply struct {
 	Status Status
-	Spoilt bool   // to be written so that it can't be read
-	Body   string // made for this request alone
-	Lookup string // hit, miss, pending; empty for writes
+	Spoilt bool   // the host writes it so that it can't be parsed
+	Body   string // unique to this request
+	Lookup string // cache lookup result: hit, miss or pending; empty for writes
 	Delay  time.Duration
 }
 
-// Job is a request at a node. Its reply comes once, unless the node dies or is silent.
+// Job is a request at a node. Reply is called once, unless the node dies or is silent.
 type Job struct {
 	ID     string
 	Router int
-	Fresh  bool         // the first on its connection, which a connection's set-up makes dearer
-	Reply  func(*Reply) // called by the model; the host writes it out after its delay
+	Fresh  bool         // first request on its connection, which adds the cost of the connection's setup
+	Reply  func(*Reply) // called by the model; the host writes the reply out after its delay
 
-	node  *Node
-	life  int // of the node, when it came
-	try   *Try
-	work  time.Duration
-	look  string
-	began bool
-	came  Time
+	node        *Node
+	incarnation int // the node's incarnation when the request arrived
+	try         *Try
+	work        time.Duration
+	lookup      string
+	started     bool
+	arrivedAt   Time
 }
 
 // Node is a cache node.
@@ -54,139 +54,139 @@
 	world *World
 	rng   *rand.Rand
 
-	up       bool
-	life     int  // counts its starts
-	started  Time // 0 or under: long ago
-	silent   map[int]bool
-	mute     bool // towards all
-	frozen   bool
-	draining bool
-	absent   bool // to come with a grow
-	fallen   bool // pushed over: stays down
-	errors   float64
-	away     float64
-	spoilt   float64
-	slow     float64
+	up          bool
+	incarnation int  // number of process starts and stops so far
+	started     Time // 0 or less: before the run
+	silent      map[int]bool
+	silentToAll bool // sends nothing to any router
+	frozen      bool
+	draining    bool
+	notAddedYet bool // added later by a grow trouble
+	collapsed   bool // overloaded while cold: stays down for the rest of the run
+	errorRate   float64
+	rejectRate  float64
+	corruptRate float64
+	slowdown    float64
 
-	busy    int
-	working time.Duration // work of what runs, and
-	queued  time.Duration // of what waits
-	waiting []*Job
-	held    []func() // what would have finished while it stood still
-	cache   *simplelru.LRU[uint64, struct{}]
-	fetches map[uint64][]*Job // reads that wait for a key
-	seen    map[string]Time   // idempotency keys that have run, by time
-	offered fallGauge
+	busy            int
+	runningWork     time.Duration // work of the running jobs
+	queuedWork      time.Duration // work of the waiting jobs
+	waiting         []*Job
+	heldCompletions []func() // completions that came due while the node was frozen
+	cache           *simplelru.LRU[uint64, struct{}]
+	pendingReads    map[uint64][]*Job // reads that wait for a database fetch, by key
+	seen            map[string]Time   // idempotency keys that have run, by time
+	overload        overloadDetector
 
-	load   []float64 // samples
-	states []byte
+	loadSamples  []float64
+	stateSamples []byte
 }
 
 func (w *World) newNode(n int, name string, site int, kind *scenario.Model) *Node {
-	node := &Node{Name: name, N: n, Site: site, Kind: kind, world: w, silent: map[int]bool{}, slow: 1, started: longAgo,
+	node := &Node{Name: name, N: n, Site: site, Kind: kind, world: w, silent: map[int]bool{}, slowdown: 1, started: longAgo,
 		rng: Stream(w.seed, "node "+name)}
-	node.empty()
+	node.reset()
 	node.up = true
 	return node
 }
 
-// longAgo is when a node has started that was there before the day.
+// longAgo is the start time of the nodes that run when the simulation begins.
 const longAgo = -24 * time.Hour
 
-// empty forgets what a start forgets.
-func (n *Node) empty() {
+// reset drops all state that a process loses when it restarts.
+func (n *Node) reset() {
 	n.cache, _ = simplelru.NewLRU[uint64, struct{}](n.Kind.Cache, nil) // fails only for a size under 1
-	n.working, n.queued = 0, 0
-	n.busy, n.waiting, n.held, n.fetches, n.seen = 0, nil, nil, map[uint64][]*Job{}, map[string]Time{}
-	n.offered = fallGauge{}
+	n.runningWork, n.queuedWork = 0, 0
+	n.busy, n.waiting, n.heldCompletions, n.pendingReads, n.seen = 0, nil, nil, map[uint64][]*Job{}, map[string]Time{}
+	n.overload = overloadDetector{}
 }
 
-// Up tells whether the node's process runs.
+// Up reports whether the node's process runs.
 func (n *Node) Up() bool { return n.up }
 
-// Silent tells whether the node says nothing to a router.
-func (n *Node) Silent(router int) bool { return n.mute || n.silent[router] }
+// Silent reports whether the node sends nothing to a router.
+func (n *Node) Silent(router int) bool { return n.silentToAll || n.silent[router] }
 
-// Warmth is the part of its speed that a node has.
+// Warmth returns the fraction of its full speed that a node has: it rises linearly from ColdFrom to 1 over ColdFor.
 func (n *Node) Warmth() float64 {
-	risen := float64(n.world.Now()-n.started) / float64(max(n.Kind.ColdFor.D(), 1))
-	return min(n.Kind.ColdFrom+(1-n.Kind.ColdFrom)*max(risen, 0), 1)
+	progress := float64(n.world.Now()-n.started) / float64(max(n.Kind.ColdFor.D(), 1))
+	return min(n.Kind.ColdFrom+(1-n.Kind.ColdFrom)*max(progress, 0), 1)
 }
 
-// speed is of one of its cores now.
-func (n *Node) speed() float64 { return n.Kind.Speed * n.Warmth() / max(n.slow, 0.01) }
+// speed returns the current speed of one of the node's cores.
+func (n *Node) speed() float64 { return n.Kind.Speed * n.Warmth() / max(n.slowdown, 0.01) }
 
-// Arrive takes a request whose last byte has come. Unlike most of the model it may be called for a node that has died in
-// the meantime; then nothing comes of it.
+// Arrive handles a request whose last byte has been received. It may be called for a node that has died in the meantime;
+// the request is then dropped.
 func (n *Node) Arrive(j *Job) {
 	w := n.world
-	j.node, j.life, j.try, j.came = n, n.life, w.tries[j.ID], w.Now()
+	j.node, j.incarnation, j.try, j.arrivedAt = n, n.incarnation, w.tries[j.ID], w.Now()
 	if j.try == nil {
-		w.led.Stray(j.ID, n.Name)
+		w.ledger.Stray(j.ID, n.Name)
 		n.answer(j, &Reply{Status: Unknown})
 		return
 	}
-	if !n.up || n.fallen {
+	if !n.up || n.collapsed {
 		return
 	}
-	c := &w.set.Classes[j.try.Class]
+	c := &w.scenario.Classes[j.try.Class]
 	silent := n.Silent(j.Router)
-	away := !silent && n.draw() < n.away // and so no load on it
-	turned := away || !silent && len(n.waiting) >= n.Kind.Queue && n.busy >= n.Kind.Cores
-	w.led.Sent(j.ID, j.Router, n.Name, w.Now(), !turned)
-	if w.routerSite(j.Router) != n.Site {
-		w.led.Crossed()
+	rejectedByFault := !silent && n.draw() < n.rejectRate // rejected before it adds load
+	rejected := rejectedByFault || !silent && len(n.waiting) >= n.Kind.Queue && n.busy >= n.Kind.Cores
+	w.ledger.Sent(j.ID, j.Router, n.Name, w.Now(), !rejected)
+	if w.routerSiteIndex(j.Router) != n.Site {
+		w.ledger.Crossed()
 	}
 	if n.Warmth() < 1 {
-		w.led.ColdSent(w.Now())
+		w.ledger.ColdSent(w.Now())
 	}
 	j.work = j.try.Work
 	if j.Fresh {
 		j.work += n.Kind.ConnWork.D()
 	}
-	if !away && n.Warmth() < 1 && n.offered.add(w.Now(), j.work.Seconds(), float64(n.Kind.Cores)*n.speed(), w.set.Rules.Fall, w.set.Rules.FallFor.D()) {
-		n.fall()
+	if !rejectedByFault && n.Warmth() < 1 && n.overload.add(w.Now(), j.work.Seconds(), float64(n.Kind.Cores)*n.speed(), w.scenario.Rules.Fall, w.scenario.Rules.FallFor.D()) {
+		n.collapse()
 		return
 	}
 	switch {
 	case silent:
 		return
-	case turned:
+	case rejected:
 		n.answer(j, &Reply{Status: TurnedAw})
 		return
-	case n.draw() < n.errors:
+	case n.draw() < n.errorRate:
 		n.answer(j, &Reply{Status: Errored})
 		return
 	}
 	if c.Write {
-		n.enter(j)
+		n.schedule(j)
 		return
 	}
 	if _, ok := n.cache.Get(j.try.Key); ok {
-		j.look = "hit"
-		n.enter(j)
+		j.lookup = "hit"
+		n.schedule(j)
 		return
 	}
 	key := j.try.Key
-	waiting, fetching := n.fetches[key]
-	if n.fetches[key] = append(waiting, j); fetching {
-		j.look = "pending"
+	waiting, fetching := n.pendingReads[key]
+	if n.pendingReads[key] = append(waiting, j); fetching {
+		j.lookup = "pending"
 		return
 	}
-	j.look = "miss"
-	life := n.life
+	j.lookup = "miss"
+	incarnation := n.incarnation
 	w.db.do(func(ok bool) {
-		if n.life != life || !n.up {
+		if n.incarnation != incarnation || !n.up {
 			return
 		}
-		all := n.fetches[key]
-		delete(n.fetches, key)
+		all := n.pendingReads[key]
+		delete(n.pendingReads, key)
 		if ok {
 			n.cache.Add(key, struct{}{})
 		}
 		for _, j := range all {
 			if ok {
-				n.enter(j)
+				n.schedule(j)
 			} else {
 				n.answer(j, &Reply{Status: Errored})
 			}
@@ -196,33 +196,33 @@
 
 func (n *Node) draw() float64 { return n.rng.Float64() }
 
-// enter gives a request a core, or lets it wait for one.
-func (n *Node) enter(j *Job) {
+// schedule runs a job on a free core, or queues it.
+func (n *Node) schedule(j *Job) {
 	if n.busy < n.Kind.Cores {
 		n.run(j)
 	} else {
 		n.waiting = append(n.waiting, j)
-		n.queued += j.work
+		n.queuedWork += j.work
 	}
 }
 
-// run works on a request. Nothing stops it, whoever has stopped waiting for it.
+// run occupies a core with a job. A job runs to its end even if its client or router has given up on it.
 func (n *Node) run(j *Job) {
 	w := n.world
 	n.busy++
-	n.working += j.work
-	j.began = true
-	took := time.Duration(float64(j.work) / n.speed())
-	w.led.Worked(j.ID, took)
-	life := n.life
-	w.After(took, func() {
+	n.runningWork += j.work
+	j.started = true
+	duration := time.Duration(float64(j.work) / n.speed())
+	w.ledger.Worked(j.ID, duration)
+	incarnation := n.incarnation
+	w.After(duration, func() {
 		end := func() {
-			if n.life == life && n.up {
+			if n.incarnation == incarnation && n.up {
 				n.finish(j)
 			}
 		}
-		if n.life == life && n.frozen {
-			n.held = append(n.held, end)
+		if n.incarnation == incarnation && n.frozen {
+			n.heldCompletions = append(n.heldCompletions, end)
 			return
 		}
 		end()
@@ -232,34 +232,34 @@
 func (n *Node) finish(j *Job) {
 	w := n.world
 	n.busy--
-	n.working -= j.work
+	n.runningWork -= j.work
 	if len(n.waiting) > 0 {
 		next := n.waiting[0]
 		n.waiting = n.waiting[1:]
-		n.queued -= next.work
+		n.queuedWork -= next.work
 		n.run(next)
 	}
-	c := &w.set.Classes[j.try.Class]
+	c := &w.scenario.Classes[j.try.Class]
 	if !c.Write {
 		n.serve(j)
 		return
 	}
-	if at, ok := w.effects[j.try.Token]; c.Effect == "keyed" && ok && j.came-at < c.Memory.D() {
-		n.serve(j) // a repeat: dropped, and answered as the first was
+	if at, ok := w.effects[j.try.Token]; c.Effect == "keyed" && ok && j.arrivedAt-at < c.Memory.D() {
+		n.serve(j) // a repeat within the deduplication window: no second effect, answered like the first
 		return
 	}
 	w.effects[j.try.Token] = w.Now()
-	life := n.life
+	incarnation := n.incarnation
 	w.db.do(func(ok bool) {
 		if ok {
-			w.led.Effect(j.try.Ask.N, c.Name, c.Effect)
+			w.ledger.Effect(j.try.Ask.N, c.Name, c.Effect)
 			for _, o := range w.Nodes {
 				o.cache.Remove(j.try.Key)
 			}
 		} else if c.Effect == "keyed" {
 			delete(w.effects, j.try.Token)
 		}
-		if n.life != life || !n.up {
+		if n.incarnation != incarnation || !n.up {
 			return
 		}
 		if ok {
@@ -272,58 +272,58 @@
 
 func (n *Node) serve(j *Job) {
 	w := n.world
-	w.made++
-	r := &Reply{Status: Good, Body: bodyOf(j.ID, n.Name, w.made), Lookup: j.look, Spoilt: n.draw() < n.spoilt}
-	w.led.Made(j.ID, r.Body, !r.Spoilt)
+	w.answersMade++
+	r := &Reply{Status: Good, Body: answerBody(j.ID, n.Name, w.answersMade), Lookup: j.lookup, Spoilt: n.draw() < n.corruptRate}
+	w.ledger.Made(j.ID, r.Body, !r.Spoilt)
 	n.answer(j, r)
 }
 
-// answer hands a reply to the host, unless the node has become silent to its router meanwhile.
+// answer passes a reply to the host, unless the node has become silent to the router or has restarted since the job arrived.
 func (n *Node) answer(j *Job, r *Reply) {
 	w := n.world
-	if n.Silent(j.Router) || n.life != j.life {
+	if n.Silent(j.Router) || n.incarnation != j.incarnation {
 		return
 	}
-	r.Delay = 2 * w.oneWay(w.routerSite(j.Router), n.Site)
-	w.led.Ended(j.ID, w.Now()+r.Delay, r.Status == Good && !r.Spoilt)
+	r.Delay = 2 * w.oneWay(w.routerSiteIndex(j.Router), n.Site)
+	w.ledger.Ended(j.ID, w.Now()+r.Delay, r.Status == Good && !r.Spoilt)
 	j.Reply(r)
 }
 
-// fall pushes the node over: it stays down.
-func (n *Node) fall() {
-	n.fallen = true
-	n.world.led.ColdFall(n.Name, n.world.Now())
-	n.world.down(n, false)
+// collapse takes an overloaded cold node down for the rest of the run.
+func (n *Node) collapse() {
+	n.collapsed = true
+	n.world.ledger.ColdFall(n.Name, n.world.Now())
+	n.world.stopNode(n, false)
 }
 
-// fallGauge tells whether work has been offered at a multiple of what can be done for a while on end. It looks at
-// quarters of that while, so that one request never pushes anything over.
-type fallGauge struct {
-	slice    int64
-	offered  [4]float64
-	capacity [4]float64
-	n        int // slices seen, this one included
+// overloadDetector tells whether offered work has exceeded a multiple of the capacity for a whole span. It requires the excess
+// in each quarter of the span, so that a single request never triggers it.
+type overloadDetector struct {
+	slice      int64
+	offered    [4]float64
+	capacity   [4]float64
+	slicesSeen int // the current one included
 }
 
-func (g *fallGauge) add(now Time, work, capacity, multiple float64, over time.Duration) bool {
-	width := over / 4
+func (g *overloadDetector) add(now Time, work, capacity, multiple float64, span time.Duration) bool {
+	width := span / 4
 	at := int64(now / width)
-	if g.n == 0 {
-		g.slice, g.n = at, 1
+	if g.slicesSeen == 0 {
+		g.slice, g.slicesSeen = at, 1
 		g.offered, g.capacity = [4]float64{}, [4]float64{}
 	}
 	for ; g.slice < at; g.slice++ {
 		if at-g.slice > 4 {
-			g.slice, g.n, g.offered = at-1, 0, [4]float64{}
+			g.slice, g.slicesSeen, g.offered = at-1, 0, [4]float64{}
 		}
 		copy(g.offered[1:], g.offered[:3])
 		copy(g.capacity[1:], g.capacity[:3])
 		g.offered[0] = 0
-		g.n++
+		g.slicesSeen++
 	}
 	g.offered[0] += work
 	g.capacity[0] = capacity * width.Seconds()
-	if g.n < 4 {
+	if g.slicesSeen < 4 {
 		return false
 	}
 	for i := range g.offered {
--- a/internal/kit/model/profile.go
+++ b/internal/kit/model/profile.go
@@ -7,13 +7,13 @@
 	"cedarmast/internal/settings"
 )
 
-// Operator is the operators' own file as the day has it.
+// Operator returns the contents of the operators' settings file for this scenario.
 func (w *World) Operator() *settings.Operator {
 	all := &settings.Operator{}
-	if w.set.Placement.By == "list" {
+	if w.scenario.Placement.By == "list" {
 		all.Placement = &settings.Placement{By: "list"}
 	}
-	t := w.set.Tiers
+	t := w.scenario.Tiers
 	if !t.On {
 		return all
 	}
@@ -28,13 +28,13 @@
 	return all
 }
 
-// Profile is the settings object that a router is told.
+// Profile returns the settings object that is passed to router k.
 func (w *World) Profile(k int) *settings.Profile {
-	s := w.set
+	s := w.scenario
 	var p settings.Profile
 	text, err := json.Marshal(map[string]any{"Classes": w.classes(), "Tenants": w.tenants()})
 	if err == nil {
-		err = json.Unmarshal(text, &p) // the profile's lists have types without a name
+		err = json.Unmarshal(text, &p) // the profile's lists have anonymous element types
 	}
 	if err != nil {
 		panic(err)
@@ -60,7 +60,7 @@
 }
 
 func (w *World) classes() (all []map[string]any) {
-	for _, c := range w.set.Classes {
+	for _, c := range w.scenario.Classes {
 		all = append(all, map[string]any{"Name": c.Name, "Objective": int64(c.Wanted), "Deadline": int64(c.Deadline), "Worth": c.Worth,
 			"LateShare": c.LateShare, "Effect": c.Effect, "DedupScope": map[bool]string{true: "all"}[c.Effect == "keyed"], "MemorySpan": int64(c.Memory)})
 	}
@@ -68,12 +68,12 @@
 }
 
 func (w *World) tenants() (all []map[string]any) {
-	whole := 0.0
-	for _, t := range w.set.Tenants {
-		whole += t.Share
+	totalShare := 0.0
+	for _, t := range w.scenario.Tenants {
+		totalShare += t.Share
 	}
-	for _, t := range w.set.Tenants {
-		all = append(all, map[string]any{"Name": t.Name, "AllowancePerS": w.set.Rate * t.Share / whole})
+	for _, t := range w.scenario.Tenants {
+		all = append(all, map[string]any{"Name": t.Name, "AllowancePerS": w.scenario.Rate * t.Share / totalShare})
 	}
 	return all
 }
--- a/internal/kit/model/queue.go
+++ b/internal/kit/model/queue.go
@@ -1,9 +1,9 @@
-// Package model is the world around the routers of a rehearsal: cache nodes, the database behind them, discovery and the
-// clients, as an event queue with a clock that is handed in. It does no I/O. A host drives it, on sockets in real time
-// or in virtual time, and does what it asks for through Host.
+// Package model simulates the environment of the routers in a rehearsal: cache nodes, the database behind them, discovery and
+// clients, as an event queue with an external clock. It does no I/O. A host drives it, over sockets in real time or in virtual
+// time, and carries out what the model requests through Host.
 //
-// What is drawn (arrivals, keys, work, troubles) comes from streams of its own per seed and hangs on nothing that the
-// routers do, so that two builds meet the same day.
+// All random input (arrivals, keys, work, troubles) comes from separate streams per seed and doesn't depend on what the routers
+// do, so that two builds are tested with the same input.
 package model
 
 import (
@@ -13,69 +13,71 @@
 	"time"
 )
 
-// Time counts from the day's beginning; what is under 0 is the time in which caches are warmed, before it.
+// Time counts from the beginning of the run; values under 0 are the warm-up of the caches.
 type Time = time.Duration
 
-// Queue holds what is to happen. Events of one moment happen in the order in which they were put in.
+// Queue is an event queue. Events with the same time run in the order in which they were added.
 type Queue struct {
-	now  Time
-	n    uint64
-	rows rows
+	now     Time
+	lastSeq uint64
+	events  eventHeap
 }
 
-type row struct {
-	at Time
-	n  uint64
-	f  func()
+type event struct {
+	at  Time
+	seq uint64
+	run func()
 }
 
-type rows []row
+type eventHeap []event
 
-func (r rows) Len() int           { return len(r) }
-func (r rows) Less(i, j int) bool { return r[i].at < r[j].at || r[i].at == r[j].at && r[i].n < r[j].n }
-func (r rows) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
-func (r *rows) Push(x any)        { *r = append(*r, x.(row)) }
-func (r *rows) Pop() any {
+func (r eventHeap) Len() int { return len(r) }
+func (r eventHeap) Less(i, j int) bool {
+	return r[i].at < r[j].at || r[i].at == r[j].at && r[i].seq < r[j].seq
+}
+func (r eventHeap) Swap(i, j int) { r[i], r[j] = r[j], r[i] }
+func (r *eventHeap) Push(x any)   { *r = append(*r, x.(event)) }
+func (r *eventHeap) Pop() any {
 	old := *r
 	last := old[len(old)-1]
-	old[len(old)-1] = row{}
+	old[len(old)-1] = event{}
 	*r = old[:len(old)-1]
 	return last
 }
 
-// Now is the moment of the event that happens, or the one that Run was last told.
+// Now returns the time of the running event, or the time of the last call of Run.
 func (q *Queue) Now() Time { return q.now }
 
-// At puts in an event; one that is over already happens next.
+// At schedules an event; one whose time has passed runs next.
 func (q *Queue) At(at Time, f func()) {
-	q.n++
-	heap.Push(&q.rows, row{max(at, q.now), q.n, f})
+	q.lastSeq++
+	heap.Push(&q.events, event{max(at, q.now), q.lastSeq, f})
 }
 
-// After puts in an event some time from now.
+// After schedules an event after a delay.
 func (q *Queue) After(d time.Duration, f func()) { q.At(q.now+max(d, 0), f) }
 
-// Next tells when the next event is due; false if there is none.
+// Next returns the time of the next event; false if there is none.
 func (q *Queue) Next() (Time, bool) {
-	if len(q.rows) == 0 {
+	if len(q.events) == 0 {
 		return 0, false
 	}
-	return q.rows[0].at, true
+	return q.events[0].at, true
 }
 
-// Run lets all happen that is due by a moment, which is now afterwards. It returns how late the first one was.
+// Run runs all events that are due by now and advances the clock to now. It returns the largest delay of an event, in real time.
 func (q *Queue) Run(now Time) (late time.Duration) {
-	for len(q.rows) > 0 && q.rows[0].at <= now {
-		r := heap.Pop(&q.rows).(row)
+	for len(q.events) > 0 && q.events[0].at <= now {
+		r := heap.Pop(&q.events).(event)
 		late = max(late, now-r.at)
 		q.now = max(q.now, r.at)
-		r.f()
+		r.run()
 	}
 	q.now = max(q.now, now)
 	return late
 }
 
-// Stream returns the random numbers of one purpose under a seed: drawing more of one changes no other.
+// Stream returns the random numbers for one purpose under a seed: drawing from one stream changes no other.
 func Stream(seed uint64, purpose string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(purpose))
--- a/internal/kit/model/registry.go
+++ b/internal/kit/model/registry.go
@@ -8,24 +8,24 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// Entry is what discovery says of a node.
+// Entry is the state of a node as discovery reports it.
 type Entry struct {
 	Node   *Node
-	Status string // SERVING, DRAINING or, among changes, DELETED
-	Since  Time   // of its start; under 0: long ago
+	Status string // SERVING, DRAINING or, in changes only, DELETED
+	Since  Time   // start time of the node; under 0: before the run
 }
 
-// agent is discovery on a router's own machine: what it has been sent, by version.
+// agent is the discovery agent on a router's machine: the versioned node list and the changes it has received.
 type agent struct {
-	world   *World
-	router  int
-	rng     *rand.Rand
-	index   int64
-	entries map[*Node]Entry
-	changes []change
-	said    map[*Node]int // by node: the number of the newest word that has come
-	stale   int           // troubles that hold news back
-	held    []func()
+	world       *World
+	router      int
+	rng         *rand.Rand
+	index       int64
+	entries     map[*Node]Entry
+	changes     []change
+	lastSeq     map[*Node]int // by node: sequence number of the newest announcement received
+	holds       int           // number of troubles that hold updates back
+	heldUpdates []func()
 }
 
 type change struct {
@@ -33,10 +33,10 @@
 	Entry
 }
 
-const mostChanges = 1000 // that an agent remembers; who asks from before gets the whole list
+const maxChanges = 1000 // changes kept by an agent; a client with an older version gets the whole list
 
 func newAgent(w *World, r int) *agent {
-	a := &agent{world: w, router: r, rng: Stream(w.seed, "agent "+w.set.RouterNames()[r]), index: 1, entries: map[*Node]Entry{}, said: map[*Node]int{}}
+	a := &agent{world: w, router: r, rng: Stream(w.seed, "agent "+w.scenario.RouterNames()[r]), index: 1, entries: map[*Node]Entry{}, lastSeq: map[*Node]int{}}
 	for _, n := range w.Nodes {
 		if n.up {
 			a.entries[n] = Entry{n, "SERVING", n.started}
@@ -45,25 +45,25 @@
 	return a
 }
 
-// tell sends a node's state to all agents, each after a time of its own. A later word is not undone by an earlier one.
-func (w *World) tell(n *Node, status string, lag [2]scenario.Duration) {
-	w.words++
-	word, since := w.words, n.started
+// announce sends a node's state to all agents, each after a drawn delay. Announcements that arrive out of order are dropped.
+func (w *World) announce(n *Node, status string, lag [2]scenario.Duration) {
+	w.lastAnnouncement++
+	seq, since := w.lastAnnouncement, n.started
 	for _, a := range w.agents {
 		after := lag[0].D() + time.Duration(a.rng.Float64()*float64(lag[1]-lag[0]))
-		w.After(after, func() { a.take(n, status, since, word) })
+		w.After(after, func() { a.apply(n, status, since, seq) })
 	}
 }
 
-func (a *agent) take(n *Node, status string, since Time, word int) {
-	if a.stale > 0 {
-		a.held = append(a.held, func() { a.take(n, status, since, word) })
+func (a *agent) apply(n *Node, status string, since Time, seq int) {
+	if a.holds > 0 {
+		a.heldUpdates = append(a.heldUpdates, func() { a.apply(n, status, since, seq) })
 		return
 	}
-	if word < a.said[n] {
+	if seq < a.lastSeq[n] {
 		return
 	}
-	a.said[n] = word
+	a.lastSeq[n] = seq
 	e := Entry{n, status, since}
 	if old, ok := a.entries[n]; ok && old == e || !ok && status == "DELETED" {
 		return
@@ -73,14 +73,14 @@
 		delete(a.entries, n)
 	}
 	a.changes = append(a.changes, change{a.index, e})
-	if len(a.changes) > mostChanges {
-		a.changes = slices.Clone(a.changes[len(a.changes)-mostChanges:])
+	if len(a.changes) > maxChanges {
+		a.changes = slices.Clone(a.changes[len(a.changes)-maxChanges:])
 	}
 	a.world.host.News(a.router)
 }
 
-// List is what a router's agent answers: the changes since a version, or the whole list if it was not given one or the
-// changes are not remembered so far back.
+// List returns what a router's agent answers: the changes since a version, or the whole list if no version is known or the
+// agent no longer has the changes since it.
 func (w *World) List(router int, since int64, known bool) (index int64, whole bool, entries []Entry) {
 	a := w.agents[router]
 	if !known || since > a.index || len(a.changes) > 0 && since < a.changes[0].index-1 {
@@ -99,36 +99,36 @@
 	return a.index, false, entries
 }
 
-// Told books that an answer of a router's agent has been written to it.
+// Told records that an answer of a router's agent has been written to the router.
 func (w *World) Told(router int, whole bool, entries []Entry) {
 	listed := map[*Node]bool{}
 	for _, e := range entries {
 		listed[e.Node] = true
-		w.led.Told(router, e.Node.Name, e.Status == "SERVING", w.Now())
+		w.ledger.Told(router, e.Node.Name, e.Status == "SERVING", w.Now())
 	}
 	for _, n := range w.Nodes {
 		if whole && !listed[n] {
-			w.led.Told(router, n.Name, false, w.Now())
+			w.ledger.Told(router, n.Name, false, w.Now())
 		}
 	}
 }
 
-// holdNews keeps all agents from hearing anything new for a while.
-func (w *World) holdNews(span time.Duration) {
+// holdUpdates delays all updates to all agents until the end of a span.
+func (w *World) holdUpdates(span time.Duration) {
 	for _, a := range w.agents {
-		a.stale++
+		a.holds++
 		w.After(span, func() {
-			if a.stale--; a.stale > 0 {
+			if a.holds--; a.holds > 0 {
 				return
 			}
-			held := a.held
-			a.held = nil
-			for _, f := range held {
-				f()
+			held := a.heldUpdates
+			a.heldUpdates = nil
+			for _, apply := range held {
+				apply()
 			}
 		})
 	}
 }
 
-// Beginning is the list of the day's beginning, as a router finds it in a configuration that nobody has renewed.
-func (w *World) Beginning() []Entry { return w.beginning }
+// Beginning returns the node list of the beginning of the run, as a router finds it in a configuration that was never updated.
+func (w *World) Beginning() []Entry { return w.initialEntries }
--- a/internal/kit/model/trouble.go
+++ b/internal/kit/model/trouble.go
@@ -9,27 +9,27 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// struck draws the nodes that a trouble strikes; the same for each seed.
-func (w *World) struck(i int, t scenario.Trouble) []*Node {
-	var of []*Node
+// affectedNodes draws the nodes that a trouble affects; the result is the same for the same seed.
+func (w *World) affectedNodes(i int, t scenario.Trouble) []*Node {
+	var candidates []*Node
 	for _, n := range w.Nodes {
 		if (t.Site == "" || w.SiteName(n) == t.Site) && (len(t.Nodes) == 0 || slices.Contains(t.Nodes, n.Name)) {
-			of = append(of, n)
+			candidates = append(candidates, n)
 		}
 	}
 	if len(t.Nodes) > 0 || t.Part == 0 {
-		return of
+		return candidates
 	}
-	order := Stream(w.seed, fmt.Sprint("trouble ", i)).Perm(len(of))
+	order := Stream(w.seed, fmt.Sprint("trouble ", i)).Perm(len(candidates))
 	var all []*Node
-	for _, k := range order[:int(min(math.Ceil(t.Part*float64(len(of))), float64(len(of))))] {
-		all = append(all, of[k])
+	for _, k := range order[:int(min(math.Ceil(t.Part*float64(len(candidates))), float64(len(candidates))))] {
+		all = append(all, candidates[k])
 	}
 	return all
 }
 
-func (w *World) struckRouters(i int, t scenario.Trouble) (all []int) {
-	for r, name := range w.set.RouterNames() {
+func (w *World) affectedRouters(i int, t scenario.Trouble) (all []int) {
+	for r, name := range w.scenario.RouterNames() {
 		if t.Router == name || t.Router == "" && (t.Site == "" || w.RouterSite(r) == t.Site) {
 			all = append(all, r)
 		}
@@ -45,13 +45,13 @@
 	return some
 }
 
-// trouble begins one.
-func (w *World) trouble(i int, t scenario.Trouble) {
+// startTrouble starts a trouble and schedules its end.
+func (w *World) startTrouble(i int, t scenario.Trouble) {
 	span := t.For.D()
 	w.host.Note(w.Now(), "trouble: "+t.Kind)
-	nodes := w.struck(i, t)
-	// setting makes a change at each node and takes it back.
-	setting := func(on, off func(n *Node)) {
+	nodes := w.affectedNodes(i, t)
+	// applyToNodes applies a change to each affected node and reverts it at the end of the trouble.
+	applyToNodes := func(on, off func(n *Node)) {
 		for _, n := range nodes {
 			on(n)
 		}
@@ -63,34 +63,34 @@
 	}
 	switch t.Kind {
 	case "crash":
-		setting(func(n *Node) { w.down(n, false) }, w.start)
+		applyToNodes(func(n *Node) { w.stopNode(n, false) }, w.startNode)
 	case "silence":
-		setting(w.vanish, w.comeBack)
+		applyToNodes(w.silenceNode, w.restoreNode)
 	case "freeze":
-		setting(func(n *Node) { n.frozen = true }, func(n *Node) {
-			held := n.held
-			n.frozen, n.held = false, nil
+		applyToNodes(func(n *Node) { n.frozen = true }, func(n *Node) {
+			held := n.heldCompletions
+			n.frozen, n.heldCompletions = false, nil
 			for _, end := range held {
 				end()
 			}
 		})
 	case "errors":
-		setting(func(n *Node) { n.errors = t.Size }, func(n *Node) { n.errors = 0 })
+		applyToNodes(func(n *Node) { n.errorRate = t.Size }, func(n *Node) { n.errorRate = 0 })
 	case "turn-away":
-		setting(func(n *Node) { n.away = t.Size }, func(n *Node) { n.away = 0 })
+		applyToNodes(func(n *Node) { n.rejectRate = t.Size }, func(n *Node) { n.rejectRate = 0 })
 	case "slow":
-		setting(func(n *Node) { n.slow = t.Size }, func(n *Node) { n.slow = 1 })
+		applyToNodes(func(n *Node) { n.slowdown = t.Size }, func(n *Node) { n.slowdown = 1 })
 	case "spoil":
-		setting(func(n *Node) { n.spoilt = t.Size }, func(n *Node) { n.spoilt = 0 })
+		applyToNodes(func(n *Node) { n.corruptRate = t.Size }, func(n *Node) { n.corruptRate = 0 })
 	case "cut":
-		r := slices.Index(w.set.RouterNames(), t.Router)
-		setting(func(n *Node) { n.silent[r] = true; w.silence(n, r, true) },
-			func(n *Node) { delete(n.silent, r); w.silence(n, r, false) })
+		r := slices.Index(w.scenario.RouterNames(), t.Router)
+		applyToNodes(func(n *Node) { n.silent[r] = true; w.setSilence(n, r, true) },
+			func(n *Node) { delete(n.silent, r); w.setSilence(n, r, false) })
 	case "site-loss":
 		if t.With {
-			w.routersGone(w.struckRouters(i, scenario.Trouble{Site: t.Site}), span, Finds{}, w.host.KillRouter)
+			w.restartRouters(w.affectedRouters(i, scenario.Trouble{Site: t.Site}), span, Finds{}, w.host.KillRouter)
 		}
-		setting(w.vanish, w.comeBack)
+		applyToNodes(w.silenceNode, w.restoreNode)
 	case "flush":
 		for _, n := range nodes {
 			n.cache.Purge()
@@ -103,30 +103,30 @@
 		}
 		w.After(span, func() {
 			for _, n := range nodes {
-				w.start(n)
+				w.startNode(n)
 			}
 		})
 	case "grow":
 		for _, n := range nodes {
-			w.start(n)
+			w.startNode(n)
 		}
 	case "discovery-silence":
 		w.host.SilenceDiscovery(true)
 		w.After(span, func() { w.host.SilenceDiscovery(false) })
 	case "discovery-stale":
-		w.holdNews(span)
+		w.holdUpdates(span)
 	case "discovery-flap":
 		w.flap(nodes, w.Now()+span)
 	case "router-kill":
-		w.routersGone(w.struckRouters(i, t), span, finds(t), w.host.KillRouter)
+		w.restartRouters(w.affectedRouters(i, t), span, foundState(t), w.host.KillRouter)
 	case "router-stop":
-		w.routersGone(w.struckRouters(i, t), span, finds(t), w.host.StopRouter)
+		w.restartRouters(w.affectedRouters(i, t), span, foundState(t), w.host.StopRouter)
 	case "router-crash-loop":
-		w.crashLoop(i, t, w.struckRouters(i, t))
+		w.crashLoop(i, t, w.affectedRouters(i, t))
 	case "router-link":
-		w.strikeLinks(i, t, span)
+		w.startLinkFault(i, t, span)
 	case "disk-full":
-		all := w.struckRouters(i, t)
+		all := w.affectedRouters(i, t)
 		fill := func(full bool) {
 			for _, r := range all {
 				w.host.FillDisk(r, full)
@@ -135,54 +135,54 @@
 		fill(true)
 		w.After(span, func() { fill(false) })
 	case "router-stall":
-		all := w.struckRouters(i, t)
-		w.stall(all, 1)
-		w.After(span, func() { w.stall(all, -1) })
+		all := w.affectedRouters(i, t)
+		w.adjustStalls(all, 1)
+		w.After(span, func() { w.adjustStalls(all, -1) })
 	case "router-reload":
-		for _, r := range w.struckRouters(i, t) {
+		for _, r := range w.affectedRouters(i, t) {
 			w.host.ReloadRouter(r)
 		}
 	case "bad-clients":
 		w.host.BadClients(int(t.Size), span)
 	case "database-stall":
 		w.db.stall(span)
-	} // burst and heavy are in what was drawn
+	} // burst, heavy and hot-key act on the drawn requests, see drawRequests
 }
 
-func (w *World) silence(n *Node, router int, on bool) {
+func (w *World) setSilence(n *Node, router int, on bool) {
 	w.host.Silence(n, router, on)
-	w.led.Silence(on, w.Now())
+	w.ledger.Silence(on, w.Now())
 }
 
-// vanish cuts a node off from all: it runs no more and says nothing.
-func (w *World) vanish(n *Node) {
-	if !n.up || n.mute {
+// silenceNode cuts a node off from all routers: it does no more work and sends nothing.
+func (w *World) silenceNode(n *Node) {
+	if !n.up || n.silentToAll {
 		return
 	}
-	n.mute = true
+	n.silentToAll = true
 	for r := range w.routerSites {
-		w.silence(n, r, true)
+		w.setSilence(n, r, true)
 	}
 	w.host.Note(w.Now(), n.Name+" silent")
-	w.tell(n, "DELETED", w.set.Discovery.SilentLag)
+	w.announce(n, "DELETED", w.scenario.Discovery.SilentLag)
 }
 
-// comeBack ends a vanished node's silence: what was open is reset, and it starts anew.
-func (w *World) comeBack(n *Node) {
-	if !n.mute {
+// restoreNode ends a node's silence: its open connections are reset and its process starts anew.
+func (w *World) restoreNode(n *Node) {
+	if !n.silentToAll {
 		return
 	}
-	n.mute = false
-	w.down(n, true)
+	n.silentToAll = false
+	w.stopNode(n, true)
 	for r := range w.routerSites {
-		w.silence(n, r, false)
+		w.setSilence(n, r, false)
 	}
-	w.start(n)
+	w.startNode(n)
 }
 
-// drainFor is how long a node drains before it goes: all routers have been told by then, and the grace is over.
+// drainFor returns how long a node drains before it stops: until all routers have been told and the grace period is over.
 func (w *World) drainFor() time.Duration {
-	return w.set.Discovery.Lag[1].D() + w.set.Rules.DrainGrace.D() + time.Second
+	return w.scenario.Discovery.Lag[1].D() + w.scenario.Rules.DrainGrace.D() + time.Second
 }
 
 func (w *World) drain(n *Node) {
@@ -190,72 +190,73 @@
 		return
 	}
 	n.draining = true
-	life := n.life
-	w.tell(n, "DRAINING", w.set.Discovery.Lag)
+	incarnation := n.incarnation
+	w.announce(n, "DRAINING", w.scenario.Discovery.Lag)
 	w.After(w.drainFor(), func() {
-		if n.life == life && n.draining {
-			w.down(n, false)
+		if n.incarnation == incarnation && n.draining {
+			w.stopNode(n, false)
 		}
 	})
 }
 
-// deploy drains and starts nodes one after the other.
+// deploy drains and restarts nodes one after another.
 func (w *World) deploy(nodes []*Node, span time.Duration) {
 	step := max(span-w.drainFor(), 0) / time.Duration(max(len(nodes), 1))
 	for k, n := range nodes {
 		w.After(time.Duration(k)*step, func() { w.drain(n) })
-		w.After(time.Duration(k)*step+w.drainFor()+time.Second, func() { w.start(n) })
+		w.After(time.Duration(k)*step+w.drainFor()+time.Second, func() { w.startNode(n) })
 	}
 }
 
-// flapEvery is how often a flapping discovery changes its mind.
-const flapEvery = 1500 * time.Millisecond
+// flapInterval is how often a flapping discovery removes or restores the nodes.
+const flapInterval = 1500 * time.Millisecond
 
 func (w *World) flap(nodes []*Node, until Time) {
-	gone := false
-	var next func()
-	next = func() {
-		gone = !gone && w.Now() < until
+	removed := false
+	var toggle func()
+	toggle = func() {
+		removed = !removed && w.Now() < until
 		for _, n := range nodes {
 			if n.up {
-				w.tell(n, map[bool]string{true: "DELETED", false: "SERVING"}[gone], [2]scenario.Duration{})
+				w.announce(n, map[bool]string{true: "DELETED", false: "SERVING"}[removed], [2]scenario.Duration{})
 			}
 		}
-		if gone || w.Now() < until {
-			w.After(flapEvery, next)
+		if removed || w.Now() < until {
+			w.After(flapInterval, toggle)
 		}
 	}
-	next()
+	toggle()
 }
 
-func finds(t scenario.Trouble) Finds { return Finds{t.Known == "old", t.State} }
+func foundState(t scenario.Trouble) Finds { return Finds{t.Known == "old", t.State} }
 
-// routersGone ends routers one way or another and starts them again.
-func (w *World) routersGone(all []int, span time.Duration, f Finds, end func(int)) {
+// restartRouters ends routers with the given function and starts them again after a span.
+func (w *World) restartRouters(all []int, span time.Duration, found Finds, end func(int)) {
 	for _, r := range all {
 		end(r)
 	}
 	w.After(span, func() {
 		for _, r := range all {
-			w.host.StartRouter(r, f)
+			w.host.StartRouter(r, found)
 		}
 	})
 }
 
-// stall has routers stand still for one trouble more or less. Clients are led away from them as from dead ones.
-func (w *World) stall(all []int, more int) {
+// adjustStalls adds delta to the number of troubles that stall each router. Clients are directed away from a stalled router as
+// from a dead one.
+func (w *World) adjustStalls(all []int, delta int) {
 	for _, r := range all {
-		was := w.stalls[r] > 0
-		if w.stalls[r] += more; w.stalls[r] > 0 != was {
-			w.led.Stalled(r, !was, w.Now())
-			w.host.StallRouter(r, !was)
-			if was {
-				w.dealt[r] = w.alive[r]
+		wasStalled := w.stallCounts[r] > 0
+		if w.stallCounts[r] += delta; w.stallCounts[r] > 0 != wasStalled {
+			w.ledger.Stalled(r, !wasStalled, w.Now())
+			w.host.StallRouter(r, !wasStalled)
+			if wasStalled {
+				w.inRotation[r] = w.routerRunning[r]
 				continue
 			}
-			w.After(w.set.Clients.Notice.D(), func() {
-				if w.stalls[r] > 0 {
-					w.dealt[r] = false
+			w.After(w.scenario.Clients.Notice.D(), func() {
+				if w.stallCounts[r] > 0 {
+					w.inRotation[r] = false
 				}
 			})
 		}
--- a/internal/kit/model/world.go
+++ b/internal/kit/model/world.go
@@ -8,70 +8,70 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// Host does what the model asks for, on sockets or in virtual time. It calls back on the goroutine that runs the queue.
+// Host carries out what the model requests, over sockets or in virtual time. It calls back on the goroutine that runs the queue.
 type Host interface {
-	Send(t *Try)                              // a client sends a try to its router; World.Answered follows, once
-	Leave(t *Try) (sent bool)                 // its client closes the connection; if it has sent nothing yet, World.Answered follows
-	Down(n *Node)                             // a node's process has died: connections are reset, new ones refused
-	Up(n *Node)                               // it runs again
-	Silence(n *Node, router int, on bool)     // towards one router
-	News(router int)                          // a router's agent has something new to tell
-	SilenceDiscovery(on bool)                 // all agents
+	Send(t *Try)                              // sends a client's try to its router; World.Answered follows exactly once
+	Leave(t *Try) (sent bool)                 // closes the client's connection; if the client has sent nothing yet, World.Answered follows
+	Down(n *Node)                             // the node's process has died: open connections are reset and new ones refused
+	Up(n *Node)                               // the node's process runs again
+	Silence(n *Node, router int, on bool)     // starts or ends the node's silence towards one router
+	News(router int)                          // a router's discovery agent has an update
+	SilenceDiscovery(on bool)                 // silences all discovery agents, or ends their silence
 	StartRouter(r int, f Finds)               // World.RouterReady follows
-	KillRouter(r int)                         // outright
-	StopRouter(r int)                         // in order; World.RouterEnded follows
-	StallRouter(r int, on bool)               // its process stands still, or goes on
-	FillDisk(r int, full bool)                // what it stores is not written, or is again
-	ReloadRouter(r int)                       // with discovery at a new address
-	BadClients(count int, span time.Duration) // for so long
-	Note(at Time, what string)                // something has happened that a report marks
+	KillRouter(r int)                         // kills the process without a shutdown
+	StopRouter(r int)                         // shuts the process down gracefully; World.RouterEnded follows
+	StallRouter(r int, on bool)               // suspends the router's process, or resumes it
+	FillDisk(r int, full bool)                // makes the router's writes to disk fail, or succeed again
+	ReloadRouter(r int)                       // reloads the configuration, with discovery at a new address
+	BadClients(count int, span time.Duration) // runs misbehaving clients for the span
+	Note(at Time, what string)                // records an event for the report
 }
 
-// Finds is what a router finds that starts again.
+// Finds is the stored state that a restarting router finds.
 type Finds struct {
-	OldList bool   // in its configuration: the list of the day's beginning
-	State   string // of what it had stored: as scenario.Trouble.State
+	OldList bool   // the configuration holds the node list of the beginning of the run
+	State   string // condition of the stored state, as scenario.Trouble.State
 }
 
-// World is one day.
+// World is the simulated environment of one run of a scenario.
 type World struct {
 	Queue
 	Nodes []*Node
 
-	set    *scenario.Scenario
-	seed   uint64
-	host   Host
-	led    *ledger.Ledger
-	db     *database
-	agents []*agent
-
-	asks        []*Ask
-	tries       map[string]*Try
-	open        int // asks that are not done with
-	effects     map[string]Time
-	made        int
-	words       int // of discovery, so far
-	routerSites []int
-	dealt       []bool // whether clients are led to a router
-	alive       []bool
-	links       []*link     // that are struck now
-	stalls      map[int]int // by router: troubles that have it stand still
-	beginning   []Entry     // the list of the day's beginning
+	scenario *scenario.Scenario
+	seed     uint64
+	host     Host
+	ledger   *ledger.Ledger
+	db       *database
+	agents   []*agent
+
+	requests         []*Ask
+	tries            map[string]*Try
+	openRequests     int // requests that may still get an answer or another try
+	effects          map[string]Time
+	answersMade      int
+	lastAnnouncement int // sequence number of the latest discovery announcement
+	routerSites      []int
+	inRotation       []bool // by router: whether clients are directed to it
+	routerRunning    []bool
+	linkFaults       []*linkFault // the ones active now
+	stallCounts      map[int]int  // by router: number of troubles that stall it now
+	initialEntries   []Entry      // the node list of the beginning of the run
 }
 
-// New lays out a day. Nothing happens before Begin.
+// New sets up a run of a scenario under a seed. Nothing happens before Begin.
 func New(s *scenario.Scenario, seed uint64, host Host) *World {
-	w := &World{set: s, seed: seed, host: host, tries: map[string]*Try{}, effects: map[string]Time{}, stalls: map[int]int{}}
+	w := &World{scenario: s, seed: seed, host: host, tries: map[string]*Try{}, effects: map[string]Time{}, stallCounts: map[int]int{}}
 	w.now = -s.WarmUp.D()
-	w.db = &database{set: &s.Database, world: w}
-	w.asks = asks(s, seed)
-	w.open = len(w.asks)
+	w.db = &database{config: &s.Database, world: w}
+	w.requests = drawRequests(s, seed)
+	w.openRequests = len(w.requests)
 	var books []ledger.Ask
-	for _, a := range w.asks {
+	for _, a := range w.requests {
 		books = append(books, ledger.Ask{At: a.At, Class: a.Class, Tenant: a.Tenant, Worth: a.Worth, Within: a.Within})
 	}
-	w.led = ledger.New(s, books)
-	kinds := w.kindsOf(len(s.NodeNames()))
+	w.ledger = ledger.New(s, books)
+	kinds := w.assignModels(len(s.NodeNames()))
 	names := s.NodeNames()
 	for site, at := range s.Sites {
 		for range at.Nodes {
@@ -84,144 +84,143 @@
 	}
 	for i, t := range s.Troubles {
 		if t.Kind == "grow" {
-			for _, n := range w.struck(i, t) {
-				n.up, n.absent = false, true
+			for _, n := range w.affectedNodes(i, t) {
+				n.up, n.notAddedYet = false, true
 			}
 		}
 	}
-	w.dealt, w.alive = make([]bool, len(w.routerSites)), make([]bool, len(w.routerSites))
+	w.inRotation, w.routerRunning = make([]bool, len(w.routerSites)), make([]bool, len(w.routerSites))
 	for r := range w.routerSites {
 		w.agents = append(w.agents, newAgent(w, r))
 	}
-	_, _, w.beginning = w.List(0, 0, false)
+	_, _, w.initialEntries = w.List(0, 0, false)
 	return w
 }
 
-// kindsOf deals models out by their shares, spread evenly over the nodes.
-func (w *World) kindsOf(n int) []*scenario.Model {
+// assignModels assigns hardware models to count nodes in proportion to their shares, evenly interleaved.
+func (w *World) assignModels(count int) []*scenario.Model {
 	sum := 0.0
-	for _, m := range w.set.Models {
+	for _, m := range w.scenario.Models {
 		sum += m.Share
 	}
-	given, kinds := make([]float64, len(w.set.Models)), make([]*scenario.Model, n)
+	credit, kinds := make([]float64, len(w.scenario.Models)), make([]*scenario.Model, count)
 	for i := range kinds {
 		best := 0
-		for m := range given {
-			given[m] += w.set.Models[m].Share / sum
-			if given[m] > given[best] {
+		for m := range credit {
+			credit[m] += w.scenario.Models[m].Share / sum
+			if credit[m] > credit[best] {
 				best = m
 			}
 		}
-		given[best]--
-		kinds[i] = &w.set.Models[best]
+		credit[best]--
+		kinds[i] = &w.scenario.Models[best]
 	}
 	return kinds
 }
 
-// Ledger is the day's books.
-func (w *World) Ledger() *ledger.Ledger { return w.led }
+// Ledger returns the ledger of the run.
+func (w *World) Ledger() *ledger.Ledger { return w.ledger }
 
-// Routers is how many routers there are.
+// Routers returns the number of routers.
 func (w *World) Routers() int { return len(w.routerSites) }
 
-// RouterSite is the site at which a router stands.
-func (w *World) RouterSite(r int) string { return w.set.Sites[w.routerSites[r]].Name }
+// RouterSite returns the name of a router's site.
+func (w *World) RouterSite(r int) string { return w.scenario.Sites[w.routerSites[r]].Name }
 
-// SiteName is the name of a node's site.
-func (w *World) SiteName(n *Node) string { return w.set.Sites[n.Site].Name }
+// SiteName returns the name of a node's site.
+func (w *World) SiteName(n *Node) string { return w.scenario.Sites[n.Site].Name }
 
-func (w *World) routerSite(r int) int { return w.routerSites[r] }
+func (w *World) routerSiteIndex(r int) int { return w.routerSites[r] }
 
 func (w *World) oneWay(a, b int) time.Duration {
 	if a == b {
-		return w.set.Network.Same.D()
+		return w.scenario.Network.Same.D()
 	}
-	return w.set.Network.Cross.D()
+	return w.scenario.Network.Cross.D()
 }
 
-// Trip is the network's time both ways between a router and a node.
+// Trip returns the network round-trip time between a router and a node.
 func (w *World) Trip(router int, n *Node) time.Duration {
-	return 2 * w.oneWay(w.routerSite(router), n.Site)
+	return 2 * w.oneWay(w.routerSiteIndex(router), n.Site)
 }
 
-// DatabasePeak is the most that the database was asked for in a second, as a multiple of what it can do, and DatabaseAsks
-// all that it was asked.
+// DatabasePeak returns the highest number of database requests in one second, as a multiple of the database's capacity.
 func (w *World) DatabasePeak() float64 { return w.db.Peak }
 
-// DatabaseAsks is how often the database was asked.
+// DatabaseAsks returns the total number of database requests.
 func (w *World) DatabaseAsks() int { return w.db.Fetches }
 
-// Begin puts the day into the queue: routers run and are ready.
+// Begin schedules all requests, samples and troubles of the run. All routers must be running and ready.
 func (w *World) Begin() {
-	for _, a := range w.asks {
-		w.At(a.At, func() { w.ask(a) })
+	for _, a := range w.requests {
+		w.At(a.At, func() { w.sendTry(a) })
 	}
-	for at := time.Duration(0); at < w.set.Length.D(); at += time.Second {
+	for at := time.Duration(0); at < w.scenario.Length.D(); at += time.Second {
 		w.At(at+time.Second/2, w.sample)
 	}
-	for i, t := range w.set.Troubles {
-		w.At(t.At.D(), func() { w.trouble(i, t) })
+	for i, t := range w.scenario.Troubles {
+		w.At(t.At.D(), func() { w.startTrouble(i, t) })
 	}
 }
 
-// sample notes each node's load and state; it is called in the middle of each second.
+// sample records each node's load and state. It runs in the middle of each second.
 func (w *World) sample() {
 	for _, n := range w.Nodes {
-		n.load = append(n.load, float64(n.busy)/float64(n.Kind.Cores))
+		n.loadSamples = append(n.loadSamples, float64(n.busy)/float64(n.Kind.Cores))
 		state := byte(ledger.StateUp)
 		switch {
 		case !n.up:
 			state = ledger.StateDown
-		case n.mute:
+		case n.silentToAll:
 			state = ledger.StateSilent
 		case n.draining:
 			state = ledger.StateDraining
 		case n.Warmth() < 1:
 			state = ledger.StateCold
 		}
-		n.states = append(n.states, state)
+		n.stateSamples = append(n.stateSamples, state)
 	}
 }
 
-// Samples are the nodes' days, by second.
+// Samples returns each node's load and state, by second.
 func (w *World) Samples() (all []ledger.NodeReport) {
 	for _, n := range w.Nodes {
-		all = append(all, ledger.NodeReport{Name: n.Name, Load: n.load, State: string(n.states)})
+		all = append(all, ledger.NodeReport{Name: n.Name, Load: n.loadSamples, State: string(n.stateSamples)})
 	}
 	return all
 }
 
-// Over tells whether the day has ended and nothing is owed any more.
-func (w *World) Over() bool { return w.open == 0 && w.Now() >= w.set.Length.D() }
+// Over reports whether the run has ended and no request is open.
+func (w *World) Over() bool { return w.openRequests == 0 && w.Now() >= w.scenario.Length.D() }
 
-// ask sends an ask's next try.
-func (w *World) ask(a *Ask) {
-	t := a.try(w.set, w.Now())
-	t.Router = w.deal(t)
+// sendTry sends a request's next try and schedules the client's timeout.
+func (w *World) sendTry(a *Ask) {
+	t := a.newTry(w.scenario, w.Now())
+	t.Router = w.chooseRouter(t)
 	w.tries[t.ID] = t
-	w.led.Tried(a.N, t.ID, t.Router, w.Now(), t.Patience)
+	w.ledger.Tried(a.N, t.ID, t.Router, w.Now(), t.Patience)
 	w.After(t.Patience+answerSlack, func() {
 		if !t.over {
 			t.Left = true
 			if w.host.Leave(t) {
-				w.ended(t, ledger.Nothing, 0, "", w.Now())
+				w.tryEnded(t, ledger.Nothing, 0, "", w.Now())
 			}
 		}
 	})
 	w.host.Send(t)
 }
 
-// answerSlack is how long past its patience a client on a socket waits for an answer that is under way.
+// answerSlack is how long beyond its patience a client on a socket waits for an answer that is in transit.
 const answerSlack = 50 * time.Millisecond
 
-// deal chooses a try's router: one of its site's that clients are led to, else one of any site's, else any.
-func (w *World) deal(t *Try) int {
+// chooseRouter draws a router for a try: one in rotation at the client's site, else one in rotation at any site, else any router.
+func (w *World) chooseRouter(t *Try) int {
 	var home, away, all []int
 	for r, site := range w.routerSites {
 		switch {
-		case w.dealt[r] && site == t.Site:
+		case w.inRotation[r] && site == t.Site:
 			home = append(home, r)
-		case w.dealt[r]:
+		case w.inRotation[r]:
 			away = append(away, r)
 		}
 		all = append(all, r)
@@ -234,71 +233,71 @@
 	return 0
 }
 
-// Answer is what came back for a try.
+// Answer is what a client received for a try.
 type Answer struct {
 	Outcome    ledger.Outcome
 	Body       string
 	RetryAfter time.Duration
 }
 
-// Answered brings a try's end, as its client saw it, with the moment of the last byte.
+// Answered records the result of a try as its client saw it; at is the time of the last byte.
 func (w *World) Answered(t *Try, a Answer, at Time) {
 	if t.over {
 		if a.Outcome == ledger.Served || a.Outcome == ledger.Refused || a.Outcome == ledger.Failed {
-			w.led.Extra(t.ID, at) // a second answer, or one behind its time
+			w.ledger.Extra(t.ID, at) // a second answer, or an answer after the try had ended
 		}
 		return
 	}
-	w.ended(t, a.Outcome, a.RetryAfter, a.Body, at)
+	w.tryEnded(t, a.Outcome, a.RetryAfter, a.Body, at)
 }
 
-func (w *World) ended(t *Try, o ledger.Outcome, retryAfter time.Duration, body string, at Time) {
+func (w *World) tryEnded(t *Try, o ledger.Outcome, retryAfter time.Duration, body string, at Time) {
 	t.over = true
 	a := t.Ask
-	if w.led.Answered(t.ID, o, body, at) {
+	if w.ledger.Answered(t.ID, o, body, at) {
 		a.served = true
 	}
 	if a.done {
 		return
 	}
-	c := &w.set.Classes[a.Class]
-	wait := time.Duration(float64(w.set.Clients.Backoff) * float64(int(1)<<min(t.Number, 10)) * (0.5 + t.draw(2)))
-	if a.heeds {
+	c := &w.scenario.Classes[a.Class]
+	wait := time.Duration(float64(w.scenario.Clients.Backoff) * float64(int(1)<<min(t.Number, 10)) * (0.5 + t.draw(2)))
+	if a.honoursRetryAfter {
 		wait = max(wait, retryAfter)
 	}
 	harmless := c.Effect != "unsafe" || o == ledger.Refused || o == ledger.Unheard
-	if a.served || t.Number >= w.set.Clients.Retries || !harmless || w.Now()+wait >= a.At+c.Deadline.D() {
+	if a.served || t.Number >= w.scenario.Clients.Retries || !harmless || w.Now()+wait >= a.At+c.Deadline.D() {
 		a.done = true
-		w.open--
+		w.openRequests--
 		return
 	}
-	w.After(wait, func() { w.ask(a) })
+	w.After(wait, func() { w.sendTry(a) })
 }
 
-// RouterReady says that a router answers; clients are led to it.
+// RouterReady reports that a router accepts requests; clients are directed to it from now on.
 func (w *World) RouterReady(r int) {
-	w.dealt[r], w.alive[r] = true, true
+	w.inRotation[r], w.routerRunning[r] = true, true
 }
 
-// RouterLeaving says that a router has been told to end in order: new clients are led to it for a moment yet.
+// RouterLeaving reports that a router has been told to shut down gracefully. New clients are directed to it for leavingDelay more.
 func (w *World) RouterLeaving(r int) {
-	w.After(leavingFor, func() { w.dealt[r] = false })
+	w.After(leavingDelay, func() { w.inRotation[r] = false })
 }
 
-const leavingFor = 300 * time.Millisecond
+const leavingDelay = 300 * time.Millisecond
 
-// RouterEnded says that a router's process has ended. Clients are led away after a while.
+// RouterEnded reports that a router's process has ended. Clients are directed away from it after the scenario's notice time.
 func (w *World) RouterEnded(r int, killed bool) {
-	w.led.RouterEnded(r, killed)
-	w.alive[r] = false
-	w.After(w.set.Clients.Notice.D(), func() {
-		if !w.alive[r] {
-			w.dealt[r] = false
+	w.ledger.RouterEnded(r, killed)
+	w.routerRunning[r] = false
+	w.After(w.scenario.Clients.Notice.D(), func() {
+		if !w.routerRunning[r] {
+			w.inRotation[r] = false
 		}
 	})
 }
 
-// Node finds a node by name; nil if there is none.
+// Node returns the node of that name, or nil if there is none.
 func (w *World) Node(name string) *Node {
 	for _, n := range w.Nodes {
 		if n.Name == name {
@@ -308,35 +307,35 @@
 	return nil
 }
 
-// down ends a node's process.
-func (w *World) down(n *Node, told bool) {
+// stopNode ends a node's process. Unless discovery has been told already, it announces the node as deleted.
+func (w *World) stopNode(n *Node, told bool) {
 	if !n.up {
 		return
 	}
 	n.up, n.draining = false, false
-	n.life++
-	n.empty()
+	n.incarnation++
+	n.reset()
 	w.host.Down(n)
 	w.host.Note(w.Now(), n.Name+" down")
 	if !told {
-		w.tell(n, "DELETED", w.set.Discovery.Lag)
+		w.announce(n, "DELETED", w.scenario.Discovery.Lag)
 	}
 }
 
-// start starts a node's process: cold, and listed a little later.
-func (w *World) start(n *Node) {
-	if n.up || n.fallen {
+// startNode starts a node's process with a cold cache and announces it to discovery. A collapsed node stays down.
+func (w *World) startNode(n *Node) {
+	if n.up || n.collapsed {
 		return
 	}
-	n.up, n.absent, n.mute, n.frozen, n.draining = true, false, false, false, false
-	n.life++
+	n.up, n.notAddedYet, n.silentToAll, n.frozen, n.draining = true, false, false, false, false
+	n.incarnation++
 	n.started = w.Now()
-	n.empty()
+	n.reset()
 	w.host.Up(n)
 	w.host.Note(w.Now(), n.Name+" up, cold")
-	w.tell(n, "SERVING", w.set.Discovery.Lag)
+	w.announce(n, "SERVING", w.scenario.Discovery.Lag)
 }
 
-func bodyOf(id, node string, n int) string {
+func answerBody(id, node string, n int) string {
 	return fmt.Sprintf("%s from %s, answer %d\n", id, node, n)
 }
--- a/internal/kit/spread/spread.go
+++ b/internal/kit/spread/spread.go
@@ -1,5 +1,5 @@
-// Package spread measures in virtual time how routers come to know the same facts: made fleets of internal/facts alone, with datagrams lost,
-// repeated and cut between them.
+// Package spread measures in virtual time how fast routers converge on the same facts. It simulates fleets that consist of
+// internal/facts alone, with datagrams lost, duplicated and blocked between them.
 package spread
 
 import (
@@ -11,38 +11,38 @@
 	"cedarmast/internal/facts"
 )
 
-// Options are a measurement's.
+// Options are the parameters of a measurement.
 type Options struct {
 	Routers int
-	Facts   int     // known to all before anything happens
-	Loss    float64 // part of the datagrams that is lost
-	Repeats float64 // part of them that comes again
+	Facts   int     // known to all routers at the beginning
+	Loss    float64 // share of the datagrams that is lost
+	Repeats float64 // share of the datagrams that is duplicated
 	Seed    uint64
 }
 
-// Result is what came of it. A span that was not enough is Patience.
+// Result is the result of a measurement. A duration of Patience means that the condition was not reached.
 type Result struct {
-	Order   time.Duration // until one router's order is everywhere
-	Heal    time.Duration // until all are alike, after two halves apart were told contrary things of forty servers
-	Wrong   int           // of those servers: what a router says afterwards that is not the rule's
-	CatchUp time.Duration // until a router that lost its memory has all, while three in ten of the others say nothing to it
-	Knows   time.Duration // until that router has been told that it has all
-	Quiet   int           // bytes a second that a router sends while nothing happens
+	Order   time.Duration // until one router's order has reached all routers
+	Heal    time.Duration // until convergence after a partition into halves that were given conflicting orders for forty servers
+	Wrong   int           // values of those servers that violate the conflict rule after convergence, over all routers
+	CatchUp time.Duration // until a router that lost its memory has all facts, while three in ten of the others exchange nothing with it
+	Knows   time.Duration // until that router knows that it has all facts
+	Quiet   int           // bytes per second that a router sends while nothing changes
 }
 
-// Patience is how long anything is waited for.
+// Patience is the timeout for each condition.
 const Patience = 30 * time.Second
 
 const (
-	contrary = 40 // servers that the halves are told contrary things of
-	apart    = 5 * time.Second
-	mute     = 10 // of so many routers, three
+	conflictingServers = 40 // servers for which the halves are given conflicting orders
+	partitionTime      = 5 * time.Second
+	muteGroupSize      = 10 // three of each ten routers are mute
 )
 
-// ErrOptions is of options that can't be played.
+// ErrOptions reports options outside their range.
 var ErrOptions = errors.New("at least three routers, facts from 0 to 10000, loss and repeats from 0 to under 1")
 
-// Measure plays a fleet.
+// Measure simulates a fleet and returns its convergence times.
 func Measure(o Options) (r Result, err error) {
 	if o.Routers < 3 || o.Facts < 0 || o.Facts > 10_000 || !(o.Loss >= 0 && o.Loss < 1) || !(o.Repeats >= 0 && o.Repeats < 1) {
 		return r, ErrOptions
@@ -50,119 +50,121 @@
 	f := newFleet(o)
 	for i := range o.Facts {
 		n := facts.Name{Kind: facts.Cold, Subject: fmt.Sprint("server-", i)}
-		f.all[0].Write(f.now, n, int64(i))
-		fact, _ := f.all[0].Get(n)
-		for _, s := range f.all[1:] {
+		f.spreaders[0].Write(f.now, n, int64(i))
+		fact, _ := f.spreaders[0].Get(n)
+		for _, s := range f.spreaders[1:] {
 			s.Take(n, fact)
 		}
 	}
 	f.run(time.Second, nil)
-	clear(f.sent)
+	clear(f.bytesSent)
 	f.run(5*time.Second, nil)
-	r.Quiet = f.sent[0] / 5
+	r.Quiet = f.bytesSent[0] / 5
 
-	f.all[0].Set(f.now, server(0), facts.Out)
-	r.Order = f.run(Patience, f.alike)
+	f.spreaders[0].Set(f.now, orderName(0), facts.Out)
+	r.Order = f.run(Patience, f.converged)
 
 	half, last := o.Routers/2, o.Routers-1
-	f.cut = func(from, to int) bool { return (from < half) != (to < half) }
-	for i := range contrary {
-		f.all[0].Set(f.now, server(i), int64(i%2))
-		f.all[last].Set(f.now, server(i), int64(i/2%2))
+	f.blocked = func(from, to int) bool { return (from < half) != (to < half) }
+	for i := range conflictingServers {
+		f.spreaders[0].Set(f.now, orderName(i), int64(i%2))
+		f.spreaders[last].Set(f.now, orderName(i), int64(i/2%2))
 	}
-	f.run(apart, nil)
-	f.cut = nil
-	r.Heal = f.run(Patience, f.alike)
-	for i := range contrary {
-		for _, s := range f.all {
-			fact, _ := s.Get(server(i))
+	f.run(partitionTime, nil)
+	f.blocked = nil
+	r.Heal = f.run(Patience, f.converged)
+	for i := range conflictingServers {
+		for _, s := range f.spreaders {
+			fact, _ := s.Get(orderName(i))
 			if v, ok := fact.Value(); !ok || v != max(int64(i%2), int64(i/2%2)) {
 				r.Wrong++
 			}
 		}
 	}
 
-	f.all[last] = f.fresh(last)
-	f.cut = func(from, to int) bool { return (from == last && to%mute < 3) || (to == last && from%mute < 3) }
-	if o.Routers < mute {
-		f.cut = nil
+	f.spreaders[last] = f.newRouter(last)
+	f.blocked = func(from, to int) bool {
+		return (from == last && to%muteGroupSize < 3) || (to == last && from%muteGroupSize < 3)
 	}
-	r.CatchUp = f.run(Patience, f.alike)
-	r.Knows = r.CatchUp + f.run(Patience, f.all[last].InStep)
+	if o.Routers < muteGroupSize {
+		f.blocked = nil
+	}
+	r.CatchUp = f.run(Patience, f.converged)
+	r.Knows = r.CatchUp + f.run(Patience, f.spreaders[last].InStep)
 	return r, nil
 }
 
-func server(i int) facts.Name { return facts.Name{Kind: facts.Order, Subject: fmt.Sprint("c", i)} }
+func orderName(i int) facts.Name { return facts.Name{Kind: facts.Order, Subject: fmt.Sprint("c", i)} }
 
-// fleet is some routers' facts, and what is on its way between them.
+// fleet is a set of routers and the datagrams in transit between them.
 type fleet struct {
 	Options
-	now   time.Duration
-	all   []*facts.Spreader
-	cut   func(from, to int) bool // nil: nothing is
-	rng   *rand.Rand
-	way   map[time.Duration][]letter // by when it comes
-	sent  []int                      // bytes, by router
-	lives facts.Life
+	now       time.Duration
+	spreaders []*facts.Spreader
+	blocked   func(from, to int) bool // nil: no link is blocked
+	rng       *rand.Rand
+	inTransit map[time.Duration][]datagram // by arrival time
+	bytesSent []int                        // by router
+	lastLife  facts.Life
 }
 
-type letter struct {
+type datagram struct {
 	from, to int
 	text     []byte
 }
 
 func newFleet(o Options) *fleet {
-	f := &fleet{Options: o, rng: rand.New(rand.NewPCG(o.Seed, 2)), sent: make([]int, o.Routers), way: map[time.Duration][]letter{}}
+	f := &fleet{Options: o, rng: rand.New(rand.NewPCG(o.Seed, 2)), bytesSent: make([]int, o.Routers), inTransit: map[time.Duration][]datagram{}}
 	for k := range o.Routers {
-		f.all = append(f.all, f.fresh(k))
-		f.all[k].Alone() // it has been up for long
+		f.spreaders = append(f.spreaders, f.newRouter(k))
+		f.spreaders[k].Alone() // it counts as in step, like a router that has been up for long
 	}
 	return f
 }
 
-// fresh is a router that knows nothing, in a life of its own.
-func (f *fleet) fresh(k int) *facts.Spreader {
-	f.lives++
-	return facts.NewSpreader(facts.NewStore(f.lives, 2*(f.Facts+contrary)), f.Routers, k, f.Seed+uint64(f.lives))
+// newRouter returns a router without facts, in an incarnation of its own.
+func (f *fleet) newRouter(k int) *facts.Spreader {
+	f.lastLife++
+	return facts.NewSpreader(facts.NewStore(f.lastLife, 2*(f.Facts+conflictingServers)), f.Routers, k, f.Seed+uint64(f.lastLife))
 }
 
-func (f *fleet) post(from int, all []facts.Message) {
+func (f *fleet) send(from int, all []facts.Message) {
 	for _, m := range all {
-		f.sent[from] += len(m.Text)
-		if f.cut != nil && f.cut(from, m.To) || f.rng.Float64() < f.Loss {
+		f.bytesSent[from] += len(m.Text)
+		if f.blocked != nil && f.blocked(from, m.To) || f.rng.Float64() < f.Loss {
 			continue
 		}
-		for again := true; again; again = f.rng.Float64() < f.Repeats {
+		for repeat := true; repeat; repeat = f.rng.Float64() < f.Repeats {
 			at := f.now + time.Duration(1+f.rng.IntN(20))*time.Millisecond
-			f.way[at] = append(f.way[at], letter{from, m.To, m.Text})
+			f.inTransit[at] = append(f.inTransit[at], datagram{from, m.To, m.Text})
 		}
 	}
 }
 
-// run plays a span; each router ticks at its own moment of the period. It ends early once the condition holds at a tenth of a second, and
-// returns what has passed.
-func (f *fleet) run(span time.Duration, until func() bool) time.Duration {
-	began := f.now
-	for ; f.now < began+span; f.now += time.Millisecond {
-		for _, l := range f.way[f.now] {
-			f.post(l.to, f.all[l.to].Handle(f.now, l.from, l.text))
+// run simulates a span; the routers' ticks are staggered over the period. It ends early when the condition holds, which it
+// checks each tenth of a second, and returns the time that has passed.
+func (f *fleet) run(span time.Duration, condition func() bool) time.Duration {
+	start := f.now
+	for ; f.now < start+span; f.now += time.Millisecond {
+		for _, l := range f.inTransit[f.now] {
+			f.send(l.to, f.spreaders[l.to].Handle(f.now, l.from, l.text))
 		}
-		delete(f.way, f.now)
-		for k, s := range f.all {
+		delete(f.inTransit, f.now)
+		for k, s := range f.spreaders {
 			if int(f.now/time.Millisecond)%int(s.Due()/time.Millisecond) == k%int(s.Due()/time.Millisecond) {
-				f.post(k, s.Tick(f.now))
+				f.send(k, s.Tick(f.now))
 			}
 		}
-		if until != nil && f.now%(100*time.Millisecond) == 0 && until() {
+		if condition != nil && f.now%(100*time.Millisecond) == 0 && condition() {
 			break
 		}
 	}
-	return f.now - began
+	return f.now - start
 }
 
-func (f *fleet) alike() bool {
-	for _, s := range f.all[1:] {
-		if s.Len() != f.all[0].Len() || s.Sum() != f.all[0].Sum() {
+func (f *fleet) converged() bool {
+	for _, s := range f.spreaders[1:] {
+		if s.Len() != f.spreaders[0].Len() || s.Sum() != f.spreaders[0].Sum() {
 			return false
 		}
 	}
--- a/internal/kit/spread/spread_test.go
+++ b/internal/kit/spread/spread_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// With three in ten datagrams lost and one in ten repeated, all copies are alike within three seconds of a healed split, by the rule; a router
-// without memory has two hundred facts within one, and knows it; and what a quiet router sends does not grow with the fleet.
+// With three in ten datagrams lost and one in ten duplicated, all copies converge within three seconds of the end of a partition,
+// by the conflict rule. A router without memory gets two hundred facts within one second, and knows that it has them. The
+// traffic of a quiet router does not grow with the fleet.
 func TestMeasure(t *testing.T) {
 	for _, n := range []int{3, 30, 300} {
 		r, err := Measure(Options{Routers: n, Facts: 200, Loss: 0.3, Repeats: 0.1, Seed: 1})
--- a/internal/kit/virtual/faults_test.go
+++ b/internal/kit/virtual/faults_test.go
@@ -10,36 +10,36 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// counting passes events on to the decisions in service and counts, by router and life, what each hears.
-type counting struct {
+// countingDecider passes events on to the production decisions and counts what the router receives, over all its incarnations.
+type countingDecider struct {
 	exchange.Decider
-	c *counts
+	counts *counts
 }
 
 type counts struct {
-	lives  int
-	listed []balance.List // the first list of each life
-	heard  map[int]int    // messages, by second
-	at     map[int]int    // events, by second
+	incarnations     int
+	firstLists       []balance.List // the first node list of each incarnation
+	messagesBySecond map[int]int    // messages from other routers, by second
+	eventsBySecond   map[int]int    // all events, by second
 }
 
-func (d *counting) Handle(now balance.Time, events []balance.Event) []balance.Action {
-	second := int((int64(now) - epoch) / int64(time.Second))
+func (d *countingDecider) Handle(now balance.Time, events []balance.Event) []balance.Action {
+	second := int((int64(now) - clockEpoch) / int64(time.Second))
 	for _, e := range events {
-		d.c.at[second]++
+		d.counts.eventsBySecond[second]++
 		switch e := e.(type) {
 		case balance.List:
-			if len(d.c.listed) < d.c.lives {
-				d.c.listed = append(d.c.listed, e)
+			if len(d.counts.firstLists) < d.counts.incarnations {
+				d.counts.firstLists = append(d.counts.firstLists, e)
 			}
 		case balance.Heard:
-			d.c.heard[second]++
+			d.counts.messagesBySecond[second]++
 		}
 	}
 	return d.Decider.Handle(now, events)
 }
 
-// faultDay plays 30 s of eight routers with troubles and returns what the first router's lives heard.
+// faultDay runs 30 s of eight routers with troubles and returns what the first router received in all its incarnations.
 func faultDay(t *testing.T, troubles string, sets ...string) (*counts, *ledger.Report) {
 	t.Helper()
 	s, err := scenario.Parse("faults", []byte("name = \"faults\"\nbase = \"calm\"\nrate = 200\nwarm_up=\"3s\"\n"+`
@@ -53,13 +53,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &counts{heard: map[int]int{}, at: map[int]int{}}
+	c := &counts{messagesBySecond: map[int]int{}, eventsBySecond: map[int]int{}}
 	r, err := Run(t.Context(), s, Options{Seed: 1, Decide: func(set balance.Settings, seed uint64) exchange.Decider {
 		if set.Number > 0 {
 			return balance.New(set, seed)
 		}
-		c.lives++
-		return &counting{balance.New(set, seed), c}
+		c.incarnations++
+		return &countingDecider{balance.New(set, seed), c}
 	}})
 	if err != nil {
 		t.Fatal(err)
@@ -67,35 +67,36 @@
 	return c, r
 }
 
-// A router that stands still takes nothing in and sends nothing, is excused for it, and goes on with all that has come.
+// A stalled router neither receives nor sends anything, is excused for the time of the stall, and handles everything that arrived
+// when it resumes.
 func TestStall(t *testing.T) {
 	c, r := faultDay(t, "[[trouble]]\nkind=\"router-stall\"\nrouter=\"north-r1\"\nat=\"11s\"\nfor=\"3s\"\n")
-	if c.at[10] == 0 || c.at[11] > 0 || c.at[12] > 0 || c.at[13] > 0 || c.at[14] == 0 || c.lives != 1 {
-		t.Errorf("events by second: 10 to 15 s: %d %d %d %d %d %d in %d lives", c.at[10], c.at[11], c.at[12], c.at[13], c.at[14], c.at[15], c.lives)
+	if c.eventsBySecond[10] == 0 || c.eventsBySecond[11] > 0 || c.eventsBySecond[12] > 0 || c.eventsBySecond[13] > 0 || c.eventsBySecond[14] == 0 || c.incarnations != 1 {
+		t.Errorf("events by second: 10 to 15 s: %d %d %d %d %d %d in %d lives", c.eventsBySecond[10], c.eventsBySecond[11], c.eventsBySecond[12], c.eventsBySecond[13], c.eventsBySecond[14], c.eventsBySecond[15], c.incarnations)
 	}
 	if r.Lost+r.Double+r.Drain+r.ColdFalls+r.Held > 0 || r.Troubles[0].FullServiceS == nil {
 		t.Errorf("%+v\n%v", r.Troubles, r.Breaches)
 	}
 }
 
-// A link that is cut brings nothing to a router, and its messages again afterwards.
+// A cut link delivers no messages to a router until the cut ends.
 func TestLinkCut(t *testing.T) {
 	c, r := faultDay(t, "[[trouble]]\nkind=\"router-link\"\nrouter=\"north-r1\"\nway=\"in\"\nat=\"11s\"\nfor=\"3s\"\n")
-	if c.heard[10] == 0 || c.heard[12] > 0 || c.heard[13] > 0 || c.heard[15] == 0 || !r.RulesHeld {
-		t.Errorf("heard by second, 10 to 15 s: %d %d %d %d %d %d, held %v", c.heard[10], c.heard[11], c.heard[12], c.heard[13], c.heard[14], c.heard[15], r.RulesHeld)
+	if c.messagesBySecond[10] == 0 || c.messagesBySecond[12] > 0 || c.messagesBySecond[13] > 0 || c.messagesBySecond[15] == 0 || !r.RulesHeld {
+		t.Errorf("heard by second, 10 to 15 s: %d %d %d %d %d %d, held %v", c.messagesBySecond[10], c.messagesBySecond[11], c.messagesBySecond[12], c.messagesBySecond[13], c.messagesBySecond[14], c.messagesBySecond[15], r.RulesHeld)
 	}
 }
 
-// A crash loop is as many deaths as it says, and then none.
+// A crash loop kills the router as often as configured, and then no more.
 func TestCrashLoop(t *testing.T) {
 	c, r := faultDay(t, "[[trouble]]\nkind=\"router-crash-loop\"\nrouter=\"north-r1\"\nsize=3\nat=\"11s\"\nfor=\"8s\"\n")
-	if c.lives != 5 || c.at[25] == 0 || !r.RulesHeld {
-		t.Errorf("%d lives, %d events in second 25, held %v", c.lives, c.at[25], r.RulesHeld)
+	if c.incarnations != 5 || c.eventsBySecond[25] == 0 || !r.RulesHeld {
+		t.Errorf("%d lives, %d events in second 25, held %v", c.incarnations, c.eventsBySecond[25], r.RulesHeld)
 	}
 }
 
-// A router that starts while discovery is silent goes on from the list that it finds, which is the day's beginning where nobody has
-// renewed it: a node gone since is on it.
+// A router that starts while discovery is silent uses the list in its configuration. If that was never updated, it is the list
+// of the beginning of the run, with a node that has left since.
 func TestOldListWhileDiscoveryIsSilent(t *testing.T) {
 	for known, nodes := range map[string]int{"current": 19, "old": 20} {
 		c, _ := faultDay(t, `
@@ -115,17 +116,17 @@
 at = "13s"
 for = "1s"
 `)
-		if c.lives != 2 {
-			t.Fatalf("%d lives", c.lives)
+		if c.incarnations != 2 {
+			t.Fatalf("%d lives", c.incarnations)
 		}
 		up := 0
-		for _, e := range c.listed[1].Entries {
+		for _, e := range c.firstLists[1].Entries {
 			if e.State == balance.Up {
 				up++
 			}
 		}
-		if c.listed[1].Kind != balance.Persisted || up != nodes {
-			t.Errorf("%s: a list of kind %v with %d nodes up, not %d", known, c.listed[1].Kind, up, nodes)
+		if c.firstLists[1].Kind != balance.Persisted || up != nodes {
+			t.Errorf("%s: a list of kind %v with %d nodes up, not %d", known, c.firstLists[1].Kind, up, nodes)
 		}
 	}
 }
--- a/internal/kit/virtual/virtual.go
+++ b/internal/kit/virtual/virtual.go
@@ -1,8 +1,9 @@
-// Package virtual is the rehearsal kit's second host: it plays a day in virtual time, with the decisions of each router driven
-// directly and no socket between. What breaks at hundreds of routers is decided in code that needs none.
+// Package virtual is the rehearsal kit's second host: it runs a scenario in virtual time and calls the decision code of each
+// router directly, without sockets. Faults that appear only with hundreds of routers lie in the decision code, which needs no
+// sockets.
 //
-// Against the host on sockets it leaves out what takes processor time, descriptors and memory, bad clients, and the way of a
-// request's bytes: a request reaches its node at once, and its answer takes the network's time both ways.
+// Unlike the host on sockets, it doesn't model CPU time, file descriptors, memory, bad clients or the transfer of a
+// request's bytes: a request reaches its node at once, and its answer takes the network's round-trip time.
 package virtual
 
 import (
@@ -24,88 +25,88 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// Options are a run's.
+// Options are the options of a run.
 type Options struct {
 	Seed   uint64
-	Decide func(set balance.Settings, seed uint64) exchange.Decider // nil: the decisions in service
-	Oracle bool                                                     // the baseline that sees the true state, in place of both
+	Decide func(set balance.Settings, seed uint64) exchange.Decider // nil: the production decisions
+	Oracle bool                                                     // use the baseline that sees the true state, in place of both
 }
 
-// Figures of the host on sockets that are settings there or come of what it does.
+// Timing that on sockets comes from router settings or from the host's behaviour, and limits that detect an endless loop.
 const (
-	epoch      = int64(1e15)            // of routers' clocks at the day's beginning: listed starts lie after 0
-	margin     = 2 * time.Millisecond   // by which a router answers before its client's time is up
-	hears      = time.Millisecond       // that discovery's word takes on the router's own machine
-	comesUp    = 300 * time.Millisecond // that a router takes to start
-	turnsAway  = 450 * time.Millisecond // after it was told to end, in which a router still takes requests
-	endsWithin = 3400 * time.Millisecond
-	watches    = 2 * time.Second // that a call for news of the list waits
-
-	mostActions = 100_000   // of one event, and
-	mostAtOnce  = 1_000_000 // events at one moment: past these the decisions go on for ever
+	clockEpoch       = int64(1e15)            // router clock at the beginning of the run, so that listed start times are over 0
+	answerMargin     = 2 * time.Millisecond   // how long before the client's timeout a router answers
+	discoveryLatency = time.Millisecond       // delay of an update from the discovery agent on the router's own machine
+	routerStartTime  = 300 * time.Millisecond // time that a router takes to start
+	acceptAfterStop  = 450 * time.Millisecond // how long a router still accepts requests after the shutdown signal
+	shutdownTimeout  = 3400 * time.Millisecond
+	listPollTimeout  = 2 * time.Second // timeout of a long poll for list updates
+
+	maxActionsPerEvent  = 100_000   // decisions with more actions for one event are stopped as endless
+	maxEventsPerInstant = 1_000_000 // the same for more events at one moment
 )
 
-// host is a day in virtual time.
+// host runs one scenario in virtual time.
 type host struct {
 	*model.World
-	set     *scenario.Scenario
-	opt     Options
-	routers []*router
-	rng     *rand.Rand
-	mute    int // troubles that silence discovery
-	marks   []ledger.Mark
-	events  int
-	instant int   // of them at the present moment
-	fault   error // of the decisions: they go on for ever
-}
-
-// router is one router: its decisions and what it has in hand.
+	scenario          *scenario.Scenario
+	options           Options
+	routers           []*router
+	rng               *rand.Rand
+	discoverySilences int // number of troubles that silence discovery now
+	marks             []ledger.Mark
+	events            int
+	instantEvents     int   // events at the current moment
+	fault             error // set when the decisions loop endlessly; ends the run
+}
+
+// router is one router: its decisions and its open requests.
 type router struct {
-	h         *host
-	k, starts int
-	running   bool
-	ending    bool
-	decide    exchange.Decider
-	index     int64
-	known     bool // has been told a list
-	news      bool // something is on its way to it
-	exchanges map[balance.RequestID]*exch
-	idle      map[*model.Node][]balance.Time // connections, by when they were used last
-	open      map[*model.Node][]*attempt
-	begun     uint64
-	stalled   bool
-	held      []func() // what came while it stood still
-	calls     int      // for the list, so far
-	stored    float64  // with a disk: what the caches answered when it ended
-	storedAt  balance.Time
-	diskFull  bool
-}
-
-// exch is a request at a router.
-type exch struct {
+	host                *host
+	number, incarnation int
+	running             bool
+	ending              bool
+	decider             exchange.Decider
+	listVersion         int64
+	hasList             bool // has received a list in this incarnation
+	updatePending       bool // a discovery update is on its way
+	exchanges           map[balance.RequestID]*pendingRequest
+	idle                map[*model.Node][]balance.Time // idle connections, by time of last use
+	inFlight            map[*model.Node][]*attempt
+	requestsStarted     uint64
+	stalled             bool
+	heldCalls           []func() // events that arrived while the router was stalled
+	listCalls           int      // polls for the list so far
+	storedAnswered      float64  // with a disk: the rate of cache answers saved at the last shutdown
+	storedAt            balance.Time
+	diskFull            bool
+}
+
+// pendingRequest is a request at a router, until it is answered and all attempts have ended.
+type pendingRequest struct {
 	*model.Try
 	id       balance.RequestID
-	number   uint64
-	due      balance.Time
+	seq      uint64
+	deadline balance.Time
 	attempts []*attempt
-	out      int
+	inFlight int
 	answered bool
 }
 
 type attempt struct {
-	x       *exch
-	n       int
-	node    *model.Node
-	ended   bool
-	connect time.Duration
+	request     *pendingRequest
+	index       int
+	node        *model.Node
+	ended       bool
+	connectTime time.Duration
 }
 
-// Run plays a day and returns its report: the same to the byte for one scenario, seed and build.
+// Run runs a scenario and returns its report, which is byte for byte the same for the same scenario, seed and build.
 func Run(ctx context.Context, s *scenario.Scenario, opt Options) (*ledger.Report, error) {
-	h := &host{set: s, opt: opt, rng: model.Stream(opt.Seed, "host")}
+	h := &host{scenario: s, options: opt, rng: model.Stream(opt.Seed, "host")}
 	h.World = model.New(s, opt.Seed, h)
 	for k := range h.Routers() {
-		h.routers = append(h.routers, &router{h: h, k: k})
+		h.routers = append(h.routers, &router{host: h, number: k})
 		h.routers[k].start(model.Finds{})
 		h.RouterReady(k)
 	}
@@ -119,7 +120,7 @@
 			at = s.Length.D()
 		}
 		if at > h.Now() {
-			h.instant = 0
+			h.instantEvents = 0
 		}
 		h.World.Run(at)
 		if err := cmp.Or(h.fault, ctx.Err()); err != nil {
@@ -135,90 +136,90 @@
 	return r, nil
 }
 
-func (h *host) at() balance.Time { return balance.Time(epoch + int64(h.Now())) }
+func (h *host) clock() balance.Time { return balance.Time(clockEpoch + int64(h.Now())) }
 
-// awake has the router do something: at once, or when it stands still no longer.
-func (r *router) awake(f func()) {
+// whenRunning calls f now, or when the router's stall ends if its process still runs then.
+func (r *router) whenRunning(f func()) {
 	if !r.stalled {
 		f()
 		return
 	}
-	life := r.starts
-	r.held = append(r.held, func() {
-		if r.running && r.starts == life {
+	incarnation := r.incarnation
+	r.heldCalls = append(r.heldCalls, func() {
+		if r.running && r.incarnation == incarnation {
 			f()
 		}
 	})
 }
 
-// start starts a router. Its first call for the list brings all of it, unless discovery is silent: then it goes on from the list in
-// its configuration, which may be the one of the day's beginning.
-func (r *router) start(f model.Finds) {
-	set := r.h.Profile(r.k).Settings()
-	r.h.Operator().Apply(&set)
-	if (f.State == "kept" || f.State == "torn") && r.h.at().Sub(r.storedAt) <= set.Ramp {
-		set.Answered = r.stored // a torn file leaves the one before, a save older
+// start starts a router. Its first poll brings the whole list. If discovery is silent, the router uses the list in its
+// configuration instead, which may be the one of the beginning of the run.
+func (r *router) start(found model.Finds) {
+	set := r.host.Profile(r.number).Settings()
+	r.host.Operator().Apply(&set)
+	if (found.State == "kept" || found.State == "torn") && r.host.clock().Sub(r.storedAt) <= set.Ramp {
+		set.Answered = r.storedAnswered // after a torn write the previous file is used, which is one save older
 	}
-	decide := r.h.opt.Decide
-	if decide == nil {
-		decide = func(set balance.Settings, seed uint64) exchange.Decider { return balance.New(set, seed) }
+	newDecider := r.host.options.Decide
+	if newDecider == nil {
+		newDecider = func(set balance.Settings, seed uint64) exchange.Decider { return balance.New(set, seed) }
 	}
-	if r.decide = decide(set, r.h.opt.Seed*1000003+uint64(r.k)*101+uint64(r.starts)); r.h.opt.Oracle {
-		r.decide = baseline.Oracle(r.h.World, r.k, set)
+	if r.decider = newDecider(set, r.host.options.Seed*1000003+uint64(r.number)*101+uint64(r.incarnation)); r.host.options.Oracle {
+		r.decider = baseline.Oracle(r.host.World, r.number, set)
 	}
-	r.starts++
-	r.running, r.ending, r.known = true, false, false
-	r.exchanges, r.idle, r.open = map[balance.RequestID]*exch{}, map[*model.Node][]balance.Time{}, map[*model.Node][]*attempt{}
-	r.stalled, r.held = false, nil
-	h := r.h
+	r.incarnation++
+	r.running, r.ending, r.hasList = true, false, false
+	r.exchanges, r.idle, r.inFlight = map[balance.RequestID]*pendingRequest{}, map[*model.Node][]balance.Time{}, map[*model.Node][]*attempt{}
+	r.stalled, r.heldCalls = false, nil
+	h := r.host
 	switch {
-	case f.OldList:
-		r.give(r.list(balance.Persisted, 0, h.Beginning()))
-	case h.mute > 0:
-		_, _, entries := h.List(r.k, 0, false)
-		r.give(r.list(balance.Persisted, 0, entries))
-	}
-	if h.mute == 0 {
-		r.hear()
-	}
-	r.call()
-}
-
-// call books a call for the list and the one that follows when nothing came of it.
-func (r *router) call() {
-	r.calls++
-	call, life := r.calls, r.starts
-	r.h.Ledger().ListCalled(r.h.Now())
-	r.h.After(watches, func() {
-		if r.running && r.starts == life && r.calls == call {
-			r.call()
+	case found.OldList:
+		r.deliver(r.balanceList(balance.Persisted, 0, h.Beginning()))
+	case h.discoverySilences > 0:
+		_, _, entries := h.List(r.number, 0, false)
+		r.deliver(r.balanceList(balance.Persisted, 0, entries))
+	}
+	if h.discoverySilences == 0 {
+		r.applyList()
+	}
+	r.pollList()
+}
+
+// pollList records a poll for list updates and schedules the next one for when it times out.
+func (r *router) pollList() {
+	r.listCalls++
+	poll, incarnation := r.listCalls, r.incarnation
+	r.host.Ledger().ListCalled(r.host.Now())
+	r.host.After(listPollTimeout, func() {
+		if r.running && r.incarnation == incarnation && r.listCalls == poll {
+			r.pollList()
 		}
 	})
 }
 
-// hear takes what discovery has to tell.
-func (r *router) hear() {
-	h := r.h
-	index, whole, entries := h.List(r.k, r.index, r.known)
+// applyList passes the list, or its changes since the last one, to the decisions.
+func (r *router) applyList() {
+	h := r.host
+	index, whole, entries := h.List(r.number, r.listVersion, r.hasList)
 	kind := balance.Partial
 	if whole {
 		kind = balance.Complete
 	}
-	l := r.list(kind, index, entries)
-	r.index, r.known = index, true
-	h.Told(r.k, whole, entries)
-	r.give(l)
+	l := r.balanceList(kind, index, entries)
+	r.listVersion, r.hasList = index, true
+	h.Told(r.number, whole, entries)
+	r.deliver(l)
 }
 
-// list is what a router is told as its decisions take it.
-func (r *router) list(kind balance.ListKind, index int64, entries []model.Entry) balance.List {
-	h := r.h
+// balanceList converts discovery entries to the list event of the decisions. It drops the idle connections of restarted nodes.
+func (r *router) balanceList(kind balance.ListKind, index int64, entries []model.Entry) balance.List {
+	h := r.host
 	l := balance.List{Kind: kind, Version: index}
 	for _, e := range entries {
 		entry := balance.Entry{Server: balance.ServerID(e.Node.Name), Kind: e.Node.Kind.Name, Zone: h.SiteName(e.Node), Weight: 1,
 			State: map[string]balance.State{"SERVING": balance.Up, "DRAINING": balance.Draining, "DELETED": balance.Gone}[e.Status]}
-		if e.Since > -h.set.WarmUp.D() && h.set.Discovery.Starts {
-			entry.Started = balance.Time(epoch + int64(e.Since))
+		if e.Since > -h.scenario.WarmUp.D() && h.scenario.Discovery.Starts {
+			entry.Started = balance.Time(clockEpoch + int64(e.Since))
 		}
 		if entry.Started != 0 || entry.State != balance.Up {
 			delete(r.idle, e.Node)
@@ -228,24 +229,24 @@
 	return l
 }
 
-// give hands the decisions one event and does what they say.
-func (r *router) give(e balance.Event) {
-	h := r.h
+// deliver passes one event to the decisions and carries out the actions that they return.
+func (r *router) deliver(e balance.Event) {
+	h := r.host
 	if h.fault != nil {
 		return
 	}
 	h.events++
-	acts := r.decide.Handle(h.at(), []balance.Event{e})
-	if h.instant++; h.instant > mostAtOnce || len(acts) > mostActions {
+	actions := r.decider.Handle(h.clock(), []balance.Event{e})
+	if h.instantEvents++; h.instantEvents > maxEventsPerInstant || len(actions) > maxActionsPerEvent {
 		h.fault = fmt.Errorf("the decisions of %s go on for ever: %d events at %v, the last one %T with %d actions",
-			h.set.RouterNames()[r.k], h.instant, h.Now(), e, len(acts))
+			h.scenario.RouterNames()[r.number], h.instantEvents, h.Now(), e, len(actions))
 		return
 	}
-	for _, a := range acts {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case balance.Send:
 			if x := r.exchanges[a.ID]; x != nil {
-				r.send(x, r.h.Node(string(a.Server)))
+				r.send(x, r.host.Node(string(a.Server)))
 			}
 		case balance.Refuse:
 			r.answer(r.exchanges[a.ID], model.Answer{Outcome: ledger.Refused, RetryAfter: a.RetryAfter})
@@ -254,24 +255,24 @@
 		case balance.Cancel:
 			if x := r.exchanges[a.ID]; x != nil && a.Attempt < len(x.attempts) {
 				at := x.attempts[a.Attempt]
-				r.h.After(0, func() { r.end(at, balance.Cancelled, "") })
+				r.host.After(0, func() { r.endAttempt(at, balance.Cancelled, "") })
 			}
 		case balance.SetTimer:
-			life := r.starts
-			r.h.After(a.After, func() {
-				if r.running && r.starts == life {
-					r.awake(func() { r.give(balance.Timer{Token: a.Token}) })
+			incarnation := r.incarnation
+			r.host.After(a.After, func() {
+				if r.running && r.incarnation == incarnation {
+					r.whenRunning(func() { r.deliver(balance.Timer{Token: a.Token}) })
 				}
 			})
 		case balance.Tell:
-			r.h.tell(r.k, a)
+			r.host.sendMessage(r.number, a)
 		case balance.CloseIdle:
-			delete(r.idle, r.h.Node(string(a.Server)))
+			delete(r.idle, r.host.Node(string(a.Server)))
 		}
 	}
 }
 
-func (h *host) tell(from int, a balance.Tell) {
+func (h *host) sendMessage(from int, a balance.Tell) {
 	if a.To < 0 || a.To >= len(h.routers) {
 		return
 	}
@@ -279,63 +280,63 @@
 	for _, after := range h.Carry(h.rng, from, a.To) {
 		h.After(after, func() {
 			if to.running {
-				to.awake(func() { to.give(balance.Heard{Content: a.Content}) })
+				to.whenRunning(func() { to.deliver(balance.Heard{Content: a.Content}) })
 			}
 		})
 	}
 }
 
-// Send brings a client's try to its router.
+// Send passes a client's try to its router.
 func (h *host) Send(t *model.Try) {
 	r := h.routers[t.Router]
-	if !r.running || r.ending { // nobody listens there any more
+	if !r.running || r.ending { // the router no longer listens
 		h.After(0, func() { h.Answered(t, model.Answer{Outcome: ledger.Unheard}, h.Now()) })
 		return
 	}
-	r.awake(func() { r.take(t) })
+	r.whenRunning(func() { r.accept(t) })
 }
 
-// take reads a request, whose time counts from then.
-func (r *router) take(t *model.Try) {
-	h := r.h
-	r.begun++
-	x := &exch{Try: t, number: r.begun, id: balance.RequestID(strconv.FormatUint(r.begun, 36)), due: h.at().Add(t.Patience - margin)}
+// accept takes over a request from a client; its deadline counts from this moment.
+func (r *router) accept(t *model.Try) {
+	h := r.host
+	r.requestsStarted++
+	x := &pendingRequest{Try: t, seq: r.requestsStarted, id: balance.RequestID(strconv.FormatUint(r.requestsStarted, 36)), deadline: h.clock().Add(t.Patience - answerMargin)}
 	r.exchanges[x.id] = x
-	c := &h.set.Classes[t.Class]
-	r.give(balance.Request{ID: x.id, Class: c.Name, Tenant: h.set.Tenants[t.Tenant].Name, Key: t.Key, HasKey: true, Write: c.Write, Due: x.due})
+	c := &h.scenario.Classes[t.Class]
+	r.deliver(balance.Request{ID: x.id, Class: c.Name, Tenant: h.scenario.Tenants[t.Tenant].Name, Key: t.Key, HasKey: true, Write: c.Write, Due: x.deadline})
 }
 
-// send begins an attempt: on an idle connection, or on a new one, which a silent node lets wait and a dead one refuses.
-func (r *router) send(x *exch, n *model.Node) {
-	h := r.h
-	a := &attempt{x: x, n: len(x.attempts), node: n}
+// send starts an attempt on an idle connection or on a new one. Connecting to a silent node times out, to a dead one fails.
+func (r *router) send(x *pendingRequest, n *model.Node) {
+	h := r.host
+	a := &attempt{request: x, index: len(x.attempts), node: n}
 	x.attempts = append(x.attempts, a)
-	r.open[n] = append(r.open[n], a)
-	x.out++
+	r.inFlight[n] = append(r.inFlight[n], a)
+	x.inFlight++
 	if x.answered {
-		h.After(0, func() { r.end(a, balance.Moot, "") })
+		h.After(0, func() { r.endAttempt(a, balance.Moot, "") })
 		return
 	}
-	h.After(x.due.Sub(h.at()), func() { r.end(a, balance.TimedOut, "") })
+	h.After(x.deadline.Sub(h.clock()), func() { r.endAttempt(a, balance.TimedOut, "") })
 	fresh := !r.takeIdle(n)
-	trip := h.Trip(r.k, n)
+	trip := h.Trip(r.number, n)
 	switch {
-	case fresh && n.Up() && n.Silent(r.k):
-		h.After(h.set.Rules.ConnectWithin.D(), func() { r.end(a, balance.NoConnect, "") })
+	case fresh && n.Up() && n.Silent(r.number):
+		h.After(h.scenario.Rules.ConnectWithin.D(), func() { r.endAttempt(a, balance.NoConnect, "") })
 		return
 	case !n.Up():
 		how := balance.NoConnect
 		if !fresh {
 			how = balance.Reset
 		}
-		h.After(trip, func() { r.end(a, how, "") })
+		h.After(trip, func() { r.endAttempt(a, how, "") })
 		return
 	}
 	if fresh {
-		a.connect = max(trip, time.Nanosecond)
+		a.connectTime = max(trip, time.Nanosecond)
 		h.Ledger().Connected(h.Now())
 	}
-	n.Arrive(&model.Job{ID: x.ID, Router: r.k, Fresh: fresh, Reply: func(reply *model.Reply) {
+	n.Arrive(&model.Job{ID: x.ID, Router: r.number, Fresh: fresh, Reply: func(reply *model.Reply) {
 		h.After(reply.Delay, func() {
 			result := balance.Errored
 			switch {
@@ -347,14 +348,14 @@
 				result = balance.Full
 			}
 			if !a.ended && result != balance.Spoilt && r.running {
-				r.idle[n] = append(r.idle[n], h.at())
+				r.idle[n] = append(r.idle[n], h.clock())
 			}
-			r.end(a, result, reply.Body)
+			r.endAttempt(a, result, reply.Body)
 		})
 	}})
 }
 
-// takeIdle takes the newest idle connection to a node, if one is young enough.
+// takeIdle removes the newest idle connection to a node and reports whether it is young enough to use.
 func (r *router) takeIdle(n *model.Node) bool {
 	all := r.idle[n]
 	if len(all) == 0 {
@@ -362,24 +363,24 @@
 	}
 	newest := all[len(all)-1]
 	r.idle[n] = all[:len(all)-1]
-	return r.h.at().Sub(newest) < n.Kind.Idle.D()*9/10
+	return r.host.clock().Sub(newest) < n.Kind.Idle.D()*9/10
 }
 
-// end ends an attempt, once.
-func (r *router) end(a *attempt, result balance.Result, body string) {
+// endAttempt ends an attempt once and reports the outcome to the decisions.
+func (r *router) endAttempt(a *attempt, result balance.Result, body string) {
 	if r.stalled {
-		r.awake(func() { r.end(a, result, body) })
+		r.whenRunning(func() { r.endAttempt(a, result, body) })
 		return
 	}
 	if a.ended {
 		return
 	}
 	a.ended = true
-	r.open[a.node] = slices.DeleteFunc(r.open[a.node], func(o *attempt) bool { return o == a })
-	x := a.x
-	x.out--
+	r.inFlight[a.node] = slices.DeleteFunc(r.inFlight[a.node], func(o *attempt) bool { return o == a })
+	x := a.request
+	x.inFlight--
 	if r.exchanges[x.id] != x {
-		return // of before a restart
+		return // the request belongs to an earlier incarnation
 	}
 	if result == balance.TimedOut || result == balance.Cancelled || result == balance.Reset || result == balance.NoConnect {
 		delete(r.idle, a.node)
@@ -388,84 +389,84 @@
 		r.answer(x, model.Answer{Outcome: ledger.Served, Body: body})
 	}
 	done := x.answered
-	r.give(balance.Outcome{ID: x.id, Attempt: a.n, Server: balance.ServerID(a.node.Name), Result: result, Done: done, Connect: a.connect})
-	r.letGo(x)
+	r.deliver(balance.Outcome{ID: x.id, Attempt: a.index, Server: balance.ServerID(a.node.Name), Result: result, Done: done, Connect: a.connectTime})
+	r.release(x)
 }
 
-// answer gives a request's final answer, once.
-func (r *router) answer(x *exch, a model.Answer) {
+// answer sends a request's final answer, once.
+func (r *router) answer(x *pendingRequest, a model.Answer) {
 	if x == nil || x.answered {
 		return
 	}
 	x.answered = true
-	h := r.h
+	h := r.host
 	h.After(0, func() {
 		if !x.Left {
 			h.Answered(x.Try, a, h.Now())
 		}
-		r.letGo(x)
+		r.release(x)
 	})
 }
 
-func (r *router) letGo(x *exch) {
-	if x.answered && x.out == 0 && r.exchanges[x.id] == x {
+func (r *router) release(x *pendingRequest) {
+	if x.answered && x.inFlight == 0 && r.exchanges[x.id] == x {
 		delete(r.exchanges, x.id)
 		if r.ending && len(r.exchanges) == 0 {
-			r.halt(false)
+			r.stop(false)
 		}
 	}
 }
 
-// Leave tells a router that a client has gone.
+// Leave tells a router that a client has closed its connection.
 func (h *host) Leave(t *model.Try) (sent bool) {
 	r := h.routers[t.Router]
-	r.awake(func() { r.leave(t) })
+	r.whenRunning(func() { r.clientGone(t) })
 	return true
 }
 
-func (r *router) leave(t *model.Try) {
-	for _, x := range r.exchanges { // rare: an answer that never came
+func (r *router) clientGone(t *model.Try) {
+	for _, x := range r.exchanges { // a linear search is enough, since this happens only when an answer never came
 		if x.Try == t && !x.answered {
 			x.answered = true
-			r.give(balance.ClientGone{ID: x.id})
+			r.deliver(balance.ClientGone{ID: x.id})
 			for _, a := range x.attempts {
-				r.end(a, balance.Cancelled, "")
+				r.endAttempt(a, balance.Cancelled, "")
 			}
-			r.letGo(x)
+			r.release(x)
 			return
 		}
 	}
 }
 
-// Down resets what is open at a node.
+// Down resets all open connections to a node.
 func (h *host) Down(n *model.Node) {
 	for _, r := range h.routers {
 		delete(r.idle, n)
-		for _, a := range slices.Clone(r.open[n]) {
-			h.After(0, func() { r.end(a, balance.Reset, "") })
+		for _, a := range slices.Clone(r.inFlight[n]) {
+			h.After(0, func() { r.endAttempt(a, balance.Reset, "") })
 		}
 	}
 }
 
-// Silence: a machine that speaks again knows nothing of what was open.
+// Silence drops the idle connections when the silence ends: the node has lost its connection state.
 func (h *host) Silence(n *model.Node, k int, on bool) {
 	if !on {
 		delete(h.routers[k].idle, n)
 	}
 }
 
-// News tells a router that its discovery has something new.
+// News schedules a list update for a router.
 func (h *host) News(k int) {
-	if h.routers[k].news {
-		return // it hears of that together with what is on its way
-	}
-	h.routers[k].news = true
-	h.After(hears, func() {
-		h.routers[k].news = false
-		if r := h.routers[k]; h.mute == 0 && r.running {
-			r.awake(func() {
-				r.hear()
-				r.call()
+	if h.routers[k].updatePending {
+		return // the pending update will include this change
+	}
+	h.routers[k].updatePending = true
+	h.After(discoveryLatency, func() {
+		h.routers[k].updatePending = false
+		if r := h.routers[k]; h.discoverySilences == 0 && r.running {
+			r.whenRunning(func() {
+				r.applyList()
+				r.pollList()
 			})
 		}
 	})
@@ -473,10 +474,10 @@
 
 func (h *host) SilenceDiscovery(on bool) {
 	if on {
-		h.mute++
+		h.discoverySilences++
 		return
 	}
-	if h.mute--; h.mute == 0 {
+	if h.discoverySilences--; h.discoverySilences == 0 {
 		for k := range h.routers {
 			h.News(k)
 		}
@@ -484,7 +485,7 @@
 }
 
 func (h *host) StartRouter(k int, f model.Finds) {
-	h.After(comesUp, func() {
+	h.After(routerStartTime, func() {
 		if !h.routers[k].running {
 			h.routers[k].start(f)
 			h.RouterReady(k)
@@ -494,37 +495,37 @@
 
 func (h *host) KillRouter(k int) {
 	if h.routers[k].running {
-		h.routers[k].halt(true)
+		h.routers[k].stop(true)
 	}
 }
 
-// StallRouter has a router's process stand still, or go on with all that has come meanwhile.
+// StallRouter suspends a router's process, or resumes it and delivers all that arrived in the meantime.
 func (h *host) StallRouter(k int, on bool) {
 	r := h.routers[k]
 	if on {
 		r.stalled = r.running
 		return
 	}
-	held := r.held
-	r.stalled, r.held = false, nil
+	held := r.heldCalls
+	r.stalled, r.heldCalls = false, nil
 	for _, f := range held {
 		f()
 	}
 }
 
-// FillDisk: nothing new is stored.
+// FillDisk makes the router's saves fail while the disk is full.
 func (h *host) FillDisk(k int, full bool) { h.routers[k].diskFull = full }
 
-// halt ends a router; clients of what it had in hand hear nothing more.
-func (r *router) halt(killed bool) {
-	h := r.h
+// stop ends a router's process; its open requests get no answer.
+func (r *router) stop(killed bool) {
+	h := r.host
 	r.running, r.ending = false, false
-	if d, ok := r.decide.(interface {
+	if d, ok := r.decider.(interface {
 		Overall(balance.Time) balance.Overall
-	}); ok && h.set.Stored.On && !r.diskFull {
-		r.stored, r.storedAt = d.Overall(h.at()).Answered, h.at()
+	}); ok && h.scenario.Stored.On && !r.diskFull {
+		r.storedAnswered, r.storedAt = d.Overall(h.clock()).Answered, h.clock()
 	}
-	all := slices.SortedFunc(maps.Values(r.exchanges), func(a, b *exch) int { return cmp.Compare(a.number, b.number) })
+	all := slices.SortedFunc(maps.Values(r.exchanges), func(a, b *pendingRequest) int { return cmp.Compare(a.seq, b.seq) })
 	clear(r.exchanges)
 	for _, x := range all {
 		if !x.answered {
@@ -532,7 +533,7 @@
 			h.After(0, func() { h.Answered(x.Try, model.Answer{Outcome: ledger.Broken}, h.Now()) })
 		}
 	}
-	h.RouterEnded(r.k, killed)
+	h.RouterEnded(r.number, killed)
 }
 
 func (h *host) StopRouter(k int) {
@@ -541,24 +542,24 @@
 		return
 	}
 	h.RouterLeaving(k)
-	life := r.starts
-	h.After(turnsAway, func() {
-		if r.running && r.starts == life { // a process that stands still ends late, which no scenario plays
+	incarnation := r.incarnation
+	h.After(acceptAfterStop, func() {
+		if r.running && r.incarnation == incarnation { // the late end of a stalled process is not simulated: no scenario needs it
 			if r.ending = true; len(r.exchanges) == 0 {
-				r.halt(false)
+				r.stop(false)
 			}
 		}
 	})
-	h.After(endsWithin, func() {
-		if r.running && r.starts == life {
-			r.halt(false)
+	h.After(shutdownTimeout, func() {
+		if r.running && r.incarnation == incarnation {
+			r.stop(false)
 		}
 	})
 }
 
-// ReloadRouter: discovery at a new address tells its whole list.
+// ReloadRouter makes discovery send the whole list again, as it does at a new address.
 func (h *host) ReloadRouter(k int) {
-	h.routers[k].known = false
+	h.routers[k].hasList = false
 	h.News(k)
 }
 
--- a/internal/kit/virtual/virtual_test.go
+++ b/internal/kit/virtual/virtual_test.go
@@ -28,7 +28,7 @@
 	return r
 }
 
-// One seed is one day to the byte, or nothing that is found here could be played again; another seed is another day.
+// A run is byte for byte reproducible for a seed, so that a failure can be replayed; another seed gives another run.
 func TestOneSeedOneDay(t *testing.T) {
 	text := func(seed uint64) string {
 		out, err := json.Marshal(play(t, "router-restarts", "", seed))
@@ -43,7 +43,7 @@
 	}
 }
 
-// The ledger convicts here as on sockets: a policy that knows no cold server pushes over one that returns.
+// The ledger detects breaches in virtual time as on sockets: a policy that ignores cold starts overloads a restarted node.
 func TestVirtualDaysAreJudged(t *testing.T) {
 	day := func(policy string) *ledger.Report {
 		return play(t, "deploy", policy, 1, "rate=110", "rules.fall=1.5", "rules.fall_for=\"1s\"")
@@ -53,8 +53,7 @@
 	}
 }
 
-// The oracle keeps the rules that it is compared under, and sees what no router does: it is no worse than the
-// decisions in service.
+// The oracle keeps the same rules and sees the true state, so it must not score worse than the production decisions.
 func TestOracle(t *testing.T) {
 	for _, name := range []string{"burst", "site-lost", "discovery-down"} {
 		s, err := scenario.Find(name)
@@ -73,8 +72,8 @@
 	}
 }
 
-// The hard cases of losing and regaining a site: all rules are kept, what is expected is reached, and the same build without
-// tiers is not much better; with them few requests cross.
+// Scenarios with the loss and recovery of a site: all rules are kept, the expectations are met, the run without site tiers is
+// not much better, and with tiers few requests cross sites.
 func TestSiteDays(t *testing.T) {
 	for _, name := range scenario.Names() {
 		if !strings.HasPrefix(name, "site-") || name == "site-fleet" {
@@ -91,8 +90,8 @@
 	}
 }
 
-// Limits of a site hold without agreement among 200 routers, where one in ten of those lives that the settings name, and where one
-// brings all that the lost site was asked.
+// The limits of a site hold without coordination among 200 routers, also where only one in ten of the configured routers is
+// alive, and where a single router carries the whole load of the lost site.
 func TestSiteLostBeforeManyRouters(t *testing.T) {
 	for living, kill := range map[string]string{"all": "", "one": "", "a tenth": `,{kind="router-kill",part=0.9,at="0s",for="1m"}`} {
 		t.Run(living, func(t *testing.T) {
@@ -110,20 +109,21 @@
 	}
 }
 
-// forever is a decision module that never comes to an end: it sets one timer after the other, due at once.
-type forever struct{ exchange.Decider }
+// endlessDecider is a decision module that never terminates: it sets one timer after another, due at once.
+type endlessDecider struct{ exchange.Decider }
 
-func (f forever) Handle(balance.Time, []balance.Event) []balance.Action {
+func (f endlessDecider) Handle(balance.Time, []balance.Event) []balance.Action {
 	return []balance.Action{balance.SetTimer{Token: 1}}
 }
 
-// Guard: decisions that go on for ever at one moment would hang the kit without a word. They are named; an interrupt ends a day too.
+// Decisions that loop endlessly at one moment would hang the kit silently. Run must return an error that names the router, and
+// must stop when its context is cancelled.
 func TestDecisionsThatNeverEnd(t *testing.T) {
 	s, err := scenario.Find("calm")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = Run(t.Context(), s, Options{Decide: func(balance.Settings, uint64) exchange.Decider { return forever{} }})
+	_, err = Run(t.Context(), s, Options{Decide: func(balance.Settings, uint64) exchange.Decider { return endlessDecider{} }})
 	if err == nil || !strings.Contains(err.Error(), "-r1 go on for ever: ") {
 		t.Errorf("%v", err)
 	}
@@ -134,11 +134,11 @@
 	}
 }
 
-// Guard: clients that know no other router come to one that is ending. It took their requests, was never done, and lost those in
-// hand when its time was up; nobody listens there by then, and they are told so.
+// Clients that know no other router still connect to one that is shutting down. A router that accepted such requests never
+// finished, and lost those still open at its shutdown timeout. It must stop listening, so that the clients see a failed connect.
 func TestEndingRouterTakesNothing(t *testing.T) {
 	stops := `trouble=[{kind="router-stop",at="13.6s",for="1.3s",part=0.4},{kind="router-stop",at="14.3s",for="8.8s",part=0.35}]`
-	if r := play(t, "calm", "", 1, stops); r.Lost > 0 || r.Unheard == 0 { // all three are ending at once
+	if r := play(t, "calm", "", 1, stops); r.Lost > 0 || r.Unheard == 0 { // all three routers are shutting down at once
 		t.Errorf("%d lost, %d unheard; %v", r.Lost, r.Unheard, r.Breaches)
 	}
 }
