--- a/internal/kit/baseline/baseline.go
+++ b/internal/kit/baseline/baseline.go
@@ -35,16 +35,19 @@
 	}
 }
 
+// newPolicy returns a policy without servers; its choose function is set by the caller.
 func newPolicy(set balance.Settings) *policy {
 	return &policy{set: set, servers: map[balance.ServerID]*server{}, requests: map[balance.RequestID]*request{},
 		timers: map[int64]balance.RequestID{}}
 }
 
+// server is a listed server and its requests in flight.
 type server struct {
 	balance.Entry
 	inFlight int
 }
 
+// request is a request with its attempts, of which at most one is in flight.
 type request struct {
 	balance.Request
 	class      balance.Class
@@ -55,6 +58,7 @@
 	done       bool
 }
 
+// policy makes decisions with one attempt at a time; choose picks the server.
 type policy struct {
 	set      balance.Settings
 	choose   func(*request) (balance.ServerID, bool) // the next server for a request; false: none
@@ -95,6 +99,7 @@
 	return p.actions
 }
 
+// onList updates the servers and the sorted list of those that are up.
 func (p *policy) onList(l balance.List) {
 	if l.Kind == balance.Failed {
 		return
@@ -129,6 +134,7 @@
 	})
 }
 
+// onRequest sends a new request and sets a timer for its deadline.
 func (p *policy) onRequest(q balance.Request) {
 	if p.requests[q.ID] != nil {
 		return
@@ -182,6 +188,7 @@
 	p.actions = append(p.actions, balance.Send{ID: r.ID, Server: id})
 }
 
+// onOutcome ends a request or retries it, if a retry is allowed and attempts and time are left.
 func (p *policy) onOutcome(r *request, o balance.Outcome) {
 	r.inFlight = false
 	if s := p.servers[o.Server]; s != nil {
--- a/internal/kit/baseline/oracle.go
+++ b/internal/kit/baseline/oracle.go
@@ -22,6 +22,7 @@
 	return o
 }
 
+// oracle is a policy that chooses servers by the true state of the simulation.
 type oracle struct {
 	*policy
 	world    *model.World
@@ -44,6 +45,7 @@
 	return actions
 }
 
+// choose prefers a node that caches the key, then one that fetches it or is placed for it, then the one that finishes first.
 func (o *oracle) choose(r *request) (balance.ServerID, bool) {
 	left := min(r.class.Aim, r.Due.Sub(o.now))
 	var soonest, holder, home *model.Node
--- a/internal/kit/faulty/faulty.go
+++ b/internal/kit/faulty/faulty.go
@@ -37,6 +37,7 @@
 // faultRate is the share of the requests that a fault affects, for faults that don't affect all.
 const faultRate = 0.1
 
+// node is a node as discovery lists it.
 type node struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -44,12 +45,14 @@
 	Since   int64  `json:"since_ms"`
 }
 
+// list is an answer of discovery: all nodes if Snapshot is set, else the changes.
 type list struct {
 	Index     int64  `json:"index"`
 	Snapshot  bool   `json:"snapshot"`
 	Endpoints []node `json:"endpoints"`
 }
 
+// router is a router with one fault.
 type router struct {
 	kind      string
 	discovery string
@@ -101,6 +104,7 @@
 	return 0
 }
 
+// applyList updates the known nodes from a snapshot or a list of changes.
 func (r *router) applyList(l list) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,6 +166,7 @@
 	return all
 }
 
+// serve answers the requests of one connection.
 func (r *router) serve(ctx context.Context, c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
@@ -187,6 +192,7 @@
 	}
 }
 
+// answer formats an HTTP response; lines are additional header lines, each with its line end.
 func answer(status int, lines, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), lines, len(body), body)
 }
--- a/internal/kit/kit_test.go
+++ b/internal/kit/kit_test.go
@@ -44,6 +44,6 @@
 		}
 	}
 	if router < 10 {
-		t.Errorf("%d packages of the router were looked at: the list is not whole", router)
+		t.Errorf("only %d packages of the router were checked: the package list is incomplete", router)
 	}
 }
--- a/internal/kit/ledger/ledger.go
+++ b/internal/kit/ledger/ledger.go
@@ -55,6 +55,7 @@
 
 const maxBreaches = 100 // breaches that are listed individually
 
+// requestRecord is what the ledger knows of a request.
 type requestRecord struct {
 	Ask
 	earned  float64
@@ -63,11 +64,12 @@
 	tries   int
 }
 
+// tryRecord is what the ledger knows of one try at a request.
 type tryRecord struct {
 	request       int
 	router        int
 	startedAt     Time
-	patience      time.Duration
+	timeout       time.Duration
 	sends         int  // complete sends that reached nodes
 	accepted      int  // sends that the node did not reject
 	firstAccepted Time // time of the first of these
@@ -117,10 +119,10 @@
 }
 
 // New creates the ledger of a run with its requests, which are referred to by index.
-func New(s *scenario.Scenario, asks []Ask) *Ledger {
+func New(s *scenario.Scenario, requests []Ask) *Ledger {
 	l := &Ledger{scenario: s, tries: map[string]*tryRecord{}, notServing: map[routerNode]Time{}, notServingEver: map[routerNode]Time{}, excluded: map[routerNode]Time{}, excludedEver: map[routerNode]Time{}, answers: map[Outcome]int{},
 		stalled: map[int]bool{}, recentSends: map[int][]*recentSend{}, shortestObjective: math.MaxInt64}
-	for _, a := range asks {
+	for _, a := range requests {
 		l.requests = append(l.requests, requestRecord{Ask: a})
 	}
 	for _, c := range s.Classes {
@@ -130,6 +132,7 @@
 	return l
 }
 
+// recordBreach lists a breach, up to maxBreaches.
 func (l *Ledger) recordBreach(at Time, rule, format string, args ...any) {
 	if len(l.breaches) < maxBreaches {
 		l.breaches = append(l.breaches, Breach{at, rule, fmt.Sprintf(format, args...)})
@@ -140,7 +143,7 @@
 func (l *Ledger) Tried(n int, id string, router int, at Time, patience time.Duration) {
 	l.Counts.Tries++
 	l.requests[n].tries++
-	l.tries[id] = &tryRecord{request: n, router: router, startedAt: at, patience: patience, bodies: map[string]bool{}}
+	l.tries[id] = &tryRecord{request: n, router: router, startedAt: at, timeout: patience, bodies: map[string]bool{}}
 }
 
 // Sent records that the last byte of a try has reached a node. Ran is false if the node rejects it unread. The send is stale if
@@ -159,11 +162,11 @@
 	}
 	if since, out := pastGrace(l.excluded); out {
 		l.Counts.Drain++
-		l.recordBreach(at, "drain", "%s was sent %s %v after an operator took it out", node, id, at-since)
+		l.recordBreach(at, "drain", "%s was sent %s %v after an operator excluded it", node, id, at-since)
 	}
 	if since, ok := pastGrace(l.notServing); ok {
 		l.Counts.Drain++
-		l.recordBreach(at, "drain", "%s was sent %s %v after it was told that it drains or is gone", node, id, at-since)
+		l.recordBreach(at, "drain", "%s was sent %s %v after the router was told that the node drains or is gone", node, id, at-since)
 	}
 	if t == nil {
 		return
@@ -187,7 +190,7 @@
 // Stray records a send that belongs to no client's request.
 func (l *Ledger) Stray(id, node string) {
 	l.Counts.Stray++
-	l.recordBreach(0, "effect", "%s was sent %q, which no client asked for", node, id)
+	l.recordBreach(0, "effect", "%s was sent %q, which belongs to no client request", node, id)
 	l.Counts.Double++
 }
 
@@ -270,7 +273,7 @@
 // ColdFall records that a cold node collapsed under overload.
 func (l *Ledger) ColdFall(node string, at Time) {
 	l.Counts.ColdFalls++
-	l.recordBreach(at, "cold", "%s was pushed over while it was cold", node)
+	l.recordBreach(at, "cold", "%s collapsed under overload while it was cold", node)
 }
 
 // DatabaseFall records that the database stalled under overload.
@@ -280,7 +283,7 @@
 func (l *Ledger) Crossed() { l.Counts.Crossed++ }
 
 // Answered records the outcome of a try for its client and reports whether it is good: one complete answer in time, made for it.
-func (l *Ledger) Answered(id string, o Outcome, body string, at Time) bool {
+func (l *Ledger) Answered(id string, outcome Outcome, body string, at Time) bool {
 	t := l.tries[id]
 	if t == nil || t.done {
 		l.Extra(id, at)
@@ -290,34 +293,34 @@
 	if l.stalled[t.router] {
 		t.excused, t.stalled = true, true
 	}
-	l.answers[o]++
+	l.answers[outcome]++
 	a := &l.requests[t.request]
 	c := &l.scenario.Classes[a.Class]
-	late := at > t.startedAt+t.patience+timingSlack && o != Unheard // with Unheard no router took the try, so none can be late
+	late := at > t.startedAt+t.timeout+timingSlack && outcome != Unheard // with Unheard no router took the try, so none can be late
 	switch {
-	case o == Served && !t.bodies[body]:
+	case outcome == Served && !t.bodies[body]:
 		l.Counts.Wrong++
 		l.Counts.Lost++
 		l.recordBreach(at, "lost", "%s was answered with %.40q, which no node made for it", id, body)
 		return false
-	case o == Nothing, o == Broken, late:
+	case outcome == Nothing, outcome == Broken, late:
 		if !t.excused {
 			l.Counts.Lost++
-			l.recordBreach(at, "lost", "%s had no whole answer %v after it was sent, with %v to wait (%d sends)", id, at-t.startedAt, t.patience, t.sends)
+			l.recordBreach(at, "lost", "%s had no complete answer %v after it was sent, with a client timeout of %v (%d sends)", id, at-t.startedAt, t.timeout, t.sends)
 		}
 		return false
-	case o == Refused && c.Effect == "unsafe" && t.accepted > 0:
+	case outcome == Refused && c.Effect == "unsafe" && t.accepted > 0:
 		l.Counts.Double++
 		l.recordBreach(at, "effect", "%s, an unsafe of class %s, was refused though it may have run", id, c.Name)
 	}
-	if (o == Refused || o == Failed) && !t.excused {
+	if (outcome == Refused || outcome == Failed) && !t.excused {
 		l.checkHeldBack(id, t, at)
 	}
-	if o == Refused && t.sends == 0 && l.staleRefusal(t.router, at) {
+	if outcome == Refused && t.sends == 0 && l.staleRefusal(t.router, at) {
 		l.perSecond.add(staleRefusals, at)
 	}
-	if o != Served || a.served {
-		return o == Served
+	if outcome != Served || a.served {
+		return outcome == Served
 	}
 	a.served = true
 	l.usefulWork += t.work
@@ -338,14 +341,14 @@
 		return // a send was still in flight
 	}
 	idleSince := max(t.startedAt, t.lastAnswer)
-	left := t.startedAt + t.patience - idleSince
+	left := t.startedAt + t.timeout - idleSince
 	allowed := left/2 + timingSlack
 	if l.silentPairs > 0 || l.lastSilenceChange > t.startedAt { // the router may have waited for connects that no node has seen
 		allowed += l.scenario.Rules.ConnectWithin.D() * time.Duration(max(l.scenario.Rules.MaxAttempts-t.sends, 0))
 	}
 	if wait := at - idleSince; wait > allowed {
 		l.Counts.Held++
-		l.recordBreach(at, "held", "%s, sent at %v, was given up %v after its last send had ended, of %v that were left (%d sends, %d ended)",
+		l.recordBreach(at, "held", "%s, sent at %v, was given up %v after its last send had ended, with %v left (%d sends, %d ended)",
 			id, t.startedAt, wait, left, t.sends, t.answeredSends)
 	}
 }
--- a/internal/kit/ledger/ledger_test.go
+++ b/internal/kit/ledger/ledger_test.go
@@ -96,13 +96,13 @@
 	} {
 		l := newTestLedger(t)
 		if c.day(l); l.breachCounts() != c.want {
-			t.Errorf("%s: %v, not %v; %v", name, l.breachCounts(), c.want, l.breaches)
+			t.Errorf("%s: breaches %v, want %v; %v", name, l.breachCounts(), c.want, l.breaches)
 		}
 	}
 }
 
 // Latency and worth count from the due time of the first try; a late answer earns its late share; warm-up requests don't count.
-func TestScoreCountsRetriesWithTheirFirstTry(t *testing.T) {
+func TestLatencyCountsFromFirstTry(t *testing.T) {
 	l := newTestLedger(t)
 	l.requests = append(l.requests, requestRecord{Ask: Ask{At: -time.Second, Worth: 100, Within: true}})
 	for n, at := range []Time{1500 * ms, 1200 * ms, 2900 * ms} { // 1.5 s after, 0.2 s after, 0.9 s after
@@ -113,18 +113,18 @@
 	}
 	r := l.Report()
 	if want := (0.5 + 3 + 3) / 7; r.Score != want || r.Requests != 3 || r.Answered != 3 {
-		t.Errorf("score %v of %d requests, not %v", r.Score, r.Requests, want)
+		t.Errorf("score %v of %d requests, want %v", r.Score, r.Requests, want)
 	}
 	if p := r.Classes["read"].P50; p < 1490 || p > 1510 {
 		t.Errorf("latency %v ms", p)
 	}
 	if r.WorstClass != 0.5 || !r.RulesHeld {
-		t.Errorf("worst class %v, held %v", r.WorstClass, r.RulesHeld)
+		t.Errorf("worst class %v, rules held %v", r.WorstClass, r.RulesHeld)
 	}
 	low := 0.99
 	l.scenario.Expect.Score = &low
 	if r.Expected(l); r.RulesHeld || len(r.Missed) != 1 {
-		t.Errorf("a missed expectation: held %v, %v", r.RulesHeld, r.Missed)
+		t.Errorf("missed expectation: rules held %v, %v", r.RulesHeld, r.Missed)
 	}
 }
 
@@ -143,7 +143,7 @@
 			all = append(all, Second{Asked: 1, Earned: e})
 		}
 		if got := regained(all, troubles); got != want {
-			t.Errorf("%v: %v s, not %v", earned, got, want)
+			t.Errorf("%v: %v s, want %v", earned, got, want)
 		}
 	}
 }
--- a/internal/kit/ledger/recovery.go
+++ b/internal/kit/ledger/recovery.go
@@ -71,19 +71,24 @@
 // timeline returns all counters by name and second of the run.
 func (t *secondCounts) timeline(seconds int) map[string][]int {
 	all := map[string][]int{}
-	for what, name := range [counterCount]string{"dials", "list_calls", "fetches", "cold_sends", "stale_sends", "stale_refusals"} {
+	for counter, name := range [counterCount]string{"dials", "list_calls", "fetches", "cold_sends", "stale_sends", "stale_refusals"} {
 		all[name] = make([]int, seconds)
-		copy(all[name], t[what])
+		copy(all[name], t[counter])
 	}
 	return all
 }
 
-// Connected records a connection that a router opened to a node, ListCalled a router's poll for the list, Fetched a database
-// request and ColdSent a send to a node that is not warm yet.
-func (l *Ledger) Connected(at Time)  { l.Counts.Connections++; l.perSecond.add(dials, at) }
+// Connected records a connection that a router opened to a node.
+func (l *Ledger) Connected(at Time) { l.Counts.Connections++; l.perSecond.add(dials, at) }
+
+// ListCalled records a router's poll for the node list.
 func (l *Ledger) ListCalled(at Time) { l.perSecond.add(listCalls, at) }
-func (l *Ledger) Fetched(at Time)    { l.perSecond.add(fetches, at) }
-func (l *Ledger) ColdSent(at Time)   { l.perSecond.add(coldSends, at) }
+
+// Fetched records a request to the database.
+func (l *Ledger) Fetched(at Time) { l.perSecond.add(fetches, at) }
+
+// ColdSent records a send to a node that is not warm yet.
+func (l *Ledger) ColdSent(at Time) { l.perSecond.add(coldSends, at) }
 
 // Stalled records that a router's process stalls or resumes. Its open tries are excused, and what it was told during the stall
 // counts as told at its end.
@@ -117,6 +122,7 @@
 	l.recentSends[router] = all[max(len(all)-staleSendCount, 0):]
 }
 
+// noteSendEnd records the result of a recent send.
 func (l *Ledger) noteSendEnd(router int, id string, at Time, good bool) {
 	for _, s := range l.recentSends[router] {
 		if s.id == id {
--- a/internal/kit/ledger/recovery_test.go
+++ b/internal/kit/ledger/recovery_test.go
@@ -41,10 +41,10 @@
 		}
 		got := l.troubleReports(seconds)[1]
 		if c.want < 0 && got.FullServiceS != nil || c.want >= 0 && (got.FullServiceS == nil || *got.FullServiceS != c.want) {
-			t.Errorf("%s: %v, not %v", name, got.FullServiceS, c.want)
+			t.Errorf("%s: full service after %v, want %v", name, got.FullServiceS, c.want)
 		}
 		if got.PeakDials != 4 || got.PeakFetches != 0 {
-			t.Errorf("%s: dials at %v times the usual, fetches at %v", name, got.PeakDials, got.PeakFetches)
+			t.Errorf("%s: peak of dials %v times the usual rate, of fetches %v", name, got.PeakDials, got.PeakFetches)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 // A send is stale if it contradicts what the router was told or an operator ordered, also before a restart. An order outlasts a
 // list that contradicts it, and ignoring it breaks a rule until the restart. A stalled router is excused for its open tries, but
 // not for those of its next process.
-func TestStale(t *testing.T) {
+func TestStaleSends(t *testing.T) {
 	for name, c := range map[string]struct {
 		know        func(l *Ledger, out bool, at Time)
 		stale, rule int
@@ -75,7 +75,7 @@
 		c.know(l, false, 5*time.Second)
 		l.Sent("a", 0, "n", 8*time.Second, true)
 		if r := l.Report(); r.StaleSends != c.stale || r.Drain != c.rule || r.Lost != 1 {
-			t.Errorf("%s: %d stale sends, %d against a drain, %d lost", name, r.StaleSends, r.Drain, r.Lost)
+			t.Errorf("%s: %d stale sends, %d drain breaches, %d lost", name, r.StaleSends, r.Drain, r.Lost)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 		l.Tried(0, "z", 0, c.at, 10*time.Second)
 		l.Answered("z", Refused, "", c.at)
 		if r := l.Report(); r.StaleRefused != c.stale {
-			t.Errorf("%s: %d", name, r.StaleRefused)
+			t.Errorf("%s: %d stale refusals", name, r.StaleRefused)
 		}
 	}
 }
--- a/internal/kit/ledger/report.go
+++ b/internal/kit/ledger/report.go
@@ -106,6 +106,7 @@
 	Earned float64 `json:"worth_earned"`
 }
 
+// windowSeconds is the length of the windows of which the report names the worst.
 const windowSeconds = 10
 
 // Report computes the result. Requests after the last full second of the run count in the score too.
@@ -193,6 +194,7 @@
 	return float64(max(len(seconds)-last, 0))
 }
 
+// share returns the earned share of the worth; 1 if no request was due.
 func (s Second) share() float64 {
 	if s.Asked == 0 {
 		return 1
--- a/internal/kit/model/database.go
+++ b/internal/kit/model/database.go
@@ -22,6 +22,7 @@
 	Fetches            int
 }
 
+// capacity returns the requests per second that the workers can serve.
 func (d *database) capacity() float64 { return float64(d.config.Workers) / d.config.Time.D().Seconds() }
 
 // do requests one fetch or write and calls done with the result; ok is false if the queue is full.
--- a/internal/kit/model/idempotency_test.go
+++ b/internal/kit/model/idempotency_test.go
@@ -8,7 +8,7 @@
 // A repeated write is deduplicated if it arrives while its key is remembered, however long the node takes to run it. When the
 // window was compared with the time at which the work ended, a retry that a cold node worked on for twelve seconds took effect
 // twice, although no router had done anything wrong.
-func TestRepeatIsJudgedByWhenItCame(t *testing.T) {
+func TestDeduplicationUsesArrivalTime(t *testing.T) {
 	for later, effects := range map[time.Duration]int{2 * time.Second: 1, 12 * time.Second: 2} {
 		v := newTestHost(t, 1, "rate = 0.1\nlength = \"60s\"")
 		a := &Ask{N: 0, Class: 2, Work: 100 * time.Millisecond} // tally: keyed, remembered for 10 s
@@ -24,7 +24,7 @@
 		sent(v.Nodes[1], time.Second+later)
 		v.Run(40 * time.Second)
 		if got := v.Ledger().Counts.Double + 1; got != effects {
-			t.Errorf("a repeat after %v: %d effects, not %d", later, got, effects)
+			t.Errorf("repeat after %v: %d effects, want %d", later, got, effects)
 		}
 	}
 }
--- a/internal/kit/model/link.go
+++ b/internal/kit/model/link.go
@@ -23,8 +23,8 @@
 // maxReorderDelay is the longest extra delay of a message that is reordered.
 const maxReorderDelay = 500 * time.Millisecond
 
-// Carry draws the delays after which a message from one router to another arrives: none if it is lost, two if it is
-// duplicated, otherwise one. The random numbers come from the host's own stream.
+// Carry draws the delays after which a message from one router to another arrives: none if it is lost, and two if
+// one fault duplicates it, otherwise one. The random numbers come from the host's own stream.
 func (w *World) Carry(rng *rand.Rand, from, to int) (after []time.Duration) {
 	m := w.scenario.Messages
 	if rng.Float64() < m.Loss {
--- a/internal/kit/model/link_test.go
+++ b/internal/kit/model/link_test.go
@@ -39,21 +39,21 @@
 			got := lost()
 			for c := range want {
 				if !got[c] {
-					t.Errorf("%q: a message from %d to %d came", text, c[0], c[1])
+					t.Errorf("%q: message from %d to %d was delivered", text, c[0], c[1])
 				}
 			}
 			if len(got) != len(want) {
-				t.Errorf("%q: lost %v", text, got)
+				t.Errorf("%q: messages lost: %v", text, got)
 			}
 		})
 		v.At(3100*time.Millisecond, func() {
 			if got := lost(); len(got) > 0 {
-				t.Errorf("%q: lost after its end: %v", text, got)
+				t.Errorf("%q: messages lost after the end of the fault: %v", text, got)
 			}
 		})
 		v.At(900*time.Millisecond, func() {
 			if got := lost(); len(got) > 0 {
-				t.Errorf("%q: lost before it: %v", text, got)
+				t.Errorf("%q: messages lost before the fault: %v", text, got)
 			}
 		})
 		v.play()
@@ -61,7 +61,7 @@
 	v := newTestHost(t, 1, site+"part = 1.0\nrepeats = 1.0\ndelay=[\"1s\",\"2s\"]", "messages.loss=0.0")
 	v.At(2*time.Second, func() {
 		if all := v.Carry(Stream(1, "host"), 0, 1); len(all) != 2 || all[0] < time.Second || all[1] < all[0] {
-			t.Errorf("repeated and late: %v", all)
+			t.Errorf("delays of a duplicated, delayed message: %v", all)
 		}
 	})
 	v.play()
--- a/internal/kit/model/model_test.go
+++ b/internal/kit/model/model_test.go
@@ -106,7 +106,7 @@
 }
 
 // A run is deterministic for a seed, and the drawn input doesn't depend on what the router does.
-func TestOneSeedOneDay(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	play := func(seed uint64, choose func(v *testHost) func(*Try) *Node) (*ledger.Report, []Ask) {
 		v := newTestHost(t, seed, "length = \"20s\"\nshort = \"20s\"")
 		if choose != nil {
@@ -121,17 +121,17 @@
 	a, asked := play(1, nil)
 	b, again := play(1, nil)
 	if !reflect.DeepEqual(a, b) || !reflect.DeepEqual(asked, again) {
-		t.Error("the same seed played two days")
+		t.Error("two runs with the same seed differ")
 	}
 	_, other := play(1, func(v *testHost) func(*Try) *Node { return func(*Try) *Node { return nil } })
 	if !reflect.DeepEqual(asked, other) {
-		t.Error("another router met other requests")
+		t.Error("the requests depend on the behaviour of the router")
 	}
 	if _, other = play(2, nil); reflect.DeepEqual(asked, other) {
-		t.Error("another seed drew the same day")
+		t.Error("two seeds gave the same requests")
 	}
 	if !a.RulesHeld || a.Score < 0.9 || math.Abs(float64(a.Requests)-20*70) > 150 {
-		t.Errorf("a calm day: %+v", a)
+		t.Errorf("calm scenario: %+v", a)
 	}
 }
 
@@ -156,30 +156,30 @@
 	ask(0, 1)
 	ask(0, 1)
 	if s := settle(); s != "miss pending" || v.db.Fetches != 1 {
-		t.Errorf("two at once: %s, %d fetches", s, v.db.Fetches)
+		t.Errorf("two concurrent reads: %s, %d fetches", s, v.db.Fetches)
 	}
 	ask(0, 1)
 	if s := settle(); s != "hit" {
-		t.Errorf("again: %s", s)
+		t.Errorf("repeated read: %s", s)
 	}
 	ask(0, 2)
 	ask(0, 3)
 	settle()
 	ask(0, 1)
 	if s := settle(); s != "miss" {
-		t.Errorf("the longest unused of three in a cache of two: %s", s)
+		t.Errorf("least recently used of three keys in a cache of two: %s", s)
 	}
 	ask(2, 1) // a write
 	settle()
 	ask(0, 1)
 	if s := settle(); s != "miss" {
-		t.Errorf("after a write: %s", s)
+		t.Errorf("read after a write: %s", s)
 	}
 }
 
 // A cold node that is offered a multiple of its capacity for some time collapses and stays down. A warm node under the same
 // load does not, and neither does a cold one after a short burst.
-func TestColdNodesFall(t *testing.T) {
+func TestColdNodeCollapse(t *testing.T) {
 	for name, c := range map[string]struct {
 		cold  bool
 		burst time.Duration
@@ -201,10 +201,10 @@
 		}
 		v.Run(20 * time.Second)
 		if n.collapsed != c.falls || v.ledger.Counts.ColdFalls != map[bool]int{true: 1}[c.falls] {
-			t.Errorf("%s: fallen %v, %d falls booked", name, n.collapsed, v.ledger.Counts.ColdFalls)
+			t.Errorf("%s: collapsed %v, %d cold falls recorded", name, n.collapsed, v.ledger.Counts.ColdFalls)
 		}
 		if v.startNode(n); n.up == c.falls {
-			t.Errorf("%s: up %v after a start", name, n.up)
+			t.Errorf("%s: up %v after a restart", name, n.up)
 		}
 	}
 }
@@ -240,15 +240,15 @@
 		v.At(c.at, func() { reached = c.then(v) })
 		r := v.play()
 		if !reached {
-			t.Errorf("%s: not so at %v", name, c.at)
+			t.Errorf("%s: expected state not reached at %v", name, c.at)
 		}
 		v.Run(60 * time.Second)
 		for i, n := range v.Nodes {
 			if !n.up || n.silentToAll || n.frozen || n.draining || len(n.silent) > 0 || v.told[n.Name] != "" && v.told[n.Name] != "SERVING" {
-				t.Errorf("%s: %s is not as it was: %+v, told %q", name, n.Name, *n, v.told[n.Name])
+				t.Errorf("%s: %s did not return to its initial state: %+v, told %q", name, n.Name, *n, v.told[n.Name])
 			}
 			if n.busy != 0 || len(n.waiting) != 0 || len(n.pendingReads) != 0 {
-				t.Errorf("%s: node %d holds work at the end", name, i)
+				t.Errorf("%s: node %d has unfinished work at the end", name, i)
 			}
 		}
 		if name != "site-loss" && !v.inRotation[0] || v.db.stalls != 0 {
@@ -287,7 +287,7 @@
 	hot, _ := top(v, 10*time.Second, 20*time.Second)
 	after, _ := top(v, 20*time.Second, 30*time.Second)
 	if hot < 0.35 || hot > 0.5 || before > 0.15 || after > 0.15 {
-		t.Errorf("the two keys most asked for have %.2f, %.2f and %.2f of the requests", before, hot, after)
+		t.Errorf("the two most requested keys have a share of %.2f, %.2f and %.2f of the requests", before, hot, after)
 	}
 	common := func(sets ...string) (n int) {
 		v := newTestHost(t, 1, text, sets...)
@@ -301,6 +301,6 @@
 		return n
 	}
 	if still, moving := common(), common("keys.changes=50"); moving*2 > still {
-		t.Errorf("%d keys popular early and late, %d where ranks change", still, moving)
+		t.Errorf("%d keys are popular early and late, %d with rank changes", still, moving)
 	}
 }
--- a/internal/kit/model/node.go
+++ b/internal/kit/model/node.go
@@ -229,6 +229,7 @@
 	})
 }
 
+// finish ends a job: it frees the core for the next one, and answers the job or first writes to the database.
 func (n *Node) finish(j *Job) {
 	w := n.world
 	n.busy--
@@ -270,23 +271,24 @@
 	})
 }
 
+// serve answers a job successfully, with a corrupt body at the node's corrupt rate.
 func (n *Node) serve(j *Job) {
 	w := n.world
 	w.answersMade++
-	r := &Reply{Status: Good, Body: answerBody(j.ID, n.Name, w.answersMade), Lookup: j.lookup, Spoilt: n.draw() < n.corruptRate}
-	w.ledger.Made(j.ID, r.Body, !r.Spoilt)
-	n.answer(j, r)
+	reply := &Reply{Status: Good, Body: answerBody(j.ID, n.Name, w.answersMade), Lookup: j.lookup, Spoilt: n.draw() < n.corruptRate}
+	w.ledger.Made(j.ID, reply.Body, !reply.Spoilt)
+	n.answer(j, reply)
 }
 
 // answer passes a reply to the host, unless the node has become silent to the router or has restarted since the job arrived.
-func (n *Node) answer(j *Job, r *Reply) {
+func (n *Node) answer(j *Job, reply *Reply) {
 	w := n.world
 	if n.Silent(j.Router) || n.incarnation != j.incarnation {
 		return
 	}
-	r.Delay = 2 * w.oneWay(w.routerSiteIndex(j.Router), n.Site)
-	w.ledger.Ended(j.ID, w.Now()+r.Delay, r.Status == Good && !r.Spoilt)
-	j.Reply(r)
+	reply.Delay = 2 * w.oneWay(w.routerSiteIndex(j.Router), n.Site)
+	w.ledger.Ended(j.ID, w.Now()+reply.Delay, reply.Status == Good && !reply.Spoilt)
+	j.Reply(reply)
 }
 
 // collapse takes an overloaded cold node down for the rest of the run.
@@ -305,6 +307,8 @@
 	slicesSeen int // the current one included
 }
 
+// add records offered work and the current capacity for work per second. It reports whether the work exceeded the multiple of the
+// capacity in each quarter of the span.
 func (g *overloadDetector) add(now Time, work, capacity, multiple float64, span time.Duration) bool {
 	width := span / 4
 	at := int64(now / width)
--- a/internal/kit/model/profile.go
+++ b/internal/kit/model/profile.go
@@ -59,6 +59,7 @@
 	return &p
 }
 
+// classes returns the request classes in the form of the profile.
 func (w *World) classes() (all []map[string]any) {
 	for _, c := range w.scenario.Classes {
 		all = append(all, map[string]any{"Name": c.Name, "Objective": int64(c.Wanted), "Deadline": int64(c.Deadline), "Worth": c.Worth,
@@ -67,6 +68,7 @@
 	return all
 }
 
+// tenants returns the tenants and their allowances in the form of the profile.
 func (w *World) tenants() (all []map[string]any) {
 	totalShare := 0.0
 	for _, t := range w.scenario.Tenants {
--- a/internal/kit/model/queue.go
+++ b/internal/kit/model/queue.go
@@ -23,12 +23,14 @@
 	events  eventHeap
 }
 
+// event is a callback and its time; seq orders events with the same time.
 type event struct {
 	at  Time
 	seq uint64
 	run func()
 }
 
+// eventHeap implements heap.Interface.
 type eventHeap []event
 
 func (r eventHeap) Len() int { return len(r) }
--- a/internal/kit/model/registry.go
+++ b/internal/kit/model/registry.go
@@ -28,6 +28,7 @@
 	heldUpdates []func()
 }
 
+// change is an entry that changed and the version of the list with this change.
 type change struct {
 	index int64
 	Entry
@@ -55,6 +56,8 @@
 	}
 }
 
+// apply records an announcement and notifies the router if it changes the list. While a trouble holds updates back, the
+// announcement is kept for later.
 func (a *agent) apply(n *Node, status string, since Time, seq int) {
 	if a.holds > 0 {
 		a.heldUpdates = append(a.heldUpdates, func() { a.apply(n, status, since, seq) })
--- a/internal/kit/model/requests.go
+++ b/internal/kit/model/requests.go
@@ -121,6 +121,7 @@
 
 const bucketSeconds = 2.0 // burst size, as seconds of the rate
 
+// take takes a token if there is one; at is in seconds, rate in tokens per second.
 func (b *tokenBucket) take(at, rate float64) bool {
 	if !b.started {
 		b.tokens, b.at, b.started = rate*bucketSeconds, at, true
--- a/internal/kit/model/trouble.go
+++ b/internal/kit/model/trouble.go
@@ -28,6 +28,7 @@
 	return all
 }
 
+// affectedRouters draws the routers that a trouble affects; the result is the same for the same seed.
 func (w *World) affectedRouters(i int, t scenario.Trouble) (all []int) {
 	for r, name := range w.scenario.RouterNames() {
 		if t.Router == name || t.Router == "" && (t.Site == "" || w.RouterSite(r) == t.Site) {
@@ -149,6 +150,7 @@
 	} // burst, heavy and hot-key act on the drawn requests, see drawRequests
 }
 
+// setSilence starts or ends a node's silence towards one router.
 func (w *World) setSilence(n *Node, router int, on bool) {
 	w.host.Silence(n, router, on)
 	w.ledger.Silence(on, w.Now())
@@ -180,11 +182,12 @@
 	w.startNode(n)
 }
 
-// drainFor returns how long a node drains before it stops: until all routers have been told and the grace period is over.
-func (w *World) drainFor() time.Duration {
+// drainDuration returns how long a node drains before it stops: until all routers have been told and the grace period is over.
+func (w *World) drainDuration() time.Duration {
 	return w.scenario.Discovery.Lag[1].D() + w.scenario.Rules.DrainGrace.D() + time.Second
 }
 
+// drain announces that a node drains, and stops it after drainDuration.
 func (w *World) drain(n *Node) {
 	if !n.up {
 		return
@@ -192,7 +195,7 @@
 	n.draining = true
 	incarnation := n.incarnation
 	w.announce(n, "DRAINING", w.scenario.Discovery.Lag)
-	w.After(w.drainFor(), func() {
+	w.After(w.drainDuration(), func() {
 		if n.incarnation == incarnation && n.draining {
 			w.stopNode(n, false)
 		}
@@ -201,16 +204,17 @@
 
 // deploy drains and restarts nodes one after another.
 func (w *World) deploy(nodes []*Node, span time.Duration) {
-	step := max(span-w.drainFor(), 0) / time.Duration(max(len(nodes), 1))
+	step := max(span-w.drainDuration(), 0) / time.Duration(max(len(nodes), 1))
 	for k, n := range nodes {
 		w.After(time.Duration(k)*step, func() { w.drain(n) })
-		w.After(time.Duration(k)*step+w.drainFor()+time.Second, func() { w.startNode(n) })
+		w.After(time.Duration(k)*step+w.drainDuration()+time.Second, func() { w.startNode(n) })
 	}
 }
 
 // flapInterval is how often a flapping discovery removes or restores the nodes.
 const flapInterval = 1500 * time.Millisecond
 
+// flap makes discovery remove and restore nodes in turn until a time; at the end they are restored.
 func (w *World) flap(nodes []*Node, until Time) {
 	removed := false
 	var toggle func()
@@ -228,6 +232,7 @@
 	toggle()
 }
 
+// foundState returns the state that a router finds when it restarts after a trouble.
 func foundState(t scenario.Trouble) Finds { return Finds{t.Known == "old", t.State} }
 
 // restartRouters ends routers with the given function and starts them again after a span.
--- a/internal/kit/model/world.go
+++ b/internal/kit/model/world.go
@@ -47,8 +47,8 @@
 
 	requests         []*Ask
 	tries            map[string]*Try
-	openRequests     int // requests that may still get an answer or another try
-	effects          map[string]Time
+	openRequests     int             // requests that may still get an answer or another try
+	effects          map[string]Time // by idempotency key: when the write took effect
 	answersMade      int
 	lastAnnouncement int // sequence number of the latest discovery announcement
 	routerSites      []int
@@ -66,11 +66,11 @@
 	w.db = &database{config: &s.Database, world: w}
 	w.requests = drawRequests(s, seed)
 	w.openRequests = len(w.requests)
-	var books []ledger.Ask
+	var records []ledger.Ask
 	for _, a := range w.requests {
-		books = append(books, ledger.Ask{At: a.At, Class: a.Class, Tenant: a.Tenant, Worth: a.Worth, Within: a.Within})
+		records = append(records, ledger.Ask{At: a.At, Class: a.Class, Tenant: a.Tenant, Worth: a.Worth, Within: a.Within})
 	}
-	w.ledger = ledger.New(s, books)
+	w.ledger = ledger.New(s, records)
 	kinds := w.assignModels(len(s.NodeNames()))
 	names := s.NodeNames()
 	for site, at := range s.Sites {
@@ -132,6 +132,7 @@
 
 func (w *World) routerSiteIndex(r int) int { return w.routerSites[r] }
 
+// oneWay returns the network delay between two sites.
 func (w *World) oneWay(a, b int) time.Duration {
 	if a == b {
 		return w.scenario.Network.Same.D()
@@ -225,9 +226,9 @@
 		}
 		all = append(all, r)
 	}
-	for _, of := range [][]int{home, away, all} {
-		if len(of) > 0 {
-			return of[int(t.draw(1)*float64(len(of)))]
+	for _, candidates := range [][]int{home, away, all} {
+		if len(candidates) > 0 {
+			return candidates[int(t.draw(1)*float64(len(candidates)))]
 		}
 	}
 	return 0
@@ -251,10 +252,11 @@
 	w.tryEnded(t, a.Outcome, a.RetryAfter, a.Body, at)
 }
 
-func (w *World) tryEnded(t *Try, o ledger.Outcome, retryAfter time.Duration, body string, at Time) {
+// tryEnded records the outcome of a try and schedules the next one if the client retries.
+func (w *World) tryEnded(t *Try, outcome ledger.Outcome, retryAfter time.Duration, body string, at Time) {
 	t.over = true
 	a := t.Ask
-	if w.ledger.Answered(t.ID, o, body, at) {
+	if w.ledger.Answered(t.ID, outcome, body, at) {
 		a.served = true
 	}
 	if a.done {
@@ -265,7 +267,7 @@
 	if a.honoursRetryAfter {
 		wait = max(wait, retryAfter)
 	}
-	harmless := c.Effect != "unsafe" || o == ledger.Refused || o == ledger.Unheard
+	harmless := c.Effect != "unsafe" || outcome == ledger.Refused || outcome == ledger.Unheard
 	if a.served || t.Number >= w.scenario.Clients.Retries || !harmless || w.Now()+wait >= a.At+c.Deadline.D() {
 		a.done = true
 		w.openRequests--
@@ -284,6 +286,7 @@
 	w.After(leavingDelay, func() { w.inRotation[r] = false })
 }
 
+// leavingDelay is how long new clients are still directed to a router that shuts down.
 const leavingDelay = 300 * time.Millisecond
 
 // RouterEnded reports that a router's process has ended. Clients are directed away from it after the scenario's notice time.
@@ -336,6 +339,7 @@
 	w.announce(n, "SERVING", w.scenario.Discovery.Lag)
 }
 
+// answerBody returns a body that is unique to the answer.
 func answerBody(id, node string, n int) string {
 	return fmt.Sprintf("%s from %s, answer %d\n", id, node, n)
 }
--- a/internal/kit/spread/spread.go
+++ b/internal/kit/spread/spread.go
@@ -40,7 +40,7 @@
 )
 
 // ErrOptions reports options outside their range.
-var ErrOptions = errors.New("at least three routers, facts from 0 to 10000, loss and repeats from 0 to under 1")
+var ErrOptions = errors.New("options out of range: need at least three routers, 0 to 10000 facts, loss and repeats from 0 to under 1")
 
 // Measure simulates a fleet and returns its convergence times.
 func Measure(o Options) (r Result, err error) {
@@ -108,6 +108,7 @@
 	lastLife  facts.Life
 }
 
+// datagram is a message in transit between two routers.
 type datagram struct {
 	from, to int
 	text     []byte
@@ -128,6 +129,7 @@
 	return facts.NewSpreader(facts.NewStore(f.lastLife, 2*(f.Facts+conflictingServers)), f.Routers, k, f.Seed+uint64(f.lastLife))
 }
 
+// send puts messages in transit, of which some are lost or duplicated.
 func (f *fleet) send(from int, all []facts.Message) {
 	for _, m := range all {
 		f.bytesSent[from] += len(m.Text)
@@ -162,6 +164,7 @@
 	return f.now - start
 }
 
+// converged reports whether all routers hold the same facts.
 func (f *fleet) converged() bool {
 	for _, s := range f.spreaders[1:] {
 		if s.Len() != f.spreaders[0].Len() || s.Sum() != f.spreaders[0].Sum() {
--- a/internal/kit/virtual/faults_test.go
+++ b/internal/kit/virtual/faults_test.go
@@ -39,8 +39,8 @@
 	return d.Decider.Handle(now, events)
 }
 
-// faultDay runs 30 s of eight routers with troubles and returns what the first router received in all its incarnations.
-func faultDay(t *testing.T, troubles string, sets ...string) (*counts, *ledger.Report) {
+// runWithTroubles runs 30 s of eight routers with troubles and returns what the first router received in all its incarnations.
+func runWithTroubles(t *testing.T, troubles string, sets ...string) (*counts, *ledger.Report) {
 	t.Helper()
 	s, err := scenario.Parse("faults", []byte("name = \"faults\"\nbase = \"calm\"\nrate = 200\nwarm_up=\"3s\"\n"+`
 [[site]]
@@ -70,9 +70,9 @@
 // A stalled router neither receives nor sends anything, is excused for the time of the stall, and handles everything that arrived
 // when it resumes.
 func TestStall(t *testing.T) {
-	c, r := faultDay(t, "[[trouble]]\nkind=\"router-stall\"\nrouter=\"north-r1\"\nat=\"11s\"\nfor=\"3s\"\n")
+	c, r := runWithTroubles(t, "[[trouble]]\nkind=\"router-stall\"\nrouter=\"north-r1\"\nat=\"11s\"\nfor=\"3s\"\n")
 	if c.eventsBySecond[10] == 0 || c.eventsBySecond[11] > 0 || c.eventsBySecond[12] > 0 || c.eventsBySecond[13] > 0 || c.eventsBySecond[14] == 0 || c.incarnations != 1 {
-		t.Errorf("events by second: 10 to 15 s: %d %d %d %d %d %d in %d lives", c.eventsBySecond[10], c.eventsBySecond[11], c.eventsBySecond[12], c.eventsBySecond[13], c.eventsBySecond[14], c.eventsBySecond[15], c.incarnations)
+		t.Errorf("events by second, 10 to 15 s: %d %d %d %d %d %d in %d incarnations", c.eventsBySecond[10], c.eventsBySecond[11], c.eventsBySecond[12], c.eventsBySecond[13], c.eventsBySecond[14], c.eventsBySecond[15], c.incarnations)
 	}
 	if r.Lost+r.Double+r.Drain+r.ColdFalls+r.Held > 0 || r.Troubles[0].FullServiceS == nil {
 		t.Errorf("%+v\n%v", r.Troubles, r.Breaches)
@@ -81,17 +81,17 @@
 
 // A cut link delivers no messages to a router until the cut ends.
 func TestLinkCut(t *testing.T) {
-	c, r := faultDay(t, "[[trouble]]\nkind=\"router-link\"\nrouter=\"north-r1\"\nway=\"in\"\nat=\"11s\"\nfor=\"3s\"\n")
+	c, r := runWithTroubles(t, "[[trouble]]\nkind=\"router-link\"\nrouter=\"north-r1\"\nway=\"in\"\nat=\"11s\"\nfor=\"3s\"\n")
 	if c.messagesBySecond[10] == 0 || c.messagesBySecond[12] > 0 || c.messagesBySecond[13] > 0 || c.messagesBySecond[15] == 0 || !r.RulesHeld {
-		t.Errorf("heard by second, 10 to 15 s: %d %d %d %d %d %d, held %v", c.messagesBySecond[10], c.messagesBySecond[11], c.messagesBySecond[12], c.messagesBySecond[13], c.messagesBySecond[14], c.messagesBySecond[15], r.RulesHeld)
+		t.Errorf("messages by second, 10 to 15 s: %d %d %d %d %d %d, rules held %v", c.messagesBySecond[10], c.messagesBySecond[11], c.messagesBySecond[12], c.messagesBySecond[13], c.messagesBySecond[14], c.messagesBySecond[15], r.RulesHeld)
 	}
 }
 
 // A crash loop kills the router as often as configured, and then no more.
 func TestCrashLoop(t *testing.T) {
-	c, r := faultDay(t, "[[trouble]]\nkind=\"router-crash-loop\"\nrouter=\"north-r1\"\nsize=3\nat=\"11s\"\nfor=\"8s\"\n")
+	c, r := runWithTroubles(t, "[[trouble]]\nkind=\"router-crash-loop\"\nrouter=\"north-r1\"\nsize=3\nat=\"11s\"\nfor=\"8s\"\n")
 	if c.incarnations != 5 || c.eventsBySecond[25] == 0 || !r.RulesHeld {
-		t.Errorf("%d lives, %d events in second 25, held %v", c.incarnations, c.eventsBySecond[25], r.RulesHeld)
+		t.Errorf("%d incarnations, %d events in second 25, rules held %v", c.incarnations, c.eventsBySecond[25], r.RulesHeld)
 	}
 }
 
@@ -99,7 +99,7 @@
 // of the beginning of the run, with a node that has left since.
 func TestOldListWhileDiscoveryIsSilent(t *testing.T) {
 	for known, nodes := range map[string]int{"current": 19, "old": 20} {
-		c, _ := faultDay(t, `
+		c, _ := runWithTroubles(t, `
 [[trouble]]
 kind = "shrink"
 nodes = ["north-c3"]
@@ -117,7 +117,7 @@
 for = "1s"
 `)
 		if c.incarnations != 2 {
-			t.Fatalf("%d lives", c.incarnations)
+			t.Fatalf("%d incarnations", c.incarnations)
 		}
 		up := 0
 		for _, e := range c.firstLists[1].Entries {
@@ -126,7 +126,7 @@
 			}
 		}
 		if c.firstLists[1].Kind != balance.Persisted || up != nodes {
-			t.Errorf("%s: a list of kind %v with %d nodes up, not %d", known, c.firstLists[1].Kind, up, nodes)
+			t.Errorf("%s: list of kind %v with %d nodes up, want %d", known, c.firstLists[1].Kind, up, nodes)
 		}
 	}
 }
--- a/internal/kit/virtual/virtual.go
+++ b/internal/kit/virtual/virtual.go
@@ -34,13 +34,13 @@
 
 // Timing that on sockets comes from router settings or from the host's behaviour, and limits that detect an endless loop.
 const (
-	clockEpoch       = int64(1e15)            // router clock at the beginning of the run, so that listed start times are over 0
-	answerMargin     = 2 * time.Millisecond   // how long before the client's timeout a router answers
-	discoveryLatency = time.Millisecond       // delay of an update from the discovery agent on the router's own machine
-	routerStartTime  = 300 * time.Millisecond // time that a router takes to start
-	acceptAfterStop  = 450 * time.Millisecond // how long a router still accepts requests after the shutdown signal
-	shutdownTimeout  = 3400 * time.Millisecond
-	listPollTimeout  = 2 * time.Second // timeout of a long poll for list updates
+	clockEpoch       = int64(1e15)             // router clock at the beginning of the run, so that listed start times are over 0
+	answerMargin     = 2 * time.Millisecond    // how long before the client's timeout a router answers
+	discoveryLatency = time.Millisecond        // delay of an update from the discovery agent on the router's own machine
+	routerStartTime  = 300 * time.Millisecond  // time that a router takes to start
+	acceptAfterStop  = 450 * time.Millisecond  // how long a router still accepts requests after the shutdown signal
+	shutdownTimeout  = 3400 * time.Millisecond // how long after the shutdown signal the process ends at the latest
+	listPollTimeout  = 2 * time.Second         // timeout of a long poll for list updates
 
 	maxActionsPerEvent  = 100_000   // decisions with more actions for one event are stopped as endless
 	maxEventsPerInstant = 1_000_000 // the same for more events at one moment
@@ -65,19 +65,19 @@
 	host                *host
 	number, incarnation int
 	running             bool
-	ending              bool
+	stopping            bool
 	decider             exchange.Decider
 	listVersion         int64
 	hasList             bool // has received a list in this incarnation
 	updatePending       bool // a discovery update is on its way
-	exchanges           map[balance.RequestID]*pendingRequest
+	requests            map[balance.RequestID]*pendingRequest
 	idle                map[*model.Node][]balance.Time // idle connections, by time of last use
 	inFlight            map[*model.Node][]*attempt
 	requestsStarted     uint64
 	stalled             bool
 	heldCalls           []func() // events that arrived while the router was stalled
 	listCalls           int      // polls for the list so far
-	storedAnswered      float64  // with a disk: the rate of cache answers saved at the last shutdown
+	storedAnswered      float64  // with a disk: the caches' answer rate, saved when the process last ended
 	storedAt            balance.Time
 	diskFull            bool
 }
@@ -93,6 +93,7 @@
 	answered bool
 }
 
+// attempt is one send of a request to a node.
 type attempt struct {
 	request     *pendingRequest
 	index       int
@@ -115,7 +116,7 @@
 		at, ok := h.Next()
 		if !ok {
 			if h.Now() >= s.Length.D() {
-				return nil, errors.New("the day has stopped with requests in hand")
+				return nil, errors.New("no events are left but requests are still open")
 			}
 			at = s.Length.D()
 		}
@@ -136,6 +137,7 @@
 	return r, nil
 }
 
+// clock returns the current time on the routers' clocks.
 func (h *host) clock() balance.Time { return balance.Time(clockEpoch + int64(h.Now())) }
 
 // whenRunning calls f now, or when the router's stall ends if its process still runs then.
@@ -168,8 +170,8 @@
 		r.decider = baseline.Oracle(r.host.World, r.number, set)
 	}
 	r.incarnation++
-	r.running, r.ending, r.hasList = true, false, false
-	r.exchanges, r.idle, r.inFlight = map[balance.RequestID]*pendingRequest{}, map[*model.Node][]balance.Time{}, map[*model.Node][]*attempt{}
+	r.running, r.stopping, r.hasList = true, false, false
+	r.requests, r.idle, r.inFlight = map[balance.RequestID]*pendingRequest{}, map[*model.Node][]balance.Time{}, map[*model.Node][]*attempt{}
 	r.stalled, r.heldCalls = false, nil
 	h := r.host
 	switch {
@@ -238,22 +240,22 @@
 	h.events++
 	actions := r.decider.Handle(h.clock(), []balance.Event{e})
 	if h.instantEvents++; h.instantEvents > maxEventsPerInstant || len(actions) > maxActionsPerEvent {
-		h.fault = fmt.Errorf("the decisions of %s go on for ever: %d events at %v, the last one %T with %d actions",
+		h.fault = fmt.Errorf("the decisions of %s do not terminate: %d events at %v, the last one %T with %d actions",
 			h.scenario.RouterNames()[r.number], h.instantEvents, h.Now(), e, len(actions))
 		return
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case balance.Send:
-			if x := r.exchanges[a.ID]; x != nil {
+			if x := r.requests[a.ID]; x != nil {
 				r.send(x, r.host.Node(string(a.Server)))
 			}
 		case balance.Refuse:
-			r.answer(r.exchanges[a.ID], model.Answer{Outcome: ledger.Refused, RetryAfter: a.RetryAfter})
+			r.answer(r.requests[a.ID], model.Answer{Outcome: ledger.Refused, RetryAfter: a.RetryAfter})
 		case balance.Fail:
-			r.answer(r.exchanges[a.ID], model.Answer{Outcome: ledger.Failed})
+			r.answer(r.requests[a.ID], model.Answer{Outcome: ledger.Failed})
 		case balance.Cancel:
-			if x := r.exchanges[a.ID]; x != nil && a.Attempt < len(x.attempts) {
+			if x := r.requests[a.ID]; x != nil && a.Attempt < len(x.attempts) {
 				at := x.attempts[a.Attempt]
 				r.host.After(0, func() { r.endAttempt(at, balance.Cancelled, "") })
 			}
@@ -272,6 +274,7 @@
 	}
 }
 
+// sendMessage delivers a message to another router as the network model decides.
 func (h *host) sendMessage(from int, a balance.Tell) {
 	if a.To < 0 || a.To >= len(h.routers) {
 		return
@@ -289,7 +292,7 @@
 // Send passes a client's try to its router.
 func (h *host) Send(t *model.Try) {
 	r := h.routers[t.Router]
-	if !r.running || r.ending { // the router no longer listens
+	if !r.running || r.stopping { // the router no longer listens
 		h.After(0, func() { h.Answered(t, model.Answer{Outcome: ledger.Unheard}, h.Now()) })
 		return
 	}
@@ -301,7 +304,7 @@
 	h := r.host
 	r.requestsStarted++
 	x := &pendingRequest{Try: t, seq: r.requestsStarted, id: balance.RequestID(strconv.FormatUint(r.requestsStarted, 36)), deadline: h.clock().Add(t.Patience - answerMargin)}
-	r.exchanges[x.id] = x
+	r.requests[x.id] = x
 	c := &h.scenario.Classes[t.Class]
 	r.deliver(balance.Request{ID: x.id, Class: c.Name, Tenant: h.scenario.Tenants[t.Tenant].Name, Key: t.Key, HasKey: true, Write: c.Write, Due: x.deadline})
 }
@@ -379,7 +382,7 @@
 	r.inFlight[a.node] = slices.DeleteFunc(r.inFlight[a.node], func(o *attempt) bool { return o == a })
 	x := a.request
 	x.inFlight--
-	if r.exchanges[x.id] != x {
+	if r.requests[x.id] != x {
 		return // the request belongs to an earlier incarnation
 	}
 	if result == balance.TimedOut || result == balance.Cancelled || result == balance.Reset || result == balance.NoConnect {
@@ -408,10 +411,11 @@
 	})
 }
 
+// release drops a request that is answered and has no attempt in flight. A stopping router ends with its last request.
 func (r *router) release(x *pendingRequest) {
-	if x.answered && x.inFlight == 0 && r.exchanges[x.id] == x {
-		delete(r.exchanges, x.id)
-		if r.ending && len(r.exchanges) == 0 {
+	if x.answered && x.inFlight == 0 && r.requests[x.id] == x {
+		delete(r.requests, x.id)
+		if r.stopping && len(r.requests) == 0 {
 			r.stop(false)
 		}
 	}
@@ -424,8 +428,9 @@
 	return true
 }
 
+// clientGone cancels the attempts of a client's unanswered request.
 func (r *router) clientGone(t *model.Try) {
-	for _, x := range r.exchanges { // a linear search is enough, since this happens only when an answer never came
+	for _, x := range r.requests { // a linear search is enough, since this happens only when an answer never came
 		if x.Try == t && !x.answered {
 			x.answered = true
 			r.deliver(balance.ClientGone{ID: x.id})
@@ -472,6 +477,7 @@
 	})
 }
 
+// SilenceDiscovery starts or ends a silence of discovery; at the end, each router gets the pending updates.
 func (h *host) SilenceDiscovery(on bool) {
 	if on {
 		h.discoverySilences++
@@ -484,6 +490,7 @@
 	}
 }
 
+// StartRouter starts a router's process, which is ready after routerStartTime.
 func (h *host) StartRouter(k int, f model.Finds) {
 	h.After(routerStartTime, func() {
 		if !h.routers[k].running {
@@ -493,6 +500,7 @@
 	})
 }
 
+// KillRouter ends a router's process at once.
 func (h *host) KillRouter(k int) {
 	if h.routers[k].running {
 		h.routers[k].stop(true)
@@ -519,14 +527,14 @@
 // stop ends a router's process; its open requests get no answer.
 func (r *router) stop(killed bool) {
 	h := r.host
-	r.running, r.ending = false, false
+	r.running, r.stopping = false, false
 	if d, ok := r.decider.(interface {
 		Overall(balance.Time) balance.Overall
 	}); ok && h.scenario.Stored.On && !r.diskFull {
 		r.storedAnswered, r.storedAt = d.Overall(h.clock()).Answered, h.clock()
 	}
-	all := slices.SortedFunc(maps.Values(r.exchanges), func(a, b *pendingRequest) int { return cmp.Compare(a.seq, b.seq) })
-	clear(r.exchanges)
+	all := slices.SortedFunc(maps.Values(r.requests), func(a, b *pendingRequest) int { return cmp.Compare(a.seq, b.seq) })
+	clear(r.requests)
 	for _, x := range all {
 		if !x.answered {
 			x.answered = true
@@ -536,6 +544,7 @@
 	h.RouterEnded(r.number, killed)
 }
 
+// StopRouter shuts a router down gracefully: it ends when its requests are done, or at shutdownTimeout.
 func (h *host) StopRouter(k int) {
 	r := h.routers[k]
 	if !r.running {
@@ -545,7 +554,7 @@
 	incarnation := r.incarnation
 	h.After(acceptAfterStop, func() {
 		if r.running && r.incarnation == incarnation { // the late end of a stalled process is not simulated: no scenario needs it
-			if r.ending = true; len(r.exchanges) == 0 {
+			if r.stopping = true; len(r.requests) == 0 {
 				r.stop(false)
 			}
 		}
@@ -563,9 +572,10 @@
 	h.News(k)
 }
 
-func (h *host) Up(*model.Node)                { /* nothing was open, and dials see it */ }
-func (h *host) BadClients(int, time.Duration) { /* decisions never hear of them */ }
+func (h *host) Up(*model.Node)                { /* no connection is open, and new attempts check the node */ }
+func (h *host) BadClients(int, time.Duration) { /* bad clients never reach the decisions */ }
 
+// Note adds an event to the marks of the report.
 func (h *host) Note(at model.Time, what string) {
 	h.marks = append(h.marks, ledger.Mark{AtS: at.Seconds(), What: what})
 }
