--- a/cmd/cedarmast/main.go
+++ b/cmd/cedarmast/main.go
@@ -1,5 +1,5 @@
-// Command cedarmast is one router: clients on one side, cache servers on the other. It is told all by the
-// configuration file that $GW_CONFIG names.
+// Command cedarmast runs one router between clients and cache servers. Its configuration is the file that
+// $GW_CONFIG names.
 package main
 
 import (
--- a/cmd/configstore/main.go
+++ b/cmd/configstore/main.go
@@ -1,4 +1,4 @@
-// Command configstore is the store of configuration of the delivery network.
+// Command configstore runs the replicated configuration store of the delivery network.
 package main
 
 import (
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,4 @@
-// Command drill runs the decisions on the simulator's wire, on standard input and output.
+// Command drill runs the load balancer's decisions for a simulator, over its protocol on standard input and output.
 package main
 
 import (
@@ -11,7 +11,7 @@
 
 func main() {
 	if len(os.Args) > 1 {
-		fmt.Fprintln(os.Stderr, "drill: takes no arguments; it reads the simulator's wire on standard input")
+		fmt.Fprintln(os.Stderr, "drill: takes no arguments; it reads the simulator's protocol on standard input")
 		os.Exit(2)
 	}
 	operator, err := settings.LoadOperator(os.Getenv("CEDARMAST_OPERATOR"))
--- a/cmd/edge/main.go
+++ b/cmd/edge/main.go
@@ -1,4 +1,4 @@
-// Command edge is the proxy of the delivery network.
+// Command edge runs the proxy of the delivery network.
 package main
 
 import (
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,4 +1,4 @@
-// Command registry is the registry of the delivery network.
+// Command registry runs the server registry of the delivery network.
 package main
 
 import (
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -1,4 +1,4 @@
-// Command rehearse plays days of trouble against real routers on one machine and judges them by the four rules.
+// Command rehearse runs fault scenarios against real routers on one machine and checks the results against the four rules.
 package main
 
 import (
--- a/internal/cdn/localnet/claim.go
+++ b/internal/cdn/localnet/claim.go
@@ -5,29 +5,29 @@
 	"net"
 )
 
-// Networks that nobody names are at the first free one of these.
+// The range of subnets from which a network without a given subnet takes the first free one.
 const (
-	firstFree byte = 100
-	lastFree  byte = 250
+	firstAutoSubnet byte = 100
+	lastAutoSubnet  byte = 250
 )
 
 const (
-	claimHost = 255   // none that a machine or a server has
-	claimPort = 65001 // none that the system draws
+	claimHost = 255   // a host number that no machine or server uses
+	claimPort = 65001 // outside the range of ephemeral ports
 )
 
-// claim takes the addresses 127.0.at.x for one network alone, of this process or any other, until the listener is closed. 0 takes the first free
-// ones.
-func claim(at byte) (byte, net.Listener, error) {
-	first, last := at, at
-	if at == 0 {
-		first, last = firstFree, lastFree
+// claimSubnet reserves the addresses 127.0.subnet.x for one network, exclusively among all processes of this machine, until the
+// returned listener is closed. Subnet 0 reserves the first free one.
+func claimSubnet(subnet byte) (byte, net.Listener, error) {
+	first, last := subnet, subnet
+	if subnet == 0 {
+		first, last = firstAutoSubnet, lastAutoSubnet
 	}
 	var err error
-	for at := first; at <= last; at++ {
+	for subnet := first; subnet <= last; subnet++ {
 		var l net.Listener
-		if l, err = net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:%d", at, claimHost, claimPort)); err == nil {
-			return at, l, nil
+		if l, err = net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:%d", subnet, claimHost, claimPort)); err == nil {
+			return subnet, l, nil
 		}
 	}
 	return 0, nil, Error.New("no addresses are free for this network: %w", err)
--- a/internal/cdn/localnet/claim_test.go
+++ b/internal/cdn/localnet/claim_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Networks that run beside one another never share addresses: two runs of one test did, from two folders, and the operators of one read what those
-// of the other had sent.
+// Networks that run concurrently never share addresses. Two runs of one test, from two folders, did, and the operators of one run read
+// configurations that those of the other had put.
 func TestNetworksHaveTheirOwnAddresses(t *testing.T) {
 	program := func(string) []string { return []string{"sleep", "60"} }
 	start := func(at byte) (*Network, error) {
--- a/internal/cdn/localnet/lines_test.go
+++ b/internal/cdn/localnet/lines_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A settings file is replaced whole. One that was written in place was read empty by a process that had just been started, which ended for want of
-// all settings and was not there for the rest of the soak's day (seed 6108).
-func TestASettingsFileIsNeverSeenInPart(t *testing.T) {
+// A settings file is replaced atomically. When it was written in place, a process that had just started read it empty, exited
+// because all settings were missing, and was down for the rest of the soak run (seed 6108).
+func TestReplaceFileIsAtomic(t *testing.T) {
 	path, text := filepath.Join(t.TempDir(), "boot.conf"), []byte(strings.Repeat("a.b=c\n", 1000))
 	assert.NilError(t, replaceFile(path, text))
 	over := make(chan struct{})
@@ -36,8 +36,8 @@
 	}
 }
 
-// Logs come out by whole lines behind the machine's name, however they were written.
-func TestLinesOfALog(t *testing.T) {
+// Logs are written in complete lines prefixed with the machine's name, however the writes are split.
+func TestLineWriter(t *testing.T) {
 	var out bytes.Buffer
 	w := &lineWriter{out: &out, mu: new(sync.Mutex), prefix: "edge-1 ", started: time.Now()}
 	for _, part := range []string{"one\ntw", "o\n", "thr"} {
--- a/internal/cdn/localnet/localnet.go
+++ b/internal/cdn/localnet/localnet.go
@@ -1,6 +1,5 @@
-// Package localnet starts a small delivery network on this machine: real processes of the three programs, each on an address of
-// its own of the loopback net, with stand-in servers that tell of themselves as real ones do. The network's tests and
-// `localnet up` use it.
+// Package localnet starts a small delivery network on this machine: real processes of the three programs, each machine on its own
+// loopback address, with stand-in servers that register and send heartbeats as real ones do. Tests, the soak and `localnet up` use it.
 package localnet
 
 import (
@@ -26,78 +25,79 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("localnet")
 
-// Shape is how large a network is.
+// Shape configures the size and the settings of a network.
 type Shape struct {
 	Core, Edges int
-	Stores      int // cache routers without clients, on links that are far wider than the edges'; 0: links are alike
-	Zones       int // over which machines are dealt out in turn
+	Stores      int // cache routers without clients; with any, edges are set to a link of 12 Mbit/s, which is far less than theirs; 0: all links are alike
+	Zones       int // machines are assigned to zones round-robin
 	Dir         string
-	Net         byte // the network is at 127.0.Net.x, so that several fit on one machine; 0: wherever is free
+	Net         byte // the network uses 127.0.Net.x, so that several fit on one machine; 0: the first free subnet
 	// Program returns the command line of a program; it is run with CEDARMAST_CONFIG set.
 	Program func(name string) []string
-	Out     io.Writer // of all processes' logs; nil: none
-	Metrics bool      // proxies tell their figures; see Figures
-	Reports bool      // the tenants' usage falls due at a stand-in platform
-	// The spans of the operators' rules that the settings name; 0: not named.
+	Out     io.Writer // receives all processes' logs; nil: none
+	Metrics bool      // processes export their metrics; see Figures
+	Reports bool      // the tenants' usage is reported to a stand-in platform
+	// Time limits that are written to the settings; 0: left out, so that the default applies.
 	Revoke, Contact time.Duration
 }
 
-// The ports are alike on all machines, as on the operators'.
+// The ports are the same on all machines, as in production.
 const (
-	counterPort   = 8144
-	readinessPort = 8140
-	controlPort   = 8146
-	sparePort     = 7660
-	beatEvery     = 300 * time.Millisecond
+	clientPort        = 8144
+	readinessPort     = 8140
+	controlPort       = 8146
+	firstSparePort    = 7660
+	heartbeatInterval = 300 * time.Millisecond
 )
 
+// settingsFile is the name of the settings file in a machine's directory.
 const settingsFile = "boot.conf"
 
-// metricsPorts are where each program tells its figures.
+// metricsPorts holds the port on which each program exports its metrics.
 var metricsPorts = map[string]int{"edge": 9464, "configstore": 9465, "registry": 9466}
 
-// Machine is one address with the processes on it.
+// Machine is one loopback address with its processes.
 type Machine struct {
 	Name, IP, Zone string
 	Core, Store    bool
 	Dir            string
-	first          bool
+	firstStart     bool
 
 	mu        sync.Mutex
-	processes map[string]*program
-	reloads   int // of its settings file
+	processes map[string]*process
+	reloads   int // how often its settings file was rewritten by Reload
 }
 
-// program is a process of one of the programs.
-type program struct {
+// process is a running process of one of the programs.
+type process struct {
 	cmd   *exec.Cmd
-	ended chan struct{} // closed once it has ended
+	ended chan struct{} // closed when it has ended
 }
 
-// Network is a network that runs.
+// Network is a running network.
 type Network struct {
 	Shape
-	Machines []*Machine
-	Platform *Platform // nil without Reports
-	claimed  io.Closer // its addresses
-	client   http.Client
-	started  time.Time
-	logMu    sync.Mutex // of Out
-	mu       sync.Mutex
-	servers  []*Server
+	Machines    []*Machine
+	Platform    *Platform // nil without Shape.Reports
+	subnetClaim io.Closer // reserves its addresses
+	client      http.Client
+	started     time.Time
+	outMu       sync.Mutex // guards Out
+	mu          sync.Mutex
+	servers     []*Server
 }
 
-// Start writes the settings and starts all processes.
+// Start reserves a subnet, writes the settings and starts all processes.
 func Start(shape Shape) (*Network, error) {
-	at, claimed, err := claim(shape.Net)
+	subnet, claim, err := claimSubnet(shape.Net)
 	if err != nil {
 		return nil, err
 	}
-	shape.Net = at
-	n := &Network{Shape: shape, claimed: claimed, client: http.Client{Timeout: 3 * time.Second}, started: time.Now()}
+	shape.Net = subnet
+	n := &Network{Shape: shape, subnetClaim: claim, client: http.Client{Timeout: 3 * time.Second}, started: time.Now()}
 	for i := range shape.Core + shape.Edges + shape.Stores {
 		m := &Machine{IP: fmt.Sprintf("127.0.%d.%d", shape.Net, i+1), Zone: fmt.Sprint("zone-", i%max(shape.Zones, 1)+1), Core: i < shape.Core, Store: i >= shape.Core+shape.Edges,
-			first: true, processes: map[string]*program{}}
+			firstStart: true, processes: map[string]*process{}}
 		m.Name = fmt.Sprint("edge-", i-shape.Core+1)
 		if m.Core {
 			m.Name = fmt.Sprint("core-", i+1)
@@ -123,7 +123,8 @@
 	return n, nil
 }
 
-func (n *Network) settings(m *Machine) string {
+// settingsText returns the contents of a machine's settings file.
+func (n *Network) settingsText(m *Machine) string {
 	var seeds []string
 	zones := map[string]bool{}
 	for i, c := range n.Machines {
@@ -133,52 +134,52 @@
 		zones[c.Zone] = true
 	}
 	var b strings.Builder
-	line := func(key string, value any) { fmt.Fprintf(&b, "%s=%v\n", key, value) }
-	line("self.node", m.Name)
-	line("self.ip", m.IP)
-	line("self.zone", m.Zone)
-	line("self.region", "here")
-	line("self.first_start", m.first)
-	line("self.allowances.memory_mb", 256)
-	line("self.allowances.file_handles", 1024)
+	writeLine := func(key string, value any) { fmt.Fprintf(&b, "%s=%v\n", key, value) }
+	writeLine("self.node", m.Name)
+	writeLine("self.ip", m.IP)
+	writeLine("self.zone", m.Zone)
+	writeLine("self.region", "here")
+	writeLine("self.first_start", m.firstStart)
+	writeLine("self.allowances.memory_mb", 256)
+	writeLine("self.allowances.file_handles", 1024)
 	if m.Core {
-		line("self.data_dir", filepath.Join(m.Dir, "data"))
-		line("network.listen_on.control_dock", fmt.Sprintf("%s:%d", m.IP, controlPort))
+		writeLine("self.data_dir", filepath.Join(m.Dir, "data"))
+		writeLine("network.listen_on.control_dock", fmt.Sprintf("%s:%d", m.IP, controlPort))
 	} else if !m.Store {
 		if n.Stores > 0 {
-			line("self.allowances.link_mbps", 12)
+			writeLine("self.allowances.link_mbps", 12)
 		}
-		line("self.serves", "counter")
-		line("network.listen_on.counter", fmt.Sprintf("%s:%d", m.IP, counterPort))
-		line("network.listen_on.readiness", fmt.Sprintf("%s:%d", m.IP, readinessPort))
+		writeLine("self.serves", "counter")
+		writeLine("network.listen_on.counter", fmt.Sprintf("%s:%d", m.IP, clientPort))
+		writeLine("network.listen_on.readiness", fmt.Sprintf("%s:%d", m.IP, readinessPort))
 	}
-	line("network.spare_ports", fmt.Sprintf("%d,%d", sparePort, sparePort+15))
-	line("network.seed_nodes", strings.Join(rotated(seeds, m.reloads), ","))
+	writeLine("network.spare_ports", fmt.Sprintf("%d,%d", firstSparePort, firstSparePort+15))
+	writeLine("network.seed_nodes", strings.Join(rotated(seeds, m.reloads), ","))
 	for z := range zones {
-		line("network.zones."+z, "here")
+		writeLine("network.zones."+z, "here")
 	}
-	line("yard.heartbeat", beatEvery.String())
+	writeLine("yard.heartbeat", heartbeatInterval.String())
 	if n.Reports {
-		n.platformSettings(line)
+		n.platformSettings(writeLine)
 	}
-	n.timetable(line)
+	n.writeTimings(writeLine)
 	return b.String()
 }
 
-// Up starts a machine's processes that do not run.
+// Up writes a machine's settings and starts those of its processes that are not running.
 func (n *Network) Up(m *Machine) error {
-	programs := []string{"edge"}
+	names := []string{"edge"}
 	if m.Core {
-		programs = []string{"configstore", "registry"}
+		names = []string{"configstore", "registry"}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	file := filepath.Join(m.Dir, settingsFile)
-	if err := replaceFile(file, []byte(n.settings(m))); err != nil {
+	if err := replaceFile(file, []byte(n.settingsText(m))); err != nil {
 		return err
 	}
-	m.first = false
-	for _, p := range programs {
+	m.firstStart = false
+	for _, p := range names {
 		if m.processes[p] != nil {
 			continue
 		}
@@ -189,19 +190,19 @@
 		cmd := exec.Command(line[0], line[1:]...)
 		cmd.Env = append(os.Environ(), "CEDARMAST_CONFIG="+file)
 		if n.Out != nil {
-			out := &lineWriter{out: n.Out, mu: &n.logMu, prefix: m.Name + " ", started: n.started}
+			out := &lineWriter{out: n.Out, mu: &n.outMu, prefix: m.Name + " ", started: n.started}
 			cmd.Stdout, cmd.Stderr = out, out
 		}
 		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		if err := cmd.Start(); err != nil {
 			return Error.Wrap(err)
 		}
-		m.processes[p] = started(cmd)
+		m.processes[p] = watchProcess(cmd)
 	}
 	return nil
 }
 
-// replaceFile writes a file whole or not at all: a process that starts meanwhile reads the old one or the new one.
+// replaceFile replaces a file atomically: a process that starts meanwhile reads either the old or the new contents.
 func replaceFile(path string, text []byte) error {
 	next := path + ".next"
 	if err := os.WriteFile(next, text, 0o644); err != nil {
@@ -210,9 +211,9 @@
 	return Error.Wrap(os.Rename(next, path))
 }
 
-// started takes a process that runs, and waits for its end.
-func started(cmd *exec.Cmd) *program {
-	p := &program{cmd: cmd, ended: make(chan struct{})}
+// watchProcess returns the handle of a started process, and waits for its end in the background.
+func watchProcess(cmd *exec.Cmd) *process {
+	p := &process{cmd: cmd, ended: make(chan struct{})}
 	go func() {
 		cmd.Wait()
 		close(p.ended)
@@ -220,18 +221,19 @@
 	return p
 }
 
-// Signal sends a signal to a machine's processes; those that it ends are waited for. Other signals may come meanwhile.
+// Signal sends a signal to a machine's processes. After SIGKILL and SIGTERM it waits until they have ended; other signals may be
+// sent meanwhile.
 func (n *Network) Signal(m *Machine, s syscall.Signal) {
 	m.mu.Lock()
-	sent := maps.Clone(m.processes)
-	for _, p := range sent {
+	signaled := maps.Clone(m.processes)
+	for _, p := range signaled {
 		p.cmd.Process.Signal(s)
 	}
 	m.mu.Unlock()
 	if s != syscall.SIGKILL && s != syscall.SIGTERM {
 		return
 	}
-	for name, p := range sent {
+	for name, p := range signaled {
 		<-p.ended
 		m.mu.Lock()
 		if m.processes[name] == p {
@@ -241,10 +243,10 @@
 	}
 }
 
-// Wipe empties the disk of a machine that is down.
+// Wipe deletes the data directory of a machine that is down.
 func (n *Network) Wipe(m *Machine) error { return os.RemoveAll(filepath.Join(m.Dir, "data")) }
 
-// Stop kills all that was started.
+// Stop stops all servers, kills all processes and releases the addresses.
 func (n *Network) Stop() {
 	n.mu.Lock()
 	for _, s := range n.servers {
@@ -257,150 +259,151 @@
 	if n.Platform != nil {
 		n.Platform.Stop()
 	}
-	n.claimed.Close()
+	n.subnetClaim.Close()
 }
 
-// Control calls the first core machine that answers, as the operator would, until the context ends.
+// Control calls the control API of one core machine after the other, as an operator would, until one answers with a status below 500 or the
+// context ends.
 func (n *Network) Control(ctx context.Context, method, path string, body []byte) (int, []byte, error) {
-	for turn := 0; ; turn++ {
-		m := n.Machines[turn%n.Core]
+	for attempt := 0; ; attempt++ {
+		m := n.Machines[attempt%n.Core]
 		status, text, err := n.ControlAt(ctx, m, method, path, body)
 		if err == nil && status < 500 {
 			return status, text, nil
 		}
 		select {
 		case <-ctx.Done():
-			return 0, nil, Error.New("%s %s: no clear answer: %w", method, path, ctx.Err())
+			return 0, nil, Error.New("%s %s: no conclusive answer: %w", method, path, ctx.Err())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// ControlAt calls one core machine, once.
+// ControlAt calls the control API of one core machine once, and returns the status and body.
 func (n *Network) ControlAt(ctx context.Context, m *Machine, method, path string, body []byte) (int, []byte, error) {
-	q, err := http.NewRequestWithContext(ctx, method, fmt.Sprintf("http://%s:%d%s", m.IP, controlPort, path), bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, fmt.Sprintf("http://%s:%d%s", m.IP, controlPort, path), bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
-	r, err := n.client.Do(q)
+	resp, err := n.client.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer r.Body.Close()
-	text, err := io.ReadAll(r.Body)
-	return r.StatusCode, text, err
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	return resp.StatusCode, text, err
 }
 
-// CoreMachines are the machines that hold the log.
+// CoreMachines returns the machines that hold the replicated log.
 func (n *Network) CoreMachines() []*Machine { return n.Machines[:n.Core] }
 
-// EdgeMachines are the machines that clients call.
+// EdgeMachines returns the machines that clients call.
 func (n *Network) EdgeMachines() []*Machine { return n.Machines[n.Core : n.Core+n.Edges] }
 
-// StoreMachines are the cache routers without clients.
+// StoreMachines returns the cache routers without clients.
 func (n *Network) StoreMachines() []*Machine { return n.Machines[n.Core+n.Edges:] }
 
-// Ready tells whether an edge calls itself ready.
+// Ready reports whether an edge's readiness check succeeds.
 func (n *Network) Ready(m *Machine) bool {
-	r, err := n.client.Get(fmt.Sprintf("http://%s:%d/ready", m.IP, readinessPort))
+	resp, err := n.client.Get(fmt.Sprintf("http://%s:%d/ready", m.IP, readinessPort))
 	if err != nil {
 		return false
 	}
-	r.Body.Close()
-	return r.StatusCode == http.StatusOK
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
 }
 
-// Ask sends a client's request to an edge.
+// Ask sends a client's request with an id to an edge, and returns the status, header and body.
 func (n *Network) Ask(m *Machine, method, host, path, id string) (int, http.Header, string, error) {
-	return n.ask(m, method, host, path, http.Header{"Try-Id": {id}})
+	return n.sendRequest(m, method, host, path, http.Header{"Try-Id": {id}})
 }
 
-// AskWithKey sends a request of a client that holds a key to an edge, and returns the answer's status.
+// AskWithKey sends a GET request with a key to an edge, and returns the status.
 func (n *Network) AskWithKey(m *Machine, host, path, id, key string) (int, error) {
-	status, _, _, err := n.ask(m, http.MethodGet, host, path, http.Header{"Try-Id": {id}, "Key": {key}})
+	status, _, _, err := n.sendRequest(m, http.MethodGet, host, path, http.Header{"Try-Id": {id}, "Key": {key}})
 	return status, err
 }
 
-func (n *Network) ask(m *Machine, method, host, path string, header http.Header) (int, http.Header, string, error) {
-	q, err := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", m.IP, counterPort, path), nil)
+func (n *Network) sendRequest(m *Machine, method, host, path string, header http.Header) (int, http.Header, string, error) {
+	req, err := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", m.IP, clientPort, path), nil)
 	if err != nil {
 		return 0, nil, "", err
 	}
-	q.Host, q.Header = host, header
-	q.Header.Set("Time-Left", "2000")
-	r, err := n.client.Do(q)
+	req.Host, req.Header = host, header
+	req.Header.Set("Time-Left", "2000")
+	resp, err := n.client.Do(req)
 	if err != nil {
 		return 0, nil, "", err
 	}
-	defer r.Body.Close()
-	body, err := io.ReadAll(r.Body)
-	return r.StatusCode, r.Header, string(body), err
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	return resp.StatusCode, resp.Header, string(body), err
 }
 
-// Server is a stand-in server: it keeps versioned objects, runs requests and keeps a ledger of them.
+// Server is a stand-in server: it serves versioned objects, sends heartbeats to the registry and counts the requests it ran by id.
 type Server struct {
 	ID, Service, Address, Zone string
 
-	network *Network
-	http    *http.Server
-	mu      sync.Mutex
-	version int
-	state   string
-	beat    uint64
-	ran     map[string]int
-	stop    context.CancelFunc
-	Acked   chan struct{} // gets a word for each acknowledged call, when somebody listens
+	network        *Network
+	http           *http.Server
+	mu             sync.Mutex
+	version        int
+	state          string
+	heartbeats     uint64
+	ran            map[string]int
+	stopHeartbeats context.CancelFunc
+	Acked          chan struct{} // receives a value for each acknowledged heartbeat if a receiver is waiting
 }
 
-// Figures returns what a machine's programs tell of themselves, in the text format of Prometheus.
+// Figures returns the metrics of all processes of a machine in the Prometheus text format. It requires Shape.Metrics.
 func (n *Network) Figures(ctx context.Context, m *Machine) (string, error) {
-	programs := []string{"edge"}
+	names := []string{"edge"}
 	if m.Core {
-		programs = []string{"configstore", "registry"}
+		names = []string{"configstore", "registry"}
 	}
-	all := ""
-	for _, p := range programs {
-		q, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s:%d/metrics", m.IP, metricsPorts[p]), nil)
+	metrics := ""
+	for _, p := range names {
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s:%d/metrics", m.IP, metricsPorts[p]), nil)
 		if err != nil {
 			return "", err
 		}
-		r, err := n.client.Do(q)
+		resp, err := n.client.Do(req)
 		if err != nil {
 			return "", err
 		}
-		text, err := io.ReadAll(r.Body)
-		r.Body.Close()
+		text, err := io.ReadAll(resp.Body)
+		resp.Body.Close()
 		if err != nil {
 			return "", err
 		}
-		all += string(text)
+		metrics += string(text)
 	}
-	return all, nil
+	return metrics, nil
 }
 
-// Client is where a machine takes clients' requests.
-func (m *Machine) Client() string { return fmt.Sprintf("%s:%d", m.IP, counterPort) }
+// Client returns the address and port on which a machine accepts clients' requests.
+func (m *Machine) Client() string { return fmt.Sprintf("%s:%d", m.IP, clientPort) }
 
-// Serve starts a stand-in server of a service.
-func (n *Network) Serve(id, service string, at byte) (*Server, error) {
-	return n.ServeWith(id, service, at, nil)
+// Serve starts a stand-in server of a service at the address 127.0.Net.host.
+func (n *Network) Serve(id, service string, host byte) (*Server, error) {
+	return n.ServeWith(id, service, host, nil)
 }
 
-// ServeWith starts a stand-in server whose requests the handler runs; nil: its own.
-func (n *Network) ServeWith(id, service string, at byte, handler http.Handler) (*Server, error) {
-	l, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", n.Net, at))
+// ServeWith starts a stand-in server at 127.0.Net.host whose requests the handler serves; nil: the server itself.
+func (n *Network) ServeWith(id, service string, host byte, handler http.Handler) (*Server, error) {
+	l, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", n.Net, host))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	s := &Server{ID: id, Service: service, Address: l.Addr().String(), Zone: "zone-1", network: n, version: 1, state: "open", ran: map[string]int{}, stop: stop,
+	s := &Server{ID: id, Service: service, Address: l.Addr().String(), Zone: "zone-1", network: n, version: 1, state: "open", ran: map[string]int{}, stopHeartbeats: stop,
 		Acked: make(chan struct{})}
 	if handler == nil {
 		handler = s
 	}
 	s.http = &http.Server{Handler: handler}
 	go s.http.Serve(l)
-	go s.tell(ctx)
+	go s.sendHeartbeats(ctx)
 	n.mu.Lock()
 	n.servers = append(n.servers, s)
 	n.mu.Unlock()
@@ -431,50 +434,50 @@
 	fmt.Fprintf(w, "%s %s version %d of %s\n", r.Method, r.URL.Path, s.version, s.Service)
 }
 
-// Change replaces all objects by a newer version.
+// Change replaces all objects with a newer version.
 func (s *Server) Change() {
 	s.mu.Lock()
 	s.version++
 	s.mu.Unlock()
 }
 
-// Ran is how many requests reached it, all in all, and the most for one id.
-func (s *Server) Ran() (all, most int) {
+// Ran returns how many requests it ran in total, and the maximum for one id.
+func (s *Server) Ran() (total, maxPerID int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, k := range s.ran {
-		all, most = all+k, max(most, k)
+	for _, count := range s.ran {
+		total, maxPerID = total+count, max(maxPerID, count)
 	}
-	return all, most
+	return total, maxPerID
 }
 
-// Close makes it say from now on that it is closing.
+// Close reports the state closing in all further heartbeats.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.state = "closing"
 	s.mu.Unlock()
 }
 
-// Mute ends its beats; it goes on taking requests.
-func (s *Server) Mute() { s.stop() }
+// Mute stops its heartbeats; it still accepts requests.
+func (s *Server) Mute() { s.stopHeartbeats() }
 
-// Stop ends it without a word.
+// Stop stops its heartbeats and closes its connections, without telling the registry.
 func (s *Server) Stop() {
-	s.stop()
+	s.stopHeartbeats()
 	s.http.Close()
 }
 
-// tell keeps the registry told.
-func (s *Server) tell(ctx context.Context) {
+// sendHeartbeats sends the server's state through the control API every heartbeatInterval until the context ends.
+func (s *Server) sendHeartbeats(ctx context.Context) {
 	for {
 		s.mu.Lock()
-		s.beat++
+		s.heartbeats++
 		body, _ := json.Marshal(map[string]any{"id": s.ID, "carrier": s.Service, "address": s.Address, "zone": s.Zone, "edition": "v1", "berths": 8,
-			"state": s.state, "warmup": "0ms", "postmark": s.beat})
+			"state": s.state, "warmup": "0ms", "postmark": s.heartbeats})
 		s.mu.Unlock()
-		call, done := context.WithTimeout(ctx, 4*time.Second)
-		status, _, err := s.network.Control(call, http.MethodPut, "/servers/"+s.ID, body)
-		done()
+		callCtx, cancel := context.WithTimeout(ctx, 4*time.Second)
+		status, _, err := s.network.Control(callCtx, http.MethodPut, "/servers/"+s.ID, body)
+		cancel()
 		if err == nil && status == http.StatusOK {
 			select {
 			case s.Acked <- struct{}{}:
@@ -484,26 +487,27 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(beatEvery):
+		case <-time.After(heartbeatInterval):
 		}
 	}
 }
 
-// Manifest is a configuration of one service with a shelved, a resendable and a once-only route.
+// Manifest returns a configuration of one service with a shelved, a resendable and a once_only route, and a resendable one for each
+// extra name. base is the edition that it is based on; 0: none.
 func Manifest(edition, base int, service string, extra ...string) []byte {
-	based := `"0"`
+	basedOn := `"0"`
 	if base > 0 {
-		based = fmt.Sprintf(`"r%d"`, base)
+		basedOn = fmt.Sprintf(`"r%d"`, base)
 	}
 	routes := []string{}
 	for _, r := range append([]string{"shelved", "resendable", "once_only"}, extra...) {
-		kind := r
+		class := r
 		if r != "shelved" && r != "resendable" && r != "once_only" {
-			kind = "resendable"
+			class = "resendable"
 		}
 		routes = append(routes, fmt.Sprintf(`{"parcel_kind":"routes","label":{"name":"r-%[1]s"},"manifest":{"domain":"shop.example","path_prefix":"/%[1]s/",`+
-			`"mail_class":"%[2]s","timeout":"2000ms","target":"500ms","precedence":1,"carrier":"%[3]s","tries":2,"shelf":"20s"}}`, r, kind, service))
+			`"mail_class":"%[2]s","timeout":"2000ms","target":"500ms","precedence":1,"carrier":"%[3]s","tries":2,"shelf":"20s"}}`, r, class, service))
 	}
 	return fmt.Appendf(nil, `{"edition":"r%d","based_on":%s,"parcels":[%s,{"parcel_kind":"carriers","label":{"name":"%s"},"manifest":{"health_path":"/health","line_cap":130,"rate_per_s":200}}]}`,
-		edition, based, strings.Join(routes, ","), service)
+		edition, basedOn, strings.Join(routes, ","), service)
 }
--- a/internal/cdn/localnet/platform.go
+++ b/internal/cdn/localnet/platform.go
@@ -11,30 +11,31 @@
 	"time"
 )
 
-// The platform's place in a network, and the figures of the duty in its settings. They are shorter than on real days, so that tests are.
+// The platform's address in a network, and the settings of the usage duty. The durations are shorter than in production to keep
+// tests short.
 const (
-	platformHost    = 250
-	platformPort    = 9080
-	platformPerS    = 40
-	platformWindow  = time.Second
-	platformDelay   = 5 * time.Second
-	platformLease   = 2 * time.Second // a proof is as old as a question for news is held, half a second
-	platformMaxBody = 1 << 20
+	platformHost           = 250
+	platformPort           = 9080
+	platformCallsPerSecond = 40
+	platformWindow         = time.Second
+	platformDelay          = 5 * time.Second
+	platformLease          = 2 * time.Second // a proof may be half a second old, as long as a request for news is held open
+	platformMaxBody        = 1 << 20
 )
 
-// PlatformMood is how a stand-in platform treats calls.
+// PlatformMood is how a stand-in platform responds to calls.
 type PlatformMood int
 
-// The moods of a stand-in platform.
+// The behaviors of a stand-in platform.
 const (
-	Answering PlatformMood = iota
-	Busy                   // 429
-	Failing                // 500
-	Resetting              // takes the call and breaks the connection off
-	Silent                 // takes the call and answers when its mood changes
+	Answering PlatformMood = iota // judges each call and answers
+	Busy                          // answers 429
+	Failing                       // answers 500
+	Resetting                     // takes the call, then closes the connection without an answer
+	Silent                        // takes the call, then closes the connection without an answer once its mood changes
 )
 
-// UsageCall is one call of the platform as it came.
+// UsageCall is one usage report as received.
 type UsageCall struct {
 	Holder string           `json:"-"`
 	Fence  uint64           `json:"-"`
@@ -42,37 +43,37 @@
 	Counts map[string]int64 `json:"tallies"`
 }
 
-// Platform is a stand-in for the operators' platform. It takes usage reports and judges them: by counts of one window that differ, by
-// fences that two holders use, and by holders that act by turns within a lease.
+// Platform is a stand-in for the operators' platform. It accepts usage reports and records violations: different counts for one window, a
+// fence used by two holders, and holders that act alternately within one lease.
 type Platform struct {
 	lease time.Duration
 	http  http.Server
 
-	mu       sync.Mutex
-	mood     PlatformMood
-	delay    time.Duration
-	changed  chan struct{} // closed and made anew with every change of mood
-	windows  map[int64]map[string]int64
-	holders  map[uint64]string // by fence
-	fence    uint64            // the highest seen
-	acts     []platformAct     // of the last lease
-	statuses map[int]int       // how many calls were answered so
-	breaches []string
+	mu           sync.Mutex
+	mood         PlatformMood
+	delay        time.Duration
+	moodChanged  chan struct{} // closed and replaced at every call of Behave
+	windowCounts map[int64]map[string]int64
+	holders      map[uint64]string // by fence
+	highestFence uint64            // the highest seen
+	recentActors []actor           // within the last lease
+	answerCounts map[int]int       // number of answers by status
+	violations   []string
 }
 
-// platformAct is a call that was not refused.
-type platformAct struct {
+// actor is the holder and time of a call that was not refused.
+type actor struct {
 	holder string
 	at     time.Time
 }
 
-// NewPlatform returns a stand-in platform that answers at once.
+// NewPlatform returns a stand-in platform that answers without delay.
 func NewPlatform(lease time.Duration) *Platform {
-	return &Platform{lease: lease, changed: make(chan struct{}), windows: map[int64]map[string]int64{}, holders: map[uint64]string{},
-		statuses: map[int]int{}}
+	return &Platform{lease: lease, moodChanged: make(chan struct{}), windowCounts: map[int64]map[string]int64{}, holders: map[uint64]string{},
+		answerCounts: map[int]int{}}
 }
 
-// Listen serves the platform's calls at an address until Stop, and returns where.
+// Listen serves calls at an address until Stop, and returns the address it listens on.
 func (p *Platform) Listen(address string) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -83,51 +84,51 @@
 	return l.Addr().String(), nil
 }
 
-// Stop ends it without a word.
+// Stop closes the listener and all connections.
 func (p *Platform) Stop() { p.http.Close() }
 
-// Behave sets how calls are treated from now on, and how long each waits before.
+// Behave sets how further calls are answered and how long each is delayed, and releases calls that a Silent platform holds.
 func (p *Platform) Behave(mood PlatformMood, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mood, p.delay = mood, delay
-	close(p.changed)
-	p.changed = make(chan struct{})
+	close(p.moodChanged)
+	p.moodChanged = make(chan struct{})
 }
 
-// Windows are the counts that were taken, by window.
+// Windows returns the accepted counts by window.
 func (p *Platform) Windows() map[int64]map[string]int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return maps.Clone(p.windows)
+	return maps.Clone(p.windowCounts)
 }
 
-// Breaches are the rules that were broken.
+// Breaches returns the recorded violations.
 func (p *Platform) Breaches() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]string(nil), p.breaches...)
+	return append([]string(nil), p.violations...)
 }
 
-// Answered is how many calls were answered with a status.
+// Answered returns how many calls were answered with a status. Calls without an answer are not counted.
 func (p *Platform) Answered(status int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.statuses[status]
+	return p.answerCounts[status]
 }
 
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call := UsageCall{Holder: r.Header.Get("Holder")}
 	fence, err := strconv.ParseUint(r.Header.Get("Fence"), 10, 64)
 	call.Fence = fence
-	if bad := json.NewDecoder(http.MaxBytesReader(w, r.Body, platformMaxBody)).Decode(&call); err != nil || bad != nil || r.Method != http.MethodPost || r.URL.Path != "/usage" ||
+	if decodeErr := json.NewDecoder(http.MaxBytesReader(w, r.Body, platformMaxBody)).Decode(&call); err != nil || decodeErr != nil || r.Method != http.MethodPost || r.URL.Path != "/usage" ||
 		call.Counts == nil || r.Header.Get("Content-Type") != "application/json" {
-		p.breach("no report: %s %s, fence %q, %v", r.Method, r.URL.Path, r.Header.Get("Fence"), bad)
+		p.addViolation("invalid report: %s %s, fence %q, %v", r.Method, r.URL.Path, r.Header.Get("Fence"), decodeErr)
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	p.mu.Lock()
-	delay, mood, changed := p.delay, p.mood, p.changed
+	delay, mood, changed := p.delay, p.mood, p.moodChanged
 	p.mu.Unlock()
 	if delay > 0 {
 		<-time.After(delay)
@@ -152,72 +153,76 @@
 	}
 }
 
+// answer counts and sends a status.
 func (p *Platform) answer(w http.ResponseWriter, status int) {
 	p.mu.Lock()
-	p.statuses[status]++
+	p.answerCounts[status]++
 	p.mu.Unlock()
 	w.WriteHeader(status)
 }
 
-// Take judges a call and returns its status.
+// Take checks a call, records its counts and violations, and returns the status for its answer.
 func (p *Platform) Take(call UsageCall, now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if other, seen := p.holders[call.Fence]; seen && other != call.Holder {
-		p.note("fence %d of %s and %s", call.Fence, other, call.Holder)
+		p.addViolationLocked("fence %d is used by %s and %s", call.Fence, other, call.Holder)
 	}
 	p.holders[call.Fence] = call.Holder
-	if call.Fence < p.fence {
+	if call.Fence < p.highestFence {
 		return http.StatusConflict
 	}
-	p.fence = call.Fence
-	p.act(call.Holder, now)
-	if held, taken := p.windows[call.Round]; taken && !maps.Equal(held, call.Counts) {
-		p.note("window %d: %v, then %v", call.Round, held, call.Counts)
+	p.highestFence = call.Fence
+	p.recordActor(call.Holder, now)
+	if earlier, accepted := p.windowCounts[call.Round]; accepted && !maps.Equal(earlier, call.Counts) {
+		p.addViolationLocked("window %d: %v, then %v", call.Round, earlier, call.Counts)
 	}
-	p.windows[call.Round] = call.Counts
+	p.windowCounts[call.Round] = call.Counts
 	return http.StatusOK
 }
 
-// act notes who acted, and looks for one who acted before and after another one within a lease. The caller holds the lock.
-func (p *Platform) act(holder string, now time.Time) {
-	for len(p.acts) > 0 && now.Sub(p.acts[0].at) > p.lease {
-		p.acts = p.acts[1:]
+// recordActor records that a holder acted, and adds a violation if it acted both before and after another holder within a lease.
+// The caller holds the lock.
+func (p *Platform) recordActor(holder string, now time.Time) {
+	for len(p.recentActors) > 0 && now.Sub(p.recentActors[0].at) > p.lease {
+		p.recentActors = p.recentActors[1:]
 	}
-	before := false // this holder, and then another one
-	mine := false
-	for _, a := range p.acts {
-		before = before || mine && a.holder != holder
-		mine = mine || a.holder == holder
+	interleaved := false // this holder acted, and then another one
+	seen := false
+	for _, a := range p.recentActors {
+		interleaved = interleaved || seen && a.holder != holder
+		seen = seen || a.holder == holder
 	}
-	if before {
-		p.note("%s, then another one, then %s within a lease", holder, holder)
+	if interleaved {
+		p.addViolationLocked("%s, then another holder, then %s acted within a lease", holder, holder)
 	}
-	p.acts = append(p.acts, platformAct{holder, now})
+	p.recentActors = append(p.recentActors, actor{holder, now})
 }
 
-func (p *Platform) breach(format string, args ...any) {
+// addViolation records a violation.
+func (p *Platform) addViolation(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.note(format, args...)
+	p.addViolationLocked(format, args...)
 }
 
-// note writes a breach down. The caller holds the lock.
-func (p *Platform) note(format string, args ...any) {
-	p.breaches = append(p.breaches, fmt.Sprintf(format, args...))
+// addViolationLocked records a violation. The caller holds the lock.
+func (p *Platform) addViolationLocked(format string, args ...any) {
+	p.violations = append(p.violations, fmt.Sprintf(format, args...))
 }
 
-// platformSettings are the lines of a settings file that name the platform.
-func (n *Network) platformSettings(line func(key string, value any)) {
-	line("yard.yard_api.address", n.platformAddress())
-	line("yard.yard_api.duties", "usage")
-	line("yard.yard_api.duty_per_s", platformPerS)
-	line("tariff.timetable.report_window", platformWindow)
-	line("tariff.timetable.usage_delay", platformDelay)
-	line("tariff.timetable.lease", platformLease)
-	line("tariff.timetable.fence_checked", true)
+// platformSettings writes the settings of the platform and the usage duty.
+func (n *Network) platformSettings(writeLine func(key string, value any)) {
+	writeLine("yard.yard_api.address", n.platformAddress())
+	writeLine("yard.yard_api.duties", "usage")
+	writeLine("yard.yard_api.duty_per_s", platformCallsPerSecond)
+	writeLine("tariff.timetable.report_window", platformWindow)
+	writeLine("tariff.timetable.usage_delay", platformDelay)
+	writeLine("tariff.timetable.lease", platformLease)
+	writeLine("tariff.timetable.fence_checked", true)
 }
 
+// platformAddress returns the address and port of the stand-in platform.
 func (n *Network) platformAddress() string {
 	return fmt.Sprintf("127.0.%d.%d:%d", n.Net, platformHost, platformPort)
 }
--- a/internal/cdn/localnet/reload.go
+++ b/internal/cdn/localnet/reload.go
@@ -5,11 +5,12 @@
 	"syscall"
 )
 
-// Reload writes a machine's settings file anew, with its seeds in another order, and tells its processes so by SIGHUP. It may come while they end.
+// Reload rewrites a machine's settings file, with its seed nodes in another order, and sends SIGHUP to its processes. It may be
+// called while they shut down.
 func (n *Network) Reload(m *Machine) error {
 	m.mu.Lock()
 	m.reloads++
-	err := replaceFile(filepath.Join(m.Dir, settingsFile), []byte(n.settings(m)))
+	err := replaceFile(filepath.Join(m.Dir, settingsFile), []byte(n.settingsText(m)))
 	m.mu.Unlock()
 	if err != nil {
 		return err
@@ -18,7 +19,7 @@
 	return nil
 }
 
-// rotated returns the items in turn from another one on.
+// rotated returns a copy of the items rotated to the left by a number of places.
 func rotated(items []string, by int) []string {
 	if len(items) == 0 {
 		return nil
--- a/internal/cdn/localnet/reload_test.go
+++ b/internal/cdn/localnet/reload_test.go
@@ -12,13 +12,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// endsSlowly is a program that takes no notice of SIGHUP and a while for its end in order.
-const endsSlowly = `trap "" HUP; trap "sleep 0.5; exit 0" TERM; while :; do sleep 0.02; done`
+// slowExitScript is a program that ignores SIGHUP and takes 0.5 s to exit after SIGTERM.
+const slowExitScript = `trap "" HUP; trap "sleep 0.5; exit 0" TERM; while :; do sleep 0.02; done`
 
-// Settings change and signals come while a machine's processes end; whoever ends them waits for that alone. Seeds are named in another order each
-// time, and a killed machine starts again.
+// A reload during a machine's shutdown returns without waiting for it; only the caller that sent SIGTERM waits. Each reload writes
+// the seed nodes in another order, and the machine can be started again.
 func TestReloadsWhileProcessesEnd(t *testing.T) {
-	shape := Shape{Core: 2, Dir: t.TempDir(), Program: func(string) []string { return []string{"sh", "-c", endsSlowly} }, Revoke: 2 * time.Second}
+	shape := Shape{Core: 2, Dir: t.TempDir(), Program: func(string) []string { return []string{"sh", "-c", slowExitScript} }, Revoke: 2 * time.Second}
 	n, err := Start(shape)
 	assert.NilError(t, err)
 	t.Cleanup(n.Stop)
@@ -32,7 +32,7 @@
 	assert.Assert(t, !strings.Contains(settings(), "tariff.timetable.contact"), settings())
 	first, second := fmt.Sprint(n.Machines[0].IP, ":", controlPort), fmt.Sprint(n.Machines[1].IP, ":", controlPort)
 	assert.Assert(t, strings.Contains(settings(), first+","+second), settings())
-	until(t, 5*time.Second, "the program heeds signals", func() bool { return heeds(m, syscall.SIGTERM) })
+	waitFor(t, 5*time.Second, "the program handles SIGTERM", func() bool { return handlesSignal(m, syscall.SIGTERM) })
 
 	ended := make(chan time.Duration, 1)
 	begun := time.Now()
@@ -50,8 +50,8 @@
 	assert.Equal(t, len(m.processes), 2)
 }
 
-// heeds tells whether all processes of a machine have a handler for a signal.
-func heeds(m *Machine, s syscall.Signal) bool {
+// handlesSignal reports whether all processes of a machine have a handler for a signal.
+func handlesSignal(m *Machine, s syscall.Signal) bool {
 	for _, p := range m.processes {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 		_, caught, _ := strings.Cut(string(text), "SigCgt:")
--- a/internal/cdn/localnet/revoke_test.go
+++ b/internal/cdn/localnet/revoke_test.go
@@ -13,12 +13,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// A proxy is paused while a key is taken away, its clients' connections stay open, and their requests come once the key must work nowhere any more.
-// As it goes on it runs none of them, whether it reads them or the news first.
+// A proxy is paused while a key is removed. Its clients' connections stay open, and their requests arrive when the key must no longer work
+// anywhere. When the proxy resumes it runs none of them, whether it reads the requests or the new configuration first.
 func TestAPausedProxyRunsNothingForARemovedKey(t *testing.T) {
 	const clients = 40
 	revoke := 2 * time.Second
-	n := Shape{Core: 3, Edges: 2, Zones: 2, Net: 79, Revoke: revoke}.start(t)
+	n := Shape{Core: 3, Edges: 2, Zones: 2, Net: 79, Revoke: revoke}.startForTest(t)
 	server, err := n.Serve("i-1", "shop", 200)
 	assert.NilError(t, err)
 	put := func(body []byte) {
@@ -32,7 +32,7 @@
 		status, err := n.AskWithKey(paused, "shop.example", "/resendable/1", fmt.Sprint("try-", time.Now().UnixNano()), "k-wax")
 		return err == nil && status == http.StatusOK
 	}
-	until(t, 20*time.Second, "served", served)
+	waitFor(t, 20*time.Second, "served", served)
 	var open []net.Conn
 	for range clients {
 		c, err := net.Dial("tcp", paused.Client())
@@ -41,7 +41,7 @@
 		open = append(open, c)
 	}
 	n.Signal(paused, syscall.SIGSTOP)
-	put(withoutWax(2, 1))
+	put(manifestWithoutWax(2, 1))
 	<-time.After(revoke + 100*time.Millisecond)
 	before, _ := server.Ran()
 	for i, c := range open {
--- a/internal/cdn/localnet/show.go
+++ b/internal/cdn/localnet/show.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// Show starts a network, shows a request served, served from a copy and purged, and keeps the network up until the context ends.
-func Show(ctx context.Context, shape Shape, out io.Writer, stay bool) error {
-	self, err := os.Executable()
+// Show starts a network and demonstrates a request served, served from the cache, and purged. If stayUp is set it keeps the network
+// up until the context ends.
+func Show(ctx context.Context, shape Shape, out io.Writer, stayUp bool) error {
+	executable, err := os.Executable()
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	shape.Program = func(name string) []string { return []string{filepath.Join(filepath.Dir(self), name), "run"} }
+	shape.Program = func(name string) []string { return []string{filepath.Join(filepath.Dir(executable), name), "run"} }
 	if shape.Dir == "" {
 		if shape.Dir, err = os.MkdirTemp("", "localnet"); err != nil {
 			return Error.Wrap(err)
@@ -50,10 +51,10 @@
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	look := func(what, id string) error {
-		begun := time.Now()
+	showRequest := func(what, id string) error {
+		started := time.Now()
 		status, _, body, err := n.Ask(edge, "GET", "shop.example", "/shelved/1", id)
-		for err == nil && status != 200 && time.Since(begun) < 5*time.Second {
+		for err == nil && status != 200 && time.Since(started) < 5*time.Second {
 			time.Sleep(20 * time.Millisecond)
 			status, _, body, err = n.Ask(edge, "GET", "shop.example", "/shelved/1", id)
 		}
@@ -65,33 +66,33 @@
 			all, _ := s.Ran()
 			runs += all
 		}
-		fmt.Fprintf(out, "%-28s %d in %s, servers have run %d: %s", what, status, time.Since(begun).Round(100*time.Microsecond), runs, body)
+		fmt.Fprintf(out, "%-28s %d in %s, %d runs at servers: %s", what, status, time.Since(started).Round(100*time.Microsecond), runs, body)
 		return nil
 	}
-	if err := look("served", "a"); err != nil {
+	if err := showRequest("served", "a"); err != nil {
 		return err
 	}
-	if err := look("served from a copy", "b"); err != nil {
+	if err := showRequest("served from the cache", "b"); err != nil {
 		return err
 	}
 	for _, s := range servers {
 		s.Change()
 	}
-	if err := look("changed, not purged", "c"); err != nil {
+	if err := showRequest("changed, not purged", "c"); err != nil {
 		return err
 	}
 	if status, text, err := n.Control(ctx, "POST", "/purge", []byte(`{"domain":"shop.example","path":"/shelved/1"}`)); err != nil || status != 200 {
 		return Error.New("purge: %d %s %v", status, text, err)
 	}
 	time.Sleep(50 * time.Millisecond)
-	if err := look("purged", "d"); err != nil {
+	if err := showRequest("purged", "d"); err != nil {
 		return err
 	}
-	if !stay {
+	if !stayUp {
 		return nil
 	}
 	fmt.Fprintf(out, "the network stays up until interrupted; try\n  curl -H 'Host: shop.example' http://%s:%d/shelved/1\n  curl http://%s:%d/status\n",
-		edge.IP, counterPort, n.Machines[0].IP, controlPort)
+		edge.IP, clientPort, n.Machines[0].IP, controlPort)
 	<-ctx.Done()
 	return nil
 }
--- a/internal/cdn/localnet/timetable.go
+++ b/internal/cdn/localnet/timetable.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// timetable writes the spans of the operators' rules that the shape names.
-func (s Shape) timetable(line func(key string, value any)) {
-	name := func(key string, span time.Duration) {
+// writeTimings writes those time limits to the settings that the shape sets.
+func (s Shape) writeTimings(writeLine func(key string, value any)) {
+	writeDuration := func(key string, span time.Duration) {
 		if span > 0 {
-			line("tariff.timetable."+key, span.String())
+			writeLine("tariff.timetable."+key, span.String())
 		}
 	}
 	if s.Revoke > 0 {
-		line("tariff.timetable.revocation_global", true)
+		writeLine("tariff.timetable.revocation_global", true)
 	}
-	name("revoke", s.Revoke)
-	name("contact", s.Contact)
+	writeDuration("revoke", s.Revoke)
+	writeDuration("contact", s.Contact)
 }
--- a/internal/cdn/soak/acknowledgements.go
+++ b/internal/cdn/soak/acknowledgements.go
@@ -11,8 +11,9 @@
 
 const acknowledgementBuckets = "cedarmast_acknowledgement_seconds_bucket{"
 
-// acknowledgements is how long orders took until they were acknowledged, by what config stores told at a day's end: orders up to each bound
-// in seconds, with a settled leader and without. What processes that were killed had counted is lost.
+// acknowledgements holds cumulative histograms of how long operators' calls took until their acknowledgement, from the config
+// stores' metrics after the day: the number of calls up to each bound in seconds, with a settled leader and without. Counts of
+// processes that were killed are lost.
 type acknowledgements struct {
 	settled, unsettled map[float64]float64
 }
@@ -21,11 +22,11 @@
 	return acknowledgements{map[float64]float64{}, map[float64]float64{}}
 }
 
-// add adds what one process tells.
-func (a acknowledgements) add(figures string) {
-	for line := range strings.Lines(figures) {
-		labels, is := strings.CutPrefix(line, acknowledgementBuckets)
-		if !is || !strings.Contains(labels, `outcome="done"`) {
+// add adds the histograms in one machine's metrics text.
+func (a acknowledgements) add(metrics string) {
+	for line := range strings.Lines(metrics) {
+		labels, ok := strings.CutPrefix(line, acknowledgementBuckets)
+		if !ok || !strings.Contains(labels, `outcome="done"`) {
 			continue
 		}
 		labels, value, _ := strings.Cut(strings.TrimSpace(labels), "} ")
@@ -43,32 +44,33 @@
 	}
 }
 
-func (a acknowledgements) merge(o acknowledgements) {
-	for limit, count := range o.settled {
+// merge adds the counts of another run.
+func (a acknowledgements) merge(other acknowledgements) {
+	for limit, count := range other.settled {
 		a.settled[limit] += count
 	}
-	for limit, count := range o.unsettled {
+	for limit, count := range other.unsettled {
 		a.unsettled[limit] += count
 	}
 }
 
 func (a acknowledgements) String() string {
-	return fmt.Sprintf("acknowledgements, settled: %s; else: %s", quantiles(a.settled), quantiles(a.unsettled))
+	return fmt.Sprintf("acknowledgements, settled: %s; unsettled: %s", quantiles(a.settled), quantiles(a.unsettled))
 }
 
-// quantiles tells the bounds under which half, 99 in 100 and all of the orders lie.
+// quantiles describes the bounds within which half, 99 in 100 and all of the calls lie.
 func quantiles(buckets map[float64]float64) string {
-	all := buckets[math.Inf(1)]
-	if all == 0 {
+	total := buckets[math.Inf(1)]
+	if total == 0 {
 		return "none"
 	}
-	under := func(part float64) string {
+	bound := func(fraction float64) string {
 		for _, limit := range slices.Sorted(maps.Keys(buckets)) {
-			if buckets[limit] >= part*all {
+			if buckets[limit] >= fraction*total {
 				return fmt.Sprintf("%gs", limit)
 			}
 		}
 		return "?"
 	}
-	return fmt.Sprintf("%.0f, half within %s, 99 in 100 within %s, all within %s", all, under(0.5), under(0.99), under(1))
+	return fmt.Sprintf("%.0f, half within %s, 99 in 100 within %s, all within %s", total, bound(0.5), bound(0.99), bound(1))
 }
--- a/internal/cdn/soak/clients.go
+++ b/internal/cdn/soak/clients.go
@@ -11,119 +11,120 @@
 	"time"
 )
 
-// kind is a kind of request.
-type kind struct {
-	name, class, shelf string
-	method             string
-	shared             int  // paths that clients share, for requests that are gathered; 0: each has its own
-	once               bool // it may run once
-	copies             bool // what was begun may be finished
-	only               bool // its route is in every other configuration alone
-	open               bool // its route asks for no key
+// requestKind describes a kind of request and its route.
+type requestKind struct {
+	name, class, cacheTTL string
+	method                string
+	shared                int  // number of paths that clients share, so that their requests are coalesced; 0: each request has its own path
+	onceOnly              bool // it may run at most once
+	cached                bool // its answers are cached; a fetch that has started may be finished
+	oddEditionsOnly       bool // its route exists only in configurations with an odd edition
+	public                bool // its route requires no key
 }
 
-var kinds = []kind{
-	{name: "again", class: "resendable", shelf: "0ms", method: "GET"},
-	{name: "open", class: "resendable", shelf: "0ms", method: "GET", open: true},
-	{name: "comes", class: "resendable", shelf: "0ms", method: "GET", only: true},
-	{name: "once", class: "once_only", shelf: "0ms", method: "POST", once: true},
-	{name: "gathered", class: "shelved", shelf: "0ms", method: "GET", shared: 1 << 20},
-	{name: "copied", class: "shelved", shelf: "300ms", method: "GET", shared: 40, copies: true},
+var requestKinds = []requestKind{
+	{name: "again", class: "resendable", cacheTTL: "0ms", method: "GET"},
+	{name: "open", class: "resendable", cacheTTL: "0ms", method: "GET", public: true},
+	{name: "comes", class: "resendable", cacheTTL: "0ms", method: "GET", oddEditionsOnly: true},
+	{name: "once", class: "once_only", cacheTTL: "0ms", method: "POST", onceOnly: true},
+	{name: "gathered", class: "shelved", cacheTTL: "0ms", method: "GET", shared: 1 << 20},
+	{name: "copied", class: "shelved", cacheTTL: "300ms", method: "GET", shared: 40, cached: true},
 }
 
-// manner is what a client does once its request is out.
-type manner int
+// clientBehavior is what a client does after it has sent its request.
+type clientBehavior int
 
 const (
-	stays manner = iota
-	closes
-	resets
-	closesEarly // after it has sent the next request
-	halfCloses  // and waits
-	leavesMidway
-	manners
+	waitsForAnswer clientBehavior = iota
+	closesConnection
+	resetsConnection
+	closesAfterPipelining // closes after it has sent the next request
+	halfCloses            // closes its sending side and waits
+	abandonsUpload
+	behaviorCount
 )
 
-var mannerNames = [manners]string{"stays", "closes", "resets", "sends early and closes", "half-closes", "leaves midway"}
+var behaviorNames = [behaviorCount]string{"stays", "closes", "resets", "pipelines and closes", "half-closes", "leaves during upload"}
 
 const (
-	dialWithin   = time.Second
-	timeLeft     = 3 * time.Second
-	answerWithin = timeLeft + 4*time.Second // pauses of its proxy are no time of the proxy's: see checkAnswers
-	mostWait     = 400 * time.Millisecond   // before a client leaves
-	groupOf      = 3                        // clients that ask for one gathered path
+	dialTimeout          = time.Second
+	requestTimeout       = 3 * time.Second
+	answerTimeout        = requestTimeout + 4*time.Second // pauses of its proxy do not count: see checkAnswers
+	maxAbandonDelay      = 400 * time.Millisecond         // before a client leaves, after a minimum of 5 ms
+	clientsPerSharedPath = 3                              // clients that request one coalesced path at a time
 )
 
-// client asks again and again until the context ends.
-func (d *day) client(ctx context.Context, n int) {
-	rng := rand.New(rand.NewPCG(d.Seed, uint64(1000+n)))
+// runClient sends requests as client number n, each over its own connection, until the context ends.
+func (s *soakRun) runClient(ctx context.Context, n int) {
+	rng := rand.New(rand.NewPCG(s.Seed, uint64(1000+n)))
 	for turn := 0; ctx.Err() == nil; turn++ {
-		k := kinds[rng.IntN(len(kinds))]
-		path := fmt.Sprintf("/%s/%d-%d", k.name, n, turn)
+		kind := requestKinds[rng.IntN(len(requestKinds))]
+		path := fmt.Sprintf("/%s/%d-%d", kind.name, n, turn)
 		switch {
-		case k.copies:
-			path = fmt.Sprintf("/%s/%d", k.name, rng.IntN(k.shared))
-		case k.shared > 0: // neighbours ask for the same at about the same time
-			path = fmt.Sprintf("/%s/%d-%d", k.name, n/groupOf, time.Since(d.start)/(500*time.Millisecond))
+		case kind.cached:
+			path = fmt.Sprintf("/%s/%d", kind.name, rng.IntN(kind.shared))
+		case kind.shared > 0: // neighbouring clients request the same path at about the same time
+			path = fmt.Sprintf("/%s/%d-%d", kind.name, n/clientsPerSharedPath, time.Since(s.start)/(500*time.Millisecond))
 		}
-		edges := d.net.EdgeMachines()
+		edges := s.net.EdgeMachines()
 		edge := edges[rng.IntN(len(edges))]
-		a := &ask{id: fmt.Sprintf("%d-%d-%d", d.Seed, n, turn), path: path, kind: k, edge: edge.Name, manner: manner(rng.IntN(int(manners))),
-			wait: 5*time.Millisecond + time.Duration(rng.Int64N(int64(mostWait))), key: d.drawKey(rng)}
-		a.live = d.operators.history.newest().keys[a.key] != ""
-		if rng.Float64() < forgedPart {
-			a.forged = forgedSender
+		req := &request{id: fmt.Sprintf("%d-%d-%d", s.Seed, n, turn), path: path, kind: kind, edge: edge.Name, behavior: clientBehavior(rng.IntN(int(behaviorCount))),
+			abandonAfter: 5*time.Millisecond + time.Duration(rng.Int64N(int64(maxAbandonDelay))), key: s.drawKey(rng)}
+		req.keyLive = s.operators.history.newest().keys[req.key] != ""
+		if rng.Float64() < forgedTenantFraction {
+			req.forgedTenant = forgedTenantName
 		}
-		d.ask(ctx, a, edge.Client())
+		s.sendRequest(ctx, req, edge.Client())
 		sleep(ctx, time.Duration(rng.Int64N(int64(50*time.Millisecond))))
 	}
 }
 
-// ask sends one request and does what its manner says.
-func (d *day) ask(ctx context.Context, a *ask, address string) {
-	dialled, err := net.DialTimeout("tcp", address, dialWithin)
+// sendRequest sends one request over a new connection and then acts as its behavior says.
+func (s *soakRun) sendRequest(ctx context.Context, req *request, address string) {
+	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		sleep(ctx, 50*time.Millisecond)
 		return
 	}
-	c := dialled.(*net.TCPConn)
-	defer c.Close()
-	d.book.asked(a)
-	defer d.book.over(a)
-	whole, body := a.request(), a.bodyLength()
-	if a.manner == leavesMidway && body > 0 {
-		c.Write(whole[:len(whole)-body/2])
-		sleep(ctx, a.wait)
+	tcpConn := conn.(*net.TCPConn)
+	defer tcpConn.Close()
+	s.recorder.requestStarted(req)
+	defer s.recorder.requestEnded(req)
+	encoded, body := req.encode(), req.bodyLength()
+	if req.behavior == abandonsUpload && body > 0 {
+		tcpConn.Write(encoded[:len(encoded)-body/2])
+		sleep(ctx, req.abandonAfter)
 		return
 	}
-	if _, err := c.Write(whole); err != nil {
+	if _, err := tcpConn.Write(encoded); err != nil {
 		return
 	}
-	switch a.manner {
-	case closesEarly:
-		next := d.book.follows(a)
-		c.Write(next.request())
+	switch req.behavior {
+	case closesAfterPipelining:
+		next := s.recorder.pipelinedRequest(req)
+		tcpConn.Write(next.encode())
 	case halfCloses:
-		c.CloseWrite()
+		tcpConn.CloseWrite()
 	}
-	if a.meansToLeave() {
-		c.SetReadDeadline(time.Now().Add(a.wait))
-		if status, _ := finalStatus(bufio.NewReader(c)); status != 0 { // answered before it meant to leave
-			a.status = status
+	if req.willAbandon() {
+		tcpConn.SetReadDeadline(time.Now().Add(req.abandonAfter))
+		if status, _ := finalStatus(bufio.NewReader(tcpConn)); status != 0 { // answered before the client meant to leave
+			req.status = status
 			return
 		}
-		if a.manner == resets {
-			c.SetLinger(0)
+		if req.behavior == resetsConnection {
+			tcpConn.SetLinger(0)
 		}
-		d.book.left(a)
+		s.recorder.requestAbandoned(req)
 		return
 	}
-	c.SetReadDeadline(time.Now().Add(answerWithin))
-	a.status, a.unstamped = finalStatus(bufio.NewReader(c))
+	tcpConn.SetReadDeadline(time.Now().Add(answerTimeout))
+	req.status, req.missingPostmark = finalStatus(bufio.NewReader(tcpConn))
 }
 
-// finalStatus reads the status of the answer that is no interim one, 0 if none comes, and whether it is a success that no server gave.
-func finalStatus(r *bufio.Reader) (status int, unstamped bool) {
+// finalStatus reads the status of the final answer, skipping interim ones; 0 if none arrives. missingPostmark: it is a success that
+// no server sent.
+func finalStatus(r *bufio.Reader) (status int, missingPostmark bool) {
 	for {
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
@@ -131,37 +132,38 @@
 		}
 		if resp.StatusCode >= 200 {
 			resp.Body.Close()
-			return resp.StatusCode, isUnstamped(resp)
+			return resp.StatusCode, lacksPostmark(resp)
 		}
 	}
 }
 
-// isUnstamped tells whether an answer is a success that no server gave.
-func isUnstamped(resp *http.Response) bool {
+// lacksPostmark reports whether an answer is a success without the mark of a server.
+func lacksPostmark(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusOK && resp.Header.Get("Postmark") == ""
 }
 
-// onceBody is the length of the bodies of requests that may run once.
-const onceBody = 4000
+// onceBodyBytes is the body length of once-only requests.
+const onceBodyBytes = 4000
 
-func (a *ask) bodyLength() int {
-	if a.kind.once {
-		return onceBody
+// bodyLength returns the length of the request's body in bytes.
+func (req *request) bodyLength() int {
+	if req.kind.onceOnly {
+		return onceBodyBytes
 	}
 	return 0
 }
 
-// request writes the request out.
-func (a *ask) request() []byte {
+// encode returns the request in wire format, with its body.
+func (req *request) encode() []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: shop.example\r\nTry-Id: %s\r\nTime-Left: %d\r\n", a.kind.method, a.path, a.id, timeLeft.Milliseconds())
-	if a.key != "" {
-		fmt.Fprintf(&b, "Key: %s\r\n", a.key)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: shop.example\r\nTry-Id: %s\r\nTime-Left: %d\r\n", req.kind.method, req.path, req.id, requestTimeout.Milliseconds())
+	if req.key != "" {
+		fmt.Fprintf(&b, "Key: %s\r\n", req.key)
 	}
-	if a.forged != "" {
-		fmt.Fprintf(&b, "Sender: %s\r\n", a.forged)
+	if req.forgedTenant != "" {
+		fmt.Fprintf(&b, "Sender: %s\r\n", req.forgedTenant)
 	}
-	fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n", a.bodyLength())
-	b.Write(make([]byte, a.bodyLength()))
+	fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n", req.bodyLength())
+	b.Write(make([]byte, req.bodyLength()))
 	return b.Bytes()
 }
--- a/internal/cdn/soak/keychecks.go
+++ b/internal/cdn/soak/keychecks.go
@@ -9,80 +9,82 @@
 	"time"
 )
 
-// The rules that are judged by the servers' books and the operators' history.
+// The rules that are checked against the recorded runs and the operators' history, as they are printed.
 const (
-	unasked = "UNASKED" // a server runs what no client asked for, or for another tenant than the one that holds the client's key
-	route   = "ROUTE"   // a request runs though no configuration ever held its key
-	config  = "CONFIG"  // a configuration that must not be in force, or one that is gone
-	revoked = "CONFIG, revoked key"
-	lost    = "LOST"   // a request that was passed on, whose kept connection closes without its answer
-	denied  = "DENIED" // a 401, 403 or 404 for what all configurations allow
+	ruleUnasked = "UNASKED" // a server runs what no client requested, or for a tenant that does not hold the client's key
+	ruleRoute   = "ROUTE"   // a request runs though no configuration ever held its key
+	ruleConfig  = "CONFIG"  // a configuration is in force that must not be, or an acknowledged one is lost
+	ruleRevoked = "CONFIG, revoked key"
+	ruleLost    = "LOST"   // a keep-alive connection closes without the answer to a request that a server answered
+	ruleDenied  = "DENIED" // a 401, 403 or 404 for what all configurations allow
 )
 
-// mostToldOfRule is how many breaches of one rule are told one by one.
-const mostToldOfRule = 4
+// maxPrintedPerRule is the maximum number of violations of one rule that are printed.
+const maxPrintedPerRule = 4
 
-// editionTime is the time after an acknowledgement from which machines in touch must know a configuration, as the settings have it unless named.
+// editionTime is the time after its acknowledgement within which connected machines must apply a configuration: the default of the setting
+// edition_time.
 const editionTime = 2 * time.Second
 
-// answerSlack is kept off a request's time where an end without an answer is held against a proxy.
+// answerSlack is subtracted from a request's timeout: a connection that closes later than that without an answer is no violation.
 const answerSlack = 500 * time.Millisecond
 
-// findings are the breaches of rules, by rule.
+// findings are the violations by rule.
 type findings map[string][]string
 
 func (f findings) add(rule, format string, args ...any) {
 	f[rule] = append(f[rule], fmt.Sprintf(format, args...))
 }
 
-// told are the breaches as they are reported: some of each rule, and how many there were.
-func (f findings) told() (all []string) {
+// messages returns the violations as they are reported: for each rule their number and the first maxPrintedPerRule.
+func (f findings) messages() (messages []string) {
 	for _, rule := range slices.Sorted(maps.Keys(f)) {
-		all = append(all, fmt.Sprintf("%s: %d breaches", rule, len(f[rule])))
-		for _, what := range f[rule][:min(len(f[rule]), mostToldOfRule)] {
-			all = append(all, rule+": "+what)
+		messages = append(messages, fmt.Sprintf("%s: %d violations", rule, len(f[rule])))
+		for _, violation := range f[rule][:min(len(f[rule]), maxPrintedPerRule)] {
+			messages = append(messages, rule+": "+violation)
 		}
 	}
-	return all
+	return messages
 }
 
-// evidence is what a day left behind for the rules of tenants and their keys.
+// evidence is the recorded data of a run that the rules of tenants and their keys are checked against.
 type evidence struct {
-	book     *book
-	asks     map[string]*ask // by id
-	versions []*version
-	readings []reading
-	revoke   time.Duration
-	contact  time.Duration
-	stores   []string // machines that stand between proxies and servers
-	core     []string
-	start    time.Time
+	recorder       *recorder
+	requests       map[string]*request // by id
+	versions       []*version
+	readings       []reading
+	revoke         time.Duration
+	contact        time.Duration
+	intermediaries []string // machines that may pass a request on between its proxy and a server
+	core           []string
+	start          time.Time
 }
 
-// checkKeys holds what servers and operators saw against the rules of tenants, keys and configurations.
-func (d *day) checkKeys() {
-	h := d.operators.history
+// checkKeys checks the recorded data against the rules of tenants, keys and configurations.
+func (s *soakRun) checkKeys() {
+	h := s.operators.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	d.book.mu.Lock()
-	defer d.book.mu.Unlock()
-	e := evidence{book: d.book, asks: map[string]*ask{}, versions: h.versions, readings: h.readings, revoke: d.Shape.Revoke, contact: d.Shape.Contact, start: d.start}
-	for _, a := range slices.Concat(d.book.asks, d.book.next) {
-		e.asks[a.id] = a
+	s.recorder.mu.Lock()
+	defer s.recorder.mu.Unlock()
+	e := evidence{recorder: s.recorder, requests: map[string]*request{}, versions: h.versions, readings: h.readings, revoke: s.Shape.Revoke, contact: s.Shape.Contact, start: s.start}
+	for _, req := range slices.Concat(s.recorder.requests, s.recorder.pipelined) {
+		e.requests[req.id] = req
 	}
-	for _, m := range d.net.StoreMachines() {
-		e.stores = append(e.stores, m.Name)
+	for _, m := range s.net.StoreMachines() {
+		e.intermediaries = append(e.intermediaries, m.Name)
 	}
-	for _, m := range d.net.EdgeMachines() {
-		e.stores = append(e.stores, m.Name)
+	for _, m := range s.net.EdgeMachines() {
+		e.intermediaries = append(e.intermediaries, m.Name)
 	}
-	for _, m := range d.net.CoreMachines() {
+	for _, m := range s.net.CoreMachines() {
 		e.core = append(e.core, m.Name)
 	}
-	d.book.breaches = append(d.book.breaches, e.judge().told()...)
+	s.recorder.violations = append(s.recorder.violations, e.check().messages()...)
 }
 
-func (e *evidence) judge() findings {
+// check runs all checks of the rules and returns the violations.
+func (e *evidence) check() findings {
 	f := findings{}
 	e.checkVersions(f)
 	e.checkReadings(f)
@@ -92,67 +94,70 @@
 	return f
 }
 
-// at tells a moment in the day's time.
-func (e *evidence) at(t time.Time) string { return fmt.Sprintf("%.3f s", t.Sub(e.start).Seconds()) }
+// formatTime formats a time in seconds since the start of the day.
+func (e *evidence) formatTime(t time.Time) string {
+	return fmt.Sprintf("%.3f s", t.Sub(e.start).Seconds())
+}
 
-// checkSenders holds each run against its client's key: whom the server was told, and whether the key still was one.
+// checkSenders checks each run against its client's key: the tenant that the server was told must hold the key, and the key must
+// not have been removed for longer than `revoke`.
 func (e *evidence) checkSenders(f findings) {
-	gone := e.removals()
-	for _, r := range e.book.runs {
-		if r.showsKey {
-			f.add(unasked, "%s (%s) shows its client's key to %s", r.path, r.id, r.server)
+	removals := e.removals()
+	for _, r := range e.recorder.runs {
+		if r.keyExposed {
+			f.add(ruleUnasked, "%s (%s) exposes its client's key to %s", r.path, r.id, r.server)
 		}
-		a := e.asks[r.id]
-		if a == nil {
-			if !e.ownRead(r) {
-				f.add(unasked, "%s runs %s for the id %q, which no client sent, in the name of %q", r.server, r.path, r.id, r.sender)
+		req := e.requests[r.id]
+		if req == nil {
+			if !e.isCacheRead(r) {
+				f.add(ruleUnasked, "%s runs %s for the id %q, which no client sent, in the name of %q", r.server, r.path, r.id, r.sender)
 			}
 			continue
 		}
-		if a.path != r.path {
-			f.add(unasked, "%s runs %s for %s, which asked for %s", r.server, r.path, r.id, a.path)
+		if req.path != r.path {
+			f.add(ruleUnasked, "%s runs %s for %s, which asked for %s", r.server, r.path, r.id, req.path)
 		}
-		holders, held := e.holders(a.key, r.begun)
+		holders, held := e.holders(req.key, r.started)
 		switch {
-		case a.kind.open:
+		case req.kind.public:
 			if r.sender != "" && !holders[r.sender] {
-				f.add(unasked, "%s is told that %s, of an open route with the key %q, comes from %q", r.server, r.id, a.key, r.sender)
+				f.add(ruleUnasked, "%s is told that %s, of an open route with the key %q, comes from %q", r.server, r.id, req.key, r.sender)
 			}
 			continue
 		case !held:
-			f.add(route, "%s runs %s at %s for %s, whose key %q no configuration held", r.server, r.path, e.at(r.begun), r.id, a.key)
+			f.add(ruleRoute, "%s runs %s at %s for %s, whose key %q no configuration held", r.server, r.path, e.formatTime(r.started), r.id, req.key)
 			continue
 		case len(holders) == 0:
-			f.add(config, "%s runs %s at %s for %s, whose key %s refused configurations alone held", r.server, r.path, e.at(r.begun), r.id, a.key)
+			f.add(ruleConfig, "%s runs %s at %s for %s, whose key %s only refused configurations held", r.server, r.path, e.formatTime(r.started), r.id, req.key)
 			continue
 		case !holders[r.sender]:
-			f.add(unasked, "%s runs %s at %s for %s in the name of %q; the key %s is held by %s", r.server, r.path, e.at(r.begun), r.id, r.sender, a.key,
+			f.add(ruleUnasked, "%s runs %s at %s for %s in the name of %q; the key %s is held by %s", r.server, r.path, e.formatTime(r.started), r.id, r.sender, req.key,
 				strings.Join(slices.Sorted(maps.Keys(holders)), " or "))
 		}
-		if v := gone[a.key]; v != nil && a.begun.After(v.answered.Add(e.revoke)) {
-			f.add(revoked, "%s runs %s at %s for %s, sent to %s %s after the acknowledgement of r%d, which took the key %s away", r.server, r.path, e.at(r.begun), r.id, a.edge,
-				a.begun.Sub(v.answered).Round(time.Millisecond), v.edition, a.key)
+		if v := removals[req.key]; v != nil && req.started.After(v.answered.Add(e.revoke)) {
+			f.add(ruleRevoked, "%s runs %s at %s for %s, sent to %s %s after the acknowledgement of r%d, which removed the key %s", r.server, r.path, e.formatTime(r.started), r.id, req.edge,
+				req.started.Sub(v.answered).Round(time.Millisecond), v.edition, req.key)
 		}
 	}
 }
 
-// ownRead tells whether a run for an id that no client sent may be a proxy's read of an object on its own account: in nobody's name, or in that of
-// a tenant whose client had asked for the object.
-func (e *evidence) ownRead(r *run) bool {
-	if !isShelved(r.path) || r.sender == "" {
-		return isShelved(r.path)
+// isCacheRead reports whether a run with an id that no client sent may be a proxy's own read of a cached object: without a tenant,
+// or for a tenant whose client requested the object before.
+func (e *evidence) isCacheRead(r *run) bool {
+	if !isCacheablePath(r.path) || r.sender == "" {
+		return isCacheablePath(r.path)
 	}
-	return slices.ContainsFunc(e.book.asks, func(a *ask) bool {
-		if a.path != r.path || !a.begun.Before(r.begun) {
+	return slices.ContainsFunc(e.recorder.requests, func(req *request) bool {
+		if req.path != r.path || !req.started.Before(r.started) {
 			return false
 		}
-		holders, _ := e.holders(a.key, r.begun)
+		holders, _ := e.holders(req.key, r.started)
 		return holders[r.sender]
 	})
 }
 
-// holders are the tenants that hold a key in configurations that were sent before a moment and may be in force; held tells whether any
-// configuration that was sent before names the key.
+// holders returns the tenants that hold a key in valid configurations that were put before a time and not refused; held reports whether any
+// configuration that was put before then contains the key.
 func (e *evidence) holders(key string, before time.Time) (tenants map[string]bool, held bool) {
 	tenants = map[string]bool{}
 	for _, v := range e.versions {
@@ -161,152 +166,154 @@
 			continue
 		}
 		held = true
-		if v.fault == valid && v.verdict != refused {
+		if v.defect == valid && v.result != refused {
 			tenants[tenant] = true
 		}
 	}
 	return tenants, held
 }
 
-// removals is which acknowledged configuration took each key away first.
+// removals maps each removed key to the configuration without it that was acknowledged first.
 func (e *evidence) removals() map[string]*version {
-	gone := map[string]*version{}
+	removals := map[string]*version{}
 	for _, v := range e.versions {
-		if v.verdict != acknowledged || v.fault != valid || v.on == nil {
+		if v.result != acknowledged || v.defect != valid || v.base == nil {
 			continue
 		}
-		for key := range v.on.keys {
-			if v.keys[key] == "" && (gone[key] == nil || v.answered.Before(gone[key].answered)) {
-				gone[key] = v
+		for key := range v.base.keys {
+			if v.keys[key] == "" && (removals[key] == nil || v.answered.Before(removals[key].answered)) {
+				removals[key] = v
 			}
 		}
 	}
-	return gone
+	return removals
 }
 
-// checkVersions holds the operators' answers against one another.
+// checkVersions checks the results of the operators' puts against each other.
 func (e *evidence) checkVersions(f findings) {
-	taken := map[*version]*version{} // by what it builds on
+	acknowledgedByBase := map[*version]*version{} // by their base
 	for _, v := range e.versions {
-		if v.verdict != acknowledged {
+		if v.result != acknowledged {
 			continue
 		}
-		if v.fault != valid {
-			f.add(config, "r%d is acknowledged though %s", v.edition, v.fault)
+		if v.defect != valid {
+			f.add(ruleConfig, "r%d is acknowledged though %s", v.edition, v.defect)
 			continue
 		}
-		if v.on == nil {
+		if v.base == nil {
 			continue
 		}
-		if other := taken[v.on]; other != nil {
-			f.add(config, "r%d and r%d, both on top of r%d, are acknowledged", other.edition, v.edition, v.on.edition)
+		if other := acknowledgedByBase[v.base]; other != nil {
+			f.add(ruleConfig, "r%d and r%d, both on top of r%d, are acknowledged", other.edition, v.edition, v.base.edition)
 		}
-		taken[v.on] = v
-		if v.on.verdict == refused {
-			f.add(config, "r%d is acknowledged on top of r%d, which was refused", v.edition, v.on.edition)
+		acknowledgedByBase[v.base] = v
+		if v.base.result == refused {
+			f.add(ruleConfig, "r%d is acknowledged on top of r%d, which was refused", v.edition, v.base.edition)
 		}
 	}
 }
 
-// checkReadings holds what was read back against what had been acknowledged when the question was sent.
+// checkReadings checks what was read back against what had been acknowledged when the read was sent.
 func (e *evidence) checkReadings(f findings) {
 	for _, r := range e.readings {
 		newest := 0
 		for _, v := range e.versions {
-			if v.verdict == acknowledged && v.fault == valid && v.answered.Before(r.sent) {
+			if v.result == acknowledged && v.defect == valid && v.answered.Before(r.sent) {
 				newest = max(newest, v.edition)
 			}
 		}
-		v := sentAs(e.versions, r.text)
+		v := versionWithText(e.versions, r.text)
 		switch {
 		case r.edition < newest:
-			f.add(config, "r%d is read back at %s, after r%d was acknowledged", r.edition, e.at(r.sent), newest)
+			f.add(ruleConfig, "r%d is read back at %s, after r%d was acknowledged", r.edition, e.formatTime(r.sent), newest)
 		case v == nil:
-			f.add(config, "what is read back at %s as r%d is not what was sent under that number", e.at(r.sent), r.edition)
-		case v.fault != valid:
-			f.add(config, "r%d is read back at %s, though %s", r.edition, e.at(r.sent), v.fault)
-		case v.verdict == refused:
-			f.add(config, "r%d is read back at %s, though it was refused", r.edition, e.at(r.sent))
+			f.add(ruleConfig, "the text read back at %s as r%d is not what was put under that edition", e.formatTime(r.sent), r.edition)
+		case v.defect != valid:
+			f.add(ruleConfig, "r%d is read back at %s, though %s", r.edition, e.formatTime(r.sent), v.defect)
+		case v.result == refused:
+			f.add(ruleConfig, "r%d is read back at %s, though it was refused", r.edition, e.formatTime(r.sent))
 		}
 	}
 }
 
-// checkDenied holds that nothing is refused which all configurations allow that may be in force, and that machines in touch know the keys of a
-// configuration once `edition_time` has passed since its acknowledgement.
+// checkDenied checks that nothing is denied that all configurations allow that may be in force, and that connected machines accept
+// the keys of a configuration once `edition_time` has passed since its acknowledgement.
 func (e *evidence) checkDenied(f findings) {
-	steady := e.steadyKeys()
-	for _, a := range e.book.asks {
-		if a.kind.only || !slices.Contains([]int{http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound}, a.status) {
+	steady := e.permanentKeys()
+	for _, req := range e.recorder.requests {
+		if req.kind.oddEditionsOnly || !slices.Contains([]int{http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound}, req.status) {
 			continue
 		}
 		switch {
-		case a.kind.open || steady[a.key]:
-			f.add(denied, "%s answers %d at %s to %s (%s, key %q), which all configurations allow", a.edge, a.status, e.at(a.end), a.id, a.path, a.key)
-		case e.knownFor(a) && e.inTouch(a):
-			f.add(config, "%s, in touch, answers %d at %s to %s, whose key %s was acknowledged over %s before", a.edge, a.status, e.at(a.end), a.id, a.key, editionTime)
+		case req.kind.public || steady[req.key]:
+			f.add(ruleDenied, "%s answers %d at %s to %s (%s, key %q), which all configurations allow", req.edge, req.status, e.formatTime(req.end), req.id, req.path, req.key)
+		case e.knownFor(req) && e.undisturbed(req):
+			f.add(ruleConfig, "%s, though connected, answers %d at %s to %s, whose key %s was acknowledged over %s before", req.edge, req.status, e.formatTime(req.end), req.id, req.key, editionTime)
 		}
 	}
 }
 
-// knownFor tells whether a request's key was in all configurations that may have been in force from `edition_time` before it was sent to its end.
-func (e *evidence) knownFor(a *ask) bool {
+// knownFor reports whether a request's key was in all configurations that may have been in force from `edition_time` before it was
+// sent to its end.
+func (e *evidence) knownFor(a *request) bool {
 	known := false
 	for _, v := range e.versions {
-		if v.fault != valid || v.verdict == refused || !v.sent.Before(a.end) {
+		if v.defect != valid || v.result == refused || !v.sent.Before(a.end) {
 			continue
 		}
-		in := v.keys[a.key] != ""
-		if known && !in {
+		held := v.keys[a.key] != ""
+		if known && !held {
 			return false
 		}
-		known = known || in && v.verdict == acknowledged && v.answered.Add(editionTime).Before(a.begun)
+		known = known || held && v.result == acknowledged && v.answered.Add(editionTime).Before(a.started)
 	}
 	return known
 }
 
-// inTouch tells whether neither a request's proxy nor the core had any trouble from `contact` before the request to its end.
-func (e *evidence) inTouch(a *ask) bool {
-	return !slices.ContainsFunc(append(slices.Clone(e.core), a.edge), func(m string) bool {
-		return e.book.troubled(m, a.begun.Add(-e.contact), a.end, kill, pause, restart)
+// undisturbed reports whether neither a request's proxy nor the core had a kill, pause or restart from `contact` before the request
+// to its end.
+func (e *evidence) undisturbed(req *request) bool {
+	return !slices.ContainsFunc(append(slices.Clone(e.core), req.edge), func(m string) bool {
+		return e.recorder.hadFault(m, req.started.Add(-e.contact), req.end, kill, pause, restart)
 	})
 }
 
-// steadyKeys are the keys that all configurations hold that may be in force.
-func (e *evidence) steadyKeys() map[string]bool {
-	steady, first := map[string]bool{}, true
+// permanentKeys returns the keys that every configuration holds that may have been in force.
+func (e *evidence) permanentKeys() map[string]bool {
+	permanent, first := map[string]bool{}, true
 	for _, v := range e.versions {
-		if v.fault != valid || v.verdict == refused {
+		if v.defect != valid || v.result == refused {
 			continue
 		}
 		if first {
 			for key := range v.keys {
-				steady[key] = true
+				permanent[key] = true
 			}
 		}
 		first = false
-		maps.DeleteFunc(steady, func(key string, _ bool) bool { return v.keys[key] == "" })
+		maps.DeleteFunc(permanent, func(key string, _ bool) bool { return v.keys[key] == "" })
 	}
-	return steady
+	return permanent
 }
 
-// checkLost holds that a request on a kept connection is answered if its server has: its connection does not close before, on machines without a
-// trouble that was not planned.
+// checkLost checks that a keep-alive connection does not close before the answer to a request that its servers answered, unless a
+// machine on the way had an unplanned fault.
 func (e *evidence) checkLost(f findings) {
 	runs := map[string][]*run{}
-	for _, r := range e.book.runs {
+	for _, r := range e.recorder.runs {
 		runs[r.id] = append(runs[r.id], r)
 	}
-	for _, a := range e.book.asks {
-		if !a.kept || !a.cut || a.end.Sub(a.begun) > timeLeft-answerSlack || !answeredRuns(runs[a.id]) || e.unplanned(a) {
+	for _, req := range e.recorder.requests {
+		if !req.keepAlive || !req.incomplete || req.end.Sub(req.started) > requestTimeout-answerSlack || !allAnswered(runs[req.id]) || e.hadUnplannedFault(req) {
 			continue
 		}
-		f.add(lost, "%s closes the connection at %s without an answer to %s (%s), sent %s before, which its server has answered%s", a.edge, e.at(a.end), a.id, a.path,
-			a.end.Sub(a.begun).Round(time.Millisecond), e.planned(a))
+		f.add(ruleLost, "%s closes the connection at %s without an answer to %s (%s), sent %s before, which its server had answered%s", req.edge, e.formatTime(req.end), req.id, req.path,
+			req.end.Sub(req.started).Round(time.Millisecond), e.describePlannedFault(req))
 	}
 }
 
-// answeredRuns tells whether a request ran and all its servers answered it.
-func answeredRuns(runs []*run) bool {
+// allAnswered reports whether there are runs and all of them were answered.
+func allAnswered(runs []*run) bool {
 	for _, r := range runs {
 		if r.outcome != answered {
 			return false
@@ -315,28 +322,30 @@
 	return len(runs) > 0
 }
 
-// unplanned tells whether a machine that a request may have gone by had a trouble that was not planned, from `contact` before the request to its end.
-func (e *evidence) unplanned(a *ask) bool {
-	machines := []string{a.edge}
-	if isShelved(a.path) {
-		machines = append(machines, e.stores...)
+// hadUnplannedFault reports whether a machine that a request may have passed was killed or paused from `contact` before the request
+// to its end.
+func (e *evidence) hadUnplannedFault(req *request) bool {
+	machines := []string{req.edge}
+	if isCacheablePath(req.path) {
+		machines = append(machines, e.intermediaries...)
 	}
-	return slices.ContainsFunc(machines, func(m string) bool { return e.book.troubled(m, a.begun.Add(-e.contact), a.end, kill, pause) })
+	return slices.ContainsFunc(machines, func(m string) bool { return e.recorder.hadFault(m, req.started.Add(-e.contact), req.end, kill, pause) })
 }
 
-// planned tells what was done on purpose at a request's proxy meanwhile.
-func (e *evidence) planned(a *ask) string {
-	for _, what := range []string{restart, reload} {
-		if e.book.troubled(a.edge, a.begun.Add(-e.contact), a.end, what) {
-			return " (" + what + ")"
+// describePlannedFault names the restart or reload of a request's proxy from `contact` before the request to its end; empty if
+// there was none.
+func (e *evidence) describePlannedFault(req *request) string {
+	for _, kind := range []string{restart, reload} {
+		if e.recorder.hadFault(req.edge, req.started.Add(-e.contact), req.end, kind) {
+			return " (" + kind + ")"
 		}
 	}
 	return ""
 }
 
-// isShelved tells whether a path is of objects.
-func isShelved(path string) bool {
-	for _, k := range kinds {
+// isCacheablePath reports whether a path belongs to a cacheable route.
+func isCacheablePath(path string) bool {
+	for _, k := range requestKinds {
 		if strings.HasPrefix(path, "/"+k.name+"/") {
 			return k.class == "shelved"
 		}
--- a/internal/cdn/soak/operators.go
+++ b/internal/cdn/soak/operators.go
@@ -13,147 +13,149 @@
 	"cedarmast/internal/cdn/localnet"
 )
 
-// How often operators send and ask, and for how long they try.
+// How often operators put and read configurations, and how long they retry.
 const (
-	configEvery   = 900 * time.Millisecond
-	configPatient = 4 * time.Second
-	readEvery     = 300 * time.Millisecond
-	callAgain     = 20 * time.Millisecond
-	mostApart     = 60 * time.Millisecond // between the sendings of two changes that overlap
+	configInterval  = 900 * time.Millisecond
+	configTimeout   = 4 * time.Second
+	readInterval    = 300 * time.Millisecond
+	retryInterval   = 20 * time.Millisecond
+	maxOverlapDelay = 60 * time.Millisecond // between the puts of two overlapping changes
 )
 
-// operators send configurations and hold what became of them.
+// operators put configurations, read them back and record the results.
 type operators struct {
-	day     *day
+	soakRun *soakRun
 	history *history
 	keys    *keySource
 	rng     *rand.Rand
-	edition int // the last number given out
+	edition int // the last edition number used
 }
 
-func newOperators(d *day) *operators {
-	return &operators{day: d, history: &history{}, keys: newKeySource(d.Seed), rng: rand.New(rand.NewPCG(d.Seed, 3))}
+func newOperators(s *soakRun) *operators {
+	return &operators{soakRun: s, history: &history{}, keys: newKeySource(s.Seed), rng: rand.New(rand.NewPCG(s.Seed, 3))}
 }
 
-// first sends the first configuration until it is taken.
-func (o *operators) first(ctx context.Context) error {
-	v := o.write(nil, o.keys.first(), valid)
-	if o.put(ctx, v, 0); v.verdict != acknowledged {
-		return Error.New("the first configuration is not acknowledged (verdict %d)", v.verdict)
+// putFirst puts the first configuration, with retries, until it is acknowledged.
+func (o *operators) putFirst(ctx context.Context) error {
+	v := o.newVersion(nil, o.keys.first(), valid)
+	if o.put(ctx, v, 0); v.result != acknowledged {
+		return Error.New("the first configuration is not acknowledged (result %d)", v.result)
 	}
 	return nil
 }
 
-// write makes a version on top of another one.
-func (o *operators) write(base *version, keys keyTable, fault fault) *version {
+// newVersion creates a version based on another one; base nil: on none. A version with staleEdition takes the edition of its base.
+func (o *operators) newVersion(base *version, keys keyTable, defect defect) *version {
 	o.edition++
-	v := &version{edition: o.edition, on: base, keys: keys, fault: fault}
-	if fault == staleEdition && base != nil {
+	v := &version{edition: o.edition, base: base, keys: keys, defect: defect}
+	if defect == staleEdition && base != nil {
 		v.edition = base.edition
 		o.edition--
 	}
-	v.write()
+	v.encode()
 	return v
 }
 
-// change makes a version with other keys on top of another one.
-func (o *operators) change(base *version, fault fault) *version {
-	return o.write(base, o.keys.change(base.keys, o.rng), fault)
+// newChange creates a version based on another one, with changed keys.
+func (o *operators) newChange(base *version, defect defect) *version {
+	return o.newVersion(base, o.keys.change(base.keys, o.rng), defect)
 }
 
-// configure changes the configuration again and again until the context ends: alone, two on one base, one on top of another one that is still
-// under way, and with faults that must be refused.
-func (o *operators) configure(ctx context.Context) {
-	for step := o.rng.IntN(len(faults)); sleep(ctx, configEvery) == nil; step++ {
+// runConfigChanges changes the configuration repeatedly until the context ends: one change alone, two on the same base, one based
+// on another that is still in flight, or one together with an invalid change that must be refused.
+func (o *operators) runConfigChanges(ctx context.Context) {
+	for step := o.rng.IntN(len(defects)); sleep(ctx, configInterval) == nil; step++ {
 		base := o.current(ctx)
 		if base == nil {
 			continue
 		}
-		first := o.change(base, valid)
+		first := o.newChange(base, valid)
 		switch o.rng.IntN(5) {
 		case 0:
-			o.together(ctx, first, o.change(base, valid), 0)
+			o.putOverlapping(ctx, first, o.newChange(base, valid), 0)
 		case 1:
-			o.together(ctx, first, o.change(first, valid), time.Duration(o.rng.Int64N(int64(mostApart))))
+			o.putOverlapping(ctx, first, o.newChange(first, valid), time.Duration(o.rng.Int64N(int64(maxOverlapDelay))))
 		case 2:
-			o.together(ctx, first, o.change(base, faults[step%len(faults)]), time.Duration(o.rng.Int64N(int64(mostApart))))
+			o.putOverlapping(ctx, first, o.newChange(base, defects[step%len(defects)]), time.Duration(o.rng.Int64N(int64(maxOverlapDelay))))
 		default:
-			o.put(ctx, first, o.rng.IntN(o.day.Shape.Core))
+			o.put(ctx, first, o.rng.IntN(o.soakRun.Shape.Core))
 		}
 	}
 }
 
-// together sends two versions so that they overlap, each to a core machine of its own at first.
-func (o *operators) together(ctx context.Context, one, other *version, apart time.Duration) {
+// putOverlapping puts two versions concurrently, the second after a delay, starting at different core machines.
+func (o *operators) putOverlapping(ctx context.Context, first, second *version, delay time.Duration) {
 	var both sync.WaitGroup
-	both.Go(func() { o.put(ctx, one, 0) })
+	both.Go(func() { o.put(ctx, first, 0) })
 	both.Go(func() {
-		if sleep(ctx, apart) == nil {
-			o.put(ctx, other, 1)
+		if sleep(ctx, delay) == nil {
+			o.put(ctx, second, 1)
 		}
 	})
 	both.Wait()
 }
 
-// put sends a version to one core machine after the other until a clear answer comes or the patience ends.
-func (o *operators) put(ctx context.Context, v *version, turn int) {
-	call, done := context.WithTimeout(ctx, configPatient)
-	defer done()
-	o.history.send(v)
-	doubt, core := false, o.day.net.CoreMachines()
-	for ; call.Err() == nil; turn++ {
-		status, _, err := o.day.net.ControlAt(call, core[turn%len(core)], http.MethodPut, "/manifest", v.text)
+// put sends a version to one core machine after the other until one acknowledges or refuses it or configTimeout expires. A refusal
+// is recorded only if no earlier attempt can have applied the version.
+func (o *operators) put(ctx context.Context, v *version, attempt int) {
+	callCtx, cancel := context.WithTimeout(ctx, configTimeout)
+	defer cancel()
+	o.history.recordSent(v)
+	ambiguous, core := false, o.soakRun.net.CoreMachines()
+	for ; callCtx.Err() == nil; attempt++ {
+		status, _, err := o.soakRun.net.ControlAt(callCtx, core[attempt%len(core)], http.MethodPut, "/manifest", v.text)
 		switch {
 		case err == nil && status == http.StatusOK:
-			o.history.settle(v, acknowledged)
+			o.history.recordResult(v, acknowledged)
 			return
 		case err == nil && isRefusal(status):
-			if !doubt {
-				o.history.settle(v, refused)
+			if !ambiguous {
+				o.history.recordResult(v, refused)
 			}
 			return
 		}
-		doubt = doubt || !errors.Is(err, syscall.ECONNREFUSED)
-		sleep(call, callAgain)
+		ambiguous = ambiguous || !errors.Is(err, syscall.ECONNREFUSED)
+		sleep(callCtx, retryInterval)
 	}
 }
 
-// isRefusal tells whether an operator's call ends with a status.
+// isRefusal reports whether a status is a final refusal, after which put does not retry.
 func isRefusal(status int) bool {
 	return slices.Contains([]int{http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity}, status)
 }
 
-// current reads the newest configuration back, at one core machine after the other; nil if none tells it in time, or if it is none that was sent.
+// current reads the newest configuration from one core machine after the other; nil if none answers within configTimeout, or if the
+// text is none that was put.
 func (o *operators) current(ctx context.Context) *version {
-	call, done := context.WithTimeout(ctx, configPatient)
-	defer done()
-	for core, turn := o.day.net.CoreMachines(), o.rng.IntN(o.day.Shape.Core); call.Err() == nil; turn++ {
-		if r, ok := o.readAt(call, core[turn%len(core)]); ok {
-			return o.history.find(r.text)
+	callCtx, cancel := context.WithTimeout(ctx, configTimeout)
+	defer cancel()
+	for core, attempt := o.soakRun.net.CoreMachines(), o.rng.IntN(o.soakRun.Shape.Core); callCtx.Err() == nil; attempt++ {
+		if r, ok := o.readAt(callCtx, core[attempt%len(core)]); ok {
+			return o.history.findByText(r.text)
 		}
-		sleep(call, callAgain)
+		sleep(callCtx, retryInterval)
 	}
 	return nil
 }
 
-// readAt asks one core machine for the newest configuration.
+// readAt reads the newest configuration from one core machine and records the reading.
 func (o *operators) readAt(ctx context.Context, m *localnet.Machine) (r reading, ok bool) {
 	r.sent = time.Now()
-	status, text, err := o.day.net.ControlAt(ctx, m, http.MethodGet, "/manifest", nil)
+	status, text, err := o.soakRun.net.ControlAt(ctx, m, http.MethodGet, "/manifest", nil)
 	if err != nil || status != http.StatusOK {
 		return r, false
 	}
-	r.edition, r.text = editionOf(text), text
-	o.history.read(r)
+	r.edition, r.text = parseEdition(text), text
+	o.history.recordReading(r)
 	return r, true
 }
 
-// ask reads the configuration back again and again, at a core machine that a seed draws each time.
-func (o *operators) ask(ctx context.Context) {
-	rng := rand.New(rand.NewPCG(o.day.Seed, 4))
-	for core := o.day.net.CoreMachines(); sleep(ctx, readEvery) == nil; {
-		call, done := context.WithTimeout(ctx, configPatient)
-		o.readAt(call, core[rng.IntN(len(core))])
-		done()
+// runReads reads the configuration repeatedly until the context ends, each time from a core machine drawn by the seed.
+func (o *operators) runReads(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(o.soakRun.Seed, 4))
+	for core := o.soakRun.net.CoreMachines(); sleep(ctx, readInterval) == nil; {
+		callCtx, cancel := context.WithTimeout(ctx, configTimeout)
+		o.readAt(callCtx, core[rng.IntN(len(core))])
+		cancel()
 	}
 }
--- a/internal/cdn/soak/servers.go
+++ b/internal/cdn/soak/servers.go
@@ -12,78 +12,81 @@
 	"cedarmast/internal/cdn/localnet"
 )
 
-// server is a stand-in server that works for long at times, fails, loses answers and falls silent. It drops what its caller has closed.
-type server struct {
-	id  string
-	day *day
+// stubServer is an HTTP server that takes long for some requests, fails others, drops responses and may hang. It cancels a request
+// whose connection is closed.
+type stubServer struct {
+	id      string
+	soakRun *soakRun
 
-	told   *localnet.Server // its beats
-	silent atomic.Bool      // from some moment on for good: it takes requests and answers nothing
+	registered *localnet.Server // sends its heartbeats
+	hung       atomic.Bool      // once set, it accepts requests and never answers
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// work is what becomes of one run.
-type work struct {
-	lasts  time.Duration
-	status int  // of its answer
-	lost   bool // the connection ends in its place
+// plannedRun is the drawn outcome of one run.
+type plannedRun struct {
+	duration       time.Duration
+	status         int  // of its response
+	dropConnection bool // close the connection instead of responding
 }
 
-const slowPart, failPart, lostPart = 0.35, 0.05, 0.05
+// The fractions of runs that take seconds, fail with 500, and drop their connection.
+const slowFraction, failFraction, dropFraction = 0.35, 0.05, 0.05
 
-func (s *server) draw() work {
+// drawRun draws the outcome of the next run. Once faults are over, every run is short and succeeds.
+func (s *stubServer) drawRun() plannedRun {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := work{lasts: 20*time.Millisecond + time.Duration(s.rng.Int64N(int64(150*time.Millisecond))), status: http.StatusOK}
-	if s.day.calm.Load() {
-		return w
+	plan := plannedRun{duration: 20*time.Millisecond + time.Duration(s.rng.Int64N(int64(150*time.Millisecond))), status: http.StatusOK}
+	if s.soakRun.faultsOver.Load() {
+		return plan
 	}
-	if s.rng.Float64() < slowPart {
-		w.lasts = time.Second + time.Duration(s.rng.Int64N(int64(2*time.Second)))
+	if s.rng.Float64() < slowFraction {
+		plan.duration = time.Second + time.Duration(s.rng.Int64N(int64(2*time.Second)))
 	}
-	if s.rng.Float64() < failPart {
-		w.status = http.StatusInternalServerError
+	if s.rng.Float64() < failFraction {
+		plan.status = http.StatusInternalServerError
 	}
-	w.lost = s.rng.Float64() < lostPart
-	return w
+	plan.dropConnection = s.rng.Float64() < dropFraction
+	return plan
 }
 
-func (s *server) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (s *stubServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Try-Id")
 	if id != "" {
-		rw.Header().Set("Try-Id", id)
+		w.Header().Set("Try-Id", id)
 	}
-	if want := r.Header.Get("Addressee"); want != "" && want != s.id {
-		rw.WriteHeader(http.StatusMisdirectedRequest)
+	if addressee := r.Header.Get("Addressee"); addressee != "" && addressee != s.id {
+		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // it never came whole
+		return // the body was incomplete
 	}
-	run := s.day.book.begun(&run{path: r.URL.Path, id: id, server: s.id, sender: r.Header.Get("Sender"), showsKey: r.Header.Get("Key") != ""})
-	if s.silent.Load() {
+	run := s.soakRun.recorder.runStarted(&run{path: r.URL.Path, id: id, server: s.id, sender: r.Header.Get("Sender"), keyExposed: r.Header.Get("Key") != ""})
+	if s.hung.Load() {
 		<-r.Context().Done()
-		s.day.book.ended(run, dropped)
+		s.soakRun.recorder.runEnded(run, canceled)
 		return
 	}
-	w := s.draw()
-	late := time.NewTimer(w.lasts)
-	defer late.Stop()
+	plan := s.drawRun()
+	finished := time.NewTimer(plan.duration)
+	defer finished.Stop()
 	select {
-	case <-late.C:
-		if w.lost {
-			s.day.book.ended(run, brokenOff)
+	case <-finished.C:
+		if plan.dropConnection {
+			s.soakRun.recorder.runEnded(run, aborted)
 			panic(http.ErrAbortHandler)
 		}
-		s.day.book.ended(run, answered)
+		s.soakRun.recorder.runEnded(run, answered)
 	case <-r.Context().Done():
-		s.day.book.ended(run, dropped)
+		s.soakRun.recorder.runEnded(run, canceled)
 		return
 	}
-	rw.Header().Set("Postmark", s.id+"."+id)
-	rw.Header().Set("Etag", fmt.Sprintf("%q", r.URL.Path))
-	rw.WriteHeader(w.status)
-	fmt.Fprintf(rw, "%s of %s\n", r.URL.Path, s.id)
+	w.Header().Set("Postmark", s.id+"."+id)
+	w.Header().Set("Etag", fmt.Sprintf("%q", r.URL.Path))
+	w.WriteHeader(plan.status)
+	fmt.Fprintf(w, "%s of %s\n", r.URL.Path, s.id)
 }
--- a/internal/cdn/soak/service.go
+++ b/internal/cdn/soak/service.go
@@ -14,95 +14,97 @@
 	"cedarmast/internal/cdn/localnet"
 )
 
-// The probes that show whether a proxy serves once all is calm: so many requests one after the other, each proxy on its own.
+// The probes that show whether a proxy serves after the faults: a number of sequential requests to each proxy.
 const (
-	probes      = 30
-	probeWithin = 20 * time.Second
-	probePause  = 5 * time.Millisecond // after one that was not served
+	probeCount         = 30
+	probeTimeout       = 20 * time.Second
+	probeRetryInterval = 5 * time.Millisecond // after a probe that was not served
 )
 
-// probeTally is how the probes of one proxy ended.
-type probeTally struct {
-	served   int
-	others   map[string]int // by status or error
-	slowest  time.Duration
-	spent    time.Duration
-	firstEnd time.Duration // of the first one served
+// probeResult summarizes the probes of one proxy.
+type probeResult struct {
+	served           int
+	failures         map[string]int // by status or error
+	slowest          time.Duration
+	elapsed          time.Duration
+	firstServedAfter time.Duration // from the start to the end of the first probe served
 }
 
-func (t probeTally) String() string {
-	text := fmt.Sprintf("serves %d of %d once all is calm, in %s", t.served, probes, t.spent.Round(time.Millisecond))
-	if t.served > 0 {
-		text += fmt.Sprintf(", the first after %s, the slowest probe took %s", t.firstEnd.Round(time.Millisecond), t.slowest.Round(time.Millisecond))
+func (r probeResult) String() string {
+	text := fmt.Sprintf("serves %d of %d after the faults, in %s", r.served, probeCount, r.elapsed.Round(time.Millisecond))
+	if r.served > 0 {
+		text += fmt.Sprintf(", the first after %s, the slowest probe took %s", r.firstServedAfter.Round(time.Millisecond), r.slowest.Round(time.Millisecond))
 	}
-	for _, outcome := range slices.Sorted(maps.Keys(t.others)) {
-		text += fmt.Sprintf("; %d times %s", t.others[outcome], outcome)
+	for _, outcome := range slices.Sorted(maps.Keys(r.failures)) {
+		text += fmt.Sprintf("; %d times %s", r.failures[outcome], outcome)
 	}
 	return text
 }
 
-// checkService holds that every proxy serves again once all is calm: neither places nor trust in servers were lost. Proxies are probed at the
-// same time, each with a deadline of its own, so that one that serves hardly anything hides nothing about the others.
-func (d *day) checkService(ctx context.Context) {
-	var all sync.WaitGroup
-	for _, m := range d.net.EdgeMachines() {
-		all.Go(func() {
-			tally := d.probe(ctx, m)
-			d.say("%s %s", m.Name, tally)
-			if tally.served < probes {
-				d.book.breach("%s %s", m.Name, tally)
-				d.tellFigures(ctx, m)
+// checkServing checks that every proxy serves again after the faults: neither admission slots nor healthy servers were lost.
+// Proxies are probed concurrently, each with its own deadline, so that one that serves hardly anything does not hide the results of
+// the others.
+func (s *soakRun) checkServing(ctx context.Context) {
+	var probes sync.WaitGroup
+	for _, m := range s.net.EdgeMachines() {
+		probes.Go(func() {
+			result := s.probe(ctx, m)
+			s.logf("%s %s", m.Name, result)
+			if result.served < probeCount {
+				s.recorder.addViolation("%s %s", m.Name, result)
+				s.logMetrics(ctx, m)
 			}
 		})
 	}
-	all.Wait()
+	probes.Wait()
 }
 
-func (d *day) probe(ctx context.Context, m *localnet.Machine) (t probeTally) {
-	call, done := context.WithTimeout(ctx, probeWithin)
-	defer done()
-	t.others = map[string]int{}
-	key := pickKey(d.operators.history.newest().keys, rand.New(rand.NewPCG(d.Seed, 5)))
+// probe sends requests to a proxy until probeCount were served or probeTimeout expires.
+func (s *soakRun) probe(ctx context.Context, m *localnet.Machine) (result probeResult) {
+	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
+	defer cancel()
+	result.failures = map[string]int{}
+	key := pickKey(s.operators.history.newest().keys, rand.New(rand.NewPCG(s.Seed, 5)))
 	start := time.Now()
-	for n := 0; t.served < probes && call.Err() == nil; n++ {
-		begun := time.Now()
-		status, err := d.net.AskWithKey(m, "shop.example", fmt.Sprintf("/again/probe-%s-%d", m.Name, n), fmt.Sprintf("probe-%s-%d-%d", m.Name, d.Seed, n), key)
-		t.slowest = max(t.slowest, time.Since(begun))
+	for n := 0; result.served < probeCount && probeCtx.Err() == nil; n++ {
+		started := time.Now()
+		status, err := s.net.AskWithKey(m, "shop.example", fmt.Sprintf("/again/probe-%s-%d", m.Name, n), fmt.Sprintf("probe-%s-%d-%d", m.Name, s.Seed, n), key)
+		result.slowest = max(result.slowest, time.Since(started))
 		switch {
 		case err == nil && status == 200:
-			if t.served++; t.served == 1 {
-				t.firstEnd = time.Since(start)
+			if result.served++; result.served == 1 {
+				result.firstServedAfter = time.Since(start)
 			}
 			continue
 		case err != nil:
-			t.others[errorKind(err)]++
+			result.failures[errorReason(err)]++
 		default:
-			t.others[fmt.Sprint(status)]++
+			result.failures[fmt.Sprint(status)]++
 		}
-		sleep(call, probePause)
+		sleep(probeCtx, probeRetryInterval)
 	}
-	t.spent = time.Since(start)
-	return t
+	result.elapsed = time.Since(start)
+	return result
 }
 
-// errorKind is an error's last part, which does not name ports.
-func errorKind(err error) string {
+// errorReason returns the last part of an error's text, which contains no ports.
+func errorReason(err error) string {
 	text := err.Error()
 	return strings.TrimSpace(text[strings.LastIndexByte(text, ':')+1:])
 }
 
-// tellFigures prints what a proxy that serves too little tells of itself, and of the core machines where they stand.
-func (d *day) tellFigures(ctx context.Context, m *localnet.Machine) {
-	d.net.Signal(m, syscall.SIGUSR1) // it logs what its decisions hold
-	if text, err := d.net.Figures(ctx, m); err == nil {
+// logMetrics logs the metrics of a proxy that fails its probes, and the status of the core machines.
+func (s *soakRun) logMetrics(ctx context.Context, m *localnet.Machine) {
+	s.net.Signal(m, syscall.SIGUSR1) // dumps the state of its decisions to its log
+	if text, err := s.net.Figures(ctx, m); err == nil {
 		for line := range strings.Lines(text) {
 			if !strings.HasPrefix(line, "#") {
-				d.say("%s: %s", m.Name, strings.TrimSpace(line))
+				s.logf("%s: %s", m.Name, strings.TrimSpace(line))
 			}
 		}
 	}
-	for _, core := range d.net.CoreMachines() {
-		_, status, err := d.net.ControlAt(ctx, core, "GET", "/status", nil)
-		d.say("%s: %s %v", core.Name, strings.TrimSpace(string(status)), err)
+	for _, core := range s.net.CoreMachines() {
+		_, status, err := s.net.ControlAt(ctx, core, "GET", "/status", nil)
+		s.logf("%s: %s %v", core.Name, strings.TrimSpace(string(status)), err)
 	}
 }
--- a/internal/cdn/soak/soak.go
+++ b/internal/cdn/soak/soak.go
@@ -1,7 +1,8 @@
-// Package soak plays real processes of the delivery network on this machine's loopback net under troubles that overlap: clients of which most
-// leave, servers that work for seconds or lose answers, processes that are killed, paused and restarted as planned, configurations that come
-// meanwhile. A seed draws all of it, so that a failure is replayed by its number, as far as real time lets it. It checks from outside that the
-// work for a client that has left ends, and from inside that no process has counted a breach of departure's invariant.
+// Package soak runs real processes of the delivery network on this machine's loopback interface under overlapping faults: most
+// clients abandon their requests, servers take seconds or drop responses, processes are killed, paused and restarted gracefully,
+// and the configuration changes meanwhile. A seed determines all random choices, so that a failure can be replayed by its seed, as
+// far as real time allows. The package checks from outside that work for a client that has left is cancelled, and by their metrics
+// that no process counted a violation of the invariant of package departure.
 package soak
 
 import (
@@ -22,137 +23,138 @@
 var Error = errs.Class("soak")
 
 const (
-	service     = "desk"
-	readyWithin = 20 * time.Second
-	restTime    = 5 * time.Second // after the day, for all that was under way
+	serviceName  = "desk"
+	readyTimeout = 20 * time.Second
+	settleTime   = 5 * time.Second // after the day, for work in flight to end
 )
 
-// How many clients and servers a day has: as many as a small network needs, more on a large one.
+// The numbers of clients and servers: a minimum for a small network, and a number per edge for a large one.
 const (
-	leastServers  = 6
-	edgesAServer  = 8
-	leastClients  = 40
-	clientsAnEdge = 4 // that open a connection for each request
-	leastKept     = 12
-	keptAnEdge    = 2 // that keep theirs
-	usualRevoke   = 2 * time.Second
-	usualContact  = 2 * time.Second
+	minServers              = 6
+	edgesPerServer          = 8
+	minClients              = 40
+	clientsPerEdge          = 4 // clients that open a connection for each request
+	minKeepAliveClients     = 12
+	keepAliveClientsPerEdge = 2 // clients that reuse one connection
+	defaultRevoke           = 2 * time.Second
+	defaultContact          = 2 * time.Second
 )
 
-// Plan says what is played.
+// Plan configures a soak run.
 type Plan struct {
 	Seed  uint64
-	Day   time.Duration // how long clients come and troubles last
+	Day   time.Duration // how long clients send requests and faults are injected
 	Shape localnet.Shape
-	Out   io.Writer // what happens; nil: nothing
-	Keep  string    // for Sweep: the folder where days with a breach leave their logs; empty: nowhere
+	Out   io.Writer // receives the log of events; nil: none
+	Keep  string    // for Sweep: the directory that keeps the logs of runs with violations; empty: none are kept
 }
 
-// Report is what a day came to.
+// Report is the result of a soak run.
 type Report struct {
 	Requests, Left, Runs int
-	Kept                 int // of the requests: over connections that their clients keep
-	Keyless              int // of the others: with no key, or one that may be refused at once
-	Refused              int // of the rest: refused before their clients meant to leave, so that no work began that they could leave
+	Kept                 int // of the requests: over keep-alive connections
+	Keyless              int // of the others: without a key, or with one that may be refused at once
+	Refused              int // of the rest: refused before their clients meant to leave, so that no work started for them
 	Troubles             int
 	Breaches             []string
 	Acknowledgements     acknowledgements
 }
 
 func (r Report) String() string {
-	return fmt.Sprintf("%d requests, %d of them over kept connections, %d of their clients left, %d runs at servers, %d troubles, %d breaches told", r.Requests, r.Kept, r.Left, r.Runs, r.Troubles, len(r.Breaches))
+	return fmt.Sprintf("%d requests, %d of them over keep-alive connections, %d abandoned by their clients, %d runs at servers, %d faults, %d violations reported", r.Requests, r.Kept, r.Left, r.Runs, r.Troubles, len(r.Breaches))
 }
 
-// day is one day as it is played.
-type day struct {
+// soakRun is the state of one soak run.
+type soakRun struct {
 	Plan
-	net       *localnet.Network
-	book      *book
-	servers   []*server
-	start     time.Time
-	calm      atomic.Bool // servers work as they should
-	acks      acknowledgements
-	operators *operators
-	told      sync.Mutex // of Out
+	net        *localnet.Network
+	recorder   *recorder
+	servers    []*stubServer
+	start      time.Time
+	faultsOver atomic.Bool // servers neither delay, fail nor drop requests any more
+	acks       acknowledgements
+	operators  *operators
+	outMu      sync.Mutex // guards Out
 }
 
-// Play plays a day and ends by itself. An error says that it could not be played.
+// Play executes one soak run of length p.Day and its checks. An error means that it could not be executed; violations are in the report.
 func Play(ctx context.Context, p Plan) (Report, error) {
 	p.Shape.Metrics = true
 	if p.Shape.Revoke == 0 {
-		p.Shape.Revoke, p.Shape.Contact = usualRevoke, usualContact
+		p.Shape.Revoke, p.Shape.Contact = defaultRevoke, defaultContact
 	}
-	d := &day{Plan: p, book: newBook(), acks: newAcknowledgements()}
-	d.operators = newOperators(d)
+	s := &soakRun{Plan: p, recorder: newRecorder(), acks: newAcknowledgements()}
+	s.operators = newOperators(s)
 	var err error
-	if d.net, err = localnet.Start(p.Shape); err != nil {
+	if s.net, err = localnet.Start(p.Shape); err != nil {
 		return Report{}, err
 	}
-	defer d.net.Stop()
-	if err := d.prepare(ctx); err != nil {
+	defer s.net.Stop()
+	if err := s.setUp(ctx); err != nil {
 		return Report{}, err
 	}
-	d.start = time.Now()
-	troubles := draw(rand.New(rand.NewPCG(p.Seed, 1)), p.Day, d.net)
-	ends, stop := context.WithTimeout(ctx, p.Day)
+	s.start = time.Now()
+	faults := drawFaults(rand.New(rand.NewPCG(p.Seed, 1)), p.Day, s.net)
+	dayCtx, stop := context.WithTimeout(ctx, p.Day)
 	defer stop()
-	var all sync.WaitGroup
-	for n := range max(leastClients, clientsAnEdge*p.Shape.Edges) {
-		all.Go(func() { d.client(ends, n) })
+	var tasks sync.WaitGroup
+	for n := range max(minClients, clientsPerEdge*p.Shape.Edges) {
+		tasks.Go(func() { s.runClient(dayCtx, n) })
 	}
-	for n := range max(leastKept, keptAnEdge*p.Shape.Edges) {
-		all.Go(func() { d.keep(ends, n) })
+	for n := range max(minKeepAliveClients, keepAliveClientsPerEdge*p.Shape.Edges) {
+		tasks.Go(func() { s.runKeepAliveClient(dayCtx, n) })
 	}
-	for _, t := range troubles {
-		all.Go(func() { d.strike(ends, t) })
+	for _, f := range faults {
+		tasks.Go(func() { s.inject(dayCtx, f) })
 	}
-	all.Go(func() { d.operators.configure(ends) })
-	all.Go(func() { d.operators.ask(ends) })
-	all.Go(func() { d.silence(ends) })
-	all.Wait()
-	d.calm.Store(true)
-	return d.judge(ctx, len(troubles))
+	tasks.Go(func() { s.operators.runConfigChanges(dayCtx) })
+	tasks.Go(func() { s.operators.runReads(dayCtx) })
+	tasks.Go(func() { s.hangServer(dayCtx) })
+	tasks.Wait()
+	s.faultsOver.Store(true)
+	return s.evaluate(ctx, len(faults))
 }
 
-// prepare starts the servers, gives the first configuration and waits until all proxies are ready.
-func (d *day) prepare(ctx context.Context) error {
-	for i := range max(leastServers, d.Shape.Edges/edgesAServer) {
-		s := &server{id: fmt.Sprint("i-", i+1), day: d, rng: rand.New(rand.NewPCG(d.Seed, uint64(100+i)))}
-		told, err := d.net.ServeWith(s.id, service, byte(200+i), s)
+// setUp starts the servers, puts the first configuration and waits until all proxies are ready.
+func (s *soakRun) setUp(ctx context.Context) error {
+	for i := range max(minServers, s.Shape.Edges/edgesPerServer) {
+		server := &stubServer{id: fmt.Sprint("i-", i+1), soakRun: s, rng: rand.New(rand.NewPCG(s.Seed, uint64(100+i)))}
+		registered, err := s.net.ServeWith(server.id, serviceName, byte(200+i), server)
 		if err != nil {
 			return err
 		}
-		s.told = told
-		d.servers = append(d.servers, s)
+		server.registered = registered
+		s.servers = append(s.servers, server)
 	}
-	call, done := context.WithTimeout(ctx, readyWithin)
-	defer done()
-	if err := d.operators.first(call); err != nil {
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
+	defer cancel()
+	if err := s.operators.putFirst(readyCtx); err != nil {
 		return err
 	}
-	for _, m := range d.net.EdgeMachines() {
-		for !d.net.Ready(m) {
-			if err := sleep(call, 20*time.Millisecond); err != nil {
+	for _, m := range s.net.EdgeMachines() {
+		for !s.net.Ready(m) {
+			if err := sleep(readyCtx, 20*time.Millisecond); err != nil {
 				return Error.New("%s is not ready: %w", m.Name, err)
 			}
 		}
 	}
-	return sleep(call, time.Second) // until servers and cache routers are known everywhere
+	return sleep(readyCtx, time.Second) // until every process knows the servers and cache routers
 }
 
-// silence has one server fall silent for good, in the day's second quarter: it beats no more and answers nothing, and its connections stay open.
-func (d *day) silence(ctx context.Context) {
-	rng := rand.New(rand.NewPCG(d.Seed, 2))
-	s := d.servers[rng.IntN(len(d.servers))]
-	if sleep(ctx, d.Day/4+time.Duration(rng.Int64N(int64(d.Day/4)))) != nil {
+// hangServer makes one server hang for good, in the second quarter of the day: it sends no more heartbeats and no responses, and
+// its connections stay open.
+func (s *soakRun) hangServer(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(s.Seed, 2))
+	server := s.servers[rng.IntN(len(s.servers))]
+	if sleep(ctx, s.Day/4+time.Duration(rng.Int64N(int64(s.Day/4)))) != nil {
 		return
 	}
-	d.say("%s falls silent for good", s.id)
-	s.silent.Store(true)
-	s.told.Mute()
+	s.logf("%s hangs for good", server.id)
+	server.hung.Store(true)
+	server.registered.Mute()
 }
 
-// sleep waits for a span or the context's end.
+// sleep waits for a duration and returns nil, or the context's error if that ends first.
 func sleep(ctx context.Context, span time.Duration) error {
 	select {
 	case <-time.After(span):
@@ -162,11 +164,12 @@
 	}
 }
 
-func (d *day) say(format string, args ...any) {
-	if d.Out == nil {
+// logf writes one event to Out, with the seconds since the start of the day.
+func (s *soakRun) logf(format string, args ...any) {
+	if s.Out == nil {
 		return
 	}
-	d.told.Lock()
-	defer d.told.Unlock()
-	fmt.Fprintf(d.Out, "%7.3f  %s\n", time.Since(d.start).Seconds(), fmt.Sprintf(format, args...))
+	s.outMu.Lock()
+	defer s.outMu.Unlock()
+	fmt.Fprintf(s.Out, "%7.3f  %s\n", time.Since(s.start).Seconds(), fmt.Sprintf(format, args...))
 }
--- a/internal/cdn/soak/soak_test.go
+++ b/internal/cdn/soak/soak_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// The test binary plays the three programs when it is told to.
+// TestMain runs one of the three programs instead of the tests when the test binary is started as that program.
 func TestMain(m *testing.M) {
 	if programs.Play() {
 		return
@@ -20,9 +20,9 @@
 	os.Exit(m.Run())
 }
 
-// The short form of the soak: one day of real processes under overlapping troubles, on which no rule of package departure is broken and no work
-// goes on for clients that have left, and no server runs what a client's key does not allow. `localnet soak` plays many seeds.
-func TestAShortDay(t *testing.T) {
+// A short soak run with real processes under overlapping faults: no rule of package departure is violated, no work continues for
+// clients that have left, and no server runs what a client's key does not allow. `localnet soak` runs many seeds.
+func TestShortDay(t *testing.T) {
 	shape := localnet.Shape{Core: 3, Edges: 3, Stores: 2, Zones: 2, Dir: t.TempDir(), Program: programs.Line}
 	r, err := Play(t.Context(), Plan{Seed: 1, Day: 5 * time.Second, Shape: shape, Out: t.Output()})
 	assert.NilError(t, err)
--- a/internal/cdn/soak/sweep.go
+++ b/internal/cdn/soak/sweep.go
@@ -8,55 +8,57 @@
 	"path/filepath"
 )
 
-// mostTold is how many breaches of a day are printed.
-const mostTold = 24
+// maxPrintedViolations is the maximum number of violations printed per seed.
+const maxPrintedViolations = 24
 
-// Seeds are a number of seeds in a row.
+// Seeds returns count consecutive seeds, starting at from.
 func Seeds(from, count uint64) []uint64 {
-	var all []uint64
+	var seeds []uint64
 	for seed := from; seed < from+count; seed++ {
-		all = append(all, seed)
+		seeds = append(seeds, seed)
 	}
-	return all
+	return seeds
 }
 
-// Sweep plays seeds one after the other with the programs that stand beside this one, and fails if one of them has a breach.
+// Sweep runs the seeds one after the other with the programs in this executable's directory, prints their reports to out, and fails
+// if a run has violations.
 func Sweep(ctx context.Context, plan Plan, seeds []uint64, out io.Writer) error {
-	if err := fits(plan.Shape); err != nil {
+	if err := checkCapacity(plan.Shape); err != nil {
 		return err
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	plan.Shape.Program = func(name string) []string { return []string{filepath.Join(filepath.Dir(self), name), "run"} }
-	broken, acks := 0, newAcknowledgements()
+	plan.Shape.Program = func(name string) []string { return []string{filepath.Join(filepath.Dir(executable), name), "run"} }
+	failedSeeds, acks := 0, newAcknowledgements()
 	for _, seed := range seeds {
 		if ctx.Err() != nil {
 			break
 		}
-		r, err := sweepOne(ctx, plan, seed)
+		r, err := runSeed(ctx, plan, seed)
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "seed %d: %s\n", seed, r)
 		acks.merge(r.Acknowledgements)
 		if len(r.Breaches) > 0 {
-			broken++
+			failedSeeds++
 		}
-		for _, breach := range r.Breaches[:min(len(r.Breaches), mostTold)] {
-			fmt.Fprintln(out, "   ", breach)
+		for _, violation := range r.Breaches[:min(len(r.Breaches), maxPrintedViolations)] {
+			fmt.Fprintln(out, "   ", violation)
 		}
 	}
 	fmt.Fprintln(out, acks)
-	if broken > 0 {
-		return Error.New("%d of %d seeds have breaches", broken, len(seeds))
+	if failedSeeds > 0 {
+		return Error.New("%d of %d seeds have violations", failedSeeds, len(seeds))
 	}
 	return Error.Wrap(ctx.Err())
 }
 
-// sweepOne plays one seed. What happened on a day with a breach, and its processes' logs, stay in plan.Keep if that is named.
-func sweepOne(ctx context.Context, plan Plan, seed uint64) (report Report, err error) {
+// runSeed runs one seed in a temporary directory. If plan.Keep is set, the log of events and of the processes stays there when the
+// run has violations or fails.
+func runSeed(ctx context.Context, plan Plan, seed uint64) (report Report, err error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return Report{}, Error.Wrap(err)
@@ -78,8 +80,8 @@
 	}()
 	plan.Out, plan.Shape.Out = file, file
 	report, err = Play(ctx, plan)
-	for _, breach := range report.Breaches {
-		fmt.Fprintln(file, "BREACH", breach)
+	for _, violation := range report.Breaches {
+		fmt.Fprintln(file, "BREACH", violation)
 	}
 	return report, err
 }
--- a/internal/cdn/soak/tenants.go
+++ b/internal/cdn/soak/tenants.go
@@ -8,63 +8,66 @@
 	"strings"
 )
 
-// How many tenants there are, and what a change does to their keys.
+// The number of tenants, and what a change does to their keys.
 const (
 	tenantCount   = 5
-	keysOfTenant  = 4 // in the first configuration; the first key of each tenant stays with it all day
-	keysTaken     = 2 // by each change
+	keysPerTenant = 4 // in the first configuration; the first key of each tenant is permanent
+	keysRemoved   = 2 // per change, as are the next two
 	keysAdded     = 2
 	keysMoved     = 1
-	priorityCount = 3 // ranks that tenants are dealt in turn
+	priorityCount = 3 // priorities, assigned to tenants round-robin
 )
 
-// keyTable is which tenant holds each key in one configuration.
+// keyTable maps each key of a configuration to its tenant's name.
 type keyTable map[string]string
 
-// keySource draws keys. No key is drawn twice, so one that was taken away never comes back.
+// keySource generates keys. It never repeats one, so a removed key never returns.
 type keySource struct {
-	seed   uint64
-	drawn  int
-	steady map[string]bool // never taken away, never moved
+	seed      uint64
+	drawn     int
+	permanent map[string]bool // keys that are never removed or moved
 }
 
-func newKeySource(seed uint64) *keySource { return &keySource{seed: seed, steady: map[string]bool{}} }
+func newKeySource(seed uint64) *keySource {
+	return &keySource{seed: seed, permanent: map[string]bool{}}
+}
 
-// next draws a key that no configuration held before.
+// next returns a key that no configuration held before.
 func (s *keySource) next() string {
 	s.drawn++
 	return fmt.Sprintf("key-%d-%d", s.seed, s.drawn)
 }
 
+// tenantName returns the name of tenant n, counted from 0.
 func tenantName(n int) string { return fmt.Sprint("tenant-", n+1) }
 
-// first is the key table of the day's first configuration.
+// first returns the key table of the first configuration.
 func (s *keySource) first() keyTable {
 	table := keyTable{}
 	for n := range tenantCount {
-		for k := range keysOfTenant {
+		for k := range keysPerTenant {
 			key := s.next()
-			table[key], s.steady[key] = tenantName(n), k == 0
+			table[key], s.permanent[key] = tenantName(n), k == 0
 		}
 	}
 	return table
 }
 
-// change is the table after one change: some keys are taken away, one goes to another tenant, some are new.
+// change returns a changed copy of the table: keysRemoved keys are removed, keysMoved go to another tenant, keysAdded are new.
 func (s *keySource) change(table keyTable, rng *rand.Rand) keyTable {
 	changed := maps.Clone(table)
-	var loose []string
+	var removable []string
 	for _, key := range slices.Sorted(maps.Keys(table)) {
-		if !s.steady[key] {
-			loose = append(loose, key)
+		if !s.permanent[key] {
+			removable = append(removable, key)
 		}
 	}
-	rng.Shuffle(len(loose), func(i, j int) { loose[i], loose[j] = loose[j], loose[i] })
-	taken := min(keysTaken, len(loose))
-	for _, key := range loose[:taken] {
+	rng.Shuffle(len(removable), func(i, j int) { removable[i], removable[j] = removable[j], removable[i] })
+	removedCount := min(keysRemoved, len(removable))
+	for _, key := range removable[:removedCount] {
 		delete(changed, key)
 	}
-	for _, key := range loose[taken:min(taken+keysMoved, len(loose))] {
+	for _, key := range removable[removedCount:min(removedCount+keysMoved, len(removable))] {
 		for changed[key] == table[key] {
 			changed[key] = tenantName(rng.IntN(tenantCount))
 		}
@@ -75,8 +78,8 @@
 	return changed
 }
 
-// parcels is the part of a configuration that names the tenants and their keys.
-func (t keyTable) parcels() string {
+// encodeTenants returns the JSON of the tenants and their keys.
+func (t keyTable) encodeTenants() string {
 	var b strings.Builder
 	for n := range tenantCount {
 		var keys []string
@@ -85,12 +88,12 @@
 				keys = append(keys, fmt.Sprintf("%q", key))
 			}
 		}
-		b.WriteString(tenantParcel(n, keys))
+		b.WriteString(encodeTenant(n, keys))
 	}
 	return b.String()
 }
 
-// tenantParcel is one tenant's entry; keys are quoted.
-func tenantParcel(n int, keys []string) string {
+// encodeTenant returns the JSON of tenant n; keys are quoted already.
+func encodeTenant(n int, keys []string) string {
 	return fmt.Sprintf(`{"parcel_kind":"senders","label":{"name":"%s"},"manifest":{"stamps":[%s],"precedence":%d}},`, tenantName(n), strings.Join(keys, ","), n%priorityCount)
 }
--- a/internal/cdn/soak/versions.go
+++ b/internal/cdn/soak/versions.go
@@ -11,102 +11,106 @@
 	"time"
 )
 
-// verdict is what an operator knows of a configuration that was sent.
-type verdict int
+// putResult is what an operator knows about a configuration that was put.
+type putResult int
 
 const (
-	unclear      verdict = iota // it may be in force, or come into force
-	acknowledged                // a 200 came
-	refused                     // a 4xx came, and no call before it may have been taken
+	unknown      putResult = iota // it may be in force, or come into force later
+	acknowledged                  // answered 200
+	refused                       // answered 4xx, and no earlier attempt may have been applied
 )
 
-// fault is why a configuration is invalid.
-type fault string
+// defect is the reason why a configuration is invalid, as it is printed; valid means that it is not.
+type defect string
 
 const (
-	valid          fault = ""
-	sharedKey      fault = "two tenants share a key"
-	unknownService fault = "a route names an unknown service"
-	cutShort       fault = "its text is cut short"
-	staleEdition   fault = "its number is not above the current one"
+	valid          defect = ""
+	sharedKey      defect = "two tenants share a key"
+	unknownService defect = "a route names an unknown service"
+	truncated      defect = "its text is cut short"
+	staleEdition   defect = "its edition is not above the current one"
 )
 
-var faults = []fault{sharedKey, unknownService, cutShort, staleEdition}
+var defects = []defect{sharedKey, unknownService, truncated, staleEdition}
 
-// version is one configuration as an operator sends it.
+// version is one configuration as an operator puts it.
 type version struct {
 	edition int
-	on      *version // that it builds on; nil: none
+	base    *version // that it is based on; nil: none
 	keys    keyTable
-	fault   fault
+	defect  defect
 	text    []byte
 
 	sent, answered time.Time
-	verdict        verdict
+	result         putResult
 }
 
-// reading is one answer to a question for the newest configuration.
+// reading is one successful read of the newest configuration.
 type reading struct {
 	sent    time.Time
 	edition int
 	text    []byte
 }
 
-// history is all configurations of a day, and what was read back.
+// history records all configurations of a run and what was read back.
 type history struct {
-	mu       sync.Mutex
-	versions []*version
-	readings []reading
-	strays   []string // keys that no valid configuration holds
+	mu          sync.Mutex
+	versions    []*version
+	readings    []reading
+	refusedKeys []string // keys that only refused configurations hold
 }
 
-func (h *history) send(v *version) {
+// recordSent records that a version is put now.
+func (h *history) recordSent(v *version) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	v.sent = time.Now()
 	h.versions = append(h.versions, v)
 }
 
-func (h *history) settle(v *version, verdict verdict) {
+// recordResult records the final answer to a put. For a refused version it also records the keys that its base lacks.
+func (h *history) recordResult(v *version, result putResult) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	v.answered, v.verdict = time.Now(), verdict
-	if verdict == refused {
+	v.answered, v.result = time.Now(), result
+	if result == refused {
 		for key := range v.keys {
-			if v.on == nil || v.on.keys[key] == "" {
-				h.strays = append(h.strays, key)
+			if v.base == nil || v.base.keys[key] == "" {
+				h.refusedKeys = append(h.refusedKeys, key)
 			}
 		}
 	}
 }
 
-func (h *history) read(r reading) {
+// recordReading records what was read back.
+func (h *history) recordReading(r reading) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.readings = append(h.readings, r)
 }
 
-// newest is the acknowledged configuration with the highest number.
+// newest returns the acknowledged valid configuration with the highest edition; nil if there is none.
 func (h *history) newest() *version {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var newest *version
 	for _, v := range h.versions {
-		if v.verdict == acknowledged && v.fault == valid && (newest == nil || v.edition > newest.edition) {
+		if v.result == acknowledged && v.defect == valid && (newest == nil || v.edition > newest.edition) {
 			newest = v
 		}
 	}
 	return newest
 }
 
-// find returns the configuration with a text; nil if none was sent.
-func (h *history) find(text []byte) *version {
+// findByText returns the configuration with exactly this text; nil if none was put.
+func (h *history) findByText(text []byte) *version {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return sentAs(h.versions, text)
+	return versionWithText(h.versions, text)
 }
 
-func sentAs(versions []*version, text []byte) *version {
+// versionWithText returns the first version with exactly this text; nil if there is none.
+func versionWithText(versions []*version, text []byte) *version {
 	at := slices.IndexFunc(versions, func(v *version) bool { return bytes.Equal(v.text, text) })
 	if at < 0 {
 		return nil
@@ -114,32 +118,32 @@
 	return versions[at]
 }
 
-// strayKeys are the keys that refused configurations alone hold.
-func (h *history) strayKeys() []string {
+// keysOnlyInRefused returns the keys that only refused configurations hold.
+func (h *history) keysOnlyInRefused() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.strays)
+	return slices.Clone(h.refusedKeys)
 }
 
-// hadKeys are the keys that were in a configuration and are no longer in the newest one.
-func (h *history) hadKeys() []string {
+// removedKeys returns, sorted, the keys of acknowledged configurations that the newest one does not hold.
+func (h *history) removedKeys() []string {
 	newest := h.newest()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	had := keyTable{}
+	removed := keyTable{}
 	for _, v := range h.versions {
-		if v.verdict == acknowledged {
-			maps.Copy(had, v.keys)
+		if v.result == acknowledged {
+			maps.Copy(removed, v.keys)
 		}
 	}
 	if newest != nil {
-		maps.DeleteFunc(had, func(key, _ string) bool { return newest.keys[key] != "" })
+		maps.DeleteFunc(removed, func(key, _ string) bool { return newest.keys[key] != "" })
 	}
-	return slices.Sorted(maps.Keys(had))
+	return slices.Sorted(maps.Keys(removed))
 }
 
-// editionOf reads the number of a configuration that was read back; 0 if it has none.
-func editionOf(text []byte) int {
+// parseEdition returns the edition number of a configuration's text; 0 if it has none.
+func parseEdition(text []byte) int {
 	var got struct{ Edition string }
 	edition := 0
 	if json.Unmarshal(text, &got) == nil {
@@ -148,40 +152,40 @@
 	return edition
 }
 
-// write makes the configuration's text, with its fault.
-func (v *version) write() {
+// encode sets the version's text, including its defect.
+func (v *version) encode() {
 	based := `"0"`
-	if v.on != nil {
-		based = fmt.Sprintf(`"r%d"`, v.on.edition)
+	if v.base != nil {
+		based = fmt.Sprintf(`"r%d"`, v.base.edition)
 	}
-	tenants := v.keys.parcels()
-	if v.fault == sharedKey {
+	tenants := v.keys.encodeTenants()
+	if v.defect == sharedKey {
 		shared := fmt.Sprintf("%q", slices.Max(slices.Collect(maps.Keys(v.keys))))
 		tenants = strings.Replace(tenants, `"stamps":[`, `"stamps":[`+shared+`,`, tenantCount)
 	}
 	v.text = fmt.Appendf(nil, `{"edition":"r%d","based_on":%s,"parcels":[%s%s{"parcel_kind":"carriers","label":{"name":"%s"},"manifest":{"health_path":"/health","line_cap":130,"rate_per_s":400}}]}`,
-		v.edition, based, tenants, v.routes(), service)
-	if v.fault == cutShort {
+		v.edition, based, tenants, v.encodeRoutes(), serviceName)
+	if v.defect == truncated {
 		v.text = v.text[:len(v.text)*2/3]
 	}
 }
 
-// routes are the routes that clients ask for; odd editions have one more.
-func (v *version) routes() string {
+// encodeRoutes returns the JSON of the routes that clients request; odd editions have one more.
+func (v *version) encodeRoutes() string {
 	var b strings.Builder
-	for _, k := range kinds {
-		if k.only && v.edition%2 == 0 {
+	for _, k := range requestKinds {
+		if k.oddEditionsOnly && v.edition%2 == 0 {
 			continue
 		}
-		to, open := service, ""
-		if v.fault == unknownService && k.name == kinds[0].name {
-			to = "nobody"
+		target, publicField := serviceName, ""
+		if v.defect == unknownService && k.name == requestKinds[0].name {
+			target = "nobody"
 		}
-		if k.open {
-			open = `,"unsealed":true`
+		if k.public {
+			publicField = `,"unsealed":true`
 		}
 		fmt.Fprintf(&b, `{"parcel_kind":"routes","label":{"name":"r-%[1]s"},"manifest":{"domain":"shop.example","path_prefix":"/%[1]s/","mail_class":"%[2]s",`+
-			`"timeout":"4000ms","target":"500ms","precedence":1,"carrier":"%[3]s","tries":3,"shelf":"%[4]s"%[5]s}},`, k.name, k.class, to, k.shelf, open)
+			`"timeout":"4000ms","target":"500ms","precedence":1,"carrier":"%[3]s","tries":3,"shelf":"%[4]s"%[5]s}},`, k.name, k.class, target, k.cacheTTL, publicField)
 	}
 	return b.String()
 }
