--- a/internal/cdn/localnet/localnet.go
+++ b/internal/cdn/localnet/localnet.go
@@ -28,7 +28,7 @@
 // Shape configures the size and the settings of a network.
 type Shape struct {
 	Core, Edges int
-	Stores      int // cache routers without clients; with any, edges are set to a link of 12 Mbit/s, which is far less than theirs; 0: all links are alike
+	Stores      int // cache routers without clients, whose links are far wider than the 12 Mbit/s of the edges; 0: all links are alike
 	Zones       int // machines are assigned to zones round-robin
 	Dir         string
 	Net         byte // the network uses 127.0.Net.x, so that several fit on one machine; 0: the first free subnet
--- a/internal/cdn/localnet/platform.go
+++ b/internal/cdn/localnet/platform.go
@@ -28,11 +28,11 @@
 
 // The behaviors of a stand-in platform.
 const (
-	Answering PlatformMood = iota // judges each call and answers
+	Answering PlatformMood = iota // checks each call and answers
 	Busy                          // answers 429
 	Failing                       // answers 500
 	Resetting                     // takes the call, then closes the connection without an answer
-	Silent                        // takes the call, then closes the connection without an answer once its mood changes
+	Silent                        // takes the call, then closes the connection without an answer at the next call of Behave
 )
 
 // UsageCall is one usage report as received.
@@ -49,16 +49,16 @@
 	lease time.Duration
 	http  http.Server
 
-	mu           sync.Mutex
-	mood         PlatformMood
-	delay        time.Duration
-	moodChanged  chan struct{} // closed and replaced at every call of Behave
-	windowCounts map[int64]map[string]int64
-	holders      map[uint64]string // by fence
-	highestFence uint64            // the highest seen
-	recentActors []actor           // within the last lease
-	answerCounts map[int]int       // number of answers by status
-	violations   []string
+	mu              sync.Mutex
+	behavior        PlatformMood
+	delay           time.Duration
+	behaviorChanged chan struct{} // closed and replaced at every call of Behave
+	windowCounts    map[int64]map[string]int64
+	holders         map[uint64]string // by fence
+	highestFence    uint64            // the highest seen
+	recentActors    []actor           // within the last lease
+	answerCounts    map[int]int       // number of answers by status
+	violations      []string
 }
 
 // actor is the holder and time of a call that was not refused.
@@ -69,7 +69,7 @@
 
 // NewPlatform returns a stand-in platform that answers without delay.
 func NewPlatform(lease time.Duration) *Platform {
-	return &Platform{lease: lease, moodChanged: make(chan struct{}), windowCounts: map[int64]map[string]int64{}, holders: map[uint64]string{},
+	return &Platform{lease: lease, behaviorChanged: make(chan struct{}), windowCounts: map[int64]map[string]int64{}, holders: map[uint64]string{},
 		answerCounts: map[int]int{}}
 }
 
@@ -88,12 +88,12 @@
 func (p *Platform) Stop() { p.http.Close() }
 
 // Behave sets how further calls are answered and how long each is delayed, and releases calls that a Silent platform holds.
-func (p *Platform) Behave(mood PlatformMood, delay time.Duration) {
+func (p *Platform) Behave(behavior PlatformMood, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.mood, p.delay = mood, delay
-	close(p.moodChanged)
-	p.moodChanged = make(chan struct{})
+	p.behavior, p.delay = behavior, delay
+	close(p.behaviorChanged)
+	p.behaviorChanged = make(chan struct{})
 }
 
 // Windows returns the accepted counts by window.
@@ -128,12 +128,12 @@
 		return
 	}
 	p.mu.Lock()
-	delay, mood, changed := p.delay, p.mood, p.moodChanged
+	delay, behavior, changed := p.delay, p.behavior, p.behaviorChanged
 	p.mu.Unlock()
 	if delay > 0 {
 		<-time.After(delay)
 	}
-	switch mood {
+	switch behavior {
 	case Busy:
 		p.answer(w, http.StatusTooManyRequests)
 	case Failing:
@@ -188,10 +188,10 @@
 		p.recentActors = p.recentActors[1:]
 	}
 	interleaved := false // this holder acted, and then another one
-	seen := false
+	acted := false
 	for _, a := range p.recentActors {
-		interleaved = interleaved || seen && a.holder != holder
-		seen = seen || a.holder == holder
+		interleaved = interleaved || acted && a.holder != holder
+		acted = acted || a.holder == holder
 	}
 	if interleaved {
 		p.addViolationLocked("%s, then another holder, then %s acted within a lease", holder, holder)
--- a/internal/cdn/soak/keychecks.go
+++ b/internal/cdn/soak/keychecks.go
@@ -32,6 +32,7 @@
 // findings are the violations by rule.
 type findings map[string][]string
 
+// add records a violation of a rule.
 func (f findings) add(rule, format string, args ...any) {
 	f[rule] = append(f[rule], fmt.Sprintf(format, args...))
 }
@@ -115,13 +116,13 @@
 			continue
 		}
 		if req.path != r.path {
-			f.add(ruleUnasked, "%s runs %s for %s, which asked for %s", r.server, r.path, r.id, req.path)
+			f.add(ruleUnasked, "%s runs %s for %s, which requested %s", r.server, r.path, r.id, req.path)
 		}
 		holders, held := e.holders(req.key, r.started)
 		switch {
 		case req.kind.public:
 			if r.sender != "" && !holders[r.sender] {
-				f.add(ruleUnasked, "%s is told that %s, of an open route with the key %q, comes from %q", r.server, r.id, req.key, r.sender)
+				f.add(ruleUnasked, "%s is told that %s, of a public route with the key %q, comes from %q", r.server, r.id, req.key, r.sender)
 			}
 			continue
 		case !held:
--- a/internal/cdn/soak/operators.go
+++ b/internal/cdn/soak/operators.go
@@ -31,6 +31,7 @@
 	edition int // the last edition number used
 }
 
+// newOperators returns the operators of a run; their random choices come from the run's seed.
 func newOperators(s *soakRun) *operators {
 	return &operators{soakRun: s, history: &history{}, keys: newKeySource(s.Seed), rng: rand.New(rand.NewPCG(s.Seed, 3))}
 }
