--- a/balance/api.go
+++ b/balance/api.go
@@ -43,14 +43,14 @@
 
 // Class is a kind of request and its service objectives.
 type Class struct {
-	Name      string
-	Aim       time.Duration // latency target: an answer within it has the full worth
-	Deadline  time.Duration // how long a client waits, over all its tries
-	Worth     float64       // relative value of an answer
-	LateShare float64       // share of Worth that an answer after Aim still has
-	Effect    Effect
-	Group     Group
-	Memory    time.Duration // how long repeats are dropped, counted from the first attempt that may have run
+	Name         string
+	Target       time.Duration // latency target: an answer within it has the full worth
+	Deadline     time.Duration // how long a client waits, over all its tries
+	Priority     float64       // relative value of an answer
+	LateShare    float64       // share of Worth that an answer after Aim still has
+	Effect       Effect
+	Group        Group
+	RepeatWindow time.Duration // how long repeats are dropped, counted from the first attempt that may have run
 }
 
 // Tenant is a customer and its share of the service.
@@ -61,31 +61,31 @@
 
 // Settings is the configuration of a router.
 type Settings struct {
-	Classes        []Class
-	Tenants        []Tenant
-	Routers        int  // routers that share the work
-	Number         int  // index of this router among them, from 0
-	PeerMessages   bool // routers may send each other messages
-	Zone           string
-	OverShareWorth float64       // factor on the worth of requests over a tenant's share
-	Aside          bool          // cache-aside: caches answer a miss, and the router asks the origin itself
-	OriginKind     string        // Kind of the list entry that is the origin; empty if there is none
-	AskForList     bool          // the list is only sent to subscribers
-	AskWithin      time.Duration // a call for the list without an answer is repeated after half of this
-
-	MaxAttempts    int           // per request; 0 means no limit
-	MayCancel      bool          // attempts in flight may be cancelled
-	Parallel       bool          // two attempts of one request may be in flight at once
-	MaxRetryAfter  time.Duration // the longest Retry-After that clients follow; 0 if they get none
-	ConnectTimeout time.Duration
-	Streams        int // attempts that one connection carries at once; 0 counts as 1
-
-	ColdFrom       float64       // least share of its capacity that a server has at its start
-	Ramp           time.Duration // time from a server's start until it has its full capacity
+	Classes           []Class
+	Tenants           []Tenant
+	Routers           int  // routers that share the work
+	Index             int  // index of this router among them, from 0
+	PeerMessages      bool // routers may send each other messages
+	Zone              string
+	OverSharePriority float64       // factor on the worth of requests over a tenant's share
+	CacheAside        bool          // cache-aside: caches answer a miss, and the router asks the origin itself
+	OriginKind        string        // Kind of the list entry that is the origin; empty if there is none
+	SubscribeToList   bool          // the list is only sent to subscribers
+	SubscribeTimeout  time.Duration // a call for the list without an answer is repeated after half of this
+
+	MaxAttempts      int           // per request; 0 means no limit
+	MayCancel        bool          // attempts in flight may be cancelled
+	ParallelAttempts bool          // two attempts of one request may be in flight at once
+	MaxRetryAfter    time.Duration // the longest Retry-After that clients follow; 0 if they get none
+	ConnectTimeout   time.Duration
+	StreamsPerConn   int // attempts that one connection carries at once; 0 counts as 1
+
+	ColdStartShare float64       // least share of its capacity that a server has at its start
+	RampTime       time.Duration // time from a server's start until it has its full capacity
 	OverloadFactor float64       // multiple of its capacity that overloads a server if sent for OverloadFor
 	OverloadFor    time.Duration
 
-	Answered float64 // answers per second and warm weight of 1 that this process's predecessor got; 0 if not known
+	PriorAnswerRate float64 // answers per second and warm weight of 1 that this process's predecessor got; 0 if not known
 
 	Tiers     func() Tiers     // creates the policy that confines requests to sites; nil if they are not confined
 	Placement func() Placement // creates the placement of keys; nil for the interval table
@@ -93,8 +93,8 @@
 
 // Placement maps keys to caches instead of the interval table. It belongs to one Balancer, which is its only caller.
 type Placement interface {
-	// Follow sets the caches that own keys, with their weights.
-	Follow(weights map[ServerID]float64)
+	// SetWeights sets the caches that own keys, with their weights.
+	SetWeights(weights map[ServerID]float64)
 	// Owner returns the cache of a hashed key, or an empty id if there is none. Another hash gives the key's next cache.
 	Owner(hash uint64) ServerID
 }
@@ -102,52 +102,52 @@
 // Tiers orders the sites in which a cache is selected for a request. It belongs to one Balancer, which is its only
 // caller; it does no I/O and has no clock of its own.
 type Tiers interface {
-	// Listed reports the number of caches that are up in each zone.
-	Listed(now Time, up map[string]int)
+	// SetUp reports the number of caches that are up in each zone.
+	SetUp(now Time, up map[string]int)
 	// Order returns the tiers in which a cache is selected: a tier is used if those before it have no cache with capacity.
 	// The slice is valid until the next call.
-	Order(now Time, v Visit) []Tier
-	// Begun and Ended report an attempt at a zone's cache; Begun returns whether the zone may have to fetch the key.
-	Begun(now Time, zone string, key uint64, read, guest bool) (news bool)
-	Ended(now Time, s Stay)
+	Order(now Time, v RequestInfo) []Tier
+	// AttemptBegun and Ended report an attempt at a zone's cache; Begun returns whether the zone may have to fetch the key.
+	AttemptBegun(now Time, zone string, key uint64, read, guest bool) (news bool)
+	AttemptEnded(now Time, s AttemptResult)
 	// View returns the state of each site, in order, and how many fetches for other sites' keys may be in flight at once.
 	View() (sites []SiteView, fetches float64)
 }
 
 // SiteView is the state of one site, for logs.
 type SiteView struct {
-	Zone    string
-	State   string
-	Part    float64       // share of its keys that it holds now
-	Up      int           // caches listed as up
-	Absent  float64       // smoothed share of attempts that got no answer
-	Connect time.Duration // smoothed time to connect; 0 if not known
+	Zone      string
+	State     string
+	KeyShare  float64       // share of its keys that it holds now
+	Up        int           // caches listed as up
+	FailShare float64       // smoothed share of attempts that got no answer
+	Connect   time.Duration // smoothed time to connect; 0 if not known
 }
 
 // Tier is a zone and the part of each cache's limit that the request may use there: 1 at its home site, less as a
 // guest of another site, 0 if there is no capacity for it now.
 type Tier struct {
-	Zone string
-	Part float64
+	Zone       string
+	LimitShare float64
 }
 
-// Visit describes a request to Tiers.Order.
-type Visit struct {
-	Key   uint64  // hashed: uniform over all bits
-	Read  bool    // it has a key, and caches may store the answer
-	Safe  bool    // it may be repeated, whatever the result of the first attempt
-	Worth float64 // as a multiple of the mean of all requests
-	Again bool    // an attempt has been made before
+// RequestInfo describes a request to Tiers.Order.
+type RequestInfo struct {
+	Key              uint64  // hashed: uniform over all bits
+	Read             bool    // it has a key, and caches may store the answer
+	Safe             bool    // it may be repeated, whatever the result of the first attempt
+	RelativePriority float64 // as a multiple of the mean of all requests
+	Retry            bool    // an attempt has been made before
 }
 
-// Stay is the result of an attempt at a zone's cache.
-type Stay struct {
-	Zone    string
-	Key     uint64
-	Took    time.Duration
-	Connect time.Duration // time to open its connection; 0 if not known or if one was open
-	Result  Result
-	News    bool // as returned by Begun
+// AttemptResult is the result of an attempt at a zone's cache.
+type AttemptResult struct {
+	Zone     string
+	Key      uint64
+	Took     time.Duration
+	Connect  time.Duration // time to open its connection; 0 if not known or if one was open
+	Result   Result
+	MayFetch bool // as returned by Begun
 }
 
 // State is a server's state in the list.
@@ -221,22 +221,22 @@
 	}
 	// ClientGone ends a request that needs no answer any more.
 	ClientGone struct{ ID RequestID }
-	// Retuned sets new settings. Learned state stays, and requests in progress keep the class that they came with.
-	Retuned struct{ Settings }
-	// Heard is a message from another router.
-	Heard struct{ Content []byte }
+	// SettingsChanged sets new settings. Learned state stays, and requests in progress keep the class that they came with.
+	SettingsChanged struct{ Settings }
+	// PeerMessage is a message from another router.
+	PeerMessage struct{ Content []byte }
 	// Timer is the expiry of a SetTimer.
 	Timer struct{ Token int64 }
 )
 
-func (List) event()       {}
-func (Request) event()    {}
-func (Outcome) event()    {}
-func (Opened) event()     {}
-func (ClientGone) event() {}
-func (Retuned) event()    {}
-func (Heard) event()      {}
-func (Timer) event()      {}
+func (List) event()            {}
+func (Request) event()         {}
+func (Outcome) event()         {}
+func (Opened) event()          {}
+func (ClientGone) event()      {}
+func (SettingsChanged) event() {}
+func (PeerMessage) event()     {}
+func (Timer) event()           {}
 
 // Result is how an attempt ended.
 type Result int
@@ -246,18 +246,20 @@
 	Unknown   Result = iota
 	OK               // answered
 	Errored          // the server answered with an error
-	Full             // rejected before processing
+	Rejected         // rejected before processing
 	TimedOut         // no answer in time
 	NoConnect        // no connection could be opened
 	Reset            // the connection broke
 	Cancelled        // cancelled by the router
-	Moot             // never sent
+	NeverSent        // never sent
 	Miss             // the cache lacks the key
-	Spoilt           // the answer was malformed
+	Malformed        // the answer was malformed
 )
 
-// NeverRan tells whether the result proves that the attempt had no effect.
-func (r Result) NeverRan() bool { return r == Full || r == NoConnect || r == Moot || r == Miss }
+// HadNoEffect tells whether the result proves that the attempt had no effect.
+func (r Result) HadNoEffect() bool {
+	return r == Rejected || r == NoConnect || r == NeverSent || r == Miss
+}
 
 // Action is a command to the host: one of the types below.
 type Action interface{ action() }
@@ -285,8 +287,8 @@
 		After time.Duration
 		Token int64
 	}
-	// Tell sends a message to another router; it may be lost.
-	Tell struct {
+	// SendPeerMessage sends a message to another router; it may be lost.
+	SendPeerMessage struct {
 		To      int
 		Content []byte
 	}
@@ -296,11 +298,11 @@
 	Subscribe struct{}
 )
 
-func (Send) action()      {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Cancel) action()    {}
-func (SetTimer) action()  {}
-func (Tell) action()      {}
-func (CloseIdle) action() {}
-func (Subscribe) action() {}
+func (Send) action()            {}
+func (Refuse) action()          {}
+func (Fail) action()            {}
+func (Cancel) action()          {}
+func (SetTimer) action()        {}
+func (SendPeerMessage) action() {}
+func (CloseIdle) action()       {}
+func (Subscribe) action()       {}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -39,20 +39,20 @@
 
 func (b *Balancer) onRequest(q Request) {
 	class := b.class(q)
-	r := &request{Request: q, class: class, hash: mix(q.Key), priority: class.Worth, arrived: b.now}
+	r := &request{Request: q, class: class, hash: mix(q.Key), priority: class.Priority, arrived: b.now}
 	if !q.HasKey {
 		r.hash = b.rng.Uint64()
 	}
 	if b.overShare(q.Tenant) { // it ranks below all traffic within a share
-		r.priority *= b.cfg.OverShareWorth
+		r.priority *= b.cfg.OverSharePriority
 	}
-	if q.HasKey && !(q.Write && b.cfg.Aside) {
+	if q.HasKey && !(q.Write && b.cfg.CacheAside) {
 		r.spread = b.hotKeySpread(uint32(r.hash >> 32))
 	}
 	b.meanPriority += smoothing / 4 * (r.priority - b.meanPriority)
 	b.requests[q.ID] = r
 	b.retryBudget = min(b.retryBudget+retryRatio, max(1, retryBurst*b.share()))
-	b.after(q.Due.Sub(b.now), func() { b.giveUp(r, NoTime) }) // in any case it is answered in time
+	b.after(q.Due.Sub(b.now), func() { b.giveUp(r, DeadlineNear) }) // in any case it is answered in time
 	b.route(r)
 }
 
@@ -66,14 +66,14 @@
 	} else if lead := b.fetches[r.Key]; r.HasKey && lead != nil && lead != r && !r.waited {
 		b.joinFetch(r, lead)
 	} else if len(r.attempts) == 0 && !b.admits(&b.cacheGate, r) {
-		b.giveUp(r, Shut)
+		b.giveUp(r, GateClosed)
 	} else if s := b.pick(r); s != nil {
 		b.sendOrRefuse(r, s)
 	} else if r.limitShare > 0 && len(r.attempts) < len(b.caches) && b.mayRepeat(r) &&
 		b.now.Add(b.target/recheckRate) < b.waitDeadline(r) {
 		b.after(b.target/recheckRate, func() { b.route(r) }) // a budget may fill or a trial succeed meanwhile
 	} else {
-		b.giveUp(r, NoServer)
+		b.giveUp(r, NoEligibleServer)
 	}
 }
 
@@ -85,8 +85,8 @@
 	}
 	limitShare := 1.0
 	for _, t := range b.tiers.Order(b.now, b.visit(r)) {
-		if s := b.pickInZone(r, t.Zone); s != nil && b.hasCapacity(r, s, t.Part) {
-			r.limitShare = t.Part
+		if s := b.pickInZone(r, t.Zone); s != nil && b.hasCapacity(r, s, t.LimitShare) {
+			r.limitShare = t.LimitShare
 			return s
 		} else if s != nil {
 			limitShare = 0
@@ -130,7 +130,7 @@
 func (b *Balancer) mayRepeat(r *request) bool {
 	ran, left := r.firstRan(), b.cfg.MaxAttempts <= 0 || len(r.attempts) < b.cfg.MaxAttempts
 	return left && b.now < r.Due && (ran == nil || r.class.Effect == Safe ||
-		r.class.Effect == Keyed && b.now < ran.sent.Add(r.class.Memory))
+		r.class.Effect == Keyed && b.now < ran.sent.Add(r.class.RepeatWindow))
 }
 
 // sendOrRefuse sends r if its server has capacity and refuses it at once if not: a queue only makes it late.
@@ -139,7 +139,7 @@
 	if b.eligible(r, s) && b.hasCapacity(r, s, 1) {
 		b.send(r, s)
 	} else {
-		b.giveUp(r, Crowded)
+		b.giveUp(r, AtLimit)
 	}
 }
 
@@ -161,14 +161,14 @@
 		s.tokens--
 	}
 	b.emit(Send{ID: r.ID, Server: s.Server})
-	b.after(r.class.Aim/2, func() {
+	b.after(r.class.Target/2, func() {
 		if r.attempts[n].open {
 			b.adjustGate(s, false)
-			b.observe(r, &r.attempts[n], r.class.Aim/2, false)
+			b.observe(r, &r.attempts[n], r.class.Target/2, false)
 		}
 	})
 	// After an ejection the backoff lasts until a good answer, and the check comes that much sooner.
-	b.after(max(r.class.Aim/2, 6*b.latency-s.backoff), func() { b.checkAttempt(r, n) })
+	b.after(max(r.class.Target/2, 6*b.latency-s.backoff), func() { b.checkAttempt(r, n) })
 }
 
 // checkAttempt acts on a slow attempt: it sends a second copy where that is allowed, and otherwise cancels it
@@ -184,10 +184,10 @@
 	}
 	switch s := b.pick(r); {
 	case r.inFlight > 1 || !b.mayRetry(r):
-	case b.cfg.Parallel && s != nil && !b.overloaded(s):
+	case b.cfg.ParallelAttempts && s != nil && !b.overloaded(s):
 		b.retryBudget--
 		b.send(r, s)
-	case !b.cfg.Parallel && b.cfg.MayCancel && (silent || stuck):
+	case !b.cfg.ParallelAttempts && b.cfg.MayCancel && (silent || stuck):
 		b.emit(Cancel{ID: r.ID, Attempt: n})
 	case !stuck:
 		b.after(a.sent.Add(stuckFactor*b.latency).Sub(b.now), func() { b.checkAttempt(r, n) })
@@ -201,7 +201,7 @@
 
 func (b *Balancer) onOutcome(r *request, a *attempt, o Outcome) {
 	s := a.to
-	a.open, a.neverRan = false, o.Result.NeverRan()
+	a.open, a.neverRan = false, o.Result.HadNoEffect()
 	b.countAttempt(r, s, -1)
 	b.closeIfIdle(s) // a timeout says nothing about the connection
 	s.connected = o.Result != NoConnect && o.Result != Reset && (s.connected || o.Result != TimedOut)
@@ -209,16 +209,16 @@
 	b.attemptEnded(r, a, took, o)
 	b.recordResult(s, took, o.Result)
 	refused := o.Result == NoConnect && b.isolated() && !s.isOrigin // full connection table: no load, no work
-	if took < r.class.Aim/2 && o.Result != Cancelled && o.Result != Moot && o.Result != Spoilt && !refused {
+	if took < r.class.Target/2 && o.Result != Cancelled && o.Result != NeverSent && o.Result != Malformed && !refused {
 		b.adjustGate(s, o.Result == OK || o.Result == Miss)
 	}
 	switch o.Result {
-	case NoConnect, Reset, Errored, Full: // a fast failure must not look like low load
-		took += r.class.Aim
+	case NoConnect, Reset, Errored, Rejected: // a fast failure must not look like low load
+		took += r.class.Target
 		b.updateLoad(&s.load, s.inFlight)
-		s.load.seconds += r.class.Aim.Seconds()
+		s.load.seconds += r.class.Target.Seconds()
 	}
-	answered := o.Result == OK || o.Result == Full // a miss is fast even at an overloaded cache
+	answered := o.Result == OK || o.Result == Rejected // a miss is fast even at an overloaded cache
 	if answered && !s.isOrigin {
 		b.recordAnswer(took)
 	}
@@ -235,17 +235,17 @@
 		b.retryBudget--
 		b.route(r)
 	default:
-		b.giveUp(r, Spent)
+		b.giveUp(r, NoRetryAllowed)
 	}
 }
 
 // waitDeadline is until when r is kept with nothing in flight: later, an answer or a refusal comes too late.
 func (b *Balancer) waitDeadline(r *request) Time {
-	return r.arrived.Add(min(r.class.Aim-b.latency, r.Due.Sub(r.arrived)/2-b.target/recheckRate))
+	return r.arrived.Add(min(r.class.Target-b.latency, r.Due.Sub(r.arrived)/2-b.target/recheckRate))
 }
 
 // giveUp ends r unless an attempt is in flight: with a refusal if a retry is harmless, else with a failure.
-func (b *Balancer) giveUp(r *request, why Why) {
+func (b *Balancer) giveUp(r *request, why GiveUpReason) {
 	if r.inFlight > 0 || r.done {
 		return
 	}
@@ -253,7 +253,7 @@
 	if r.firstRan() != nil && r.class.Effect != Safe {
 		b.emit(Fail{ID: r.ID})
 	} else {
-		b.emit(Refuse{ID: r.ID, RetryAfter: min(r.class.Aim/retryAfterDiv, b.cfg.MaxRetryAfter)})
+		b.emit(Refuse{ID: r.ID, RetryAfter: min(r.class.Target/retryAfterDiv, b.cfg.MaxRetryAfter)})
 	}
 	b.finish(r, false)
 }
@@ -287,7 +287,7 @@
 	if b.admits(&b.originGate, r) {
 		b.sendOrRefuse(r, b.origin)
 	} else {
-		b.giveUp(r, Shut)
+		b.giveUp(r, GateClosed)
 	}
 }
 
@@ -295,7 +295,7 @@
 func (b *Balancer) joinFetch(r, lead *request) {
 	r.waited = true
 	lead.waiters = append(lead.waiters, r)
-	b.after(b.waitDeadline(r).Sub(b.now), func() { b.giveUp(r, NoTime) })
+	b.after(b.waitDeadline(r).Sub(b.now), func() { b.giveUp(r, DeadlineNear) })
 }
 
 // onList updates servers and table. An empty table is built by start time, then id, as others saw the starts.
@@ -323,19 +323,19 @@
 func (b *Balancer) keepSubscribed(kind ListKind) {
 	b.callID++ // cancels the timers of earlier calls
 	call, wait := b.callID, time.Duration(0)
-	if !b.cfg.AskForList || kind == Partial || kind == Complete {
+	if !b.cfg.SubscribeToList || kind == Partial || kind == Complete {
 		b.failedCalls = 0
 		return
 	}
 	if kind == Failed {
 		b.failedCalls = min(b.failedCalls+1, 4)
-		wait = b.cfg.AskWithin / 32 << b.failedCalls
+		wait = b.cfg.SubscribeTimeout / 32 << b.failedCalls
 		wait = wait/2 + time.Duration(b.rng.Int64N(int64(wait/2)+1))
 	}
 	b.after(wait, func() {
 		if b.callID == call {
 			b.emit(Subscribe{})
-			b.after(b.cfg.AskWithin/2, func() {
+			b.after(b.cfg.SubscribeTimeout/2, func() {
 				if b.callID == call {
 					b.keepSubscribed(Failed)
 				}
--- a/balance/cold_keys_test.go
+++ b/balance/cold_keys_test.go
@@ -14,7 +14,7 @@
 		var decisions []bool
 		for _, g := range rigs {
 			s := g.b.servers["c7"]
-			s.Started = g.now.Add(-g.b.cfg.Ramp / 100)
+			s.Started = g.now.Add(-g.b.cfg.RampTime / 100)
 			for range 200 { // it answers like the others and is rarely considered
 				g.b.answerRate.add(g.now, 2*g.b.cfg.OverloadFor, 1/g.b.warmWeight(&g.b.pool))
 			}
@@ -33,7 +33,7 @@
 			admitted++
 		}
 	}
-	if part := rigs[0].b.cfg.ColdFrom * 2; float64(admitted) < 400*part/2 || float64(admitted) > 400*part*2 {
+	if part := rigs[0].b.cfg.ColdStartShare * 2; float64(admitted) < 400*part/2 || float64(admitted) > 400*part*2 {
 		t.Errorf("%d of 400 keys go to a cold cache", admitted)
 	}
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -58,7 +58,7 @@
 	}
 	for i := range routers {
 		set := testSettings()
-		set.Routers, set.Number, set.PeerMessages = routers, i, true
+		set.Routers, set.Index, set.PeerMessages = routers, i, true
 		f.routers = append(f.routers, New(set, uint64(i)))
 		f.handle(i, list)
 	}
@@ -83,9 +83,9 @@
 		switch a := a.(type) {
 		case SetTimer:
 			f.after(a.After, func() { f.handle(i, Timer{Token: a.Token}) })
-		case Tell:
+		case SendPeerMessage:
 			if f.lost == nil || !f.lost() {
-				f.after(15*time.Millisecond, func() { f.handle(a.To, Heard{Content: a.Content}) })
+				f.after(15*time.Millisecond, func() { f.handle(a.To, PeerMessage{Content: a.Content}) })
 			}
 		case Refuse:
 			f.results["refused"]++
@@ -206,7 +206,7 @@
 	for id := range f.answers {
 		f.answers[id] = func() (time.Duration, Result) {
 			if f.rng.IntN(3) > 0 {
-				return time.Millisecond, Full
+				return time.Millisecond, Rejected
 			}
 			return time.Duration(300+f.rng.IntN(300)) * time.Millisecond, OK
 		}
--- a/balance/gate_test.go
+++ b/balance/gate_test.go
@@ -19,7 +19,7 @@
 func (g *harness) reportAnswers(span time.Duration, perSecond int, took time.Duration) {
 	for n := range int(span.Seconds() * float64(perSecond)) {
 		g.run(time.Second / time.Duration(perSecond))
-		g.handle(Heard{Content: encodeObservations([]observation{
+		g.handle(PeerMessage{Content: encodeObservations([]observation{
 			{key: 1, server: hashID(ServerID(fmt.Sprintf("c%d", n%200))), took: took, answered: true}})})
 	}
 }
@@ -33,11 +33,11 @@
 		target := g.b.target
 		g.reportAnswers(10*time.Second, perSecond, target/10)
 		g.reportAnswers(2*target, perSecond, 2*target)
-		if latency := g.b.Overall(g.now).Taking; latency < target/2 {
+		if latency := g.b.Overall(g.now).FleetLatency; latency < target/2 {
 			t.Errorf("%d per second: two targets into overload the mean latency is %v", perSecond, latency)
 		}
 		g.reportAnswers(4*target, perSecond, target/10)
-		if latency := g.b.Overall(g.now).Taking; latency > target/2 {
+		if latency := g.b.Overall(g.now).FleetLatency; latency > target/2 {
 			t.Errorf("%d per second: four targets after the overload the mean latency is %v", perSecond, latency)
 		}
 	}
@@ -53,7 +53,7 @@
 	for n := range 60 {
 		g.b.adjustGate(s, n%4 != 3)
 	}
-	if open := g.b.Overall(g.now).Gate; open < 0.9 {
+	if open := g.b.Overall(g.now).CacheGate; open < 0.9 {
 		t.Errorf("after 60 attempts, a quarter of them failed, the gate is at %.2f", open)
 	}
 	g.b.cacheGate.ratio = 1 // it must still close once answers are late
@@ -63,7 +63,7 @@
 		g.handle()
 		g.b.adjustGate(s, false)
 	}
-	if open := g.b.Overall(g.now).Gate; open > 0.1 {
+	if open := g.b.Overall(g.now).CacheGate; open > 0.1 {
 		t.Errorf("after late answers the gate is at %.2f", open)
 	}
 }
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -57,9 +57,9 @@
 	b.observations = nil
 	for range min(peers, b.cfg.Routers-1) {
 		to := b.rng.IntN(b.cfg.Routers - 1)
-		if to >= b.cfg.Number {
+		if to >= b.cfg.Index {
 			to++
 		}
-		b.emit(Tell{To: to, Content: content})
+		b.emit(SendPeerMessage{To: to, Content: content})
 	}
 }
--- a/balance/health.go
+++ b/balance/health.go
@@ -10,8 +10,8 @@
 func (b *Balancer) recordResult(s *server, took time.Duration, result Result) {
 	switch result {
 	case OK, Miss:
-		if s.ejectedUntil != 0 && b.now.Sub(s.lastGood) > b.cfg.Ramp/8 { // it may have restarted unseen: half warm
-			s.assumedStart, s.tokens, s.lastRefill = b.now.Add(-b.cfg.Ramp/2), 0, b.now
+		if s.ejectedUntil != 0 && b.now.Sub(s.lastGood) > b.cfg.RampTime/8 { // it may have restarted unseen: half warm
+			s.assumedStart, s.tokens, s.lastRefill = b.now.Add(-b.cfg.RampTime/2), 0, b.now
 		}
 		s.lastHeard, s.lastGood, s.ejectedUntil, s.failures, s.backoff, s.refusals = b.now, b.now, 0, 0, 0, 0
 		if result == OK {
@@ -42,11 +42,11 @@
 		} else {
 			s.failures = max(s.failures, 1)
 		}
-	case Full:
+	case Rejected:
 		s.lastHeard = b.now
-	case Cancelled, Moot:
+	case Cancelled, NeverSent:
 		return
-	case Spoilt, Reset, NoConnect: // no sign of load, and any server may have some: only several in a row count
+	case Malformed, Reset, NoConnect: // no sign of load, and any server may have some: only several in a row count
 		if result == NoConnect && b.isolated() { // its connection table may be full while it serves others
 			s.refusals = min(s.refusals+1, 4)
 			s.avoidUntil = b.now.Add(2 * b.target << s.refusals)
@@ -79,7 +79,7 @@
 // admits lets part of the requests pass a gate that is not fully open, higher priorities first. Gates act
 // with many routers, whose limits of one attempt hold nothing back, and where errors have a shared cause.
 func (b *Balancer) admits(g *gate, r *request) bool {
-	if b.isolated() && g == &b.cacheGate && r.priority < r.class.Worth/8 && b.fleetLatency > b.target/3 {
+	if b.isolated() && g == &b.cacheGate && r.priority < r.class.Priority/8 && b.fleetLatency > b.target/3 {
 		return false // very low priority, such as traffic over a share: it yields before answers are late
 	}
 	return g.ratio >= 1 || !b.manyRouters() && b.errorRate < commonErrors ||
@@ -184,8 +184,8 @@
 	if since == 0 {
 		return 1
 	}
-	progress := float64(b.now.Sub(since)) / float64(max(b.cfg.Ramp, 1))
-	return min(max(b.cfg.ColdFrom+(1-b.cfg.ColdFrom)*progress, b.cfg.ColdFrom), 1)
+	progress := float64(b.now.Sub(since)) / float64(max(b.cfg.RampTime, 1))
+	return min(max(b.cfg.ColdStartShare+(1-b.cfg.ColdStartShare)*progress, b.cfg.ColdStartShare), 1)
 }
 
 // withinBudget limits a cold server to its warm fraction of a warm one's answers here; before any answer all
--- a/balance/interval.go
+++ b/balance/interval.go
@@ -43,7 +43,7 @@
 		return
 	}
 	t.weights = maps.Clone(weights)
-	t.placement.Follow(weights)
+	t.placement.SetWeights(weights)
 }
 
 // lookup returns the owner of a hashed key.
--- a/balance/isolated_router_test.go
+++ b/balance/isolated_router_test.go
@@ -9,7 +9,7 @@
 // isolatedHarness returns the router of one client process among hundreds, without messages between routers.
 func isolatedHarness(t *testing.T, caches int, change ...func(*Settings)) *harness {
 	set := manyRoutersSettings()
-	set.PeerMessages, set.Parallel, set.Streams, set.MaxAttempts, set.OverShareWorth = false, true, 100, 5, 0.05
+	set.PeerMessages, set.ParallelAttempts, set.StreamsPerConn, set.MaxAttempts, set.OverSharePriority = false, true, 100, 5, 0.05
 	for _, c := range change {
 		c(&set)
 	}
@@ -56,7 +56,7 @@
 
 // Routers that keep a connection to each cache for a minute fill the caches' connection tables together.
 func TestUnusedConnectionsAreClosed(t *testing.T) {
-	for want, change := range []func(*Settings){func(s *Settings) { s.Streams = 1 }, func(*Settings) {}} {
+	for want, change := range []func(*Settings){func(s *Settings) { s.StreamsPerConn = 1 }, func(*Settings) {}} {
 		g := isolatedHarness(t, 1, change)
 		g.serve(1, 0, 0)
 		g.run(17 * time.Second) // 32 targets are 16 s; whether the action closes connections is tested where the router is started
--- a/balance/load.go
+++ b/balance/load.go
@@ -36,7 +36,7 @@
 // closeIfIdle closes the connections to s some time after the last attempt if they are multiplexed: each of
 // many routers then uses a server rarely, and all their open connections would fill its connection table.
 func (b *Balancer) closeIfIdle(s *server) {
-	if s.lastUsed = b.now; b.cfg.Streams > 1 && b.isolated() {
+	if s.lastUsed = b.now; b.cfg.StreamsPerConn > 1 && b.isolated() {
 		b.after(idleTargets*b.target, func() {
 			if s.inFlight == 0 && b.now.Sub(s.lastUsed) >= idleTargets*b.target {
 				s.connected = false
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -9,7 +9,7 @@
 // newAsideHarness returns a router that asks the origin itself, with an origin and four caches.
 func newAsideHarness(t *testing.T) *harness {
 	set := testSettings()
-	set.Aside, set.OriginKind = true, "origin"
+	set.CacheAside, set.OriginKind = true, "origin"
 	g := newHarness(t, set)
 	l := List{Kind: Complete, Entries: []Entry{{Server: "o", Kind: "origin", Weight: 1}}}
 	for i := range 4 {
@@ -114,7 +114,7 @@
 	}
 	for id, class := range map[string]string{"low": "read", "high": "once"} {
 		r := &request{Request: Request{ID: RequestID(id), Due: g.now + 1000*ms}, class: g.b.class(Request{Class: class})}
-		if r.priority = r.class.Worth; class == "read" {
+		if r.priority = r.class.Priority; class == "read" {
 			r.priority *= 0.1
 		}
 		g.b.now = g.now
@@ -131,7 +131,7 @@
 // Requests of a tenant over its share have a lower priority.
 func TestOverShareTrafficHasLowerPriority(t *testing.T) {
 	set := testSettings()
-	set.Tenants, set.OverShareWorth = []Tenant{{Name: "big", AllowancePerS: 4}}, 0.1
+	set.Tenants, set.OverSharePriority = []Tenant{{Name: "big", AllowancePerS: 4}}, 0.1
 	g := newHarness(t, set)
 	g.caches(2)
 	lowest := 1.0
@@ -322,7 +322,7 @@
 		id := fmt.Sprint("r", i)
 		g.request(id, "read")
 		if i%8 == 0 {
-			g.answer(id, Spoilt)
+			g.answer(id, Malformed)
 			g.wantResult(id, 2, false, false)
 		}
 		g.answer(id, OK)
@@ -338,7 +338,7 @@
 	}
 	for id, tries := range map[string]int{"read": 2, "add": 2, "once": 1} {
 		g.request(id, id)
-		g.answer(id, Spoilt)
+		g.answer(id, Malformed)
 		g.wantResult(id, tries, false, id == "once")
 		g.run(5 * time.Millisecond)
 	}
@@ -348,7 +348,7 @@
 		for i := range 2 * ejectAfter {
 			id := fmt.Sprint(name, i)
 			g.request(id, "once")
-			g.answer(id, Spoilt)
+			g.answer(id, Malformed)
 			g.run(apart)
 		}
 		return g.b.servers[first]
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -16,15 +16,15 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "read", Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: Safe},
-			{Name: "add", Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3, Effect: Keyed,
-				Group: GroupAll, Memory: 800 * time.Millisecond},
-			{Name: "zoned", Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3, Effect: Keyed,
-				Group: GroupZone, Memory: time.Minute},
-			{Name: "once", Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3, Effect: Unsafe},
+			{Name: "read", Target: 500 * time.Millisecond, Deadline: 2 * time.Second, Priority: 1, Effect: Safe},
+			{Name: "add", Target: 500 * time.Millisecond, Deadline: 2 * time.Second, Priority: 3, Effect: Keyed,
+				Group: GroupAll, RepeatWindow: 800 * time.Millisecond},
+			{Name: "zoned", Target: 500 * time.Millisecond, Deadline: 2 * time.Second, Priority: 3, Effect: Keyed,
+				Group: GroupZone, RepeatWindow: time.Minute},
+			{Name: "once", Target: 500 * time.Millisecond, Deadline: 2 * time.Second, Priority: 3, Effect: Unsafe},
 		},
 		Routers: 2, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: time.Second,
-		ColdFrom: 0.2, Ramp: 20 * time.Second, OverloadFactor: 3, OverloadFor: 2 * time.Second,
+		ColdStartShare: 0.2, RampTime: 20 * time.Second, OverloadFactor: 3, OverloadFor: 2 * time.Second,
 	}
 }
 
@@ -130,7 +130,7 @@
 		{"once", Errored, 0, 1, false, true},
 		{"once", Unknown, 0, 1, false, true},
 		{"once", NoConnect, 0, 2, false, false},
-		{"once", Full, 0, 2, false, false},
+		{"once", Rejected, 0, 2, false, false},
 		{"add", Reset, 0, 2, false, false},
 		{"add", Reset, 799 * time.Millisecond, 2, false, false},
 		{"add", Reset, 801 * time.Millisecond, 1, false, true}, // no longer remembered
@@ -250,7 +250,7 @@
 // With AskForList a failed or unanswered call for the list is repeated; an answered one is not.
 func TestSubscriptionIsKeptAlive(t *testing.T) {
 	set := testSettings()
-	set.AskForList, set.AskWithin = true, 10*time.Second
+	set.SubscribeToList, set.SubscribeTimeout = true, 10*time.Second
 	g := newHarness(t, set)
 	g.handle(List{Kind: Persisted})
 	g.run(10 * time.Millisecond)
@@ -356,7 +356,7 @@
 func TestColdShareAfterProcessReplacement(t *testing.T) {
 	first := func(answered float64) (cold int) {
 		set := testSettings()
-		set.Answered = answered
+		set.PriorAnswerRate = answered
 		g := newHarness(t, set)
 		g.handle(List{Kind: Complete, Entries: []Entry{{Server: "a", Weight: 1}, {Server: "b", Weight: 1},
 			{Server: "cold", Weight: 1, Started: g.now.Add(-5 * time.Second)}}})
@@ -418,15 +418,15 @@
 func newFuzzHost(t *testing.T, seed uint64) *fuzzHost {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	set := testSettings()
-	set.Aside, set.OriginKind = seed%2 == 0, "origin"
-	set.Parallel = seed%3 == 0
+	set.CacheAside, set.OriginKind = seed%2 == 0, "origin"
+	set.ParallelAttempts = seed%3 == 0
 	if seed%4 == 1 {
 		set.Routers, set.PeerMessages = 300, true
 	}
-	set.AskForList, set.AskWithin = seed%5 == 0, 10*time.Second
+	set.SubscribeToList, set.SubscribeTimeout = seed%5 == 0, 10*time.Second
 	set.MayCancel = seed%7 != 0
 	if seed%11 == 0 {
-		set.Classes, set.MaxAttempts, set.Ramp, set.OverloadFor, set.Routers = nil, 0, 0, 0, 0
+		set.Classes, set.MaxAttempts, set.RampTime, set.OverloadFor, set.Routers = nil, 0, 0, 0, 0
 	}
 	return &fuzzHost{harness: newHarness(t, set), rng: rng, set: set, open: map[RequestID]*openRequest{}, states: map[ServerID]State{}}
 }
@@ -497,7 +497,7 @@
 		for i := range text {
 			text[i] = byte(w.rng.IntN(256))
 		}
-		return Heard{Content: text}
+		return PeerMessage{Content: text}
 	case 1:
 		return ClientGone{ID: "nobody"}
 	case 2:
@@ -533,7 +533,7 @@
 			if w.now >= o.due {
 				result = TimedOut
 			}
-			a.open, a.neverRan = false, result.NeverRan()
+			a.open, a.neverRan = false, result.HadNoEffect()
 			o.inFlight--
 			o.ended = o.ended || result == OK
 			events = append(events, Outcome{ID: id, Attempt: n, Server: a.to, Result: result, Done: o.ended})
@@ -554,14 +554,14 @@
 			if w.states[a.Server] != Up {
 				w.t.Fatalf("%s sent to %s in state %v", a.ID, a.Server, w.states[a.Server])
 			}
-			if o.inFlight > 0 && !w.set.Parallel {
+			if o.inFlight > 0 && !w.set.ParallelAttempts {
 				w.t.Fatalf("%s has two attempts in flight", a.ID)
 			}
 			for _, earlier := range o.tries {
 				if earlier.neverRan || o.class.Effect == Safe {
 					continue
 				}
-				if o.class.Effect == Unsafe || w.now >= earlier.sent.Add(o.class.Memory) {
+				if o.class.Effect == Unsafe || w.now >= earlier.sent.Add(o.class.RepeatWindow) {
 					w.t.Fatalf("%s may run twice", a.ID)
 				}
 			}
--- a/balance/scale_test.go
+++ b/balance/scale_test.go
@@ -10,7 +10,7 @@
 // manyRoutersSettings returns the settings of a router among 400, each with a few requests per second.
 func manyRoutersSettings() Settings {
 	set := testSettings()
-	set.Routers, set.Number, set.PeerMessages = 400, 7, true
+	set.Routers, set.Index, set.PeerMessages = 400, 7, true
 	return set
 }
 
@@ -20,9 +20,9 @@
 }
 
 // messages returns the messages to other routers from the last batch.
-func (g *harness) messages() (all []Tell) {
+func (g *harness) messages() (all []SendPeerMessage) {
 	for _, a := range g.lastActions {
-		if a, ok := a.(Tell); ok {
+		if a, ok := a.(SendPeerMessage); ok {
 			all = append(all, a)
 		}
 	}
@@ -172,7 +172,7 @@
 	other.caches(8)
 	g.requestKey("a", 42)
 	g.run(249 * time.Millisecond)
-	var messages []Tell
+	var messages []SendPeerMessage
 	for range 200 {
 		g.lastActions = nil
 		g.run(time.Millisecond)
@@ -193,7 +193,7 @@
 	}
 	s := other.b.servers[g.tries["a"][0]]
 	for range 4 {
-		other.handle(Heard{Content: messages[0].Content})
+		other.handle(PeerMessage{Content: messages[0].Content})
 	}
 	if !other.b.isOutlier(s) {
 		t.Error("four reports about a cache do not make it an outlier")
@@ -205,7 +205,7 @@
 		"no messages": func(s *Settings) { s.PeerMessages = false }, "few routers": func(s *Settings) { s.Routers = 3 },
 	} {
 		set := manyRoutersSettings()
-		set.Number = 0
+		set.Index = 0
 		change(&set)
 		g := newHarness(t, set)
 		g.caches(8)
@@ -229,7 +229,7 @@
 	g.caches(8)
 	before := g.b.load
 	for _, text := range [][]byte{nil, {1}, bytes.Repeat([]byte{255}, 9), bytes.Repeat([]byte{7}, 300)} {
-		g.handle(Heard{Content: text})
+		g.handle(PeerMessage{Content: text})
 	}
 	if g.b.load != before {
 		t.Error("a message that names no known cache changed the load")
@@ -272,7 +272,7 @@
 func TestRetryBurstIsShared(t *testing.T) {
 	for routers, most := range map[int]float64{1: 30, 3: 10, 400: 1} {
 		set := manyRoutersSettings()
-		set.Routers, set.Number = routers, 0
+		set.Routers, set.Index = routers, 0
 		g := newHarness(t, set)
 		g.caches(4)
 		for i := range 300 {
@@ -344,7 +344,7 @@
 	}{{"usual", 50 * time.Millisecond}, {"ten times", 5 * time.Millisecond}} {
 		t.Run(c.name, func(t *testing.T) {
 			set := manyRoutersSettings()
-			set.ColdFrom, set.OverloadFactor, set.OverloadFor, set.Ramp = 0.25, 4, 2*time.Second, 17*time.Second
+			set.ColdStartShare, set.OverloadFactor, set.OverloadFor, set.RampTime = 0.25, 4, 2*time.Second, 17*time.Second
 			const routers, warm, cold = 60, 60, 30
 			sent, asked := 0, 0
 			for i := range routers {
@@ -363,7 +363,7 @@
 					if to := g.tries[RequestID(id)]; len(to) > 0 { // the caches answer no more than at the usual rate
 						result := OK
 						if every < 50*time.Millisecond && asked%10 > 0 {
-							result = Full
+							result = Rejected
 						}
 						g.handle(Outcome{ID: RequestID(id), Attempt: len(to) - 1, Server: to[len(to)-1], Result: result, Done: true})
 					}
@@ -383,7 +383,7 @@
 			}
 			// A warm cache got 40 of the usual requests in two seconds. If that was its capacity, a cold one can take a quarter.
 			// It must not get OverloadFactor times that, and should get at least half of it at once.
-			can := 40.0 * routers / warm * set.ColdFrom // in those two seconds
+			can := 40.0 * routers / warm * set.ColdStartShare // in those two seconds
 			if got := float64(sent) / cold; got < can/2 || got > can*set.OverloadFactor {
 				t.Errorf("a cold cache got %.1f attempts in two seconds, of which it can serve %.1f", got, can)
 			}
--- a/balance/settings_change_test.go
+++ b/balance/settings_change_test.go
@@ -25,7 +25,7 @@
 			g := newHarness(t, testSettings())
 			g.caches(3)
 			g.request("before", "read")
-			g.handle(Retuned{changedSettings(c.change)})
+			g.handle(SettingsChanged{changedSettings(c.change)})
 			g.answer("before", Reset)
 			g.wantResult("before", 2, false, false) // safe: sent again
 			g.answer("before", OK)
@@ -33,7 +33,7 @@
 	}
 	g := newHarness(t, testSettings())
 	g.caches(3)
-	g.handle(Retuned{changedSettings(func(s *Settings) { s.Classes[0].Effect = Unsafe })})
+	g.handle(SettingsChanged{changedSettings(func(s *Settings) { s.Classes[0].Effect = Unsafe })})
 	g.request("after", "read")
 	g.answer("after", Reset)
 	g.wantResult("after", 1, false, true)
@@ -45,12 +45,12 @@
 	g := newHarness(t, testSettings())
 	g.caches(3)
 	without := changedSettings(func(s *Settings) { s.Classes = s.Classes[1:] })
-	g.handle(Retuned{without})
+	g.handle(SettingsChanged{without})
 	g.request("late", "read")
 	g.answer("late", Reset)
 	g.wantResult("late", 2, false, false)
 	g.answer("late", OK)
-	g.handle(Retuned{without})
+	g.handle(SettingsChanged{without})
 	g.request("later", "read")
 	g.answer("later", Reset)
 	g.wantResult("later", 1, false, true)
@@ -61,9 +61,9 @@
 	g := newHarness(t, testSettings())
 	g.caches(4)
 	g.request("q", "read")
-	g.handle(Retuned{changedSettings(func(s *Settings) { s.MaxAttempts = 2 })})
-	g.answer("q", Full)
-	g.answer("q", Full)
+	g.handle(SettingsChanged{changedSettings(func(s *Settings) { s.MaxAttempts = 2 })})
+	g.answer("q", Rejected)
+	g.answer("q", Rejected)
 	g.wantResult("q", 2, true, false)
 }
 
@@ -76,7 +76,7 @@
 		g.handle(Request{ID: RequestID(string(rune('A' + len(g.tries)))), Class: "read", Tenant: "a", Due: g.now.Add(time.Second)})
 	}
 	out := g.b.inFlight
-	g.handle(Retuned{changedSettings(func(s *Settings) { s.Tenants = []Tenant{{"new", 1}, {"b", 1}, {"a", 1}} })})
+	g.handle(SettingsChanged{changedSettings(func(s *Settings) { s.Tenants = []Tenant{{"new", 1}, {"b", 1}, {"a", 1}} })})
 	if a, b := g.b.tenantRates[2].rate(g.now, g.b.cfg.OverloadFor), g.b.tenantRates[1].rate(g.now, g.b.cfg.OverloadFor); a == 0 ||
 		b != 0 || len(g.b.tenantRates) != 3 {
 		t.Errorf("a has a rate of %v per second, b %v, of %d tenants", a, b, len(g.b.tenantRates))
--- a/balance/state.go
+++ b/balance/state.go
@@ -183,8 +183,8 @@
 // setTarget sets target to the shortest latency target of any class.
 func (b *Balancer) setTarget() {
 	for i, c := range b.cfg.Classes {
-		if i == 0 || c.Aim < b.target {
-			b.target = c.Aim
+		if i == 0 || c.Target < b.target {
+			b.target = c.Target
 		}
 	}
 }
@@ -214,9 +214,9 @@
 // unknown requests, attempts or timers change nothing.
 func (b *Balancer) Handle(now Time, events []Event) []Action {
 	b.now, b.actions = now, nil
-	if b.cfg.Answered > 0 { // an empty window fills only after its whole span, and cold servers would starve meanwhile
+	if b.cfg.PriorAnswerRate > 0 { // an empty window fills only after its whole span, and cold servers would starve meanwhile
 		span := 2 * b.cfg.OverloadFor
-		b.answerRate, b.cfg.Answered = meter{count: b.cfg.Answered * span.Seconds(), updated: now}, 0
+		b.answerRate, b.cfg.PriorAnswerRate = meter{count: b.cfg.PriorAnswerRate * span.Seconds(), updated: now}, 0
 	}
 	for _, e := range events {
 		switch e := e.(type) {
@@ -239,9 +239,9 @@
 			if r := b.requests[e.ID]; r != nil {
 				b.finish(r, false)
 			}
-		case Retuned:
+		case SettingsChanged:
 			b.applySettings(e.Settings)
-		case Heard:
+		case PeerMessage:
 			b.onPeerMessage(decodeObservations(e.Content))
 		case Timer:
 			if f := b.timers[e.Token]; f != nil {
@@ -263,9 +263,9 @@
 }
 
 // visit describes a request to the tiers.
-func (b *Balancer) visit(r *request) Visit {
-	return Visit{Key: r.hash, Read: r.HasKey && !r.Write, Safe: r.class.Effect == Safe,
-		Worth: r.priority / max(b.meanPriority, 1e-9), Again: len(r.attempts) > 0}
+func (b *Balancer) visit(r *request) RequestInfo {
+	return RequestInfo{Key: r.hash, Read: r.HasKey && !r.Write, Safe: r.class.Effect == Safe,
+		RelativePriority: r.priority / max(b.meanPriority, 1e-9), Retry: len(r.attempts) > 0}
 }
 
 // attemptBegun and attemptEnded report an attempt to the tiers.
@@ -277,7 +277,7 @@
 		a.to.guests++
 	}
 	a.zone = a.to.Zone
-	a.mayFetch = b.tiers.Begun(b.now, a.zone, r.hash, r.HasKey && !r.Write, a.limitShare < 1)
+	a.mayFetch = b.tiers.AttemptBegun(b.now, a.zone, r.hash, r.HasKey && !r.Write, a.limitShare < 1)
 }
 
 func (b *Balancer) attemptEnded(r *request, a *attempt, took time.Duration, o Outcome) {
@@ -288,9 +288,9 @@
 		a.to.guests--
 	}
 	if o.Result == NoConnect && b.isolated() { // a full connection table does not mean that the site is gone
-		o.Result = Moot
+		o.Result = NeverSent
 	}
-	b.tiers.Ended(b.now, Stay{Zone: a.zone, Key: r.hash, Took: took, Connect: o.Connect, Result: o.Result, News: a.mayFetch})
+	b.tiers.AttemptEnded(b.now, AttemptResult{Zone: a.zone, Key: r.hash, Took: took, Connect: o.Connect, Result: o.Result, MayFetch: a.mayFetch})
 }
 
 // release removes r from the state and returns the reads that wait for its fetch. After a successful fetch they may
@@ -337,7 +337,7 @@
 			}
 		}
 	}
-	return &Class{Aim: q.Due.Sub(b.now), Worth: 1}
+	return &Class{Target: q.Due.Sub(b.now), Priority: 1}
 }
 
 // countAttempt counts an attempt that begins (n is 1) or ends (n is -1).
@@ -461,7 +461,7 @@
 		}
 	}
 	if b.tiers != nil {
-		b.tiers.Listed(b.now, b.upPerZone())
+		b.tiers.SetUp(b.now, b.upPerZone())
 	}
 	return weights
 }
--- a/balance/table_history_test.go
+++ b/balance/table_history_test.go
@@ -69,8 +69,8 @@
 // firstByID is a Placement in which every key belongs to the first cache by id: it depends on the list alone.
 type firstByID struct{ weights map[ServerID]float64 }
 
-func (f *firstByID) Follow(weights map[ServerID]float64) { f.weights = weights }
-func (f *firstByID) Owner(uint64) ServerID               { return sortedIDs(f.weights)[0] }
+func (f *firstByID) SetWeights(weights map[ServerID]float64) { f.weights = weights }
+func (f *firstByID) Owner(uint64) ServerID                   { return sortedIDs(f.weights)[0] }
 
 // With a Placement set, it decides where keys belong, caches that left are removed from it, and the interval table stays unused.
 func TestPlacementReplacesTable(t *testing.T) {
--- a/cmd/localnet/main.go
+++ b/cmd/localnet/main.go
@@ -30,7 +30,7 @@
 				if c.Bool("logs") {
 					shape.Out = os.Stderr
 				}
-				return localnet.Show(ctx, shape, os.Stdout, !c.Bool("once"))
+				return localnet.Demo(ctx, shape, os.Stdout, !c.Bool("once"))
 			}},
 		{Name: "soak", Usage: "run real processes on this machine under overlapping faults, with clients that leave or keep their connections and keys that are removed, and check from outside that the rules hold",
 			ArgsUsage: "[SEED...]",
@@ -41,8 +41,8 @@
 				&cli.StringFlag{Name: "keep", Usage: "directory that keeps the logs of runs with violations"},
 				&cli.BoolFlag{Name: "tell", Usage: "print the events of each run"}, &cli.BoolFlag{Name: "logs", Usage: "print the processes' logs"}},
 			Action: func(ctx context.Context, c *cli.Command) error {
-				plan := soak.Plan{Day: c.Duration("day"), Keep: c.String("keep"), Shape: localnet.Shape{Core: c.Int("core"), Edges: c.Int("edges"), Stores: c.Int("stores"), Zones: 2,
-					Net: byte(c.Int("at")), Revoke: c.Duration("revoke"), Contact: c.Duration("revoke")}}
+				plan := soak.Plan{Duration: c.Duration("day"), LogDir: c.String("keep"), Shape: localnet.Shape{Core: c.Int("core"), Edges: c.Int("edges"), Stores: c.Int("stores"), Zones: 2,
+					Subnet: byte(c.Int("at")), Revoke: c.Duration("revoke"), Contact: c.Duration("revoke")}}
 				if c.Bool("tell") {
 					plan.Out = os.Stdout
 				}
@@ -56,7 +56,7 @@
 						return err
 					}
 				}
-				return soak.Sweep(ctx, plan, seeds, os.Stdout)
+				return soak.RunSeeds(ctx, plan, seeds, os.Stdout)
 			}},
 		{Name: "simulate", Usage: "simulate the control plane in virtual time under faults drawn by a seed, and check its invariants",
 			Flags: []cli.Flag{&cli.Uint64Flag{Name: "seeds", Value: 300, Usage: "number of seeds"}, &cli.Uint64Flag{Name: "from", Usage: "the first seed"},
@@ -68,7 +68,7 @@
 				return simulation.Sweep(c.Uint64("from"), c.Uint64("seeds"), os.Stdout)
 			}},
 		{Name: "version", Usage: "print the build version", Action: func(context.Context, *cli.Command) error {
-			fmt.Println(build.Line("localnet"))
+			fmt.Println(build.VersionLine("localnet"))
 			return nil
 		}},
 	}}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -18,8 +18,8 @@
 	"cedarmast/internal/wire"
 )
 
-// ErrUnknown means that no cache server has the id in the call.
-var ErrUnknown = errors.New("no such cache server")
+// ErrUnknownServer means that no cache server has the id in the call.
+var ErrUnknownServer = errors.New("no such cache server")
 
 // Server answers operators' calls, one per connection. Set its fields before Serve.
 type Server struct {
@@ -36,9 +36,9 @@
 }
 
 const (
-	// MostCalls is the maximum number of open connections. When it is reached, the oldest connection without a complete
+	// MaxConns is the maximum number of open connections. When it is reached, the oldest connection without a complete
 	// call is closed.
-	MostCalls      = 12
+	MaxConns       = 12
 	callTimeout    = 6 * time.Second        // for a complete call, unless the connection is evicted earlier
 	replyTimeout   = time.Second            // for the caller to read the response
 	lingerTimeout  = 100 * time.Millisecond // for the caller to close after the response
@@ -74,7 +74,7 @@
 	if s.conns == nil {
 		s.conns = map[net.Conn]bool{}
 	}
-	if len(s.conns) >= MostCalls {
+	if len(s.conns) >= MaxConns {
 		if len(s.pending) == 0 {
 			return false
 		}
@@ -113,10 +113,10 @@
 		s.mu.Unlock()
 	}()
 	c.SetDeadline(time.Now().Add(callTimeout))
-	req, err := wire.ReadCall(bufio.NewReader(c))
+	req, err := wire.ReadAdminRequest(bufio.NewReader(c))
 	s.removePending(c)
 	if err != nil {
-		if wire.IsBad(err) {
+		if wire.IsProtocolError(err) {
 			s.reply(c, http.StatusBadRequest, err.Error())
 		}
 		return
@@ -163,7 +163,7 @@
 			return http.StatusMethodNotAllowed, "PUT is taken here"
 		}
 		switch err := s.Maintain(id, order == "maint"); {
-		case errors.Is(err, ErrUnknown):
+		case errors.Is(err, ErrUnknownServer):
 			return http.StatusNotFound, fmt.Sprintf("%v: %.80q", err, id)
 		case err != nil:
 			return http.StatusServiceUnavailable, err.Error()
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -61,7 +61,7 @@
 	address := newServer(t, &healthy, func(server string, out bool) error {
 		switch last = (order{server, out}); server {
 		case "nobody":
-			return ErrUnknown
+			return ErrUnknownServer
 		case "stuck":
 			return errors.New("stuck")
 		}
@@ -124,7 +124,7 @@
 	var healthy atomic.Bool
 	healthy.Store(true)
 	address := newServer(t, &healthy, func(string, bool) error { return nil })
-	for i := range 4 * MostCalls {
+	for i := range 4 * MaxConns {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/build/build.go
+++ b/internal/build/build.go
@@ -10,8 +10,8 @@
 // Version is the next release, which this source tree is developed towards.
 const Version = "0.2.0-dev"
 
-// Line returns the line that the `version` command prints: program, version, revision if known, Go version and platform.
-func Line(program string) string {
+// VersionLine returns the line that the `version` command prints: program, version, revision if known, Go version and platform.
+func VersionLine(program string) string {
 	revision := ""
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
--- a/internal/cdn/bootconfig/bootconfig.go
+++ b/internal/cdn/bootconfig/bootconfig.go
@@ -21,8 +21,8 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("settings")
 
-// EnvPath is the environment variable that holds the path of the settings file.
-const EnvPath = "CEDARMAST_CONFIG"
+// EnvSettingsPath is the environment variable that holds the path of the settings file.
+const EnvSettingsPath = "CEDARMAST_CONFIG"
 
 // Ports that processes of the network use among themselves, as offsets from the machine's first spare port.
 const (
@@ -33,19 +33,19 @@
 
 // Settings holds a process's settings. Addresses are IP:port.
 type Settings struct {
-	Node, Role, IP, Zone, Region, DataDir string
-	FirstStart                            bool // the whole network starts for the first time
-	MemoryMB, FileHandles                 int
-	Serves                                []string
-	Cores, LinkMbps                       float64 // CPU cores that the process may use; bandwidth of the machine's link in Mbit/s
-	Counter, Readiness, Control           string  // listen addresses for clients, readiness probes and the control API; empty: not served
-	SparePort                             int     // first spare port of each machine
-	Seeds                                 []string
-	Named                                 *Seeds        // the seeds that the file names at present; nil: Seeds
-	Heartbeat                             time.Duration // interval at which servers send heartbeats
-	Bounds                                Bounds
-	Platform                              Platform
-	Metrics                               string // PORT/PATH of the metrics endpoint, from the command line; empty: none
+	Node, Role, IP, Zone, Region, DataDir           string
+	FirstStart                                      bool // the whole network starts for the first time
+	MemoryMB, FileHandles                           int
+	Serves                                          []string
+	Cores, LinkMbps                                 float64 // CPU cores that the process may use; bandwidth of the machine's link in Mbit/s
+	ClientAddress, ReadinessAddress, ControlAddress string  // listen addresses for clients, readiness probes and the control API; empty: not served
+	FirstSparePort                                  int     // first spare port of each machine
+	Seeds                                           []string
+	CurrentSeeds                                    *Seeds        // the seeds that the file names at present; nil: Seeds
+	HeartbeatInterval                               time.Duration // interval at which servers send heartbeats
+	Limits                                          Limits
+	Platform                                        Platform
+	MetricsEndpoint                                 string // PORT/PATH of the metrics endpoint, from the command line; empty: none
 }
 
 // Seeds holds the addresses of the core machines that the settings file names. It may change while a process runs: a process that was
@@ -55,29 +55,29 @@
 // Set replaces the list.
 func (s *Seeds) Set(addresses []string) { s.current.Store(&addresses) }
 
-// SeedsNow returns the seeds that the settings file names at present.
-func (s Settings) SeedsNow() []string {
-	if s.Named != nil {
-		if current := s.Named.current.Load(); current != nil {
+// LatestSeeds returns the seeds that the settings file names at present.
+func (s Settings) LatestSeeds() []string {
+	if s.CurrentSeeds != nil {
+		if current := s.CurrentSeeds.current.Load(); current != nil {
 			return *current
 		}
 	}
 	return s.Seeds
 }
 
-// Bounds holds the limits and time bounds that the operators set.
-type Bounds struct {
+// Limits holds the limits and time bounds that the operators set.
+type Limits struct {
 	// Contact is how long a machine may be without a confirmed state before it counts as out of touch. Grace is the time that a
 	// process has to shut down. Edition is the time after which every router in touch must know an acknowledged configuration.
 	// StaleSlack is how long after its expiry an object may still be served.
 	Contact, Drain, Grace, Edition, Purge, StaleSlack time.Duration
-	// Revoke is the longest time that machines run requests with a key after its removal is acknowledged; 0: no bound.
-	Revoke time.Duration
+	// RevokeTimeout is the longest time that machines run requests with a key after its removal is acknowledged; 0: no bound.
+	RevokeTimeout time.Duration
 	// The rate of requests to a service, measured over CeilingWindow, may exceed its ceiling by the factor CeilingExcess.
 	CeilingWindow          time.Duration
 	CeilingExcess          float64
 	RetryRatio, RetrySlack float64
-	Tolerate               int // number of core machines whose simultaneous loss must be survived
+	TolerateFailures       int // number of core machines whose simultaneous loss must be survived
 }
 
 // Platform holds the settings of the operators' platform API, which is called for the duties that it names.
@@ -87,7 +87,7 @@
 	DutyPerS     float64  // maximum rate of these calls per second, over all machines
 	ReportWindow time.Duration
 	UsageDelay   time.Duration // time from the end of a window until its report is due
-	Lease        time.Duration // minimum time between two holders of a duty, so that they never act in turn
+	DutyLease    time.Duration // minimum time between two holders of a duty, so that they never act in turn
 }
 
 // UsageDuty is the duty to report the tenants' usage.
@@ -134,23 +134,23 @@
 		Serves: splitList(k.String("self.serves")), Region: k.String("self.region"), DataDir: k.String("self.data_dir"),
 		FirstStart: r.boolean("self.first_start"),
 		MemoryMB:   r.positiveInt("self.allowances.memory_mb", 256), FileHandles: r.positiveInt("self.allowances.file_handles", 1024),
-		Cores:    r.number("self.allowances.cpu_share", 1) * max(r.number("self.allowances.cores", 1), 1),
-		LinkMbps: r.number("self.allowances.link_mbps", 1000),
-		Counter:  r.address("network.listen_on.counter"), Readiness: r.address("network.listen_on.readiness"),
-		Control: r.address("network.listen_on.control_dock"), Seeds: r.seeds("network.seed_nodes"),
-		SparePort: r.ports("network.spare_ports"),
-		Heartbeat: r.duration("yard.heartbeat", 1500*time.Millisecond),
-		Bounds: Bounds{Contact: r.duration("tariff.timetable.contact", 3*time.Second),
+		Cores:         r.number("self.allowances.cpu_share", 1) * max(r.number("self.allowances.cores", 1), 1),
+		LinkMbps:      r.number("self.allowances.link_mbps", 1000),
+		ClientAddress: r.address("network.listen_on.counter"), ReadinessAddress: r.address("network.listen_on.readiness"),
+		ControlAddress: r.address("network.listen_on.control_dock"), Seeds: r.seeds("network.seed_nodes"),
+		FirstSparePort:    r.ports("network.spare_ports"),
+		HeartbeatInterval: r.duration("yard.heartbeat", 1500*time.Millisecond),
+		Limits: Limits{Contact: r.duration("tariff.timetable.contact", 3*time.Second),
 			Drain: r.duration("tariff.timetable.drain", 2*time.Second), Grace: r.duration("tariff.timetable.grace", 6*time.Second),
 			Edition: r.duration("tariff.timetable.edition_time", 2*time.Second),
 			Purge:   r.duration("tariff.timetable.purge", 2*time.Second), StaleSlack: r.duration("tariff.timetable.stale_slack", 2*time.Second),
 			CeilingWindow: r.duration("tariff.timetable.ceiling_window", 5*time.Second),
 			CeilingExcess: r.number("tariff.timetable.ceiling_excess", 1.1),
 			RetryRatio:    r.number("tariff.timetable.retry_ratio", 0.2), RetrySlack: r.number("tariff.timetable.retry_slack", 30),
-			Tolerate: r.positiveInt("tariff.tolerate.machines", 1)},
+			TolerateFailures: r.positiveInt("tariff.tolerate.machines", 1)},
 	}
 	if r.boolean("tariff.timetable.revocation_global") {
-		s.Bounds.Revoke = r.duration("tariff.timetable.revoke", defaultRevoke)
+		s.Limits.RevokeTimeout = r.duration("tariff.timetable.revoke", defaultRevoke)
 	}
 	s.Platform = r.platform()
 	return s, r.errors.Err()
@@ -170,7 +170,7 @@
 		DutyPerS:     r.number("yard.yard_api.duty_per_s", defaultDutyPerS),
 		ReportWindow: max(r.duration("tariff.timetable.report_window", defaultReportWindow), time.Second),
 		UsageDelay:   r.duration("tariff.timetable.usage_delay", defaultUsageDelay),
-		Lease:        r.duration("tariff.timetable.lease", defaultLease)}
+		DutyLease:    r.duration("tariff.timetable.lease", defaultLease)}
 }
 
 // reader reads values and collects the errors.
@@ -287,15 +287,15 @@
 	if v == "" {
 		return defaultValue
 	}
-	d, err := Span(v)
+	d, err := ParseDuration(v)
 	if err != nil {
 		r.addError(key, "%v", err)
 	}
 	return d
 }
 
-// Span parses a duration in ms or s, such as 1500ms or 2.5s.
-func Span(text string) (time.Duration, error) {
+// ParseDuration parses a duration in ms or s, such as 1500ms or 2.5s.
+func ParseDuration(text string) (time.Duration, error) {
 	unit, number := time.Millisecond, strings.TrimSuffix(text, "ms")
 	if number == text {
 		if unit, number = time.Second, strings.TrimSuffix(text, "s"); number == text {
@@ -309,15 +309,15 @@
 	return time.Duration(n * float64(unit)), nil
 }
 
-// HostOf returns the IP of a validated address.
-func HostOf(address string) string {
+// Host returns the IP of a validated address.
+func Host(address string) string {
 	host, _, _ := net.SplitHostPort(address)
 	return host
 }
 
-// Inner returns the address at which the network's processes reach the config store (ConfigStorePort) or edge (EdgePort) of a machine.
-func (s Settings) Inner(ip string, port int) string {
-	return net.JoinHostPort(ip, strconv.Itoa(s.SparePort+port))
+// InternalAddress returns the address at which the network's processes reach the config store (ConfigStorePort) or edge (EdgePort) of a machine.
+func (s Settings) InternalAddress(ip string, port int) string {
+	return net.JoinHostPort(ip, strconv.Itoa(s.FirstSparePort+port))
 }
 
 // splitList splits a list at commas and spaces.
--- a/internal/cdn/bootconfig/bootconfig_test.go
+++ b/internal/cdn/bootconfig/bootconfig_test.go
@@ -29,11 +29,11 @@
 func TestSettings(t *testing.T) {
 	s, err := Parse(validSettings)
 	assert.NilError(t, err)
-	assert.Equal(t, s.Heartbeat, 1500*time.Millisecond)
-	assert.Equal(t, s.Bounds.Contact, 3*time.Second)
+	assert.Equal(t, s.HeartbeatInterval, 1500*time.Millisecond)
+	assert.Equal(t, s.Limits.Contact, 3*time.Second)
 	assert.Assert(t, s.FirstStart && len(s.Seeds) == 2 && len(s.Serves) == 1)
 	assert.Assert(t, s.Cores == 0.16 && s.LinkMbps == 8.6, "%v %v", s.Cores, s.LinkMbps)
-	assert.Equal(t, s.Inner(HostOf(s.Seeds[1]), ConfigStorePort), "10.2.0.32:7660")
+	assert.Equal(t, s.InternalAddress(Host(s.Seeds[1]), ConfigStorePort), "10.2.0.32:7660")
 	cases := []struct{ old, new, key string }{
 		{"self.node=counter-1", "", "self.node"},
 		{"self.ip=10.1.0.35", "self.ip=here", "self.ip"},
--- a/internal/cdn/clusterstate/change_bench_test.go
+++ b/internal/cdn/clusterstate/change_bench_test.go
@@ -38,7 +38,7 @@
 			turn := 0
 			for b.Loop() {
 				turn++
-				c, err := h.Order(bodies[turn%2]) // alternating, so that it always differs from the last one
+				c, err := h.ConfigCommand(bodies[turn%2]) // alternating, so that it always differs from the last one
 				assert.NilError(b, err)
 				c.Encode()
 			}
@@ -53,7 +53,7 @@
 				for b.Loop() {
 					h := NewHistory(base.State.Clone())
 					h.reader = base.reader
-					if _, out, err := h.Apply(2, data); err != nil || out.Status != Done {
+					if _, out, err := h.Apply(2, data); err != nil || out.Status != StatusOK {
 						b.Fatal(out, err)
 					}
 				}
--- a/internal/cdn/clusterstate/clusterstate.go
+++ b/internal/cdn/clusterstate/clusterstate.go
@@ -14,8 +14,8 @@
 
 // Values of Server.State.
 const (
-	Open    = "open"
-	Closing = "closing" // it is about to leave, and does not open again
+	ServerOpen    = "open"
+	ServerClosing = "closing" // it is about to leave, and does not open again
 )
 
 // Server is one incarnation of a server, as it registers itself.
@@ -31,8 +31,8 @@
 	Beat     uint64 `json:"postmark"`  // sequence number of the heartbeat that changed it last
 }
 
-// Same reports whether two heartbeats of one server are equal apart from Beat and WarmupMS.
-func (s Server) Same(other Server) bool {
+// SameState reports whether two heartbeats of one server are equal apart from Beat and WarmupMS.
+func (s Server) SameState(other Server) bool {
 	s.Beat, other.Beat, s.WarmupMS, other.WarmupMS = 0, 0, 0, 0
 	return s == other
 }
@@ -70,8 +70,8 @@
 
 // State is the replicated state. It has no lock: only its owner may read its fields.
 type State struct {
-	Index      uint64 // of the last command applied
-	Body       Text   // the configuration as it was put; empty before the first
+	Index      uint64         // of the last command applied
+	Body       CompressedText // the configuration as it was put; empty before the first
 	Version    Version
 	Taken      []Taken           // the last configurations acknowledged, the oldest first
 	Forgotten  Version           // the newest version that was dropped from Taken
@@ -110,17 +110,17 @@
 // Command is one entry of the log. One of its fields is set, apart from Epoch and Taken; none is set in a command that changes
 // nothing.
 type Command struct {
-	Put     Text     `json:"put,omitempty"`    // a configuration's body
-	Change  *Delta   `json:"change,omitempty"` // a configuration, as its difference from the one before it
-	Server  *Server  `json:"server,omitempty"`
-	Leave   string   `json:"leave,omitempty"` // ID of a server that has left in order
-	Lost    string   `json:"lost,omitempty"`  // ID of a server that has fallen silent
-	Epoch   uint64   `json:"epoch,omitempty"` // of the duty that decided this; with Lost, Absent, Cut, FixUsage and UsageTaken
-	Purge   *Purge   `json:"purge,omitempty"`
-	Enrol   []Router `json:"enrol,omitempty"`   // cache routers that have joined, or whose entry has changed
-	Absent  string   `json:"absent,omitempty"`  // node of a router that has fallen silent
-	Appoint string   `json:"appoint,omitempty"` // IP of the new holder of the duty
-	Cut     *Cut     `json:"cut,omitempty"`     // a new division of a service's rate
+	Put     CompressedText `json:"put,omitempty"`    // a configuration's body
+	Change  *Delta         `json:"change,omitempty"` // a configuration, as its difference from the one before it
+	Server  *Server        `json:"server,omitempty"`
+	Leave   string         `json:"leave,omitempty"` // ID of a server that has left in order
+	Lost    string         `json:"lost,omitempty"`  // ID of a server that has fallen silent
+	Epoch   uint64         `json:"epoch,omitempty"` // of the duty that decided this; with Lost, Absent, Cut, FixUsage and UsageTaken
+	Purge   *Purge         `json:"purge,omitempty"`
+	Enrol   []Router       `json:"enrol,omitempty"`   // cache routers that have joined, or whose entry has changed
+	Absent  string         `json:"absent,omitempty"`  // node of a router that has fallen silent
+	Appoint string         `json:"appoint,omitempty"` // IP of the new holder of the duty
+	Cut     *RateDivision  `json:"cut,omitempty"`     // a new division of a service's rate
 
 	FixUsage   *UsageReport `json:"fix_usage,omitempty"`   // the final counts of the next report window
 	UsageTaken int64        `json:"usage_taken,omitempty"` // number of the window whose report the platform has accepted
@@ -128,8 +128,8 @@
 	Taken *Manifest `json:"-"` // the parsed configuration, set if it came into force; not in the log
 }
 
-// Configures reports whether a command carries a configuration.
-func (c Command) Configures() bool { return c.Put != nil || c.Change != nil }
+// HasConfig reports whether a command carries a configuration.
+func (c Command) HasConfig() bool { return c.Put != nil || c.Change != nil }
 
 // requiresDuty reports whether only the holder of the duty may issue such a command, under its epoch.
 func (c Command) requiresDuty() bool {
@@ -139,9 +139,9 @@
 // Kind names what a command changes, for metrics and logs.
 func (c Command) Kind() string {
 	switch {
-	case c.Configures():
+	case c.HasConfig():
 		return "configuration"
-	case c.Server != nil && c.Server.State == Closing:
+	case c.Server != nil && c.Server.State == ServerClosing:
 		return "closing"
 	case c.Server != nil:
 		return "server"
@@ -187,12 +187,12 @@
 
 // Values of Outcome.Status, which are also the HTTP status codes that clients see.
 const (
-	Done    = 200
-	Invalid = 400
-	Stale   = 412 // another version is in force, or the duty has passed to another machine
-	// Forgotten means that the version is older than all that is remembered: whether it was accepted is unknown, so it is neither
+	StatusOK      = 200
+	StatusInvalid = 400
+	StatusStale   = 412 // another version is in force, or the duty has passed to another machine
+	// StatusUnknown means that the version is older than all that is remembered: whether it was accepted is unknown, so it is neither
 	// acknowledged nor refused.
-	Forgotten = 503
+	StatusUnknown = 503
 )
 
 // Outcome is the result of applying a command.
@@ -219,7 +219,7 @@
 	case c.Leave != "":
 		s.removeServer(c.Leave)
 	case c.Epoch < s.Duty.Epoch && c.requiresDuty():
-		return Outcome{Status: Stale, Text: "the duty has gone to another machine"}
+		return Outcome{Status: StatusStale, Text: "the duty has gone to another machine"}
 	case c.Cut != nil:
 		return s.applyCut(c.Cut)
 	case c.FixUsage != nil:
@@ -227,7 +227,7 @@
 	case c.UsageTaken > 0:
 		s.acknowledgeUsage(c.UsageTaken)
 	case c.Lost != "":
-		if s.Servers[c.Lost].State == Closing { // it has announced that it leaves: a late heartbeat must not reopen it
+		if s.Servers[c.Lost].State == ServerClosing { // it has announced that it leaves: a late heartbeat must not reopen it
 			s.removeServer(c.Lost)
 		}
 		delete(s.Servers, c.Lost)
@@ -248,7 +248,7 @@
 	case c.Appoint != "":
 		s.Duty = Duty{c.Appoint, index}
 	}
-	return Outcome{Status: Done}
+	return Outcome{Status: StatusOK}
 }
 
 // removeServer removes a server and remembers its ID, so that a late heartbeat does not bring it back.
@@ -286,14 +286,14 @@
 	current, known := s.Servers[update.ID]
 	switch {
 	case slices.Contains(s.Left, update.ID), known && update.Beat <= current.Beat:
-		return Outcome{Status: Done} // an older heartbeat that comes late
-	case known && current.State == Closing && update.State == Open:
-		update.State = Closing
+		return Outcome{Status: StatusOK} // an older heartbeat that comes late
+	case known && current.State == ServerClosing && update.State == ServerOpen:
+		update.State = ServerClosing
 	case !known && len(s.Servers) >= maxServers:
-		return Outcome{Status: Invalid, Text: "too many servers"}
+		return Outcome{Status: StatusInvalid, Text: "too many servers"}
 	}
 	s.Servers[update.ID] = update
-	return Outcome{Status: Done}
+	return Outcome{Status: StatusOK}
 }
 
 const (
@@ -316,9 +316,9 @@
 	return nodes
 }
 
-// Lenders returns the cache routers that serve cached copies to other routers. Routers whose links are much slower than others' are left
+// PeerSources returns the cache routers that serve cached copies to other routers. Routers whose links are much slower than others' are left
 // out, because what passes through them crosses such a link twice.
-func Lenders(routers map[string]Router) map[string]bool {
+func PeerSources(routers map[string]Router) map[string]bool {
 	chosen := map[string]bool{}
 	for _, n := range routersByWeight(routers, lenderWeightRatio) {
 		chosen[n] = true
@@ -360,8 +360,8 @@
 		return fmt.Errorf("carrier: missing")
 	case err != nil || net.ParseIP(host) == nil:
 		return fmt.Errorf("address: %q is none", s.Address)
-	case s.State != Open && s.State != Closing:
-		return fmt.Errorf("state: %q is neither %s nor %s", s.State, Open, Closing)
+	case s.State != ServerOpen && s.State != ServerClosing:
+		return fmt.Errorf("state: %q is neither %s nor %s", s.State, ServerOpen, ServerClosing)
 	case s.Slots < 0:
 		return fmt.Errorf("berths: under 0")
 	}
@@ -372,7 +372,7 @@
 func (s *State) putConfig(body []byte, r *reader) Outcome {
 	m, digest, err := r.read(body)
 	if err != nil {
-		return Outcome{Status: Invalid, Text: err.Error()}
+		return Outcome{Status: StatusInvalid, Text: err.Error()}
 	}
 	if out := s.checkVersion(m.Version, m.Base, digest); out != nil {
 		return *out
@@ -388,14 +388,14 @@
 	}
 	body, err := d.Patch(s.Version, s.Body)
 	if err != nil {
-		return Outcome{Status: Invalid, Text: err.Error(), deltaFailed: true}
+		return Outcome{Status: StatusInvalid, Text: err.Error(), deltaFailed: true}
 	}
 	m, digest, err := r.read(body)
 	switch {
 	case digest != d.Sum:
-		return Outcome{Status: Invalid, Text: "a delta that does not make its body", deltaFailed: true}
+		return Outcome{Status: StatusInvalid, Text: "a delta that does not make its body", deltaFailed: true}
 	case err != nil:
-		return Outcome{Status: Invalid, Text: err.Error()}
+		return Outcome{Status: StatusInvalid, Text: err.Error()}
 	}
 	return s.installManifest(m, body, digest)
 }
@@ -405,16 +405,16 @@
 func (s *State) checkVersion(version, base Version, digest [32]byte) *Outcome {
 	for _, accepted := range s.Taken {
 		if accepted.Version == version && accepted.Digest == digest {
-			return &Outcome{Status: Done} // a repeat of an acknowledged configuration
+			return &Outcome{Status: StatusOK} // a repeat of an acknowledged configuration
 		}
 	}
 	switch {
 	case version <= s.Forgotten:
-		return &Outcome{Status: Forgotten, Text: fmt.Sprintf("edition: what became of %s is no longer known", version)}
+		return &Outcome{Status: StatusUnknown, Text: fmt.Sprintf("edition: what became of %s is no longer known", version)}
 	case base != s.Version:
-		return &Outcome{Status: Stale, Text: fmt.Sprintf("based_on: %s, but %s is in place", base, s.Version)}
+		return &Outcome{Status: StatusStale, Text: fmt.Sprintf("based_on: %s, but %s is in place", base, s.Version)}
 	case version <= s.Version:
-		return &Outcome{Status: Invalid, Text: fmt.Sprintf("edition: %s is not above %s", version, s.Version)}
+		return &Outcome{Status: StatusInvalid, Text: fmt.Sprintf("edition: %s is not above %s", version, s.Version)}
 	}
 	return nil
 }
@@ -428,5 +428,5 @@
 		s.Forgotten = s.Taken[excess-1].Version
 		s.Taken = keepLast(s.Taken, maxTaken)
 	}
-	return Outcome{Status: Done, installed: m}
+	return Outcome{Status: StatusOK, installed: m}
 }
--- a/internal/cdn/clusterstate/clusterstate_test.go
+++ b/internal/cdn/clusterstate/clusterstate_test.go
@@ -38,34 +38,34 @@
 		status int
 		says   string
 	}{
-		{"the first", first, Done, ""},
-		{"a repeat of it", first, Done, ""},
-		{"the same number, another body", manifest(`"r5"`, `0`, routeParcel("b", routeFields), serviceParcel), Stale, "based_on"},
-		{"one based on the newest", second, Done, ""},
-		{"a repeat of the first, which is no longer the newest", first, Done, ""},
-		{"one that lost a race", manifest(`"r9"`, `"r5"`, serviceParcel), Stale, "based_on: r5, but r9"},
-		{"one with a higher number that lost the same race", manifest(`"r12"`, `"r5"`, serviceParcel), Stale, "based_on"},
-		{"truncated body", second[:len(second)-7], Invalid, "not readable whole"},
-		{"trailing data", append(append([]byte{}, second...), '}'), Invalid, "not readable whole"},
-		{"unknown service", manifest(`"r12"`, `"r9"`, routeParcel("a", routeFields)), Invalid, `route a: carrier: unknown service "shop"`},
-		{"two routes of one prefix", manifest(`"r12"`, `"r9"`, routeParcel("a", routeFields), routeParcel("b", routeFields), serviceParcel), Invalid, "path_prefix: same place as a"},
-		{"no weight", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"carrier":"shop"`, `"split_among":[{"carrier":"shop","share":0}]`, 1)), serviceParcel), Invalid, "shares add up to 0"},
-		{"no service at all", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"carrier":"shop",`, "", 1)), serviceParcel), Invalid, "shares add up to 0"},
-		{"no timeout", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "0s", 1)), serviceParcel), Invalid, "timeout: 0"},
-		{"timeout left out", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"timeout":"1500ms",`, "", 1)), serviceParcel), Invalid, "timeout: 0"},
-		{"long timeout", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "601s", 1)), serviceParcel), Invalid, "over ten minutes"},
-		{"a timeout that is not a duration", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "soon", 1)), serviceParcel), Invalid, "timeout"},
-		{"unknown kind", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "shelved", "parcel", 1)), serviceParcel), Invalid, "mail_class"},
-		{"an edition that is not above", manifest(`"r9"`, `"r9"`, serviceParcel), Invalid, "not above r9"},
-		{"not a version", manifest(`"twelve"`, `"r9"`, serviceParcel), Invalid, "no version"},
-		{"a key of two tenants", manifest(`"r12"`, `"r9"`, senderParcel("wax", "k-1", "k-2"), senderParcel("ink", "k-3", "k-1")), Invalid, "sender ink: stamps: a key of wax"},
-		{"an empty key", manifest(`"r12"`, `"r9"`, senderParcel("wax", "k-1", "")), Invalid, "sender wax: stamps: an empty key"},
-		{"a tenant without a name", manifest(`"r12"`, `"r9"`, senderParcel("", "k-1")), Invalid, "name"},
-		{"a tenant whose name contains a line break", manifest(`"r12"`, `"r9"`, senderParcel("wax\r\nx: y", "k-1")), Invalid, "name"},
-		{"keys that are not a list", manifest(`"r12"`, `"r9"`, strings.Replace(senderParcel("wax", "k-1"), `["k-1"]`, `"k-1"`, 1)), Invalid, "stamps"},
-		{"a key twice at one tenant", manifest(`"r11"`, `"r9"`, senderParcel("wax", "k-1", "k-1"), senderParcel("ink", "k-2"), senderParcel("new")), Done, ""},
+		{"the first", first, StatusOK, ""},
+		{"a repeat of it", first, StatusOK, ""},
+		{"the same number, another body", manifest(`"r5"`, `0`, routeParcel("b", routeFields), serviceParcel), StatusStale, "based_on"},
+		{"one based on the newest", second, StatusOK, ""},
+		{"a repeat of the first, which is no longer the newest", first, StatusOK, ""},
+		{"one that lost a race", manifest(`"r9"`, `"r5"`, serviceParcel), StatusStale, "based_on: r5, but r9"},
+		{"one with a higher number that lost the same race", manifest(`"r12"`, `"r5"`, serviceParcel), StatusStale, "based_on"},
+		{"truncated body", second[:len(second)-7], StatusInvalid, "not readable whole"},
+		{"trailing data", append(append([]byte{}, second...), '}'), StatusInvalid, "not readable whole"},
+		{"unknown service", manifest(`"r12"`, `"r9"`, routeParcel("a", routeFields)), StatusInvalid, `route a: carrier: unknown service "shop"`},
+		{"two routes of one prefix", manifest(`"r12"`, `"r9"`, routeParcel("a", routeFields), routeParcel("b", routeFields), serviceParcel), StatusInvalid, "path_prefix: same place as a"},
+		{"no weight", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"carrier":"shop"`, `"split_among":[{"carrier":"shop","share":0}]`, 1)), serviceParcel), StatusInvalid, "shares add up to 0"},
+		{"no service at all", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"carrier":"shop",`, "", 1)), serviceParcel), StatusInvalid, "shares add up to 0"},
+		{"no timeout", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "0s", 1)), serviceParcel), StatusInvalid, "timeout: 0"},
+		{"timeout left out", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"timeout":"1500ms",`, "", 1)), serviceParcel), StatusInvalid, "timeout: 0"},
+		{"long timeout", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "601s", 1)), serviceParcel), StatusInvalid, "over ten minutes"},
+		{"a timeout that is not a duration", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "soon", 1)), serviceParcel), StatusInvalid, "timeout"},
+		{"unknown kind", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "shelved", "parcel", 1)), serviceParcel), StatusInvalid, "mail_class"},
+		{"an edition that is not above", manifest(`"r9"`, `"r9"`, serviceParcel), StatusInvalid, "not above r9"},
+		{"not a version", manifest(`"twelve"`, `"r9"`, serviceParcel), StatusInvalid, "no version"},
+		{"a key of two tenants", manifest(`"r12"`, `"r9"`, senderParcel("wax", "k-1", "k-2"), senderParcel("ink", "k-3", "k-1")), StatusInvalid, "sender ink: stamps: a key of wax"},
+		{"an empty key", manifest(`"r12"`, `"r9"`, senderParcel("wax", "k-1", "")), StatusInvalid, "sender wax: stamps: an empty key"},
+		{"a tenant without a name", manifest(`"r12"`, `"r9"`, senderParcel("", "k-1")), StatusInvalid, "name"},
+		{"a tenant whose name contains a line break", manifest(`"r12"`, `"r9"`, senderParcel("wax\r\nx: y", "k-1")), StatusInvalid, "name"},
+		{"keys that are not a list", manifest(`"r12"`, `"r9"`, strings.Replace(senderParcel("wax", "k-1"), `["k-1"]`, `"k-1"`, 1)), StatusInvalid, "stamps"},
+		{"a key twice at one tenant", manifest(`"r11"`, `"r9"`, senderParcel("wax", "k-1", "k-1"), senderParcel("ink", "k-2"), senderParcel("new")), StatusOK, ""},
 		{"ten minutes are allowed, as are parcels of an unknown kind", manifest(`"r12"`, `"r11"`,
-			routeParcel("a", strings.Replace(routeFields, "1500ms", "600s", 1)), serviceParcel, `{"parcel_kind":"stamps","label":{},"manifest":{"x":1}}`), Done, ""},
+			routeParcel("a", strings.Replace(routeFields, "1500ms", "600s", 1)), serviceParcel, `{"parcel_kind":"stamps","label":{},"manifest":{"x":1}}`), StatusOK, ""},
 	}
 	s := New()
 	for i, c := range cases {
@@ -73,7 +73,7 @@
 		out := s.Apply(uint64(i+1), Command{Put: c.body})
 		assert.Equal(t, out.Status, c.status, "%s: %s", c.name, out.Text)
 		assert.Assert(t, strings.Contains(out.Text, c.says), "%s: %s", c.name, out.Text)
-		assert.Assert(t, c.status == Done || s.Version == before, c.name)
+		assert.Assert(t, c.status == StatusOK || s.Version == before, c.name)
 	}
 	assert.Equal(t, s.Version, Version(12))
 }
@@ -88,12 +88,12 @@
 		do    Command
 		state string
 	}{
-		{"it registers", heartbeat(1, Open), Open},
-		{"it closes", heartbeat(4, Closing), Closing},
-		{"an older heartbeat comes late", heartbeat(3, Open), Closing},
-		{"a later heartbeat does not open it again", heartbeat(5, Open), Closing},
+		{"it registers", heartbeat(1, ServerOpen), ServerOpen},
+		{"it closes", heartbeat(4, ServerClosing), ServerClosing},
+		{"an older heartbeat comes late", heartbeat(3, ServerOpen), ServerClosing},
+		{"a later heartbeat does not open it again", heartbeat(5, ServerOpen), ServerClosing},
 		{"it has left", Command{Leave: "i-1"}, ""},
-		{"a late heartbeat does not bring it back", heartbeat(6, Open), ""},
+		{"a late heartbeat does not bring it back", heartbeat(6, ServerOpen), ""},
 	}
 	s := New()
 	for i, c := range cases {
@@ -108,9 +108,9 @@
 	s.Apply(1, Command{Appoint: "10.0.0.1"})
 	s.Apply(2, Command{Server: &Server{ID: "i-1", Beat: 1}})
 	s.Apply(3, Command{Appoint: "10.0.0.2"})
-	assert.Equal(t, s.Apply(4, Command{Lost: "i-1", Epoch: 1}).Status, Stale)
+	assert.Equal(t, s.Apply(4, Command{Lost: "i-1", Epoch: 1}).Status, StatusStale)
 	assert.Equal(t, len(s.Servers), 1)
-	assert.Equal(t, s.Apply(5, Command{Lost: "i-1", Epoch: 3}).Status, Done)
+	assert.Equal(t, s.Apply(5, Command{Lost: "i-1", Epoch: 3}).Status, StatusOK)
 	assert.Equal(t, len(s.Servers), 0)
 }
 
@@ -145,7 +145,7 @@
 }
 
 func TestLongestPrefix(t *testing.T) {
-	table := NewTable(&Manifest{Routes: []Route{{Name: "all", Host: "a", Prefix: "/"}, {Name: "x", Host: "a", Prefix: "/x/"}, {Name: "xy", Host: "a", Prefix: "/x/y/"},
+	table := NewRouteTable(&Manifest{Routes: []Route{{Name: "all", Host: "a", Prefix: "/"}, {Name: "x", Host: "a", Prefix: "/x/"}, {Name: "xy", Host: "a", Prefix: "/x/y/"},
 		{Name: "b", Host: "b", Prefix: "/x/"}}})
 	for at, want := range map[string]string{"a /x/y/z": "xy", "a /x/y": "x", "a /x/": "x", "a /xy": "all", "A /x/1": "x", "b /x/1": "b", "b /y": "", "c /": "", "a *": ""} {
 		host, path, _ := strings.Cut(at, " ")
@@ -163,7 +163,7 @@
 	m, err := ParseManifest(manifest(`"r5"`, `0`, routeParcel("a", routeFields), routeParcel("b", open), serviceParcel, senderParcel("wax", "k-1", "k-2"), senderParcel("ink", "k-3")))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, m.Tenants, []Tenant{{Name: "wax", Priority: 2, Keys: []string{"k-1", "k-2"}}, {Name: "ink", Priority: 2, Keys: []string{"k-3"}}})
-	assert.Assert(t, m.Keyed(&m.Routes[0]) && !m.Keyed(&m.Routes[1]))
+	assert.Assert(t, m.RequiresKey(&m.Routes[0]) && !m.RequiresKey(&m.Routes[1]))
 	keys := NewKeyTable(m)
 	for key, want := range map[string]string{"k-1": "wax", "k-2": "wax", "k-3": "ink", "k-4": "", "": "", "wax": ""} {
 		got := ""
@@ -173,7 +173,7 @@
 		assert.Equal(t, got, want, key)
 	}
 	m.Tenants = nil
-	assert.Assert(t, !m.Keyed(&m.Routes[0]))
+	assert.Assert(t, !m.RequiresKey(&m.Routes[0]))
 }
 
 func FuzzManifest(f *testing.F) {
@@ -181,7 +181,7 @@
 	f.Add([]byte(`{"edition":1,"parcels":[{"parcel_kind":"routes","manifest":null}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s := New()
-		if s.Apply(1, Command{Put: body}).Status == Done {
+		if s.Apply(1, Command{Put: body}).Status == StatusOK {
 			_, err := ParseManifest(s.Body)
 			assert.NilError(t, err)
 		} else {
--- a/internal/cdn/clusterstate/delta.go
+++ b/internal/cdn/clusterstate/delta.go
@@ -16,9 +16,9 @@
 
 // Piece is a range of the base or, if Len is 0, literal text.
 type Piece struct {
-	From int  `json:"f,omitempty"` // offset in the base, in bytes
-	Len  int  `json:"n,omitempty"` // in bytes
-	Text Text `json:"t,omitempty"`
+	From int            `json:"f,omitempty"` // offset in the base, in bytes
+	Len  int            `json:"n,omitempty"` // in bytes
+	Text CompressedText `json:"t,omitempty"`
 }
 
 var parcelPrefix = []byte(`{"parcel_kind"`)
--- a/internal/cdn/clusterstate/delta_test.go
+++ b/internal/cdn/clusterstate/delta_test.go
@@ -48,7 +48,7 @@
 		have := edge.State.Index
 		_, out, err := core.Apply(index, Command{Put: body}.Encode())
 		assert.NilError(t, err)
-		assert.Equal(t, out.Status, Done, out.Text)
+		assert.Equal(t, out.Status, StatusOK, out.Text)
 		news := core.Since(have)
 		if i > 0 {
 			assert.Equal(t, len(news.Changes), 1)
@@ -56,7 +56,7 @@
 			c, _ := Decode(news.Changes[0].Data)
 			spoilt := New()
 			spoilt.Body, spoilt.Version = []byte("other"), edge.State.Version
-			assert.Equal(t, spoilt.Apply(9, c).Status, Invalid)
+			assert.Equal(t, spoilt.Apply(9, c).Status, StatusInvalid)
 			assert.Equal(t, string(spoilt.Body), "other")
 		}
 		if news.State != nil {
@@ -65,12 +65,12 @@
 		for _, x := range news.Changes {
 			c, _, err := edge.Apply(x.Index, x.Data)
 			assert.NilError(t, err)
-			assert.Assert(t, c.Configures())
+			assert.Assert(t, c.HasConfig())
 		}
 		assert.Equal(t, string(edge.State.Body), string(body))
 		assert.DeepEqual(t, edge.State, core.State)
 	}
 	_, out, _ := core.Apply(9, Command{Put: bodies[1]}.Encode()) // a repeat: nothing to send
-	assert.Equal(t, out.Status, Done)
+	assert.Equal(t, out.Status, StatusOK)
 	assert.Equal(t, len(core.Since(4).Changes[0].Data), 0)
 }
--- a/internal/cdn/clusterstate/manifest.go
+++ b/internal/cdn/clusterstate/manifest.go
@@ -12,9 +12,9 @@
 
 // Values of Route.Kind.
 const (
-	Resendable = "resendable" // requests may be retried
-	OnceOnly   = "once_only"  // a request must not be sent twice
-	Shelved    = "shelved"    // responses are cached
+	KindResendable = "resendable" // requests may be retried
+	KindOnceOnly   = "once_only"  // a request must not be sent twice
+	KindCacheable  = "shelved"    // responses are cached
 )
 
 const maxTimeout = 10 * time.Minute
@@ -37,8 +37,8 @@
 	return Version(n), nil
 }
 
-// Share is the fraction of a route's requests that a service gets: its weight, relative to the sum of the route's weights.
-type Share struct {
+// ServiceShare is the fraction of a route's requests that a service gets: its weight, relative to the sum of the route's weights.
+type ServiceShare struct {
 	Service string
 	Weight  float64
 }
@@ -49,8 +49,8 @@
 	Name, Host, Prefix, Kind string
 	Timeout, Target, Shelf   time.Duration
 	Priority, Tries          int
-	Unsealed                 bool    // its requests need no key
-	Split                    []Share // one entry, if the route is not split among services
+	Unsealed                 bool           // its requests need no key
+	Split                    []ServiceShare // one entry, if the route is not split among services
 }
 
 // Service is a group of servers that answer the same requests.
@@ -60,8 +60,8 @@
 	RatePerS         float64 // limit in requests per second, for all routers together; 0: unlimited
 }
 
-// UsualLimits are the limits of a configuration that sets none.
-var UsualLimits = Limits{HeaderBytes: 16 << 10, BodyBytes: 64 << 20, Header: 3 * time.Second, Idle: 15 * time.Second}
+// DefaultLimits are the limits of a configuration that sets none.
+var DefaultLimits = Limits{HeaderBytes: 16 << 10, BodyBytes: 64 << 20, Header: 3 * time.Second, Idle: 15 * time.Second}
 
 // Limits bound a client's requests: the size of header and body, the time for sending the header, and the idle time of a connection.
 type Limits struct {
@@ -151,15 +151,15 @@
 	if t == "" || t == "0" {
 		return 0, nil
 	}
-	d, err := bootconfig.Span(string(t))
+	d, err := bootconfig.ParseDuration(string(t))
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", field, err)
 	}
 	return d, nil
 }
 
-// Editions parses only the version of a configuration and that of its base, from its body.
-func Editions(body []byte) (edition, base Version, err error) {
+// ReadVersions parses only the version of a configuration and that of its base, from its body.
+func ReadVersions(body []byte) (edition, base Version, err error) {
 	var w struct {
 		Edition wireText `json:"edition"`
 		BasedOn wireText `json:"based_on"`
@@ -211,7 +211,7 @@
 // newManifest returns a manifest without parcels, with the default limits.
 func newManifest(edition, base Version) *Manifest {
 	return &Manifest{Version: edition, Base: base,
-		Limits: UsualLimits}
+		Limits: DefaultLimits}
 }
 
 // addParcel adds one parcel to the manifest. Parcels of unknown kinds are ignored.
@@ -250,10 +250,10 @@
 		if s.Share < 0 {
 			return fmt.Errorf("split_among: share of %s under 0", s.Carrier)
 		}
-		r.Split = append(r.Split, Share{s.Carrier, s.Share})
+		r.Split = append(r.Split, ServiceShare{s.Carrier, s.Share})
 	}
 	if len(w.Split) == 0 && w.Carrier != "" {
-		r.Split = []Share{{w.Carrier, 1}}
+		r.Split = []ServiceShare{{w.Carrier, 1}}
 	}
 	m.Routes = append(m.Routes, r)
 	return nil
@@ -311,7 +311,7 @@
 		}
 		place := r.Host + " " + r.Prefix
 		switch {
-		case r.Kind != Resendable && r.Kind != OnceOnly && r.Kind != Shelved:
+		case r.Kind != KindResendable && r.Kind != KindOnceOnly && r.Kind != KindCacheable:
 			return fmt.Errorf("route %s: mail_class: %q is none of the known ones", r.Name, r.Kind)
 		case total <= 0:
 			return fmt.Errorf("route %s: split_among: the shares add up to 0", r.Name)
@@ -329,14 +329,14 @@
 	return validateTenants(m.Tenants)
 }
 
-// Table finds the route of a request. It is built once for each configuration and is immutable.
-type Table struct {
+// RouteTable finds the route of a request. It is built once for each configuration and is immutable.
+type RouteTable struct {
 	hosts map[string]map[string]*Route // by host, then by prefix
 }
 
-// NewTable builds the route table of a configuration.
-func NewTable(m *Manifest) *Table {
-	t := &Table{hosts: map[string]map[string]*Route{}}
+// NewRouteTable builds the route table of a configuration.
+func NewRouteTable(m *Manifest) *RouteTable {
+	t := &RouteTable{hosts: map[string]map[string]*Route{}}
 	for i := range m.Routes {
 		r := &m.Routes[i]
 		if t.hosts[r.Host] == nil {
@@ -349,7 +349,7 @@
 
 // Find returns the host's route with the longest prefix of the path; nil if there is none. Its cost depends on the length of the path, not
 // on the number of routes.
-func (t *Table) Find(host, path string) *Route {
+func (t *RouteTable) Find(host, path string) *Route {
 	prefixes := t.hosts[strings.ToLower(host)]
 	for end := len(path); prefixes != nil; {
 		i := strings.LastIndexByte(path[:end], '/')
@@ -364,9 +364,9 @@
 	return nil
 }
 
-// Pick returns the service for a number from 0 to 1, drawn at random or from a hash: each service gets a part of the interval in proportion
+// PickService returns the service for a number from 0 to 1, drawn at random or from a hash: each service gets a part of the interval in proportion
 // to its share.
-func (r *Route) Pick(point float64) string {
+func (r *Route) PickService(point float64) string {
 	total := 0.0
 	for _, s := range r.Split {
 		total += s.Weight
--- a/internal/cdn/clusterstate/news.go
+++ b/internal/cdn/clusterstate/news.go
@@ -39,10 +39,10 @@
 	WallMS int64  // the true time of the reply as the sender knows it, in milliseconds since the start of 1970; 0: unknown
 }
 
-// Prove states that a process that holds Index holds all that had been acknowledged by provenAt, in the reply to a request that arrived at
+// SetProof states that a process that holds Index holds all that had been acknowledged by provenAt, in the reply to a request that arrived at
 // the moment arrived. Both are readings of the sender's monotonic clock. Of two proofs the newer one is kept. The age is rounded up to
 // milliseconds.
-func (n *News) Prove(provenAt, arrived time.Time) {
+func (n *News) SetProof(provenAt, arrived time.Time) {
 	age := arrived.Sub(provenAt)
 	ms := age.Milliseconds()
 	if age > 0 && age%time.Millisecond > 0 { // integer division already rounds a negative age up
@@ -53,9 +53,9 @@
 	}
 }
 
-// ProofOf returns the moment by which the reply proves a holder of Index to be current, on the requester's monotonic clock. The age is
+// ProvenAt returns the moment by which the reply proves a holder of Index to be current, on the requester's monotonic clock. The age is
 // counted from when the request was started, which is before it arrived. The zero time means that nothing is proven.
-func (n *News) ProofOf(started time.Time) time.Time {
+func (n *News) ProvenAt(started time.Time) time.Time {
 	if !n.Proven {
 		return time.Time{}
 	}
@@ -88,7 +88,7 @@
 	previousIndex := h.State.Index
 	c, err := Decode(data)
 	if err != nil {
-		return c, Outcome{Status: Invalid, Text: err.Error()}, err
+		return c, Outcome{Status: StatusInvalid, Text: err.Error()}, err
 	}
 	version, body := h.State.Version, h.State.Body
 	out := h.State.apply(index, c, &h.reader)
@@ -97,7 +97,7 @@
 		h.State.Index = previousIndex
 		return c, out, fmt.Errorf("%s", out.Text)
 	}
-	if c.Configures() && h.State.Version == version { // it was refused, or is a repeat
+	if c.HasConfig() && h.State.Version == version { // it was refused, or is a repeat
 		data = nil
 	} else if c.Put != nil {
 		if d := Diff(version, h.State.Version, body, c.Put, h.State.Taken[len(h.State.Taken)-1].Digest); d != nil {
@@ -114,9 +114,9 @@
 	return c, out, nil
 }
 
-// Order returns the command that puts a configuration: a delta if it is based on the configuration in force and a delta is worth it,
+// ConfigCommand returns the command that puts a configuration: a delta if it is based on the configuration in force and a delta is worth it,
 // else the whole body. An invalid configuration is an error.
-func (h *History) Order(body []byte) (Command, error) {
+func (h *History) ConfigCommand(body []byte) (Command, error) {
 	m, digest, err := h.reader.read(body)
 	if err != nil {
 		return Command{}, err
--- a/internal/cdn/clusterstate/reader_test.go
+++ b/internal/cdn/clusterstate/reader_test.go
@@ -61,7 +61,7 @@
 	}
 	const taken = maxTaken + 10
 	for v := 1; v <= taken; v++ {
-		assert.Equal(t, s.Apply(uint64(v), Command{Put: body(2*v, 2*v-2, "a")}).Status, Done)
+		assert.Equal(t, s.Apply(uint64(v), Command{Put: body(2*v, 2*v-2, "a")}).Status, StatusOK)
 	}
 	cases := []struct {
 		name          string
@@ -69,17 +69,17 @@
 		zone          string
 		want          int
 	}{
-		{"a repeat of the newest", 2 * taken, 2*taken - 2, "a", Done},
-		{"the oldest that is remembered", 2 * 11, 2 * 10, "a", Done},
-		{"the newest that is forgotten", 2 * 10, 2 * 9, "a", Forgotten},
-		{"the first", 2, 0, "a", Forgotten},
-		{"another body under a remembered number", 2 * 11, 2 * 10, "b", Stale},
-		{"one on an old base", 2*taken + 1, 2 * 11, "a", Stale},
+		{"a repeat of the newest", 2 * taken, 2*taken - 2, "a", StatusOK},
+		{"the oldest that is remembered", 2 * 11, 2 * 10, "a", StatusOK},
+		{"the newest that is forgotten", 2 * 10, 2 * 9, "a", StatusUnknown},
+		{"the first", 2, 0, "a", StatusUnknown},
+		{"another body under a remembered number", 2 * 11, 2 * 10, "b", StatusStale},
+		{"one on an old base", 2*taken + 1, 2 * 11, "a", StatusStale},
 	}
 	for _, c := range cases {
 		for _, form := range []Command{{Put: body(c.version, c.base, c.zone)},
 			{Change: Diff(Version(c.base), Version(c.version), s.Body, body(c.version, c.base, c.zone), Digest(body(c.version, c.base, c.zone)))}} {
-			if form.Configures() {
+			if form.HasConfig() {
 				assert.Equal(t, s.Apply(9999, form).Status, c.want, c.name)
 				assert.Equal(t, s.Version, Version(2*taken))
 			}
@@ -100,9 +100,9 @@
 			c := Command{}
 			switch beat++; rng.IntN(6) {
 			case 0:
-				c.Server = &Server{ID: id, State: Open, Beat: beat}
+				c.Server = &Server{ID: id, State: ServerOpen, Beat: beat}
 			case 1:
-				c.Server = &Server{ID: id, State: Closing, Beat: beat}
+				c.Server = &Server{ID: id, State: ServerClosing, Beat: beat}
 			case 2:
 				c.Leave = id
 			case 3:
@@ -117,9 +117,9 @@
 			issued = append(issued, c)
 			before := s.Version
 			out := s.Apply(uint64(step+1), c)
-			assert.Assert(t, out.Status == Done, "%+v: %+v", c, out)
+			assert.Assert(t, out.Status == StatusOK, "%+v: %+v", c, out)
 			assert.Assert(t, s.Version-before <= 1)
-			if c.Server != nil && c.Server.State == Closing && !left[id] {
+			if c.Server != nil && c.Server.State == ServerClosing && !left[id] {
 				closing[c.Server.ID] = true
 			}
 			if c.Leave != "" {
@@ -127,7 +127,7 @@
 			}
 			for id, x := range s.Servers {
 				assert.Assert(t, !left[id], "%s is back, seed %d", id, seed)
-				assert.Assert(t, !closing[id] || x.State == Closing, "%s is open again, seed %d", id, seed)
+				assert.Assert(t, !closing[id] || x.State == ServerClosing, "%s is open again, seed %d", id, seed)
 			}
 		}
 	}
--- a/internal/cdn/clusterstate/share.go
+++ b/internal/cdn/clusterstate/share.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Cut divides a service's rate among the cache routers by demand, apart from the fraction that all have without it. The holder of the duty
+// RateDivision divides a service's rate among the cache routers by demand, apart from the fraction that all have without it. The holder of the duty
 // decides it from the routers' demand. It is in the log, so that in every version of the state the parts add up to at most the whole.
-type Cut struct {
+type RateDivision struct {
 	Service string             `json:"service"`
 	Parts   map[string]float64 `json:"parts"` // by node; they add up to 1
 }
@@ -16,9 +16,9 @@
 	minTotalNeed      = 2.0  // requests per second of all routers together, below which the division stays as it is
 )
 
-// Even returns the fraction of a service's rate that a router has while no demand is known. Shields have almost all of it. If not every
+// EvenShare returns the fraction of a service's rate that a router has while no demand is known. Shields have almost all of it. If not every
 // router is a shield, the others keep a little for when no shield answers them.
-func (s *State) Even(node string) float64 {
+func (s *State) EvenShare(node string) float64 {
 	isShield := Shields(s.Routers)
 	n, shields := float64(max(len(s.Routers), 1)), float64(max(len(isShield), 1))
 	if _, listed := s.Routers[node]; !listed { // it is about to join, and the others don't count it yet
@@ -36,9 +36,9 @@
 	return nonShieldFraction / (n - shields)
 }
 
-// Share returns the fraction of a service's rate that a router may use. The shares of all routers in the roster never exceed the whole.
-func (s *State) Share(service, node string) float64 {
-	even, parts := s.Even(node), s.Parts[service]
+// RateShare returns the fraction of a service's rate that a router may use. The shares of all routers in the roster never exceed the whole.
+func (s *State) RateShare(service, node string) float64 {
+	even, parts := s.EvenShare(node), s.Parts[service]
 	if parts == nil {
 		return even
 	}
@@ -48,9 +48,9 @@
 	return evenFraction*even + (1-evenFraction)*parts[node]
 }
 
-// Recut returns the division of a service's rate that fits the routers' demand, given in requests per second by node. It returns false
+// DivideRate returns the division of a service's rate that fits the routers' demand, given in requests per second by node. It returns false
 // if the present division is close enough or the demand too small. Nodes that are not in the roster are ignored.
-func (s *State) Recut(service string, needs map[string]float64) (Cut, bool) {
+func (s *State) DivideRate(service string, needs map[string]float64) (RateDivision, bool) {
 	total := 0.0
 	for node, need := range needs {
 		if _, listed := s.Routers[node]; listed && need > 0 && !math.IsInf(need, 0) {
@@ -58,9 +58,9 @@
 		}
 	}
 	if total < minTotalNeed {
-		return Cut{}, false
+		return RateDivision{}, false
 	}
-	c, current, moved := Cut{Service: service, Parts: map[string]float64{}}, s.Parts[service], false
+	c, current, moved := RateDivision{Service: service, Parts: map[string]float64{}}, s.Parts[service], false
 	for node := range s.Routers {
 		part := 0.0
 		if need := needs[node]; need > 0 && !math.IsInf(need, 0) {
@@ -69,7 +69,7 @@
 		}
 		previous, ok := current[node]
 		if !ok && current == nil {
-			previous = s.Even(node)
+			previous = s.EvenShare(node)
 		}
 		moved = moved || math.Abs(part-previous) >= recutThreshold
 	}
@@ -77,16 +77,16 @@
 }
 
 // applyCut puts a division of a service's rate into force if its parts are valid and don't exceed the whole.
-func (s *State) applyCut(c *Cut) Outcome {
+func (s *State) applyCut(c *RateDivision) Outcome {
 	total := 0.0
 	for _, part := range c.Parts {
 		if !(part >= 0 && part <= 1) {
-			return Outcome{Status: Invalid, Text: "a part of less than nothing or more than all"}
+			return Outcome{Status: StatusInvalid, Text: "a part of less than nothing or more than all"}
 		}
 		total += part
 	}
 	if total > 1+1e-6 || len(c.Parts) > maxRoster {
-		return Outcome{Status: Invalid, Text: "parts of more than the whole"}
+		return Outcome{Status: StatusInvalid, Text: "parts of more than the whole"}
 	}
 	parts := make(map[string]map[string]float64, len(s.Parts)+1) // a new map: copies of the state share the old one
 	for service, old := range s.Parts {
@@ -94,7 +94,7 @@
 	}
 	parts[c.Service] = c.Parts
 	s.Parts = parts
-	return Outcome{Status: Done}
+	return Outcome{Status: StatusOK}
 }
 
 // pruneParts drops the parts of services that a configuration does not contain.
--- a/internal/cdn/clusterstate/share_test.go
+++ b/internal/cdn/clusterstate/share_test.go
@@ -11,10 +11,10 @@
 // totalShare returns the sum of the shares of all routers in the roster and of the other nodes.
 func totalShare(s *State, others ...string) (total float64) {
 	for node := range s.Routers {
-		total += s.Share("shop", node)
+		total += s.RateShare("shop", node)
 	}
 	for _, node := range others {
-		total += s.Share("shop", node)
+		total += s.RateShare("shop", node)
 	}
 	return total
 }
@@ -52,23 +52,23 @@
 	}
 	for i, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			cut, moved := s.Recut("shop", c.needs)
+			cut, moved := s.DivideRate("shop", c.needs)
 			assert.Equal(t, moved, c.moved)
 			if moved {
-				assert.Equal(t, s.Apply(uint64(10+i), Command{Cut: &cut, Epoch: 6}).Status, Stale)
-				assert.Equal(t, s.Apply(uint64(10+i), Command{Cut: &cut, Epoch: 7}).Status, Done)
+				assert.Equal(t, s.Apply(uint64(10+i), Command{Cut: &cut, Epoch: 6}).Status, StatusStale)
+				assert.Equal(t, s.Apply(uint64(10+i), Command{Cut: &cut, Epoch: 7}).Status, StatusOK)
 			}
-			got := s.Share("shop", c.node)
+			got := s.RateShare("shop", c.node)
 			assert.Assert(t, got >= c.least && got <= c.most, got)
 			assert.Assert(t, totalShare(s) < 1.001, totalShare(s))
 		})
 	}
 	before := s.Parts
 	for _, bad := range []map[string]float64{{"a": 0.7, "b": 0.7}, {"a": -0.1}, {"a": 2}} {
-		assert.Equal(t, s.Apply(99, Command{Cut: &Cut{"shop", bad}, Epoch: 7}).Status, Invalid)
+		assert.Equal(t, s.Apply(99, Command{Cut: &RateDivision{"shop", bad}, Epoch: 7}).Status, StatusInvalid)
 	}
 	assert.DeepEqual(t, s.Parts, before)
-	assert.Equal(t, s.Apply(100, Command{Put: manifest(`"r1"`, `0`, `{"parcel_kind":"carriers","label":{"name":"other"},"manifest":{}}`)}).Status, Done)
+	assert.Equal(t, s.Apply(100, Command{Put: manifest(`"r1"`, `0`, `{"parcel_kind":"carriers","label":{"name":"other"},"manifest":{}}`)}).Status, StatusOK)
 	assert.Equal(t, len(s.Parts), 0) // the service was removed
 }
 
@@ -89,8 +89,8 @@
 			for range rng.IntN(6) {
 				needs[fmt.Sprint("n", rng.IntN(40))] = rng.Float64() * 100
 			}
-			if cut, moved := s.Recut("shop", needs); moved {
-				assert.Equal(t, s.Apply(uint64(i+1), Command{Cut: &cut}).Status, Done)
+			if cut, moved := s.DivideRate("shop", needs); moved {
+				assert.Equal(t, s.Apply(uint64(i+1), Command{Cut: &cut}).Status, StatusOK)
 			}
 		}
 		total := totalShare(s)
--- a/internal/cdn/clusterstate/tenant.go
+++ b/internal/cdn/clusterstate/tenant.go
@@ -32,8 +32,8 @@
 // Find returns the tenant that holds a key; nil if there is none.
 func (t *KeyTable) Find(key string) *Tenant { return t.byKey[key] }
 
-// Keyed reports whether requests on a route need a key. In a configuration without tenants none does.
-func (m *Manifest) Keyed(r *Route) bool { return len(m.Tenants) > 0 && !r.Unsealed }
+// RequiresKey reports whether requests on a route need a key. In a configuration without tenants none does.
+func (m *Manifest) RequiresKey(r *Route) bool { return len(m.Tenants) > 0 && !r.Unsealed }
 
 func (m *Manifest) addTenant(p wireParcel) error {
 	var w wireSender
--- a/internal/cdn/clusterstate/text.go
+++ b/internal/cdn/clusterstate/text.go
@@ -10,9 +10,9 @@
 	"sync"
 )
 
-// Text is a long text, usually a configuration, that is compressed with DEFLATE on the wire and on disk. Routes are very similar and
+// CompressedText is a long text, usually a configuration, that is compressed with DEFLATE on the wire and on disk. Routes are very similar and
 // compress well; uncompressed, a thousand of them take seconds on a link of 12 Mbit/s that is full of responses to clients.
-type Text []byte
+type CompressedText []byte
 
 const (
 	minCompressedText = 512       // bytes; a shorter text is not compressed
@@ -32,7 +32,7 @@
 }}
 
 // compress returns the text in DEFLATE format.
-func (t Text) compress() []byte {
+func (t CompressedText) compress() []byte {
 	var b bytes.Buffer
 	w := flateWriters.Get().(*flate.Writer)
 	defer flateWriters.Put(w)
@@ -43,7 +43,7 @@
 }
 
 // decompress is the inverse of Text.compress. It refuses a text of more than maxTextBytes without holding all of it.
-func decompress(compressed []byte) (Text, error) {
+func decompress(compressed []byte) (CompressedText, error) {
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxTextBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("a text that can't be unfolded: %w", err)
@@ -55,7 +55,7 @@
 }
 
 // MarshalJSON encodes the text as a string: base64, with a mark in front if it is compressed.
-func (t Text) MarshalJSON() ([]byte, error) {
+func (t CompressedText) MarshalJSON() ([]byte, error) {
 	if len(t) < minCompressedText {
 		return json.Marshal([]byte(t))
 	}
@@ -66,7 +66,7 @@
 }
 
 // UnmarshalJSON decodes a text, compressed or not.
-func (t *Text) UnmarshalJSON(b []byte) error {
+func (t *CompressedText) UnmarshalJSON(b []byte) error {
 	if len(b) < 3 || b[1] != compressedMark {
 		return json.Unmarshal(b, (*[]byte)(t))
 	}
@@ -79,7 +79,7 @@
 }
 
 // GobEncode encodes the text after a byte that tells whether it is compressed.
-func (t Text) GobEncode() ([]byte, error) {
+func (t CompressedText) GobEncode() ([]byte, error) {
 	if len(t) < minCompressedText {
 		return append([]byte{plainFormat}, t...), nil
 	}
@@ -87,12 +87,12 @@
 }
 
 // GobDecode decodes a text, compressed or not.
-func (t *Text) GobDecode(b []byte) (err error) {
+func (t *CompressedText) GobDecode(b []byte) (err error) {
 	switch {
 	case len(b) == 0:
 		return fmt.Errorf("a text without its form")
 	case b[0] == plainFormat:
-		*t = append(Text(nil), b[1:]...)
+		*t = append(CompressedText(nil), b[1:]...)
 	case b[0] == compressedFormat:
 		*t, err = decompress(b[1:])
 	default:
--- a/internal/cdn/clusterstate/text_test.go
+++ b/internal/cdn/clusterstate/text_test.go
@@ -18,11 +18,11 @@
 func TestTextRoundTrip(t *testing.T) {
 	cases := []struct {
 		name string
-		text Text
+		text CompressedText
 		most int // bytes that it may take in the log
 	}{
-		{"none", Text{}, 2},
-		{"short", Text("~not packed"), 32},
+		{"none", CompressedText{}, 2},
+		{"short", CompressedText("~not packed"), 32},
 		{"binary data", bytes.Repeat([]byte{0xff, 0, '"', '\\'}, 4096), 512},
 		{"a configuration of 1280 routes", manyRoutes(1280, `"r1"`, `0`, nil), 40 << 10},
 	}
@@ -31,7 +31,7 @@
 			line, err := json.Marshal(c.text)
 			assert.NilError(t, err)
 			assert.Assert(t, len(line) <= c.most, "%d bytes of %d", len(line), len(c.text))
-			var back, over Text
+			var back, over CompressedText
 			assert.NilError(t, json.Unmarshal(line, &back))
 			assert.Assert(t, bytes.Equal(back, c.text))
 			var b bytes.Buffer
@@ -41,7 +41,7 @@
 			assert.Assert(t, bytes.Equal(over, c.text))
 		})
 	}
-	var old Text // from a log that was written before texts were compressed
+	var old CompressedText // from a log that was written before texts were compressed
 	assert.NilError(t, json.Unmarshal([]byte(`"`+base64.StdEncoding.EncodeToString([]byte(serviceParcel))+`"`), &old))
 	assert.Equal(t, string(old), serviceParcel)
 	for _, bad := range []string{`"~"`, `"~AAAA"`, `"~%%%"`, `7`} {
@@ -73,7 +73,7 @@
 	for i, body := range [][]byte{manyRoutes(14, `"r1"`, `0`, nil), manyRoutes(1294, `"r2"`, `"r1"`, nil)} {
 		_, out, err := core.Apply(uint64(i+1), Command{Put: body}.Encode())
 		assert.NilError(t, err)
-		assert.Equal(t, out.Status, Done, out.Text)
+		assert.Equal(t, out.Status, StatusOK, out.Text)
 	}
 	for _, have := range []uint64{1, 0} { // the change, and the whole state for a copy that has nothing
 		var b bytes.Buffer
@@ -86,10 +86,10 @@
 	f.Add([]byte(`"~AAAA"`))
 	f.Add([]byte(strings.Repeat("x", 2*minCompressedText)))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var x Text
+		var x CompressedText
 		x.UnmarshalJSON(text)
 		x.GobDecode(text)
-		line, err := Text(text).MarshalJSON()
+		line, err := CompressedText(text).MarshalJSON()
 		assert.NilError(t, err)
 		assert.NilError(t, x.UnmarshalJSON(line))
 		assert.Assert(t, bytes.Equal(x, text), fmt.Sprintf("%q", text))
--- a/internal/cdn/clusterstate/usage.go
+++ b/internal/cdn/clusterstate/usage.go
@@ -19,28 +19,28 @@
 }
 
 const (
-	// MostPendingUsage is the maximum number of windows that wait for the platform: an hour of its silence, with windows of 5 s. Past that
+	// MaxPendingUsage is the maximum number of windows that wait for the platform: an hour of its silence, with windows of 5 s. Past that
 	// the oldest is dropped and never reported.
-	MostPendingUsage = 720
-	// MostUsageTenants is the maximum number of tenants in one window's counts.
-	MostUsageTenants = 16384
+	MaxPendingUsage = 720
+	// MaxUsageTenants is the maximum number of tenants in one window's counts.
+	MaxUsageTenants = 16384
 )
 
 // fixUsage records the final counts of the next window. A repeat for the newest window keeps its first counts.
 func (s *State) fixUsage(report UsageReport) Outcome {
 	switch {
 	case report.Round == s.Usage.Fixed && report.Round > 0:
-		return Outcome{Status: Done}
+		return Outcome{Status: StatusOK}
 	case report.Round < s.Usage.Fixed:
-		return Outcome{Status: Stale, Text: fmt.Sprintf("round: %d is fixed already", s.Usage.Fixed)}
+		return Outcome{Status: StatusStale, Text: fmt.Sprintf("round: %d is fixed already", s.Usage.Fixed)}
 	case report.Round <= 0:
-		return Outcome{Status: Invalid, Text: "round: not above 0"}
-	case len(report.Counts) > MostUsageTenants:
-		return Outcome{Status: Invalid, Text: fmt.Sprintf("counts: more than %d tenants", MostUsageTenants)}
+		return Outcome{Status: StatusInvalid, Text: "round: not above 0"}
+	case len(report.Counts) > MaxUsageTenants:
+		return Outcome{Status: StatusInvalid, Text: fmt.Sprintf("counts: more than %d tenants", MaxUsageTenants)}
 	}
 	s.Usage.Fixed = report.Round
-	s.Usage.Pending = keepLast(append(slices.Clone(s.Usage.Pending), report), MostPendingUsage)
-	return Outcome{Status: Done}
+	s.Usage.Pending = keepLast(append(slices.Clone(s.Usage.Pending), report), MaxPendingUsage)
+	return Outcome{Status: StatusOK}
 }
 
 // acknowledgeUsage drops a window whose report the platform has accepted.
--- a/internal/cdn/clusterstate/usage_test.go
+++ b/internal/cdn/clusterstate/usage_test.go
@@ -23,18 +23,18 @@
 		fixed   int64
 		pending []UsageReport
 	}{
-		{"a holder is appointed", Command{Appoint: "10.0.0.1"}, Done, 0, nil},
-		{"the first window", fixUsageCommand(1, 70, map[string]int64{"a": 4}), Done, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"the same window, another count", fixUsageCommand(1, 70, map[string]int64{"a": 5}), Done, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"another holder is appointed", Command{Appoint: "10.0.0.2"}, Done, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"the old holder reports", fixUsageCommand(1, 71, nil), Stale, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"the old holder acknowledges", Command{Epoch: 1, UsageTaken: 70}, Stale, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"the new holder reports the old window again", fixUsageCommand(4, 70, map[string]int64{"a": 9}), Done, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"an empty window", fixUsageCommand(4, 71, map[string]int64{}), Done, 71, []UsageReport{{70, map[string]int64{"a": 4}}, {71, nil}}},
-		{"an older window", fixUsageCommand(4, 69, nil), Stale, 71, []UsageReport{{70, map[string]int64{"a": 4}}, {71, nil}}},
-		{"taken", Command{Epoch: 4, UsageTaken: 70}, Done, 71, []UsageReport{{71, nil}}},
-		{"accepted again", Command{Epoch: 4, UsageTaken: 70}, Done, 71, []UsageReport{{71, nil}}},
-		{"none is left", Command{Epoch: 4, UsageTaken: 71}, Done, 71, nil},
+		{"a holder is appointed", Command{Appoint: "10.0.0.1"}, StatusOK, 0, nil},
+		{"the first window", fixUsageCommand(1, 70, map[string]int64{"a": 4}), StatusOK, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"the same window, another count", fixUsageCommand(1, 70, map[string]int64{"a": 5}), StatusOK, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"another holder is appointed", Command{Appoint: "10.0.0.2"}, StatusOK, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"the old holder reports", fixUsageCommand(1, 71, nil), StatusStale, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"the old holder acknowledges", Command{Epoch: 1, UsageTaken: 70}, StatusStale, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"the new holder reports the old window again", fixUsageCommand(4, 70, map[string]int64{"a": 9}), StatusOK, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"an empty window", fixUsageCommand(4, 71, map[string]int64{}), StatusOK, 71, []UsageReport{{70, map[string]int64{"a": 4}}, {71, nil}}},
+		{"an older window", fixUsageCommand(4, 69, nil), StatusStale, 71, []UsageReport{{70, map[string]int64{"a": 4}}, {71, nil}}},
+		{"taken", Command{Epoch: 4, UsageTaken: 70}, StatusOK, 71, []UsageReport{{71, nil}}},
+		{"accepted again", Command{Epoch: 4, UsageTaken: 70}, StatusOK, 71, []UsageReport{{71, nil}}},
+		{"none is left", Command{Epoch: 4, UsageTaken: 71}, StatusOK, 71, nil},
 	}
 	h, follower := NewHistory(New()), NewHistory(New())
 	for i, c := range cases {
@@ -63,17 +63,17 @@
 // The number of windows that wait for the platform is bounded, and a clone of the state does not change.
 func TestPendingUsageIsBounded(t *testing.T) {
 	s := New()
-	for round := int64(1); round <= MostPendingUsage; round++ {
+	for round := int64(1); round <= MaxPendingUsage; round++ {
 		s.Apply(uint64(round), fixUsageCommand(0, round, nil))
 	}
 	kept := s.Clone()
-	s.Apply(MostPendingUsage+1, fixUsageCommand(0, MostPendingUsage+1, nil))
-	assert.Equal(t, len(s.Usage.Pending), MostPendingUsage)
+	s.Apply(MaxPendingUsage+1, fixUsageCommand(0, MaxPendingUsage+1, nil))
+	assert.Equal(t, len(s.Usage.Pending), MaxPendingUsage)
 	assert.Equal(t, s.Usage.Pending[0].Round, int64(2))
 	assert.Equal(t, kept.Usage.Pending[0].Round, int64(1))
 	many := map[string]int64{}
-	for i := range MostUsageTenants + 1 {
+	for i := range MaxUsageTenants + 1 {
 		many[string(rune(i+0x4e00))] = 1
 	}
-	assert.Equal(t, s.Apply(MostPendingUsage+2, fixUsageCommand(0, MostPendingUsage+2, many)).Status, Invalid)
+	assert.Equal(t, s.Apply(MaxPendingUsage+2, fixUsageCommand(0, MaxPendingUsage+2, many)).Status, StatusInvalid)
 }
--- a/internal/cdn/configstore/acknowledgements.go
+++ b/internal/cdn/configstore/acknowledgements.go
@@ -42,7 +42,7 @@
 	switch {
 	case !r.Known:
 		outcome = outcomeUnclear
-	case r.Status == clusterstate.Done:
+	case r.Status == clusterstate.StatusOK:
 		outcome = outcomeDone
 	}
 	a.seconds.WithLabelValues(kind, outcome, settledLabel(leaderStable)).Observe(took.Seconds())
--- a/internal/cdn/configstore/clocks.go
+++ b/internal/cdn/configstore/clocks.go
@@ -28,9 +28,9 @@
 		}
 		wait = min(2*wait, maxClockInterval)
 		members := s.view.Status(time.Now()).Members
-		s.clock.Keep(members)
+		s.clock.RetainSources(members)
 		for _, address := range members {
-			if address != s.settings.Inner(s.settings.IP, bootconfig.ConfigStorePort) {
+			if address != s.settings.InternalAddress(s.settings.IP, bootconfig.ConfigStorePort) {
 				s.queryClock(ctx, address)
 			}
 		}
@@ -49,6 +49,6 @@
 		return
 	}
 	if roundTrip := time.Since(started); roundTrip < maxClockRoundTrip {
-		s.clock.Hear(address, time.UnixMilli(wallMS), started.Add(roundTrip/2))
+		s.clock.SetReading(address, time.UnixMilli(wallMS), started.Add(roundTrip/2))
 	}
 }
--- a/internal/cdn/configstore/configstore_test.go
+++ b/internal/cdn/configstore/configstore_test.go
@@ -38,9 +38,9 @@
 	done := make(chan error, n)
 	for i := range n {
 		set := bootconfig.Settings{Node: fmt.Sprint("core-", i), IP: fmt.Sprintf("127.0.%d.%d", at, i+1), DataDir: t.TempDir(),
-			FirstStart: true, Seeds: seeds, SparePort: 7660, Heartbeat: time.Second}
+			FirstStart: true, Seeds: seeds, FirstSparePort: 7660, HeartbeatInterval: time.Second}
 		go func() { done <- run(ctx, set, hclog.NewNullLogger(), disk(i)) }()
-		peers = append(peers, peerrpc.NewPeer(set.Inner(set.IP, bootconfig.ConfigStorePort)))
+		peers = append(peers, peerrpc.NewPeer(set.InternalAddress(set.IP, bootconfig.ConfigStorePort)))
 	}
 	t.Cleanup(func() {
 		end()
@@ -86,7 +86,7 @@
 	peers := startStores(t, 3, 74)
 	taken := func(p *peerrpc.Peer, tag string) bool {
 		r, err := call[Proposal, Reply](t, p, "ConfigStore.Propose", purgeProposal(tag))
-		return err == nil && r.Known && r.Status == clusterstate.Done
+		return err == nil && r.Known && r.Status == clusterstate.StatusOK
 	}
 	purges := func(p *peerrpc.Peer) uint64 {
 		n, err := call[clusterstate.Ask, clusterstate.News](t, p, "ConfigStore.News", clusterstate.Ask{HoldMS: 1})
@@ -153,7 +153,7 @@
 	})
 	taken := func(p *peerrpc.Peer, tag string) bool {
 		r, err := call[Proposal, Reply](t, p, "ConfigStore.Propose", purgeProposal(tag))
-		return err == nil && r.Known && r.Status == clusterstate.Done
+		return err == nil && r.Known && r.Status == clusterstate.StatusOK
 	}
 	status := func(i int) Status {
 		s, _ := call[bool, Status](t, peers[i], "ConfigStore.Status", false) // zero while it starts
@@ -249,7 +249,7 @@
 // After a loss of power a machine must apply exactly the entries that its disk records as committed: later ones may still be
 // replaced by a new leader.
 func TestReplayAppliesCommittedEntries(t *testing.T) {
-	var held raftlog.Held
+	var held raftlog.DiskState
 	for i := range uint64(5) {
 		held.Entries = append(held.Entries, consensus.Entry{Index: i + 1, Term: 1, Data: purgeProposal(fmt.Sprint(i)).Data})
 	}
@@ -308,8 +308,8 @@
 func TestFreshnessExpiresWhileLoopHangs(t *testing.T) {
 	view, now := newView(clusterstate.NewHistory(clusterstate.New()), 0), time.Now()
 	view.publish(now, position{leader: "a", currentAsOf: now})
-	assert.Assert(t, view.Since(0, now, now.Add(freshnessWindow-time.Millisecond)).Fresh)
-	assert.Assert(t, !view.Since(0, now, now.Add(freshnessWindow+time.Millisecond)).Fresh, "current without an update by the loop")
+	assert.Assert(t, view.ChangesSince(0, now, now.Add(freshnessWindow-time.Millisecond)).Fresh)
+	assert.Assert(t, !view.ChangesSince(0, now, now.Add(freshnessWindow+time.Millisecond)).Fresh, "current without an update by the loop")
 	assert.Assert(t, !view.Status(now.Add(freshnessWindow+time.Millisecond)).Fresh)
 }
 
@@ -317,16 +317,16 @@
 // milliseconds; it is negative if that was after the request, as it can be for a held one.
 func TestNewsAge(t *testing.T) {
 	view, now := newView(clusterstate.NewHistory(clusterstate.New()), 0), time.Now()
-	assert.Assert(t, !view.Since(0, now, now).Proven, "proven without any contact to a leader")
+	assert.Assert(t, !view.ChangesSince(0, now, now).Proven, "proven without any contact to a leader")
 	for _, c := range []struct {
 		current, came time.Duration
 		ms            int64
 	}{{0, 200 * time.Millisecond, 200}, {0, 200*time.Millisecond + 1, 201}, {0, 10 * time.Second, 10000},
 		{300 * time.Millisecond, 100 * time.Millisecond, -200}, {300*time.Millisecond + 1, 100 * time.Millisecond, -200}} {
 		view.publish(now, position{leader: "a", currentAsOf: now.Add(c.current)})
-		n := view.Since(0, now.Add(c.came), now.Add(time.Minute))
+		n := view.ChangesSince(0, now.Add(c.came), now.Add(time.Minute))
 		assert.Assert(t, n.Proven && n.AgeMS == c.ms, "%d ms, not %d", n.AgeMS, c.ms)
-		proof := n.ProofOf(now.Add(c.came))
+		proof := n.ProvenAt(now.Add(c.came))
 		assert.Assert(t, !proof.After(now.Add(c.current)) && proof.After(now.Add(c.current-time.Millisecond)))
 	}
 }
@@ -344,8 +344,8 @@
 	assert.Assert(t, !view.leaderStableFor(now.Add(time.Hour), 3*time.Second), "there is no leader")
 
 	a := newAcknowledgements(hclog.NewNullLogger())
-	a.observe("purge", Reply{Known: true, Outcome: clusterstate.Outcome{Status: clusterstate.Done}}, true, time.Millisecond)
-	a.observe("purge", Reply{Known: true, Outcome: clusterstate.Outcome{Status: clusterstate.Stale}}, true, time.Millisecond)
+	a.observe("purge", Reply{Known: true, Outcome: clusterstate.Outcome{Status: clusterstate.StatusOK}}, true, time.Millisecond)
+	a.observe("purge", Reply{Known: true, Outcome: clusterstate.Outcome{Status: clusterstate.StatusStale}}, true, time.Millisecond)
 	a.observe("purge", Reply{}, false, 2*time.Second)
 	assert.Equal(t, testutil.CollectAndCount(a.seconds), 3)
 	for _, labels := range [][]string{{"purge", outcomeDone, "yes"}, {"purge", outcomeRefused, "yes"}, {"purge", outcomeUnclear, "no"}} {
--- a/internal/cdn/configstore/forwarding.go
+++ b/internal/cdn/configstore/forwarding.go
@@ -48,37 +48,37 @@
 	if !hasDeadline {
 		deadline = time.Now().Add(defaultLeaderTimeout)
 	}
-	question := NewQuestion(forwarded, deadline)
+	question := NewLeaderRequest(forwarded, deadline)
 	for {
 		isLeader, address := s.waitForLeader(ctx)
-		move := question.Led(time.Now(), isLeader, address)
+		move := question.OnLeader(time.Now(), isLeader, address)
 		switch move.Kind {
-		case AskHere:
+		case HandleLocally:
 			known := local()
-			move = question.Answered(time.Now(), known)
-		case AskThere:
+			move = question.OnReply(time.Now(), known)
+		case ForwardToLeader:
 			known := remote(s.peers.At(move.To))
-			move = question.Answered(time.Now(), known)
+			move = question.OnReply(time.Now(), known)
 		}
-		if !move.Ends() {
+		if !move.IsFinal() {
 			move = waitBefore(ctx, question, move)
 		}
 		switch move.Kind {
 		case EndAnswered:
 			return true, nil
-		case EndUnclear:
+		case EndUnknown:
 			return false, nil
-		case EndNotBegun:
+		case EndNotSent:
 			return false, errNoLeader
 		}
 	}
 }
 
 // waitBefore waits for the delay of the next step; it ends the request if the context is done first.
-func waitBefore(ctx context.Context, question *Question, next Move) Move {
+func waitBefore(ctx context.Context, question *LeaderRequest, next Step) Step {
 	select {
 	case <-ctx.Done():
-		return question.End()
+		return question.Abandon()
 	case <-time.After(next.After):
 		return next
 	}
--- a/internal/cdn/configstore/question_test.go
+++ b/internal/cdn/configstore/leader_request_test.go
@@ -16,12 +16,12 @@
 		clear     bool
 		here      bool
 		at        string
-		want      MoveKind
+		want      StepKind
 		wantTo    string
 		wantAfter time.Duration
 	}
-	leads, elsewhere, nobody := step{here: true, want: AskHere}, step{at: "b", want: AskThere, wantTo: "b"}, step{want: WaitForLeader}
-	unclear := step{answer: true, want: AskAgain, wantAfter: leaderRetryInterval}
+	leads, elsewhere, nobody := step{here: true, want: HandleLocally}, step{at: "b", want: ForwardToLeader, wantTo: "b"}, step{want: WaitForLeader}
+	unclear := step{answer: true, want: RetryLater, wantAfter: leaderRetryInterval}
 	good := step{answer: true, clear: true, want: EndAnswered}
 	cases := []struct {
 		name      string
@@ -31,30 +31,30 @@
 		{"answered here", false, []step{leads, good}},
 		{"answered by another machine", false, []step{elsewhere, good}},
 		{"answered by the next leader", false, []step{nobody, elsewhere, unclear, nobody, leads, good}},
-		{"no leader in time", false, []step{nobody, {late: true, want: EndNotBegun}}},
-		{"no clear reply in time", false, []step{elsewhere, {late: true, answer: true, want: EndUnclear}}},
-		{"no time for a second attempt", false, []step{elsewhere, unclear, {late: true, here: true, want: EndUnclear}}},
+		{"no leader in time", false, []step{nobody, {late: true, want: EndNotSent}}},
+		{"no clear reply in time", false, []step{elsewhere, {late: true, answer: true, want: EndUnknown}}},
+		{"no time for a second attempt", false, []step{elsewhere, unclear, {late: true, here: true, want: EndUnknown}}},
 		{"forwarded and answered", true, []step{leads, good}},
 		{"forwarded to the next leader before its election", true, []step{nobody, leads, good}},
-		{"forwarded to a follower", true, []step{{at: "c", want: EndNotBegun}}},
-		{"forwarded without a clear reply", true, []step{leads, {answer: true, want: EndUnclear}}},
+		{"forwarded to a follower", true, []step{{at: "c", want: EndNotSent}}},
+		{"forwarded without a clear reply", true, []step{leads, {answer: true, want: EndUnknown}}},
 	}
 	for _, c := range cases {
 		now := time.Now()
-		q := NewQuestion(c.forwarded, now.Add(time.Second))
+		q := NewLeaderRequest(c.forwarded, now.Add(time.Second))
 		for i, s := range c.steps {
 			at := now
 			if s.late {
 				at = now.Add(time.Second)
 			}
-			var got Move
+			var got Step
 			if s.answer {
-				got = q.Answered(at, s.clear)
+				got = q.OnReply(at, s.clear)
 			} else {
-				got = q.Led(at, s.here, s.at)
+				got = q.OnLeader(at, s.here, s.at)
 			}
-			assert.Equal(t, got, Move{Kind: s.want, To: s.wantTo, After: s.wantAfter}, "%s, step %d", c.name, i)
-			assert.Equal(t, got.Ends(), i == len(c.steps)-1, "%s, step %d", c.name, i)
+			assert.Equal(t, got, Step{Kind: s.want, To: s.wantTo, After: s.wantAfter}, "%s, step %d", c.name, i)
+			assert.Equal(t, got.IsFinal(), i == len(c.steps)-1, "%s, step %d", c.name, i)
 		}
 	}
 }
--- a/internal/cdn/configstore/machine.go
+++ b/internal/cdn/configstore/machine.go
@@ -25,13 +25,13 @@
 	livenessWindow       = 2 * time.Second         // a core machine heard from within this time may hold the duty
 )
 
-// ErrNotBegun is returned if the disk rejects writes while a machine is opened. Opening it may succeed later.
-var ErrNotBegun = errors.New("the disk rejects writes")
+// ErrDiskUnavailable is returned if the disk rejects writes while a machine is opened. Opening it may succeed later.
+var ErrDiskUnavailable = errors.New("the disk rejects writes")
 
-// Weaknesses disable single safeguards, in addition to those of package consensus. Tests use them to show that a safeguard
+// DisabledSafeguards disable single safeguards, in addition to those of package consensus. Tests use them to show that a safeguard
 // is needed and that the simulation detects its absence. Nothing else may set one; a test enforces this.
-type Weaknesses struct {
-	Consensus               consensus.Weaknesses
+type DisabledSafeguards struct {
+	Consensus               consensus.DisabledSafeguards
 	KeepIdentity            bool // a machine that lost its disk votes under its old identity
 	SendBeforeSave          bool // messages are sent before the state that they promise is on disk
 	AcknowledgeBeforeCommit bool // a leader acknowledges entries that are on its own disk only
@@ -49,7 +49,7 @@
 	Tolerate   int                // number of machines whose simultaneous loss must be survived
 	Timing     consensus.Timing
 	Seed       uint64
-	Weak       Weaknesses
+	Weak       DisabledSafeguards
 
 	Log      hclog.Logger
 	Send     func(consensus.Message) // must not block
@@ -66,7 +66,7 @@
 // Journal is the persistent log. It is implemented by *raftlog.Journal.
 type Journal interface {
 	// Begin writes the identity of the disk and the data that it starts from to a new generation. It precedes all other writes.
-	Begin(held raftlog.Held) error
+	Begin(held raftlog.DiskState) error
 	// Save appends what is not nil and syncs. After an error nothing counts as saved, and Renew must succeed before the next Save.
 	Save(hard *consensus.HardState, snap *consensus.Snapshot, entries []consensus.Entry) error
 	// Note records that the entries up to an index are committed; it is written with the next Save or Renew.
@@ -145,7 +145,7 @@
 // OpenMachine creates a machine from the journal on disk. An empty disk means a first start or the loss of the disk; in the
 // second case the machine counts as a new one. After an error that wraps ErrNotBegun the call may be repeated; other errors
 // are final.
-func OpenMachine(config MachineConfig, files raftlog.Files, now time.Time) (*Machine, error) {
+func OpenMachine(config MachineConfig, files raftlog.Directory, now time.Time) (*Machine, error) {
 	opened, held, corruptedFile, err := raftlog.Open(files)
 	if err != nil {
 		return nil, err
@@ -170,7 +170,7 @@
 	m.journal.Note(held.Committed)
 	if err := m.journal.Begin(held); err != nil {
 		m.journal.Close()
-		return nil, errors.Join(ErrNotBegun, err)
+		return nil, errors.Join(ErrDiskUnavailable, err)
 	}
 	m.node = consensus.New(consensus.Config{Self: consensus.Member{ID: held.ID, Addr: config.Address}, Timing: config.Timing,
 		Tolerate: config.Tolerate, Seed: config.Seed, Contacts: config.Contacts, Weak: config.Weak.Consensus, Limits: config.Limits,
@@ -183,7 +183,7 @@
 
 // assignIdentity assigns an identity to an empty disk. At the first start of the whole system a founder gets its IP, by which the
 // other founders know it. Any other machine, or one that has lost its disk, gets its IP with a random suffix.
-func (m *Machine) assignIdentity(held *raftlog.Held, diskLost bool) {
+func (m *Machine) assignIdentity(held *raftlog.DiskState, diskLost bool) {
 	founder := false
 	for _, f := range m.Founders {
 		founder = founder || f.ID == m.IP
@@ -199,7 +199,7 @@
 // loss of power, the machines would apply these entries only once there is a leader, the leader first and then the others, with
 // all requests waiting (an eighth of a second each on a quarter of a core). The node delivers the same entries again later,
 // and the history skips those that it has applied.
-func replay(held raftlog.Held) (*clusterstate.History, error) {
+func replay(held raftlog.DiskState) (*clusterstate.History, error) {
 	state := clusterstate.New()
 	if len(held.Snapshot.Data) > 0 {
 		var err error
@@ -223,7 +223,7 @@
 // diverge from the others unnoticed.
 func applyEntry(history *clusterstate.History, e consensus.Entry) (clusterstate.Outcome, error) {
 	if len(e.Data) == 0 {
-		return clusterstate.Outcome{Status: clusterstate.Done}, nil
+		return clusterstate.Outcome{Status: clusterstate.StatusOK}, nil
 	}
 	_, out, err := history.Apply(e.Index, e.Data)
 	if err != nil {
@@ -262,11 +262,11 @@
 // Term returns the machine's consensus term.
 func (m *Machine) Term() uint64 { return m.node.Term() }
 
-// Leads reports whether the machine is the leader.
-func (m *Machine) Leads() bool { return m.node.Role() == consensus.Leader }
+// IsLeader reports whether the machine is the leader.
+func (m *Machine) IsLeader() bool { return m.node.Role() == consensus.Leader }
 
-// Waiting returns the number of proposals and barriers without a reply.
-func (m *Machine) Waiting() int { return len(m.pending) + len(m.barriers) }
+// PendingCount returns the number of proposals and barriers without a reply.
+func (m *Machine) PendingCount() int { return len(m.pending) + len(m.barriers) }
 
 // SetContacts replaces the addresses of other machines that may know a leader.
 func (m *Machine) SetContacts(addrs []string) { m.node.SetContacts(addrs) }
@@ -276,8 +276,8 @@
 	m.node.Leave()
 }
 
-// Left reports whether a machine that called Leave may stop: nothing depends on it alone any more.
-func (m *Machine) Left() bool { return m.node.Left() }
+// LeaveDone reports whether a machine that called Leave may stop: nothing depends on it alone any more.
+func (m *Machine) LeaveDone() bool { return m.node.LeaveDone() }
 
 // Deliver handles consensus messages. While the disk is failing they are dropped, as if the network had lost them.
 func (m *Machine) Deliver(now time.Time, messages []consensus.Message) {
@@ -293,7 +293,7 @@
 // known, or immediately if it will not be known on this machine.
 func (m *Machine) Propose(data []byte, reply func(Reply)) {
 	if _, err := clusterstate.Decode(data); err != nil {
-		reply(Reply{Outcome: clusterstate.Outcome{Status: clusterstate.Invalid, Text: err.Error()}, Known: true})
+		reply(Reply{Outcome: clusterstate.Outcome{Status: clusterstate.StatusInvalid, Text: err.Error()}, Known: true})
 		return
 	}
 	if m.diskFailing {
@@ -311,8 +311,8 @@
 	m.pending[index] = pendingProposal{term, reply}
 }
 
-// AskBarrier starts a read barrier and calls reply with its result.
-func (m *Machine) AskBarrier(reply func(Barrier)) {
+// RequestBarrier starts a read barrier and calls reply with its result.
+func (m *Machine) RequestBarrier(reply func(Barrier)) {
 	if m.diskFailing {
 		reply(Barrier{})
 		return
@@ -322,9 +322,9 @@
 	m.node.Barrier(m.lastToken)
 }
 
-// Turn advances the machine to the time now: it runs timers, saves, sends and applies what is ready, and replies to waiting
+// Advance advances the machine to the time now: it runs timers, saves, sends and applies what is ready, and replies to waiting
 // callers. After an error this replica must stop.
-func (m *Machine) Turn(now time.Time) error {
+func (m *Machine) Advance(now time.Time) error {
 	if !m.diskFailing {
 		m.node.Tick(now)
 		m.runLeaderTasks(now)
@@ -333,7 +333,7 @@
 	if err := m.processReady(now); err != nil {
 		return err
 	}
-	if !m.Leads() { // callers retry with the new leader; the state applies the same command once
+	if !m.IsLeader() { // callers retry with the new leader; the state applies the same command once
 		m.answerProposals(Reply{})
 	}
 	m.publish(now)
@@ -346,7 +346,7 @@
 func (m *Machine) processReady(now time.Time) error {
 	for {
 		if m.unsaved == nil {
-			ready := m.node.Take()
+			ready := m.node.TakeReady()
 			if ready.Empty() {
 				return nil
 			}
@@ -361,7 +361,7 @@
 		}
 		ready := *m.unsaved
 		m.unsaved = nil
-		m.node.Saved()
+		m.node.MarkSaved()
 		if err := m.completeReady(ready, state); err != nil {
 			return err
 		}
@@ -390,13 +390,13 @@
 	}
 	m.answerBarriers(ready.Reads)
 	if m.Weak.AcknowledgeBeforeCommit {
-		m.answerProposals(Reply{Outcome: clusterstate.Outcome{Status: clusterstate.Done}, Known: true})
+		m.answerProposals(Reply{Outcome: clusterstate.Outcome{Status: clusterstate.StatusOK}, Known: true})
 	}
 	return nil
 }
 
 // answerBarriers replies to the callers of completed barriers.
-func (m *Machine) answerBarriers(reads []consensus.Read) {
+func (m *Machine) answerBarriers(reads []consensus.ReadResult) {
 	for _, read := range reads {
 		if reply := m.barriers[read.Token]; reply != nil {
 			delete(m.barriers, read.Token)
@@ -442,12 +442,12 @@
 	for _, member := range m.node.Membership().All() {
 		addresses = append(addresses, member.Addr)
 	}
-	status := Status{ID: m.node.Self().ID, Role: m.node.Role().String(), Term: m.node.Term(), Commit: m.node.Commit(),
+	status := Status{ID: m.node.Self().ID, Role: m.node.Role().String(), Term: m.node.Term(), Commit: m.node.CommitIndex(),
 		Journal: m.journal.Size(), DiskFails: m.diskFailing}
 	if m.diskFailing {
 		leader = ""
 	}
-	m.View.publish(now, position{leader: leader, isLeader: m.Leads() && !m.diskFailing, leaderSince: m.leaderSince,
+	m.View.publish(now, position{leader: leader, isLeader: m.IsLeader() && !m.diskFailing, leaderSince: m.leaderSince,
 		currentAsOf: m.currentAsOf(), coreAddresses: addresses, status: status})
 }
 
@@ -457,14 +457,14 @@
 	if m.diskFailing {
 		return time.Time{}
 	}
-	return m.node.CurrentAt()
+	return m.node.CurrentAsOf()
 }
 
 // runLeaderTasks does the periodic work of the leader: if the present duty holder is not live and its lease has passed, it
 // appoints the first live core machine in the order of addresses. A new leader waits for livenessWindow/2 first, to hear from
 // the others.
 func (m *Machine) runLeaderTasks(now time.Time) {
-	if !m.Leads() {
+	if !m.IsLeader() {
 		m.leaderSince, m.dutyTenure = time.Time{}, tenure{}
 		return
 	}
@@ -488,8 +488,8 @@
 // dutyHolder returns the machine that should hold the duty, empty if none is live, and whether the present holder is live.
 func (m *Machine) dutyHolder() (candidate string, live bool) {
 	present := m.View.Duty().Holder
-	for _, member := range m.node.Live(livenessWindow) {
-		ip := bootconfig.HostOf(member.Addr)
+	for _, member := range m.node.LiveMembers(livenessWindow) {
+		ip := bootconfig.Host(member.Addr)
 		if candidate == "" || ip < candidate {
 			candidate = ip
 		}
--- a/internal/cdn/configstore/persistence.go
+++ b/internal/cdn/configstore/persistence.go
@@ -18,15 +18,15 @@
 	if m.diskFailing {
 		return m.retrySave(now)
 	}
-	m.journal.Note(m.View.Applied())
+	m.journal.Note(m.View.AppliedIndex())
 	started := m.Clock()
 	if err := m.journal.Save(m.unsaved.Hard, m.unsaved.Snapshot, m.unsaved.Entries); err != nil {
 		m.handleWriteFailure(now, err)
 		return false
 	}
-	if took := m.Clock().Sub(started); m.writeLatency.observe(took) && m.Leads() {
+	if took := m.Clock().Sub(started); m.writeLatency.observe(took) && m.IsLeader() {
 		m.Log.Warn("disk writes are slow, stepping down as leader", "last", took.Round(time.Millisecond))
-		m.node.GiveWay()
+		m.node.StepDown()
 	}
 	m.View.countSync()
 	return true
@@ -38,7 +38,7 @@
 		return false
 	}
 	m.diskRetryAt = now.Add(diskRetryInterval)
-	if err := m.journal.Renew(m.node.Held()); err != nil {
+	if err := m.journal.Renew(m.node.PersistentState()); err != nil {
 		m.Log.Debug("disk still rejects writes", "err", err)
 		return false
 	}
@@ -52,8 +52,8 @@
 func (m *Machine) handleWriteFailure(now time.Time, err error) {
 	m.Log.Error("disk rejects writes, retrying until it accepts them", "err", err)
 	m.diskFailing, m.diskRetryAt = true, now.Add(diskRetryInterval)
-	m.node.GiveWay()
-	ready := m.node.Take() // only what does not depend on the disk is used
+	m.node.StepDown()
+	ready := m.node.TakeReady() // only what does not depend on the disk is used
 	for _, message := range ready.Messages {
 		if message.TakeOver != nil {
 			m.Send(message)
@@ -66,9 +66,9 @@
 }
 
 // failedReads returns the reads as failed ones: a reply that waited for the disk would come too late.
-func failedReads(reads []consensus.Read) (results []consensus.Read) {
+func failedReads(reads []consensus.ReadResult) (results []consensus.ReadResult) {
 	for _, r := range reads {
-		results = append(results, consensus.Read{Token: r.Token})
+		results = append(results, consensus.ReadResult{Token: r.Token})
 	}
 	return results
 }
@@ -96,8 +96,8 @@
 	if !m.node.Compact(index, data) {
 		return
 	}
-	m.journal.Note(m.View.Applied())
-	if err := m.journal.Renew(m.node.Held()); err != nil {
+	m.journal.Note(m.View.AppliedIndex())
+	if err := m.journal.Renew(m.node.PersistentState()); err != nil {
 		m.renewRetryAt = now.Add(renewRetryInterval)
 		m.Log.Error("cannot write a new journal generation", "err", err)
 	}
--- a/internal/cdn/configstore/service.go
+++ b/internal/cdn/configstore/service.go
@@ -30,14 +30,14 @@
 	Kind      string // clusterstate.Command.Kind of the command, for metrics
 	WaitMS    int64  // how long the caller waits for the outcome, in milliseconds
 	Forwarded bool   // set by a config store that forwards the request; it is not forwarded again
-	Ticket    peerrpc.Ticket
+	Ticket    peerrpc.CallID
 }
 
 // Asked is a request for a linearizable read.
 type Asked struct {
 	WaitMS    int64 // how long the caller waits, in milliseconds
 	Forwarded bool  // set by a config store that forwards the request; it is not forwarded again
-	Ticket    peerrpc.Ticket
+	Ticket    peerrpc.CallID
 }
 
 // Silence is a request for the time since servers (named by ServerKey) and cache routers were last heard from by any core
@@ -49,12 +49,12 @@
 
 // beginCall returns the context of a call, which ends after timeoutMS or when the caller cancels the call. Calls that can
 // be cancelled, i.e. those with a ticket, are accounted for under their name.
-func (s *service) beginCall(ticket peerrpc.Ticket, name string, timeoutMS int64) (context.Context, func()) {
+func (s *service) beginCall(ticket peerrpc.CallID, name string, timeoutMS int64) (context.Context, func()) {
 	ctx, done := s.session.Begin(ticket, time.Duration(timeoutMS)*time.Millisecond)
 	if ticket == 0 {
 		return ctx, done
 	}
-	caller := s.callers.Open(ctx, departure.Neighbour, name)
+	caller := s.callers.Open(ctx, departure.Peer, name)
 	return ctx, func() { caller.Close(); done() }
 }
 
@@ -62,7 +62,7 @@
 func (s *service) Deliver(messages *[]consensus.Message, ok *bool) error {
 	// A join may be relayed, so its Addr need not be the sender's.
 	if len(*messages) > 0 && (*messages)[0].Addr != "" && (*messages)[0].Join == nil {
-		s.peers.At((*messages)[0].Addr).Awake()
+		s.peers.At((*messages)[0].Addr).RestartDial()
 	}
 	select {
 	case s.inbox <- *messages:
@@ -78,7 +78,7 @@
 	ctx, cancel := s.beginCall(p.Ticket, "propose", p.WaitMS)
 	defer cancel()
 	if !p.Forwarded { // measured once, by the config store that received it first
-		received, leaderStable := time.Now(), s.view.leaderStableFor(time.Now(), s.settings.Bounds.Contact)
+		received, leaderStable := time.Now(), s.view.leaderStableFor(time.Now(), s.settings.Limits.Contact)
 		defer func() { s.acknowledgements.observe(p.Kind, *r, leaderStable, time.Since(received)) }()
 	}
 	_, err := s.callLeader(ctx, p.Forwarded, func() bool {
@@ -86,7 +86,7 @@
 		*r = reply
 		return err == nil && reply.Known
 	}, func(leader *peerrpc.Peer) bool {
-		request := Proposal{Data: p.Data, WaitMS: remainingMS(ctx), Forwarded: true, Ticket: peerrpc.NewTicket()}
+		request := Proposal{Data: p.Data, WaitMS: remainingMS(ctx), Forwarded: true, Ticket: peerrpc.NewCallID()}
 		reply, err := peerrpc.CallWatched[Proposal, Reply](ctx, leader, "ConfigStore.Propose", &request, request.Ticket)
 		*r = reply
 		return err == nil && reply.Known
@@ -171,10 +171,10 @@
 			return s.view.history.State.Index > a.Have || !s.view.isCurrent(time.Now())
 		})
 	}
-	*n = s.view.Since(a.Have, received, time.Now())
+	*n = s.view.ChangesSince(a.Have, received, time.Now())
 	if a.Barrier { // the barrier heard from a majority after the request arrived
 		n.Fresh = true
-		n.Prove(received, received)
+		n.SetProof(received, received)
 	}
 	n.WallMS = s.clock.Now(time.Now()).UnixMilli()
 	return nil
@@ -220,7 +220,7 @@
 // Clock returns the time of this process's own clock in milliseconds since the start of 1970, not corrected by the clocks
 // of other machines.
 func (s *service) Clock(_ *bool, wallMS *int64) error {
-	*wallMS = s.clock.Own(time.Now()).UnixMilli()
+	*wallMS = s.clock.Uncorrected(time.Now()).UnixMilli()
 	return nil
 }
 
--- a/internal/cdn/configstore/store.go
+++ b/internal/cdn/configstore/store.go
@@ -46,7 +46,7 @@
 	machine  *Machine // owned by the loop goroutine
 	view     *View
 	clock    *truetime.Clock
-	callers  *departure.Ledger // registries and other config stores whose calls can be cancelled
+	callers  *departure.Tracker // registries and other config stores whose calls can be cancelled
 
 	acknowledgements *acknowledgements
 
@@ -80,14 +80,14 @@
 	}
 	s := &Store{settings: settings, log: log, peers: peerrpc.NewPeers(), inbox: make(chan []consensus.Message, 256),
 		proposals: make(chan loopRequest[Reply], 1024), barriers: make(chan loopRequest[Barrier], 256), quit: make(chan struct{}),
-		done: make(chan struct{}), sendQueues: map[string]chan consensus.Message{}, callers: departure.NewLedger(),
+		done: make(chan struct{}), sendQueues: map[string]chan consensus.Message{}, callers: departure.NewTracker(),
 		clock: truetime.New(time.Now(), true), acknowledgements: newAcknowledgements(log)}
-	s.callers.LogBreaches(log)
+	s.callers.LogViolations(log)
 	s.peers.DialPatience = dialTimeout
 	if err := s.open(ctx, wrap); err != nil || s.machine == nil {
 		return err
 	}
-	listener, err := net.Listen("tcp", settings.Inner(settings.IP, bootconfig.ConfigStorePort))
+	listener, err := net.Listen("tcp", settings.InternalAddress(settings.IP, bootconfig.ConfigStorePort))
 	if err != nil {
 		s.machine.Close()
 		return Error.Wrap(err)
@@ -117,7 +117,7 @@
 // open reads the log from disk and creates the machine. It retries while the disk is full or slow; if the context ends
 // first, the machine stays nil.
 func (s *Store) open(ctx context.Context, wrap func(Journal) Journal) error {
-	files, err := raftlog.OpenFolder(s.settings.DataDir)
+	files, err := raftlog.OpenDirectory(s.settings.DataDir)
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 			s.view = s.machine.View
 			return nil
 		}
-		if !errors.Is(err, ErrNotBegun) {
+		if !errors.Is(err, ErrDiskUnavailable) {
 			return err
 		}
 		s.log.Error("cannot write to the data directory, retrying", "err", err)
@@ -142,15 +142,15 @@
 
 // machineConfig returns the configuration of the machine according to the settings.
 func (s *Store) machineConfig(wrap func(Journal) Journal) MachineConfig {
-	config := MachineConfig{IP: s.settings.IP, Address: s.settings.Inner(s.settings.IP, bootconfig.ConfigStorePort),
-		FirstStart: s.settings.FirstStart, Contacts: s.seedAddresses(), Tolerate: s.settings.Bounds.Tolerate, Timing: consensus.Usual,
+	config := MachineConfig{IP: s.settings.IP, Address: s.settings.InternalAddress(s.settings.IP, bootconfig.ConfigStorePort),
+		FirstStart: s.settings.FirstStart, Contacts: s.seedAddresses(), Tolerate: s.settings.Limits.TolerateFailures, Timing: consensus.DefaultTiming,
 		Seed: randomSeed(), Log: s.log, Send: s.send, Identity: randomIdentity, Clock: time.Now, Wrap: wrap}
 	if s.settings.Platform.ReportsUsage() {
-		config.DutyLease = s.settings.Platform.Lease
+		config.DutyLease = s.settings.Platform.DutyLease
 	}
 	for _, seed := range s.settings.Seeds {
-		ip := bootconfig.HostOf(seed)
-		config.Founders = append(config.Founders, consensus.Member{ID: ip, Addr: s.settings.Inner(ip, bootconfig.ConfigStorePort)})
+		ip := bootconfig.Host(seed)
+		config.Founders = append(config.Founders, consensus.Member{ID: ip, Addr: s.settings.InternalAddress(ip, bootconfig.ConfigStorePort)})
 	}
 	return config
 }
@@ -171,8 +171,8 @@
 
 // seedAddresses returns the addresses of the seeds' config stores, as the settings file lists them at the moment.
 func (s *Store) seedAddresses() (addresses []string) {
-	for _, seed := range s.settings.SeedsNow() {
-		addresses = append(addresses, s.settings.Inner(bootconfig.HostOf(seed), bootconfig.ConfigStorePort))
+	for _, seed := range s.settings.LatestSeeds() {
+		addresses = append(addresses, s.settings.InternalAddress(bootconfig.Host(seed), bootconfig.ConfigStorePort))
 	}
 	return addresses
 }
@@ -191,7 +191,7 @@
 		case proposal := <-s.proposals:
 			s.machine.Propose(proposal.data, proposal.reply)
 		case barrier := <-s.barriers:
-			s.machine.AskBarrier(barrier.reply)
+			s.machine.RequestBarrier(barrier.reply)
 		case <-ticker.C:
 		case <-quit:
 			quit = nil
@@ -202,16 +202,16 @@
 			return
 		}
 		s.drainRequests()
-		if seeds := s.settings.SeedsNow(); !slices.Equal(seeds, s.lastSeeds) {
+		if seeds := s.settings.LatestSeeds(); !slices.Equal(seeds, s.lastSeeds) {
 			s.lastSeeds = seeds
 			s.machine.SetContacts(s.seedAddresses())
 		}
-		if err := s.machine.Turn(time.Now()); err != nil {
+		if err := s.machine.Advance(time.Now()); err != nil {
 			s.log.Error("stopping: the state of this replica would diverge from the others", "err", err)
 			s.loopErr = err
 			return
 		}
-		if s.machine.Left() {
+		if s.machine.LeaveDone() {
 			return
 		}
 	}
@@ -226,7 +226,7 @@
 		case proposal := <-s.proposals:
 			s.machine.Propose(proposal.data, proposal.reply)
 		case barrier := <-s.barriers:
-			s.machine.AskBarrier(barrier.reply)
+			s.machine.RequestBarrier(barrier.reply)
 		default:
 			return
 		}
@@ -236,7 +236,7 @@
 // leaveTimeout returns how long leaving the membership may take. It is a fraction of the grace period, after which the
 // platform ends the process.
 func (s *Store) leaveTimeout() time.Duration {
-	return max(min(s.settings.Bounds.Grace/leaveGraceDivisor, maxLeaveTimeout), minLeaveTimeout)
+	return max(min(s.settings.Limits.Grace/leaveGraceDivisor, maxLeaveTimeout), minLeaveTimeout)
 }
 
 // send queues a message for the sender goroutine of its address. If the queue is full the message is dropped: the consensus
--- a/internal/cdn/configstore/view.go
+++ b/internal/cdn/configstore/view.go
@@ -163,8 +163,8 @@
 	return !v.sameLeaderSince.IsZero() && now.Sub(v.sameLeaderSince) >= span
 }
 
-// Applied returns the index of the last applied log entry.
-func (v *View) Applied() uint64 {
+// AppliedIndex returns the index of the last applied log entry.
+func (v *View) AppliedIndex() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.applied
@@ -196,15 +196,15 @@
 	return v.position.fresh(now)
 }
 
-// Since returns the changes after the index have, for a request that arrived at the time received. The reply also states the time
+// ChangesSince returns the changes after the index have, for a request that arrived at the time received. The reply also states the time
 // as of which this machine is known to have been current.
-func (v *View) Since(have uint64, received, now time.Time) clusterstate.News {
+func (v *View) ChangesSince(have uint64, received, now time.Time) clusterstate.News {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	n := v.history.Since(have)
 	n.Core, n.Fresh = v.position.coreAddresses, v.isCurrent(now)
 	if at := v.position.currentAsOf; !at.IsZero() {
-		n.Prove(at, received)
+		n.SetProof(at, received)
 	}
 	return n
 }
--- a/internal/cdn/consensus/consensus_test.go
+++ b/internal/cdn/consensus/consensus_test.go
@@ -137,7 +137,7 @@
 }
 
 // newWorldWith returns a world of three voters whose nodes run with the given safety checks disabled.
-func newWorldWith(faults Weaknesses) *world {
+func newWorldWith(faults DisabledSafeguards) *world {
 	w := newWorld(3, 0)
 	w.faults = faults
 	for i := range w.machines {
@@ -166,9 +166,9 @@
 			w.machines[leaving].node.Leave()
 			if size == 3 {
 				w.runWithout(3, behind)
-				assert.Assert(t, !w.machines[leaving].node.Left(), "may stop with one of the two copies")
+				assert.Assert(t, !w.machines[leaving].node.LeaveDone(), "may stop with one of the two copies")
 			}
-			for n := 0; !w.machines[leaving].node.Left(); n++ {
+			for n := 0; !w.machines[leaving].node.LeaveDone(); n++ {
 				assert.Assert(t, n < 40, "size %d, leads %v: never allowed to stop", size, leads)
 				w.run(1)
 			}
@@ -223,7 +223,7 @@
 	n := w.machines[l].node
 	n.Barrier(7)
 	n.Flush()
-	r := n.Take()
+	r := n.TakeReady()
 	assert.Equal(t, len(r.Reads), 0)
 	assert.Equal(t, len(r.Messages), 2)
 	answer := func(round uint64) {
@@ -231,13 +231,13 @@
 			Appended: &Appended{Match: n.commitIndex, Answer: Answer{Round: round}}})
 	}
 	answer(r.Messages[0].Append.Round - 1)
-	assert.Equal(t, len(n.Take().Reads), 0, "an answer to an earlier round")
+	assert.Equal(t, len(n.TakeReady().Reads), 0, "an answer to an earlier round")
 	answer(r.Messages[0].Append.Round)
-	reads := n.Take().Reads
-	assert.DeepEqual(t, reads, []Read{{Token: 7, Index: n.commitIndex, OK: true}})
+	reads := n.TakeReady().Reads
+	assert.DeepEqual(t, reads, []ReadResult{{Token: 7, Index: n.commitIndex, OK: true}})
 	follower := w.machines[(l+1)%3].node
 	follower.Barrier(9)
-	assert.DeepEqual(t, follower.Take().Reads, []Read{{Token: 9}})
+	assert.DeepEqual(t, follower.TakeReady().Reads, []ReadResult{{Token: 9}})
 }
 
 // A leader that hears from no majority steps down within twice the election timeout, and reports before that that it is not fresh.
@@ -247,12 +247,12 @@
 	n := w.machines[w.leader()].node
 	assert.Assert(t, n.Fresh(900*time.Millisecond))
 	for range 9 {
-		n.Tick(n.now.Add(Usual.Heartbeat))
-		n.Take()
+		n.Tick(n.now.Add(DefaultTiming.Heartbeat))
+		n.TakeReady()
 	}
 	assert.Assert(t, !n.Fresh(900*time.Millisecond))
 	for range 3 {
-		n.Tick(n.now.Add(Usual.Heartbeat))
+		n.Tick(n.now.Add(DefaultTiming.Heartbeat))
 	}
 	assert.Assert(t, n.Role() != Leader, fmt.Sprint(n.Role()))
 }
@@ -300,13 +300,13 @@
 	begin := time.Unix(0, 0)
 	for seed := range uint64(20) {
 		n := New(Config{Self: members[0], Hard: HardState{Term: 3}, Snapshot: Snapshot{Membership: Membership{Voters: members}},
-			Timing: Usual, Seed: seed}, begin)
+			Timing: DefaultTiming, Seed: seed}, begin)
 		asked := map[time.Time]bool{}
 		now := begin
 		tick := func() (preVoted bool) {
 			now = now.Add(5 * time.Millisecond)
 			n.Tick(now)
-			for _, m := range n.Take().Messages {
+			for _, m := range n.TakeReady().Messages {
 				preVoted = preVoted || m.PreVote != nil
 			}
 			return preVoted
@@ -320,12 +320,12 @@
 		assert.Equal(t, n.Term(), uint64(3))
 
 		n.Step(now, Message{From: "b", Addr: "b", To: "a", Term: 4, PreVote: &VoteRequest{}})
-		until := now.Add(Usual.Election / 4)
+		until := now.Add(DefaultTiming.Election / 4)
 		for now.Before(until.Add(-10 * time.Millisecond)) {
 			assert.Assert(t, !tick(), "campaigns against the node that it has granted a pre-vote")
 		}
 		for ok := false; !ok; ok = tick() {
-			assert.Assert(t, now.Before(until.Add(Usual.Election)), "never campaigns again")
+			assert.Assert(t, now.Before(until.Add(DefaultTiming.Election)), "never campaigns again")
 		}
 	}
 }
@@ -338,7 +338,7 @@
 	l := w.leader()
 	behind := (l + 1) % 3
 	n := w.machines[l].node
-	state := make([]byte, 5*UsualLimits.PieceBytes+7)
+	state := make([]byte, 5*DefaultLimits.PieceBytes+7)
 	change := func(text string, silent ...int) {
 		w.propose(l, text)
 		w.runWithout(2, silent...)
@@ -423,7 +423,7 @@
 	n.Tick(n.now.Add(20 * time.Second))
 	assert.Assert(t, n.Role() != Leader)
 	assert.Equal(t, n.lastIndex(), before, "a membership change was begun")
-	assert.DeepEqual(t, n.Take().Reads, []Read{{Token: 5}})
+	assert.DeepEqual(t, n.TakeReady().Reads, []ReadResult{{Token: 5}})
 }
 
 // A confirmation that the leader led a majority makes a follower fresh only once the follower has committed what was committed
--- a/internal/cdn/consensus/election.go
+++ b/internal/cdn/consensus/election.go
@@ -56,7 +56,7 @@
 
 // hasWon reports whether a quorum has granted its votes.
 func (n *Node) hasWon() bool {
-	return n.membership.Quorum(func(id string) bool { return n.votes[id] })
+	return n.membership.HasQuorum(func(id string) bool { return n.votes[id] })
 }
 
 // tallyVotes ends a pre-vote or an election that is won.
@@ -116,9 +116,9 @@
 	}
 }
 
-// HandOver asks the live voter with the longest log to start an election at once, since this leader is about to step down. It
+// TransferLeadership asks the live voter with the longest log to start an election at once, since this leader is about to step down. It
 // does nothing if that voter lacks committed entries.
-func (n *Node) HandOver() {
+func (n *Node) TransferLeadership() {
 	var best *progress
 	for _, id := range sortedIDs(n.peers) {
 		p := n.peers[id]
@@ -131,11 +131,11 @@
 	}
 }
 
-// GiveWay makes a leader that can't work, for example because its disk fails, step down. It hands leadership over and starts no
+// StepDown makes a leader that can't work, for example because its disk fails, step down. It hands leadership over and starts no
 // election of its own for four times the minimum election timeout.
-func (n *Node) GiveWay() {
+func (n *Node) StepDown() {
 	if n.role == Leader {
-		n.HandOver()
+		n.TransferLeadership()
 		n.becomeFollower("", "")
 		n.deadline = n.now.Add(4 * n.timing.Election)
 	}
--- a/internal/cdn/consensus/membership.go
+++ b/internal/cdn/consensus/membership.go
@@ -219,9 +219,9 @@
 	n.leaving = true
 }
 
-// Left reports whether a leaving node may stop: it has been removed from the membership, or a majority without it holds
+// LeaveDone reports whether a leaving node may stop: it has been removed from the membership, or a majority without it holds
 // everything committed.
-func (n *Node) Left() bool { return n.leaveDone }
+func (n *Node) LeaveDone() bool { return n.leaveDone }
 
 // sendLeave repeats the Leave to the leader when it is due. If this node leads, it hands leadership over instead.
 func (n *Node) sendLeave() {
@@ -231,7 +231,7 @@
 	n.nextLeaveAt = n.now.Add(n.timing.Heartbeat)
 	switch {
 	case n.role == Leader:
-		n.HandOver()
+		n.TransferLeadership()
 	case n.leader != "":
 		n.send(Member{n.leader, n.leaderAddr}, Message{Leave: &Leave{}})
 	}
--- a/internal/cdn/consensus/messages.go
+++ b/internal/cdn/consensus/messages.go
@@ -159,8 +159,8 @@
 	return contains(m.Voters, id) || contains(m.Outgoing, id)
 }
 
-// Quorum reports whether the members for which has returns true are a majority of each set. An empty membership has no quorum.
-func (m Membership) Quorum(has func(id string) bool) bool {
+// HasQuorum reports whether the members for which has returns true are a majority of each set. An empty membership has no quorum.
+func (m Membership) HasQuorum(has func(id string) bool) bool {
 	return len(m.Voters) > 0 && majorityOf(m.Voters, has) && (!m.Joint() || majorityOf(m.Outgoing, has))
 }
 
--- a/internal/cdn/consensus/model_test.go
+++ b/internal/cdn/consensus/model_test.go
@@ -36,7 +36,7 @@
 	// The number of events of each kind that may still happen.
 	timeouts, proposals, crashes, wipes, duplicates, heartbeats, snapshots int
 	sameID                                                                 bool // injected fault: a machine keeps its ID without its disk
-	faults                                                                 Weaknesses
+	faults                                                                 DisabledSafeguards
 }
 
 var startTime = time.Unix(1_000_000, 0)
@@ -73,7 +73,7 @@
 func (w *world) start(i int) {
 	m := w.machines[i]
 	m.node = New(Config{Self: Member{w.memberID(i), address(i)}, Hard: m.hard, Snapshot: m.snap, Entries: slices.Clone(m.entries),
-		Contacts: []string{address(0), address(1), address(2)}, Timing: Usual, Tolerate: 1, Seed: uint64(i), Weak: w.faults}, startTime)
+		Contacts: []string{address(0), address(1), address(2)}, Timing: DefaultTiming, Tolerate: 1, Seed: uint64(i), Weak: w.faults}, startTime)
 }
 
 // cloneNode returns a deep copy of a node.
@@ -120,7 +120,7 @@
 	m := w.machines[i]
 	m.node.Flush()
 	for {
-		r := m.node.Take()
+		r := m.node.TakeReady()
 		if r.Empty() {
 			break
 		}
@@ -133,7 +133,7 @@
 		for _, e := range r.Entries {
 			m.entries = append(m.entries[:e.Index-m.snap.Index-1:e.Index-m.snap.Index-1], e)
 		}
-		m.node.Saved()
+		m.node.MarkSaved()
 		w.inFlight = append(w.inFlight, r.Messages...)
 		for _, e := range r.Committed {
 			current := fmt.Sprint(e.Term, e.Membership, string(e.Data))
@@ -177,14 +177,14 @@
 // timeout advances a machine's clock beyond any election timeout.
 func (w *world) timeout(i int) {
 	n := w.machines[i].node
-	n.Tick(n.now.Add(3 * Usual.Election))
+	n.Tick(n.now.Add(3 * DefaultTiming.Election))
 	w.processReady(i)
 }
 
 // heartbeat advances a machine's clock by one heartbeat interval.
 func (w *world) heartbeat(i int) {
 	n := w.machines[i].node
-	n.Tick(n.now.Add(Usual.Heartbeat))
+	n.Tick(n.now.Add(DefaultTiming.Heartbeat))
 	w.processReady(i)
 }
 
@@ -223,7 +223,7 @@
 func (w *world) run(rounds int) {
 	for range rounds {
 		for i, m := range w.machines {
-			m.node.Tick(m.node.now.Add(Usual.Heartbeat))
+			m.node.Tick(m.node.now.Add(DefaultTiming.Heartbeat))
 			w.processReady(i)
 		}
 		for n := 0; len(w.inFlight) > 0 && n < 1000; n++ {
@@ -265,7 +265,7 @@
 			uint64(len(n.membership.Voters)), uint64(len(n.membership.Outgoing)))
 		text(n.hard.Vote)
 		text(n.leader)
-		flag(n.now.Sub(n.leaderHeardAt) < Usual.Election)
+		flag(n.now.Sub(n.leaderHeardAt) < DefaultTiming.Election)
 		for _, e := range n.entries {
 			num(e.Term)
 			flag(e.Membership != nil)
@@ -308,7 +308,7 @@
 	add := func(name string, do func(*world)) {
 		c := w.clone()
 		do(c)
-		all = append(all, explore.Step[*world]{Name: name, Then: c})
+		all = append(all, explore.Step[*world]{Name: name, State: c})
 	}
 	for k, m := range w.inFlight {
 		if m.Join == nil {
@@ -371,7 +371,7 @@
 // the steps that lead to it, and the number of states explored.
 func walk(start *world, maxStates int) (violation string, steps []string, states int) {
 	return explore.Model[*world]{Start: start, Next: (*world).nextSteps, Fault: func(w *world) string { return w.violation },
-		ID: (*world).stateKey, Most: maxStates}.Walk()
+		ID: (*world).stateKey, MaxStates: maxStates}.Walk()
 }
 
 // In every order of messages, timeouts, crashes, duplicated messages and the loss of a disk, there is at most one leader a term,
@@ -498,7 +498,7 @@
 			case x < 65 && len(w.inFlight) > 0:
 				w.inFlight = slices.Delete(w.inFlight, 0, 1)
 			case x < 80:
-				w.machines[i].node.Tick(w.machines[i].node.now.Add(Usual.Heartbeat))
+				w.machines[i].node.Tick(w.machines[i].node.now.Add(DefaultTiming.Heartbeat))
 				w.processReady(i)
 			case x < 84:
 				w.timeout(i)
--- a/internal/cdn/consensus/node.go
+++ b/internal/cdn/consensus/node.go
@@ -38,18 +38,18 @@
 	Remove time.Duration // a voter silent for longer is removed in any case, down to the minimum number of voters
 }
 
-// Usual is the timing used in production: a sync takes 2 ms, a round trip 3 ms, and a quarter of a core may not be scheduled
+// DefaultTiming is the timing used in production: a sync takes 2 ms, a round trip 3 ms, and a quarter of a core may not be scheduled
 // for 100 ms.
-var Usual = Timing{
+var DefaultTiming = Timing{
 	Heartbeat: 120 * time.Millisecond,
 	Election:  450 * time.Millisecond,
 	Silent:    1500 * time.Millisecond,
 	Remove:    time.Minute,
 }
 
-// Weaknesses disables safety checks, one per field. Tests use it to show that a check is needed and that the simulation detects
+// DisabledSafeguards disables safety checks, one per field. Tests use it to show that a check is needed and that the simulation detects
 // when it is missing. Production code sets none of them, which a test verifies.
-type Weaknesses struct {
+type DisabledSafeguards struct {
 	ReplaceBySmallerSet bool // a replaced member is removed before its successor is added
 	CountJoiningEarly   bool // a joining machine counts as holding everything that was sent to it
 	ReadWithoutRound    bool // a read barrier completes without a heartbeat round
@@ -62,8 +62,8 @@
 	PieceBytes  int // maximum snapshot data in one message
 }
 
-// UsualLimits are the limits used in production.
-var UsualLimits = Limits{TailEntries: 2048, TailBytes: 2 << 20, PieceBytes: 128 << 10}
+// DefaultLimits are the limits used in production.
+var DefaultLimits = Limits{TailEntries: 2048, TailBytes: 2 << 20, PieceBytes: 128 << 10}
 
 // Ready holds the work of the host, in this order: save Hard, Snapshot and Entries with one sync (an entry replaces all saved
 // entries from its index on), then send Messages, then apply Committed and answer Reads.
@@ -73,7 +73,7 @@
 	Entries   []Entry
 	Messages  []Message
 	Committed []Entry
-	Reads     []Read
+	Reads     []ReadResult
 }
 
 // Empty reports whether there is nothing to do.
@@ -91,7 +91,7 @@
 	Tolerate int // number of machines that may be lost at once
 	Seed     uint64
 	Contacts []string // addresses of other machines, which may know the leader
-	Weak     Weaknesses
+	Weak     DisabledSafeguards
 	Limits   Limits // the zero value means the default limits
 
 	Hard     HardState // loaded from disk, as are the two fields below
@@ -104,7 +104,7 @@
 	self      Member
 	timing    Timing
 	tolerate  int
-	faults    Weaknesses
+	faults    DisabledSafeguards
 	limits    Limits
 	rng       *rand.Rand
 	processID uint64    // identifies this process in the node's own timestamps
@@ -147,7 +147,7 @@
 	majorityRoundAt     time.Time // start of the last heartbeat round that a majority has answered
 	barriers            []barrier
 	messages            []Message
-	reads               []Read
+	reads               []ReadResult
 
 	Attended func(seen []string) // called at the leader with the nodes that have polled its followers; may be nil
 	SeenHere func() []string     // returns the nodes that have recently polled this process; may be nil
@@ -177,7 +177,7 @@
 		hard: c.Hard, log: newLog(c.Snapshot, c.Entries), commitIndex: c.Snapshot.Index, deliveredIndex: c.Snapshot.Index,
 		contacts: c.Contacts}
 	if n.limits == (Limits{}) {
-		n.limits = UsualLimits
+		n.limits = DefaultLimits
 	}
 	n.processID = n.rng.Uint64() | 1
 	n.savedIndex = n.lastIndex()
@@ -198,8 +198,8 @@
 // Term returns the node's current term.
 func (n *Node) Term() uint64 { return n.hard.Term }
 
-// Commit returns the commit index.
-func (n *Node) Commit() uint64 { return n.commitIndex }
+// CommitIndex returns the commit index.
+func (n *Node) CommitIndex() uint64 { return n.commitIndex }
 
 // Leader returns the ID and address of the leader, or empty strings if none is known.
 func (n *Node) Leader() (id, addr string) { return n.leader, n.leaderAddr }
@@ -210,9 +210,9 @@
 // Membership returns the latest membership in this node's log, committed or not.
 func (n *Node) Membership() Membership { return n.membership }
 
-// Live returns the members that the leader has heard from within the given duration, and the leader itself. It is meaningful
+// LiveMembers returns the members that the leader has heard from within the given duration, and the leader itself. It is meaningful
 // only at the leader.
-func (n *Node) Live(within time.Duration) (live []Member) {
+func (n *Node) LiveMembers(within time.Duration) (live []Member) {
 	for _, m := range n.membership.All() {
 		if p := n.peers[m.ID]; m.ID == n.self.ID || p != nil && n.now.Sub(p.heardAt) < within {
 			live = append(live, m)
@@ -225,7 +225,7 @@
 func (n *Node) become(role Role, leader, addr string) {
 	if n.role == Leader && role != Leader {
 		for _, b := range n.barriers {
-			n.reads = append(n.reads, Read{Token: b.token})
+			n.reads = append(n.reads, ReadResult{Token: b.token})
 		}
 		n.barriers, n.peers, n.pendingRounds, n.retiredIDs = nil, nil, nil, nil
 	}
@@ -390,11 +390,13 @@
 	}
 }
 
-// Held returns the complete state that must be on disk, from which the host writes a new journal.
-func (n *Node) Held() (HardState, Snapshot, []Entry) { return n.hard, n.snap, n.afterSnapshot() }
+// PersistentState returns the complete state that must be on disk, from which the host writes a new journal.
+func (n *Node) PersistentState() (HardState, Snapshot, []Entry) {
+	return n.hard, n.snap, n.afterSnapshot()
+}
 
-// Take returns the pending work and removes it from the node: the host must carry it out.
-func (n *Node) Take() Ready {
+// TakeReady returns the pending work and removes it from the node: the host must carry it out.
+func (n *Node) TakeReady() Ready {
 	var r Ready
 	if n.hardUnsaved {
 		h := n.hard
--- a/internal/cdn/consensus/reads.go
+++ b/internal/cdn/consensus/reads.go
@@ -5,8 +5,8 @@
 // This file tracks how current a node's state is: heartbeat rounds, the read barriers that wait for them, and a follower's
 // knowledge of when its leader last led a majority.
 
-// Read is the result of a read barrier.
-type Read struct {
+// ReadResult is the result of a read barrier.
+type ReadResult struct {
 	Token, Index uint64 // the token passed to Barrier, and the index up to which the host must have applied entries before it reads
 	OK           bool   // false: the barrier failed, since this node is not a leader that can confirm it
 }
@@ -27,11 +27,11 @@
 // heartbeat round that began after the call. The round begins with the next Flush.
 func (n *Node) Barrier(token uint64) {
 	if n.role != Leader || !n.committedInTerm() {
-		n.reads = append(n.reads, Read{Token: token})
+		n.reads = append(n.reads, ReadResult{Token: token})
 		return
 	}
 	if n.faults.ReadWithoutRound {
-		n.reads = append(n.reads, Read{Token: token, Index: n.commitIndex, OK: true})
+		n.reads = append(n.reads, ReadResult{Token: token, Index: n.commitIndex, OK: true})
 		return
 	}
 	n.barriers = append(n.barriers, barrier{token, n.commitIndex, n.currentRound + 1}) // waits for the next round, which Flush begins
@@ -65,7 +65,7 @@
 		}
 	}
 	for len(n.barriers) > 0 && n.barriers[0].round <= answered {
-		n.reads = append(n.reads, Read{n.barriers[0].token, n.barriers[0].index, true})
+		n.reads = append(n.reads, ReadResult{n.barriers[0].token, n.barriers[0].index, true})
 		n.barriers = n.barriers[1:]
 	}
 }
@@ -116,9 +116,9 @@
 	n.pendingFreshness = freshnessPoint{}
 }
 
-// CurrentAt returns the time, on this node's own clock, as of which its state is known to be current: a leader led a majority
+// CurrentAsOf returns the time, on this node's own clock, as of which its state is known to be current: a leader led a majority
 // after it, and everything acknowledged by then is committed here. It returns the zero time if no such time is known.
-func (n *Node) CurrentAt() time.Time {
+func (n *Node) CurrentAsOf() time.Time {
 	switch {
 	case n.role == Leader && n.committedInTerm():
 		return n.majorityRoundAt
@@ -130,6 +130,6 @@
 
 // Fresh reports whether this node's state was current less than maxAge ago.
 func (n *Node) Fresh(maxAge time.Duration) bool {
-	at := n.CurrentAt()
+	at := n.CurrentAsOf()
 	return !at.IsZero() && n.now.Before(at.Add(maxAge))
 }
--- a/internal/cdn/consensus/replication.go
+++ b/internal/cdn/consensus/replication.go
@@ -99,8 +99,8 @@
 	n.send(p.Member, Message{Append: a})
 }
 
-// Saved tells the node that everything in the Readys taken so far is on disk.
-func (n *Node) Saved() {
+// MarkSaved tells the node that everything in the Readys taken so far is on disk.
+func (n *Node) MarkSaved() {
 	if n.firstUnsaved == 0 {
 		n.savedIndex = n.lastIndex()
 	} else {
--- a/internal/cdn/departure/departure.go
+++ b/internal/cdn/departure/departure.go
@@ -12,30 +12,30 @@
 	"time"
 )
 
-// ErrLeft is the cause of the cancellation of a caller's context when the caller was cancelled.
-var ErrLeft = errors.New("caller cancelled the request")
+// ErrCallerCancelled is the cause of the cancellation of a caller's context when the caller was cancelled.
+var ErrCallerCancelled = errors.New("caller cancelled the request")
 
-// EndWithin is the maximum time from a caller's cancellation to the end of its aborted attempts. It covers closing a connection, a
+// MaxCancelDelay is the maximum time from a caller's cancellation to the end of its aborted attempts. It covers closing a connection, a
 // turn of the balancer's event loop and scheduling delay, each some milliseconds on a machine that is not overloaded. Two processes
 // in a row and the network between them stay under half a second.
-const EndWithin = 200 * time.Millisecond
+const MaxCancelDelay = 200 * time.Millisecond
 
 // deadlineSlack is how long after its deadline an attempt that is being finished may still end without counting as late.
 const deadlineSlack = 200 * time.Millisecond
 
-// Policy is what happens to an attempt in flight when its caller is cancelled.
-type Policy int
+// CancelPolicy is what happens to an attempt in flight when its caller is cancelled.
+type CancelPolicy int
 
 // The policies.
 const (
-	BreakOff Policy = iota // abort: the request may run again, and nobody else needs its response
-	Finish                 // let it finish: the request must not run twice, or its response will be cached
+	Abort  CancelPolicy = iota // abort: the request may run again, and nobody else needs its response
+	Finish                     // let it finish: the request must not run twice, or its response will be cached
 )
 
 // Caller is one caller and its attempts in flight. It is safe for concurrent use. A nil Caller stands for the process itself: there
 // is nobody who could cancel.
 type Caller struct {
-	tracker   *Ledger
+	tracker   *Tracker
 	stats     *callerStats
 	parent    context.Context
 	stopWatch func() bool
@@ -57,17 +57,17 @@
 
 // The kinds of callers.
 const (
-	Client    Kind = "client"
-	Neighbour Kind = "neighbour" // another process of the network
-	Waiters   Kind = "waiters"   // of a coalesced fetch, taken together
+	Client           Kind = "client"
+	Peer             Kind = "neighbour" // another process of the network
+	CoalescedWaiters Kind = "waiters"   // of a coalesced fetch, taken together
 )
 
 // Open starts tracking a caller that waits for a response on a route. It is cancelled if the parent context ends before Close.
-func (t *Ledger) Open(parent context.Context, kind Kind, route string) *Caller {
+func (t *Tracker) Open(parent context.Context, kind Kind, route string) *Caller {
 	c := &Caller{tracker: t, stats: t.statsFor(statsKey{kind, route}), parent: parent}
 	c.ctx, c.cancelCtx = context.WithCancelCause(context.Background())
 	c.stats.waiting.Add(1)
-	c.stopWatch = context.AfterFunc(parent, c.Leave)
+	c.stopWatch = context.AfterFunc(parent, c.Cancel)
 	return c
 }
 
@@ -80,8 +80,8 @@
 	return c.ctx
 }
 
-// Leave cancels the caller: it no longer waits. Only the first call has an effect.
-func (c *Caller) Leave() {
+// Cancel cancels the caller: it no longer waits. Only the first call has an effect.
+func (c *Caller) Cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cancelLocked(time.Now())
@@ -96,11 +96,11 @@
 	c.cancelledAt, c.stallAtCancel = now, c.tracker.stalls.totalAt(now)
 	c.hadFinishing = c.finishing > 0
 	c.stats.cancelled.Add(1)
-	c.cancelCtx(ErrLeft)
+	c.cancelCtx(ErrCallerCancelled)
 }
 
-// Left reports whether the caller was cancelled.
-func (c *Caller) Left() bool {
+// Cancelled reports whether the caller was cancelled.
+func (c *Caller) Cancelled() bool {
 	if c == nil {
 		return false
 	}
@@ -128,10 +128,10 @@
 	return c.finishing > 0
 }
 
-// Begin reports whether an attempt may be sent now, and counts it as in flight if so. It may not if the caller was cancelled or closed.
+// BeginAttempt reports whether an attempt may be sent now, and counts it as in flight if so. It may not if the caller was cancelled or closed.
 // A cancellation either precedes the call, and nothing is sent, or follows it and finds the attempt in flight. The end of every attempt
 // that may be sent must be reported.
-func (c *Caller) Begin(policy Policy, deadline time.Time) bool {
+func (c *Caller) BeginAttempt(policy CancelPolicy, deadline time.Time) bool {
 	if c == nil {
 		return true
 	}
@@ -156,12 +156,12 @@
 func (c *Caller) reportIfCancelled() {
 	if !c.cancelledAt.IsZero() {
 		c.stats.begunAfterCancel.Add(1)
-		c.tracker.report(Breach{Kind: c.stats.kind, Route: c.stats.route, Begun: true, After: time.Since(c.cancelledAt)})
+		c.tracker.report(Violation{Kind: c.stats.kind, Route: c.stats.route, SentAfterCancel: true, SinceCancel: time.Since(c.cancelledAt)})
 	}
 }
 
-// End records that an attempt in flight has ended.
-func (c *Caller) End(policy Policy) {
+// EndAttempt records that an attempt in flight has ended.
+func (c *Caller) EndAttempt(policy CancelPolicy) {
 	if c == nil {
 		return
 	}
@@ -202,7 +202,7 @@
 	c.stats.cancelToLastEnd.observe(now.Sub(c.cancelledAt))
 	if overrun := now.Sub(c.endDeadline(now)); overrun > 0 {
 		c.stats.endedLate.Add(1)
-		c.tracker.report(Breach{Kind: c.stats.kind, Route: c.stats.route, After: now.Sub(c.cancelledAt), Late: overrun, Finished: c.hadFinishing})
+		c.tracker.report(Violation{Kind: c.stats.kind, Route: c.stats.route, SinceCancel: now.Sub(c.cancelledAt), Overrun: overrun, Finishing: c.hadFinishing})
 	}
 	c.tracker.untrack(c)
 }
@@ -210,7 +210,7 @@
 // endDeadline returns the time by which all attempts of a cancelled caller must have ended: the second half of the invariant. Time in
 // which the process stalled after the cancellation is added. c.mu must be held.
 func (c *Caller) endDeadline(now time.Time) time.Time {
-	deadline := c.cancelledAt.Add(EndWithin)
+	deadline := c.cancelledAt.Add(MaxCancelDelay)
 	if c.hadFinishing && c.latestDeadline.Add(deadlineSlack).After(deadline) {
 		deadline = c.latestDeadline.Add(deadlineSlack)
 	}
--- a/internal/cdn/departure/departure_test.go
+++ b/internal/cdn/departure/departure_test.go
@@ -38,28 +38,28 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			tracker := NewLedger()
+			tracker := NewTracker()
 			parent, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			caller := tracker.Open(parent, Client, "r")
 			sent, deadline := 0, time.Now().Add(time.Minute)
-			tryBegin := func(p Policy) {
-				if caller.Begin(p, deadline) {
+			tryBegin := func(p CancelPolicy) {
+				if caller.BeginAttempt(p, deadline) {
 					sent++
 				}
 			}
 			for _, step := range c.steps {
 				switch step {
 				case begin:
-					tryBegin(BreakOff)
+					tryBegin(Abort)
 				case beginFinish:
 					tryBegin(Finish)
 				case end:
-					caller.End(BreakOff)
+					caller.EndAttempt(Abort)
 				case endFinish:
-					caller.End(Finish)
+					caller.EndAttempt(Finish)
 				case callerCancels:
-					caller.Leave()
+					caller.Cancel()
 				case parentEnds:
 					cancel()
 				case closes:
@@ -80,38 +80,38 @@
 // Violations are detected: an attempt that is sent after the cancellation, one that ends too late, and one that never ends. An attempt
 // with the policy Finish has until the request's own deadline.
 func TestViolationsAreDetected(t *testing.T) {
-	tracker := NewLedger()
-	past := time.Now().Add(-2 * EndWithin)
+	tracker := NewTracker()
+	past := time.Now().Add(-2 * MaxCancelDelay)
 	open := func() *Caller {
 		c := tracker.Open(t.Context(), Client, "r")
-		assert.Assert(t, c.Begin(BreakOff, time.Now().Add(time.Minute)))
-		c.Leave()
+		assert.Assert(t, c.BeginAttempt(Abort, time.Now().Add(time.Minute)))
+		c.Cancel()
 		return c
 	}
 	c := open()
 	c.reportIfCancelled()
 	assert.Equal(t, tracker.Violations(), int64(1), "begun after the cancellation")
 	c.Close()
-	c.End(BreakOff)
+	c.EndAttempt(Abort)
 	assert.Equal(t, tracker.Violations(), int64(1), "it ended in time")
 
 	c = open()
 	c.cancelledAt = past
-	assert.Equal(t, tracker.Overdue(time.Now()), 1, "in flight past the allowed end")
+	assert.Equal(t, tracker.OverdueCount(time.Now()), 1, "in flight past the allowed end")
 	c.Close()
-	c.End(BreakOff)
-	assert.Equal(t, tracker.Overdue(time.Now()), 0)
+	c.EndAttempt(Abort)
+	assert.Equal(t, tracker.OverdueCount(time.Now()), 0)
 	assert.Equal(t, tracker.Violations(), int64(2), "it ended late")
 
 	c = tracker.Open(t.Context(), Client, "r")
-	assert.Assert(t, c.Begin(Finish, time.Now().Add(time.Minute)))
-	c.Leave()
+	assert.Assert(t, c.BeginAttempt(Finish, time.Now().Add(time.Minute)))
+	c.Cancel()
 	c.cancelledAt = past
 	c.Close()
-	assert.Equal(t, tracker.Overdue(time.Now()), 0, "it may take until the request's deadline")
+	assert.Equal(t, tracker.OverdueCount(time.Now()), 0, "it may take until the request's deadline")
 	tracker.stalls.stop() // no stall during the two minutes
-	assert.Equal(t, tracker.Overdue(time.Now().Add(2*time.Minute)), 1, "but no longer")
-	c.End(Finish)
+	assert.Equal(t, tracker.OverdueCount(time.Now().Add(2*time.Minute)), 1, "but no longer")
+	c.EndAttempt(Finish)
 	assert.Equal(t, tracker.Violations(), int64(2))
 	assert.Equal(t, testutil.CollectAndCount(tracker), 2+len(metrics))
 }
@@ -119,44 +119,44 @@
 // Time in which the process was stopped after a cancellation does not count against its attempts, which could not end in it. A stall
 // before the cancellation adds no time.
 func TestStallIsNoViolation(t *testing.T) {
-	tracker, start := NewLedger(), time.Now()
+	tracker, start := NewTracker(), time.Now()
 	tracker.runDetector = func() {} // the test calls tick itself
 	tracker.stalls.start(start)
 	tracker.stalls.tick(start.Add(10 * time.Second)) // before the cancellation
 	c := tracker.Open(t.Context(), Client, "r")
-	assert.Assert(t, c.Begin(BreakOff, start.Add(time.Hour)))
+	assert.Assert(t, c.BeginAttempt(Abort, start.Add(time.Hour)))
 	c.mu.Lock()
 	c.cancelLocked(start.Add(10*time.Second + tickInterval))
 	c.mu.Unlock()
 	late := start.Add(15 * time.Second)
-	assert.Equal(t, tracker.Overdue(late), 0, "the stall is not recorded by a tick yet")
+	assert.Equal(t, tracker.OverdueCount(late), 0, "the stall is not recorded by a tick yet")
 	tracker.stalls.tick(late)
-	assert.Equal(t, tracker.Overdue(late.Add(EndWithin/2)), 0)
+	assert.Equal(t, tracker.OverdueCount(late.Add(MaxCancelDelay/2)), 0)
 	for n := range 4 {
 		tracker.stalls.tick(late.Add(time.Duration(n+1) * tickInterval))
 	}
-	assert.Equal(t, tracker.Overdue(late.Add(2*tickInterval)), 0, "the whole time between two ticks counts: the stall may have started right after the first")
-	assert.Equal(t, tracker.Overdue(late.Add(4*tickInterval)), 1, "the process runs again, but the attempt does not end")
+	assert.Equal(t, tracker.OverdueCount(late.Add(2*tickInterval)), 0, "the whole time between two ticks counts: the stall may have started right after the first")
+	assert.Equal(t, tracker.OverdueCount(late.Add(4*tickInterval)), 1, "the process runs again, but the attempt does not end")
 }
 
 // The stall detector runs only while something is in flight for a cancelled caller.
 func TestStallDetectorRunsOnlyWhileNeeded(t *testing.T) {
-	tracker, started := NewLedger(), make(chan struct{}, 1)
+	tracker, started := NewTracker(), make(chan struct{}, 1)
 	tracker.runDetector = func() { started <- struct{}{} }
 	c := tracker.Open(t.Context(), Client, "r")
-	assert.Assert(t, c.Begin(BreakOff, time.Now().Add(time.Minute)))
+	assert.Assert(t, c.BeginAttempt(Abort, time.Now().Add(time.Minute)))
 	assert.Assert(t, !tracker.detecting && tracker.stalls.lastTick.IsZero(), "the caller still waits")
-	c.Leave()
+	c.Cancel()
 	<-started
 	assert.Assert(t, !tracker.stopIfIdle(), "its attempt is in flight")
 	c.Close()
-	c.End(BreakOff)
+	c.EndAttempt(Abort)
 	assert.Assert(t, tracker.stopIfIdle() && !tracker.detecting && tracker.stalls.lastTick.IsZero())
 }
 
 // Routes beyond maxStatsKeys share their counters.
 func TestStatsKeysAreBounded(t *testing.T) {
-	tracker := NewLedger()
+	tracker := NewTracker()
 	for i := range 2 * maxStatsKeys {
 		tracker.Open(t.Context(), Client, string(rune('a'+i))).Close()
 	}
@@ -165,12 +165,12 @@
 
 // BenchmarkCaller measures the cost of tracking one request with one attempt.
 func BenchmarkCaller(b *testing.B) {
-	tracker, deadline := NewLedger(), time.Now().Add(time.Hour)
+	tracker, deadline := NewTracker(), time.Now().Add(time.Hour)
 	for b.Loop() {
 		parent, cancel := context.WithCancel(b.Context())
 		c := tracker.Open(parent, Client, "r")
-		c.Begin(BreakOff, deadline)
-		c.End(BreakOff)
+		c.BeginAttempt(Abort, deadline)
+		c.EndAttempt(Abort)
 		c.Close()
 		cancel()
 	}
--- a/internal/cdn/departure/tracker.go
+++ b/internal/cdn/departure/tracker.go
@@ -15,10 +15,10 @@
 	otherRoutes  = "other"
 )
 
-// Ledger tracks the callers of a process and counts them by kind and route. It is a prometheus.Collector that creates its metrics
+// Tracker tracks the callers of a process and counts them by kind and route. It is a prometheus.Collector that creates its metrics
 // only when they are collected.
-type Ledger struct {
-	OnBreach func(Breach) // called on each violation of the invariant; set before use, may be nil
+type Tracker struct {
+	OnViolation func(Violation) // called on each violation of the invariant; set before use, may be nil
 
 	mu    sync.RWMutex
 	byKey map[statsKey]*callerStats
@@ -31,33 +31,33 @@
 	stalls stallDetector
 }
 
-// Breach is a violation of the invariant.
-type Breach struct {
-	Kind     Kind
-	Route    string
-	Begun    bool          // an attempt was sent after its caller's cancellation; if false, an attempt ended late
-	After    time.Duration // since the caller's cancellation
-	Late     time.Duration // past the allowed end
-	Finished bool          // an attempt with the policy Finish was in flight at the cancellation
+// Violation is a violation of the invariant.
+type Violation struct {
+	Kind            Kind
+	Route           string
+	SentAfterCancel bool          // an attempt was sent after its caller's cancellation; if false, an attempt ended late
+	SinceCancel     time.Duration // since the caller's cancellation
+	Overrun         time.Duration // past the allowed end
+	Finishing       bool          // an attempt with the policy Finish was in flight at the cancellation
 }
 
 // maxLogged is the maximum number of violations that a process logs. All are counted.
 const maxLogged = 50
 
-// LogBreaches logs each violation from now on, at most maxLogged.
-func (t *Ledger) LogBreaches(log hclog.Logger) {
+// LogViolations logs each violation from now on, at most maxLogged.
+func (t *Tracker) LogViolations(log hclog.Logger) {
 	var logged atomic.Int64
-	t.OnBreach = func(b Breach) {
+	t.OnViolation = func(b Violation) {
 		if logged.Add(1) <= maxLogged {
-			log.Warn("attempt outlived its cancelled caller", "caller", b.Kind, "route", b.Route, "begun", b.Begun, "after", b.After, "late", b.Late, "finished", b.Finished)
+			log.Warn("attempt outlived its cancelled caller", "caller", b.Kind, "route", b.Route, "begun", b.SentAfterCancel, "after", b.SinceCancel, "late", b.Overrun, "finished", b.Finishing)
 		}
 	}
 }
 
 // report passes a violation to OnBreach.
-func (t *Ledger) report(b Breach) {
-	if t.OnBreach != nil {
-		t.OnBreach(b)
+func (t *Tracker) report(b Violation) {
+	if t.OnViolation != nil {
+		t.OnViolation(b)
 	}
 }
 
@@ -76,16 +76,16 @@
 	cancelToLastEnd             histogram
 }
 
-// NewLedger returns a ledger without callers.
-func NewLedger() *Ledger {
-	t := &Ledger{byKey: map[statsKey]*callerStats{}, cancelled: map[*Caller]struct{}{}}
+// NewTracker returns a ledger without callers.
+func NewTracker() *Tracker {
+	t := &Tracker{byKey: map[statsKey]*callerStats{}, cancelled: map[*Caller]struct{}{}}
 	t.runDetector = t.detectStalls
 	return t
 }
 
 // trackCancelled keeps a cancelled caller until it is closed and nothing is in flight for it. The stall detector runs from the first
 // such caller's cancellation until none remains; otherwise no timer runs.
-func (t *Ledger) trackCancelled(c *Caller, now time.Time) {
+func (t *Tracker) trackCancelled(c *Caller, now time.Time) {
 	t.cancelledMu.Lock()
 	defer t.cancelledMu.Unlock()
 	t.cancelled[c] = struct{}{} // bounded by the number of attempts in flight
@@ -97,7 +97,7 @@
 }
 
 // detectStalls runs the stall detector's ticks until no cancelled caller remains.
-func (t *Ledger) detectStalls() {
+func (t *Tracker) detectStalls() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for range ticker.C {
@@ -109,7 +109,7 @@
 }
 
 // stopIfIdle stops the stall detector if no cancelled caller remains, and reports whether it did.
-func (t *Ledger) stopIfIdle() bool {
+func (t *Tracker) stopIfIdle() bool {
 	t.cancelledMu.Lock()
 	defer t.cancelledMu.Unlock()
 	if len(t.cancelled) > 0 {
@@ -121,14 +121,14 @@
 }
 
 // untrack removes a cancelled caller that has ended.
-func (t *Ledger) untrack(c *Caller) {
+func (t *Tracker) untrack(c *Caller) {
 	t.cancelledMu.Lock()
 	defer t.cancelledMu.Unlock()
 	delete(t.cancelled, c)
 }
 
-// Overdue returns the number of cancelled callers that still have something in flight past the allowed end.
-func (t *Ledger) Overdue(now time.Time) int {
+// OverdueCount returns the number of cancelled callers that still have something in flight past the allowed end.
+func (t *Tracker) OverdueCount(now time.Time) int {
 	t.cancelledMu.Lock()
 	callers := make([]*Caller, 0, len(t.cancelled))
 	for c := range t.cancelled {
@@ -148,13 +148,13 @@
 
 // Violations returns the number of violations of the package's invariant: attempts that were sent after their caller's cancellation,
 // and callers for which something was or is in flight past the allowed end.
-func (t *Ledger) Violations() int64 {
+func (t *Tracker) Violations() int64 {
 	return t.sum(func(f *callerStats) *atomic.Int64 { return &f.begunAfterCancel }) +
-		t.sum(func(f *callerStats) *atomic.Int64 { return &f.endedLate }) + int64(t.Overdue(time.Now()))
+		t.sum(func(f *callerStats) *atomic.Int64 { return &f.endedLate }) + int64(t.OverdueCount(time.Now()))
 }
 
 // statsFor returns the counters of a key, and creates them if need be.
-func (t *Ledger) statsFor(key statsKey) *callerStats {
+func (t *Tracker) statsFor(key statsKey) *callerStats {
 	t.mu.RLock()
 	stats := t.byKey[key]
 	t.mu.RUnlock()
@@ -241,7 +241,7 @@
 )
 
 // Describe implements prometheus.Collector.
-func (t *Ledger) Describe(out chan<- *prometheus.Desc) {
+func (t *Tracker) Describe(out chan<- *prometheus.Desc) {
 	for _, m := range metrics {
 		out <- m.desc
 	}
@@ -250,8 +250,8 @@
 }
 
 // Collect implements prometheus.Collector.
-func (t *Ledger) Collect(out chan<- prometheus.Metric) {
-	out <- prometheus.MustNewConstMetric(overdueDesc, prometheus.GaugeValue, float64(t.Overdue(time.Now())))
+func (t *Tracker) Collect(out chan<- prometheus.Metric) {
+	out <- prometheus.MustNewConstMetric(overdueDesc, prometheus.GaugeValue, float64(t.OverdueCount(time.Now())))
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	for key, stats := range t.byKey {
@@ -263,13 +263,13 @@
 	}
 }
 
-// Left returns the number of callers that were cancelled, over all kinds and routes.
-func (t *Ledger) Left() int64 {
+// CancelledCount returns the number of callers that were cancelled, over all kinds and routes.
+func (t *Tracker) CancelledCount() int64 {
 	return t.sum(func(f *callerStats) *atomic.Int64 { return &f.cancelled })
 }
 
 // sum adds up one counter over all keys.
-func (t *Ledger) sum(counter func(*callerStats) *atomic.Int64) (total int64) {
+func (t *Tracker) sum(counter func(*callerStats) *atomic.Int64) (total int64) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	for _, stats := range t.byKey {
--- a/internal/cdn/edge/cachetier.go
+++ b/internal/cdn/edge/cachetier.go
@@ -46,9 +46,9 @@
 // newCacheTier returns a tier that sends to shields if toShield is set, else to cache routers. With zoneFirst it prefers the own zone.
 func newCacheTier(e *Edge, toShield, zoneFirst bool) *cacheTier {
 	t := &cacheTier{edge: e, toShield: toShield, roster: map[string]clusterstate.Router{}, listed: map[string]clusterstate.Router{}}
-	settings := balance.Settings{Classes: []balance.Class{{Name: copyClass, Aim: tierTarget, Deadline: tierDeadline, Worth: 1,
-		Effect: balance.Safe}}, Routers: 1, Zone: e.config.Zone, OverShareWorth: 1, MaxAttempts: 2, ConnectTimeout: time.Second,
-		ColdFrom: 1, Ramp: time.Second, OverloadFactor: 2, OverloadFor: time.Second}
+	settings := balance.Settings{Classes: []balance.Class{{Name: copyClass, Target: tierTarget, Deadline: tierDeadline, Priority: 1,
+		Effect: balance.Safe}}, Routers: 1, Zone: e.config.Zone, OverSharePriority: 1, MaxAttempts: 2, ConnectTimeout: time.Second,
+		ColdStartShare: 1, RampTime: time.Second, OverloadFactor: 2, OverloadFor: time.Second}
 	if zoneFirst {
 		settings.Tiers = func() balance.Tiers { return &zoneFirstTiers{zone: e.config.Zone} }
 	}
@@ -60,7 +60,7 @@
 // interval table. If the roster has been compacted, the table is rebuilt from its new base.
 func (t *cacheTier) applyRoster(s *clusterstate.State) {
 	if t.rosterBase != s.RosterBase || t.rosterSteps > len(s.Roster) {
-		empty := exchange.List{Addresses: map[balance.ServerID]string{}}
+		empty := exchange.ServerList{Addresses: map[balance.ServerID]string{}}
 		empty.Kind, empty.Version = balance.Complete, int64(s.Index)
 		t.enqueueList(empty)
 		t.rosterBase, t.rosterSteps = s.RosterBase, 0
@@ -81,14 +81,14 @@
 
 // pushChanges sends the balancer the difference between the routers that it should list and those that it lists.
 func (t *cacheTier) pushChanges(version int64) {
-	chosen, want := clusterstate.Lenders(t.roster), map[string]clusterstate.Router{}
+	chosen, want := clusterstate.PeerSources(t.roster), map[string]clusterstate.Router{}
 	if t.toShield {
 		chosen = clusterstate.Shields(t.roster)
 	}
 	for node := range chosen {
 		want[node] = t.roster[node]
 	}
-	list := exchange.List{Addresses: map[balance.ServerID]string{}}
+	list := exchange.ServerList{Addresses: map[balance.ServerID]string{}}
 	list.Kind, list.Version = balance.Partial, version
 	for _, node := range slices.Sorted(maps.Keys(t.listed)) {
 		if _, ok := want[node]; !ok {
@@ -108,7 +108,9 @@
 }
 
 // enqueueList sends a list to the balancer, in order with other changes.
-func (t *cacheTier) enqueueList(list exchange.List) { t.edge.enqueue(func() { t.loop.Listed(list) }) }
+func (t *cacheTier) enqueueList(list exchange.ServerList) {
+	t.edge.enqueue(func() { t.loop.UpdateServers(list) })
+}
 
 // Fetch is a request for an object from one cache router to another.
 type Fetch struct {
@@ -123,7 +125,7 @@
 	Home      bool           // the callee is asked as the key's shield: on a miss it asks the servers
 	AgeMS     int64          // maximum age of a cached copy; 0: any that may be served
 	ETag      string         // of the caller's copy: if it still matches, the body is left out
-	Ticket    peerrpc.Ticket // identifies the call, so that it can be cancelled
+	Ticket    peerrpc.CallID // identifies the call, so that it can be cancelled
 	Most      int            // maximum bytes of the body in the response, the rest is fetched with Piece; 0: all
 }
 
@@ -142,7 +144,9 @@
 }
 
 // asker returns the client request that the fetch is made for.
-func (q Fetch) asker() objectcache.Asker { return objectcache.Asker{ID: q.ID, ClientKey: q.ClientKey} }
+func (q Fetch) asker() objectcache.Requester {
+	return objectcache.Requester{ID: q.ID, ClientKey: q.ClientKey}
+}
 
 // do submits a fetch on behalf of a caller and waits for the answer.
 func (t *cacheTier) do(x *exchange.Exchange, caller *departure.Caller) exchange.Answer {
@@ -156,27 +160,27 @@
 	caller, ok := t.callers.Load(a.Exchange)
 	go func() {
 		if !ok { // answered meanwhile
-			a.End(exchange.Reply{Result: balance.Moot})
+			a.Finish(exchange.AttemptResult{Result: balance.NeverSent})
 			return
 		}
-		a.End(t.runAttempt(a, caller.(*departure.Caller)))
+		a.Finish(t.runAttempt(a, caller.(*departure.Caller)))
 	}()
 }
 
 // runAttempt makes one attempt and returns its result for the balancer.
-func (t *cacheTier) runAttempt(a *exchange.Attempt, caller *departure.Caller) exchange.Reply {
+func (t *cacheTier) runAttempt(a *exchange.Attempt, caller *departure.Caller) exchange.AttemptResult {
 	q := Fetch{}
 	if err := decodeFetch(a.Exchange, &q); err != nil {
-		return exchange.Reply{Result: balance.Moot, Err: err}
+		return exchange.AttemptResult{Result: balance.NeverSent, Err: err}
 	}
-	q.LeftMS = max(time.Until(a.Due).Milliseconds(), 1)
+	q.LeftMS = max(time.Until(a.Deadline).Milliseconds(), 1)
 	q.Home = t.toShield
-	ctx, release := upstream.Bind(a.Context, caller)
+	ctx, release := upstream.AttemptContext(a.Context, caller)
 	defer release()
-	if !caller.Begin(departure.BreakOff, a.Due) {
-		return exchange.Reply{Result: balance.Moot, Err: departure.ErrLeft}
+	if !caller.BeginAttempt(departure.Abort, a.Deadline) {
+		return exchange.AttemptResult{Result: balance.NeverSent, Err: departure.ErrCallerCancelled}
 	}
-	defer caller.End(departure.BreakOff)
+	defer caller.EndAttempt(departure.Abort)
 	var got Fetched
 	var err error
 	if string(a.Server) == t.edge.config.Node {
@@ -185,17 +189,17 @@
 	} else {
 		got, err = t.edge.fetchFromPeer(ctx, t.edge.peers.At(a.Address), q)
 	}
-	switch cause := upstream.Withdrawal(ctx); {
+	switch cause := upstream.CancelCause(ctx); {
 	case cause != nil: // withdrawn by this router: not the cache router's fault
-		return exchange.Reply{Result: balance.Cancelled, Err: cause}
-	case errors.Is(err, peerrpc.ErrNotBegun):
-		return exchange.Reply{Result: balance.NoConnect, Err: err}
+		return exchange.AttemptResult{Result: balance.Cancelled, Err: cause}
+	case errors.Is(err, peerrpc.ErrNotConnected):
+		return exchange.AttemptResult{Result: balance.NoConnect, Err: err}
 	case errors.Is(err, context.DeadlineExceeded):
-		return exchange.Reply{Result: balance.TimedOut, Err: err}
+		return exchange.AttemptResult{Result: balance.TimedOut, Err: err}
 	case err != nil:
-		return exchange.Reply{Result: balance.Reset, Err: err}
+		return exchange.AttemptResult{Result: balance.Reset, Err: err}
 	}
-	return exchange.Reply{Result: balance.OK, Header: got.encodeHeader(), Body: got.Body}
+	return exchange.AttemptResult{Result: balance.OK, Header: got.encodeHeader(), Body: got.Body}
 }
 
 // A Fetch and its response pass through package exchange in these header fields, which nothing in between reads.
@@ -278,7 +282,7 @@
 	}()
 	ctx, done := p.session.Begin(q.Ticket, time.Duration(q.LeftMS)*time.Millisecond)
 	defer done()
-	caller := p.edge.callers.Open(ctx, departure.Neighbour, q.Route)
+	caller := p.edge.callers.Open(ctx, departure.Peer, q.Route)
 	defer caller.Close()
 	p.edge.inboundCalls.begin()
 	defer p.edge.inboundCalls.done()
@@ -324,6 +328,6 @@
 
 // Mingle exchanges parts of the partial views of the peer sampling.
 func (p *peerHandler) Mingle(offer *[]peersampling.Neighbour, answer *[]peersampling.Neighbour) error {
-	*answer = p.edge.peerView.Answer(*offer, p.edge.replica.Index())
+	*answer = p.edge.peerView.HandleExchange(*offer, p.edge.replica.Index())
 	return nil
 }
--- a/internal/cdn/edge/capacity_test.go
+++ b/internal/cdn/edge/capacity_test.go
@@ -16,8 +16,8 @@
 	for _, routers := range []int{105, 210, 420} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
 			for b.Loop() {
-				l := balance.New(balance.Settings{Classes: []balance.Class{{Name: copyClass, Aim: tierTarget, Deadline: tierDeadline, Worth: 1}}, Routers: 1,
-					Ramp: time.Second, OverloadFor: time.Second, ColdFrom: 1}, 1)
+				l := balance.New(balance.Settings{Classes: []balance.Class{{Name: copyClass, Target: tierTarget, Deadline: tierDeadline, Priority: 1}}, Routers: 1,
+					RampTime: time.Second, OverloadFor: time.Second, ColdStartShare: 1}, 1)
 				for batch := range 10 { // config stores enrol new routers in batches, and then a few one by one
 					news := balance.List{Kind: balance.Partial, Version: int64(batch)}
 					for i := batch; i < routers; i += 10 {
@@ -48,8 +48,8 @@
 				runtime.ReadMemStats(&before)
 				c := objectcache.New(1 << 30)
 				for i := range copies {
-					c.Put(objectcache.Key{Service: "s", Host: "a.example", Path: fmt.Sprint("/objects/", i)}, &objectcache.Copy{Body: make([]byte, 1024),
-						Labels: []string{fmt.Sprint("t", i%30)}, Shelf: 20 * time.Second, At: time.Unix(int64(i), 0), Index: 1})
+					c.Put(objectcache.Key{Service: "s", Host: "a.example", Path: fmt.Sprint("/objects/", i)}, &objectcache.Entry{Body: make([]byte, 1024),
+						Labels: []string{fmt.Sprint("t", i%30)}, TTL: 20 * time.Second, ValidatedAt: time.Unix(int64(i), 0), LogIndex: 1})
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
