--- a/internal/cdn/edge/classes.go
+++ b/internal/cdn/edge/classes.go
@@ -30,7 +30,7 @@
 		key.target = key.deadline / 2
 	}
 	// A fetch serves all later requests from the cache: one that misses a request's target is no sign of overload.
-	if r.Kind == clusterstate.Shelved {
+	if r.Kind == clusterstate.KindCacheable {
 		key.target = max(key.target, key.deadline/fetchTargetDivisor)
 	}
 	return key
@@ -43,8 +43,8 @@
 
 // balanceClass returns the load balancer class of the key.
 func (k classKey) balanceClass() balance.Class {
-	c := balance.Class{Name: k.String(), Aim: k.target, Deadline: k.deadline, Worth: 1 / float64(1+k.rank), LateShare: lateShare}
-	if k.kind != clusterstate.OnceOnly {
+	c := balance.Class{Name: k.String(), Target: k.target, Deadline: k.deadline, Priority: 1 / float64(1+k.rank), LateShare: lateShare}
+	if k.kind != clusterstate.KindOnceOnly {
 		c.Effect = balance.Safe
 	}
 	return c
--- a/internal/cdn/edge/configure_bench_test.go
+++ b/internal/cdn/edge/configure_bench_test.go
@@ -19,7 +19,7 @@
 	b.Helper()
 	var text strings.Builder
 	text.WriteString(`{"edition":"r1","based_on":"0","parcels":[`)
-	kinds := []string{clusterstate.Shelved, clusterstate.Resendable, clusterstate.OnceOnly}
+	kinds := []string{clusterstate.KindCacheable, clusterstate.KindResendable, clusterstate.KindOnceOnly}
 	for i := range routes {
 		timeout := 1500
 		if i == 0 {
@@ -49,10 +49,10 @@
 			e.config.MemoryMB, e.config.FileHandles = 256, 4096
 			e.init()
 			s := clusterstate.New()
-			s.Body = clusterstate.Text("{}")
+			s.Body = clusterstate.CompressedText("{}")
 			for i := range 40 {
 				id := fmt.Sprint("i-", i)
-				s.Servers[id] = clusterstate.Server{ID: id, Service: fmt.Sprint("s-", i%2), Address: "127.0.0.1:9", Slots: 4, State: clusterstate.Open}
+				s.Servers[id] = clusterstate.Server{ID: id, Service: fmt.Sprint("s-", i%2), Address: "127.0.0.1:9", Slots: 4, State: clusterstate.ServerOpen}
 			}
 			versions := [2]*clusterstate.Manifest{manyRoutes(b, size.routes, size.tenants, 1500), manyRoutes(b, size.routes, size.tenants, 1501)}
 			version := clusterstate.Version(1)
--- a/internal/cdn/edge/disconnect_test.go
+++ b/internal/cdn/edge/disconnect_test.go
@@ -61,7 +61,7 @@
 func newSlowEdge(t *testing.T, o *slowOrigin) (e *Edge, address string, apply func(clusterstate.Command)) {
 	t.Helper()
 	e, apply = newTestEdge(t, &origin{address: o.address}, threeRoutesJSON)
-	apply(clusterstate.Command{Server: &clusterstate.Server{ID: "i-2", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.Open, Beat: 1}})
+	apply(clusterstate.Command{Server: &clusterstate.Server{ID: "i-2", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.ServerOpen, Beat: 1}})
 	done := make(chan struct{})
 	e.enqueue(func() { close(done) })
 	<-done
@@ -123,7 +123,7 @@
 	c := send(t, address, "GET", "/r/2")
 	receive(t, o.received, time.Second, "the request at a server")
 	c.Close()
-	eventually(t, "the disconnect is seen", func() bool { return e.callers.Left() > 0 })
+	eventually(t, "the disconnect is seen", func() bool { return e.callers.CancelledCount() > 0 })
 	select {
 	case o.status <- http.StatusInternalServerError:
 	case <-o.cancelled: // the attempt was cancelled already
@@ -150,7 +150,7 @@
 	c := send(t, address, "POST", "/o/1")
 	receive(t, o.received, time.Second, "the request at a server")
 	c.Close()
-	eventually(t, "the disconnect is seen", func() bool { return e.callers.Left() > 0 })
+	eventually(t, "the disconnect is seen", func() bool { return e.callers.CancelledCount() > 0 })
 	o.status <- http.StatusInternalServerError // it was not cancelled
 	c = send(t, address, "POST", "/o/2")
 	assert.Equal(t, receive(t, o.received, time.Second, "the next request"), "/o/2")
@@ -170,7 +170,7 @@
 		o.status <- http.StatusOK
 		assert.Equal(t, status(t, c), http.StatusOK, target)
 	}
-	assert.Equal(t, e.callers.Left(), int64(0))
+	assert.Equal(t, e.callers.CancelledCount(), int64(0))
 }
 
 // status reads the final response on a connection and returns its status.
@@ -249,7 +249,7 @@
 	one := send(t, address, "GET", "/s/1")
 	receive(t, o.received, time.Second, "the fetch at a server")
 	one.Close()
-	eventually(t, "the fetch has seen the disconnect", func() bool { return e.callers.Left() > 1 })
+	eventually(t, "the fetch has seen the disconnect", func() bool { return e.callers.CancelledCount() > 1 })
 	two := send(t, address, "GET", "/s/1")
 	eventually(t, "the second request waits", func() bool {
 		e.fetches.mu.Lock()
@@ -284,10 +284,10 @@
 	<-done
 	c := send(t, address, "GET", "/s/1")
 	receive(t, o.received, time.Second, "the fetch at a server, through the cache router")
-	assert.Assert(t, peer.callers.Left() == 0)
+	assert.Assert(t, peer.callers.CancelledCount() == 0)
 	c.Close()
 	receive(t, o.cancelled, cancelTimeout, "the cancellation at the server, two processes away")
-	eventually(t, "the cache router has seen the disconnect", func() bool { return peer.callers.Left() > 0 })
+	eventually(t, "the cache router has seen the disconnect", func() bool { return peer.callers.CancelledCount() > 0 })
 	assert.Equal(t, e.counters.Results[balance.Reset].Load()+e.counters.Results[balance.NoConnect].Load(), int64(0), "the disconnect was counted as a failure of the cache router")
 	assert.Equal(t, e.callers.Violations()+peer.callers.Violations(), int64(0))
 }
--- a/internal/cdn/edge/edge.go
+++ b/internal/cdn/edge/edge.go
@@ -62,10 +62,10 @@
 	bodyBudget  *exchange.Budget // bytes of long request bodies that may be buffered at once
 	clock       exchange.Clock
 	counters    exchange.Counters
-	serverLists atomic.Int64      // number of server lists that were sent to load balancers
-	callers     *departure.Ledger // clients and peers that wait for a response, and those that have left
-	outbound    *link             // bandwidth to clients and other routers
-	inbound     *link             // bandwidth from other routers
+	serverLists atomic.Int64       // number of server lists that were sent to load balancers
+	callers     *departure.Tracker // clients and peers that wait for a response, and those that have left
+	outbound    *link              // bandwidth to clients and other routers
+	inbound     *link              // bandwidth from other routers
 	sender      *upstream.Sender
 	zoneCaches  *cacheTier // to a key's cache router, own zone first
 	shields     *cacheTier // to a key's shield
@@ -95,11 +95,11 @@
 
 // Run serves until the context ends, then shuts down gracefully within the grace period.
 func Run(ctx context.Context, config bootconfig.Settings, log hclog.Logger) error {
-	clients := slices.Contains(config.Serves, "counter") || config.Counter != ""
+	clients := slices.Contains(config.Serves, "counter") || config.ClientAddress != ""
 	switch {
-	case clients && config.Counter == "":
+	case clients && config.ClientAddress == "":
 		return Error.New("network.listen_on.counter: missing")
-	case clients && config.Readiness == "":
+	case clients && config.ReadinessAddress == "":
 		return Error.New("network.listen_on.readiness: missing")
 	}
 	debug.SetMemoryLimit(int64(float64(config.MemoryMB<<20) * memoryLimitFraction))
@@ -109,13 +109,13 @@
 		cache: objectcache.New(int64(config.MemoryMB<<20) / cacheMemoryDivisor), clock: exchange.NewClock(), changes: make(chan func(), 4096),
 		lifetime: lifetime, listDelay: listDebounce}
 	e.init()
-	ownAddress := config.Inner(config.IP, bootconfig.EdgePort)
+	ownAddress := config.InternalAddress(config.IP, bootconfig.EdgePort)
 	e.peerView = peersampling.New(ownAddress, maxViewPeers, mrand.Uint64())
 	e.replica.Set, e.replica.Peers, e.replica.Log = config, e.peers, log.Named("statesync")
 	e.replica.Router = clusterstate.Router{Node: config.Node, Zone: config.Zone, Address: ownAddress, Weight: machineWeight(config), Inner: !clients}
-	e.replica.Took, e.replica.Neighbours = e.applyChange, e.peerView.Neighbours
+	e.replica.Took, e.replica.Neighbours = e.applyChange, e.peerView.Addresses
 	if e.wallClock != nil {
-		e.replica.Heard = func(_ string, wall, _, answered time.Time) { e.wallClock.Hear(coreClockSource, wall, answered) }
+		e.replica.Heard = func(_ string, wall, _, answered time.Time) { e.wallClock.SetReading(coreClockSource, wall, answered) }
 	}
 
 	peerListener, err := net.Listen("tcp", ownAddress)
@@ -145,7 +145,7 @@
 	if front != nil {
 		front.serve()
 	}
-	log.Info("started", "address", config.Counter, "zone", config.Zone, "weight", e.replica.Router.Weight)
+	log.Info("started", "address", config.ClientAddress, "zone", config.Zone, "weight", e.replica.Router.Weight)
 
 	<-ctx.Done()
 	e.shuttingDown.Store(true)
@@ -154,7 +154,7 @@
 		front.shutdown(started)
 		e.reportFinalUsage()
 	} else {
-		e.inboundCalls.waitIdle(shutdownDeadline(started, config.Bounds.Grace))
+		e.inboundCalls.waitIdle(shutdownDeadline(started, config.Limits.Grace))
 	}
 	log.Info("shutdown complete", "after", time.Since(started).Round(time.Millisecond))
 	return nil
@@ -176,11 +176,11 @@
 
 // openFrontend opens the listeners of clients and readiness probes.
 func (e *Edge) openFrontend() (*clientFrontend, error) {
-	readiness, err := net.Listen("tcp", e.config.Readiness)
+	readiness, err := net.Listen("tcp", e.config.ReadinessAddress)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	clients, err := net.Listen("tcp", e.config.Counter)
+	clients, err := net.Listen("tcp", e.config.ClientAddress)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -203,15 +203,15 @@
 	if p := e.plan.Load(); p != nil {
 		return p.Limits
 	}
-	return clusterstate.UsualLimits
+	return clusterstate.DefaultLimits
 }
 
 // shutdown ends gracefully: it reports not ready, then accepts no new connections, then waits for the requests in flight.
 func (f *clientFrontend) shutdown(started time.Time) {
 	f.edge.log.Info("shutting down: accepting requests until the platform stops sending them")
-	time.Sleep(min(notReadyPeriod, f.edge.config.Bounds.Grace/2))
+	time.Sleep(min(notReadyPeriod, f.edge.config.Limits.Grace/2))
 	f.edge.closeConns.Store(true)
-	if left := f.listener.drain(shutdownDeadline(started, f.edge.config.Bounds.Grace)); left > 0 {
+	if left := f.listener.drain(shutdownDeadline(started, f.edge.config.Limits.Grace)); left > 0 {
 		f.edge.log.Warn("shutdown timed out with requests in flight", "connections", left)
 	}
 	f.server.Close()
@@ -257,7 +257,7 @@
 				e.reweighServers()
 			}
 			if tick%20 == 0 {
-				e.sender.Pool.Sweep(now)
+				e.sender.Pool.CloseExpired(now)
 			}
 		case <-ctx.Done():
 			return
@@ -268,8 +268,8 @@
 // init creates what depends only on the settings.
 func (e *Edge) init() {
 	e.outbound, e.inbound = newLink(e.config.LinkMbps), newLink(e.config.LinkMbps)
-	e.callers = departure.NewLedger()
-	e.callers.LogBreaches(e.log)
+	e.callers = departure.NewTracker()
+	e.callers.LogViolations(e.log)
 	if e.log == nil {
 		e.log = hclog.NewNullLogger()
 	}
@@ -294,16 +294,16 @@
 			return
 		case <-time.After(peerSamplingInterval/2 + mrand.N(peerSamplingInterval)):
 		}
-		if len(e.peerView.Neighbours()) < maxViewPeers/2 {
-			e.replica.Read(func(s *clusterstate.State) {
+		if len(e.peerView.Addresses()) < maxViewPeers/2 {
+			e.replica.View(func(s *clusterstate.State) {
 				for _, r := range s.Routers { // in random order, until the view is full
 					if r.Node != e.config.Node {
-						e.peerView.Meet(r.Address)
+						e.peerView.AddAddresses(r.Address)
 					}
 				}
 			})
 		}
-		peer, offer := e.peerView.Begin(e.replica.Index())
+		peer, offer := e.peerView.StartExchange(e.replica.Index())
 		if peer == "" {
 			continue
 		}
@@ -313,14 +313,14 @@
 			e.log.Debug("neighbour does not answer", "err", err)
 			continue
 		}
-		e.peerView.End(answer, offer)
+		e.peerView.FinishExchange(answer, offer)
 	}
 }
 
 // newLoop returns a load balancer loop with this process's clock and counters.
 func (e *Edge) newLoop(settings balance.Settings, sender exchange.Sender, pool *exchange.Pool) *exchange.Loop {
 	l := exchange.NewLoop()
-	l.Clock, l.Counts, l.Log, l.Pool, l.Sender, l.Teller = e.clock, &e.counters, e.balanceLog, pool, sender, noTeller{}
+	l.Clock, l.Counters, l.Log, l.Pool, l.Sender, l.PeerSender = e.clock, &e.counters, e.balanceLog, pool, sender, noTeller{}
 	l.Settings, l.Seed = settings, mrand.Uint64()
 	return l
 }
@@ -328,5 +328,5 @@
 // noTeller implements the balancer's peer messages by dropping them: routers learn of one another from the replicated state.
 type noTeller struct{}
 
-// Tell drops the message.
-func (noTeller) Tell(int, []byte) {}
+// SendMessage drops the message.
+func (noTeller) SendMessage(int, []byte) {}
--- a/internal/cdn/edge/fetches.go
+++ b/internal/cdn/edge/fetches.go
@@ -53,7 +53,7 @@
 	}
 	f.mu.Unlock()
 	if last {
-		w.caller.Leave()
+		w.caller.Cancel()
 	}
 }
 
--- a/internal/cdn/edge/fleet_test.go
+++ b/internal/cdn/edge/fleet_test.go
@@ -32,7 +32,7 @@
 	e.config.MemoryMB, e.config.FileHandles, e.config.Node, e.config.Zone = 184, 4100, "n-0", "z-0"
 	e.init()
 	s := clusterstate.New()
-	s.Index, s.Version, s.Body = 1, 2, clusterstate.Text("{}")
+	s.Index, s.Version, s.Body = 1, 2, clusterstate.CompressedText("{}")
 	for i := range fleetProxies + fleetCaches {
 		r := clusterstate.Router{Node: fmt.Sprint("n-", i), Zone: fmt.Sprint("z-", i%6), Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Weight: 6.8}
 		if i >= fleetProxies {
@@ -62,7 +62,7 @@
 	if i < 2 {
 		service = "s-0"
 	}
-	return clusterstate.Server{ID: fmt.Sprint("i-", i), Service: service, Address: fmt.Sprintf("10.1.0.%d:9", i), Zone: fmt.Sprint("z-", i%6), Slots: 2, State: clusterstate.Open}
+	return clusterstate.Server{ID: fmt.Sprint("i-", i), Service: service, Address: fmt.Sprintf("10.1.0.%d:9", i), Zone: fmt.Sprint("z-", i%6), Slots: 2, State: clusterstate.ServerOpen}
 }
 
 // flush runs all deferred changes and returns once the load balancers have them.
@@ -72,14 +72,14 @@
 	}
 	for _, sv := range e.services {
 		for _, l := range sv.loops() {
-			l.Retune(sv.applied)
+			l.UpdateSettings(sv.applied)
 		}
 	}
 }
 
 // apply applies a command as the next change of the state.
 func (e *Edge) apply(t testing.TB, s *clusterstate.State, c clusterstate.Command) {
-	assert.Equal(t, s.Apply(s.Index+1, c).Status, clusterstate.Done)
+	assert.Equal(t, s.Apply(s.Index+1, c).Status, clusterstate.StatusOK)
 	e.applyChange(s, c, s.Index, false)
 }
 
@@ -97,9 +97,9 @@
 	for i := range changes {
 		server := fleetServer(2 + i%100)
 		if server.Beat = uint64(i + 1); i/100%2 == 0 {
-			server.State = clusterstate.Closing
+			server.State = clusterstate.ServerClosing
 		}
-		if server.State == clusterstate.Open { // another server in its place
+		if server.State == clusterstate.ServerOpen { // another server in its place
 			server.ID += "-next"
 		}
 		e.apply(t, s, clusterstate.Command{Server: &server})
@@ -117,7 +117,7 @@
 	sent := e.serverLists.Load()
 	for i := range 28 {
 		sv := fleetServer(2 + i)
-		sv.Beat, sv.State = 1, clusterstate.Closing
+		sv.Beat, sv.State = 1, clusterstate.ServerClosing
 		e.apply(t, s, clusterstate.Command{Server: &sv})
 	}
 	assert.Equal(t, e.serverLists.Load(), sent)
@@ -131,9 +131,9 @@
 func TestWeightedPlacement(t *testing.T) {
 	placement := newWeightedPlacement()
 	assert.Equal(t, placement.Owner(7), balance.ServerID(""))
-	placement.Follow(map[balance.ServerID]float64{"gone": 5})
+	placement.SetWeights(map[balance.ServerID]float64{"gone": 5})
 	weights := map[balance.ServerID]float64{"a": 1, "b": 2, "c": 0.5, "d": 4}
-	placement.Follow(weights)
+	placement.SetWeights(weights)
 	const draws = 100_000
 	drawn := map[balance.ServerID]int{}
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/cdn/edge/fuzz_test.go
+++ b/internal/cdn/edge/fuzz_test.go
@@ -50,6 +50,6 @@
 		assert.Equal(t, s.Index(), uint64(0))
 		n, _ := edge.cache.Size()
 		assert.Equal(t, n, 0)
-		assert.Assert(t, len(edge.peerView.Neighbours()) <= 4)
+		assert.Assert(t, len(edge.peerView.Addresses()) <= 4)
 	})
 }
--- a/internal/cdn/edge/keychange_test.go
+++ b/internal/cdn/edge/keychange_test.go
@@ -68,7 +68,7 @@
 	e, apply := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
 	r := httptest.NewRequest("GET", "http://a.example/r/1", nil)
 	r.Header.Set("Key", "k-9")
-	r.Header.Set(upstream.HeaderID, "try")
+	r.Header.Set(upstream.HeaderRequestID, "try")
 	w := httptest.NewRecorder()
 	q := &request{Request: r, w: w, outbound: e.outbound, id: "try", arrived: time.Now(), timeLeft: time.Second, plan: e.plan.Load()}
 	q.route = q.plan.routeTable.Find("a.example", "/r/1")
@@ -81,10 +81,10 @@
 func TestUnknownKeysWithinEditionTime(t *testing.T) {
 	o := newOrigin(t)
 	e, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-	e.config.Bounds.Contact, e.config.Bounds.Edition = 8*time.Second, 2500*time.Millisecond
+	e.config.Limits.Contact, e.config.Limits.Edition = 8*time.Second, 2500*time.Millisecond
 	e.replica = newReplicaForTest()
 	e.replica.Set, e.replica.Log = e.config, e.log
-	e.replica.Take(clusterstate.News{Fresh: true, Proven: true}, time.Now().Add(-3500*time.Millisecond))
+	e.replica.Apply(clusterstate.News{Fresh: true, Proven: true}, time.Now().Add(-3500*time.Millisecond))
 	assert.Assert(t, e.unknownKeyError("k-9") == errNotProven, "401 for a key acknowledged 3.4 s ago, with edition_time 2.5 s")
 }
 
@@ -106,10 +106,10 @@
 	for _, target := range []string{"/r/1", "/o/1", "/s/1", "/u/1"} {
 		o := newOrigin(t)
 		e, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-		e.config.Bounds.Revoke = 10 * time.Minute
+		e.config.Limits.RevokeTimeout = 10 * time.Minute
 		e.replica = newReplicaForTest()
 		e.replica.Set, e.replica.Log = e.config, e.log
-		e.replica.Take(clusterstate.News{Fresh: true, Proven: true}, time.Now().Add(-time.Hour))
+		e.replica.Apply(clusterstate.News{Fresh: true, Proven: true}, time.Now().Add(-time.Hour))
 		url := listen(t, e)
 		a := e.get(t, http.DefaultClient, url, "GET", target, "", "Key", "k-1")
 		if target == "/u/1" {
@@ -118,7 +118,7 @@
 		}
 		assert.Equal(t, a.status, 503, target)
 		assert.Equal(t, len(o.identities()), 0, target)
-		e.replica.Take(clusterstate.News{Fresh: true, Proven: true}, time.Now())
+		e.replica.Apply(clusterstate.News{Fresh: true, Proven: true}, time.Now())
 		assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", target, "", "Key", "k-1").status, 200, target)
 	}
 }
@@ -128,13 +128,13 @@
 	e, s := largeFleet(t)
 	e.listDelay = 20 * time.Millisecond
 	e.replica.Log, e.replica.Took = e.log, func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
-	e.replica.Take(clusterstate.News{State: s.Clone(), Index: s.Index}, time.Now())
+	e.replica.Apply(clusterstate.News{State: s.Clone(), Index: s.Index}, time.Now())
 	e.replica.Took = e.applyChange
 	sent := e.serverLists.Load()
 	for i := range 5 {
 		sv := fleetServer(2 + i)
-		sv.Beat, sv.State = 1, clusterstate.Closing
-		e.replica.Take(clusterstate.News{Changes: []clusterstate.Change{{Index: s.Index + 1 + uint64(i), Data: clusterstate.Command{Server: &sv}.Encode()}}, Index: s.Index + 1 + uint64(i)}, time.Now())
+		sv.Beat, sv.State = 1, clusterstate.ServerClosing
+		e.replica.Apply(clusterstate.News{Changes: []clusterstate.Change{{Index: s.Index + 1 + uint64(i), Data: clusterstate.Command{Server: &sv}.Encode()}}, Index: s.Index + 1 + uint64(i)}, time.Now())
 	}
 	assert.Equal(t, e.serverLists.Load(), sent)
 	eventually(t, "the list is sent", func() bool { return e.serverLists.Load() == sent+1 })
--- a/internal/cdn/edge/keys.go
+++ b/internal/cdn/edge/keys.go
@@ -53,15 +53,15 @@
 // authenticate checks the client's key against the plan, before any other work is done for the request, and sets q.tenant. It returns false
 // if it has answered the request. If tenants are configured, servers see neither the key nor the sender name that the client sent.
 func (e *Edge) authenticate(q *request) bool {
-	if values := q.Header[upstream.HeaderKey]; len(values) == 1 {
+	if values := q.Header[upstream.HeaderClientKey]; len(values) == 1 {
 		q.clientKey = values[0]
 	}
 	if q.plan.keys == nil {
 		return true
 	}
-	delete(q.Header, upstream.HeaderKey)
-	delete(q.Header, upstream.HeaderSender)
-	if !q.plan.Keyed(q.route) {
+	delete(q.Header, upstream.HeaderClientKey)
+	delete(q.Header, upstream.HeaderTenant)
+	if !q.plan.RequiresKey(q.route) {
 		return true
 	}
 	if q.tenant = q.plan.keys.Find(q.clientKey); q.tenant == nil {
@@ -135,7 +135,7 @@
 		return false
 	}
 	if r := p.routes[route]; r != nil {
-		return p.Keyed(r)
+		return p.RequiresKey(r)
 	}
 	return clientKey != ""
 }
--- a/internal/cdn/edge/keys_test.go
+++ b/internal/cdn/edge/keys_test.go
@@ -32,7 +32,7 @@
 
 // secondServer returns the command that adds a second server at the same address.
 func secondServer(o *origin) clusterstate.Command {
-	return clusterstate.Command{Server: &clusterstate.Server{ID: "i-2", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.Open, Beat: 1}}
+	return clusterstate.Command{Server: &clusterstate.Server{ID: "i-2", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.ServerOpen, Beat: 1}}
 }
 
 // waitForChanges waits until the load balancers have all changes applied so far.
@@ -104,7 +104,7 @@
 	assert.Equal(t, status("k-2"), 200)
 	assert.Equal(t, status("k-4"), 401, "a cached copy is served without a valid key")
 	assert.Equal(t, len(o.seen()), 1)
-	e.config.Bounds.Contact, e.replica.Set.Bounds.Contact = 0, 0 // the proof is too old
+	e.config.Limits.Contact, e.replica.Set.Limits.Contact = 0, 0 // the proof is too old
 	assert.Equal(t, status("k-1"), 200)
 	a := e.get(t, http.DefaultClient, url, "GET", "/s/1", "", "Key", "k-4")
 	assert.Equal(t, a.status, 503, "the key may be newer")
@@ -228,7 +228,7 @@
 			o := newOrigin(t)
 			peer, applyToPeer := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
 			if applyToPeer(keyedConfig(2, c.peer)); c.oldProof {
-				peer.config.Bounds.Contact = 0
+				peer.config.Limits.Contact = 0
 			}
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			assert.NilError(t, err)
@@ -273,7 +273,7 @@
 // Requests rank by the tenant's priority first, then by the route's. If all tenants have the same priority, or there are none, only the
 // route's priority counts.
 func TestTenantRanks(t *testing.T) {
-	shop := []clusterstate.Share{{Service: "shop", Weight: 1}}
+	shop := []clusterstate.ServiceShare{{Service: "shop", Weight: 1}}
 	high, low := clusterstate.Route{Name: "h", Priority: 0, Split: shop}, clusterstate.Route{Name: "l", Priority: 2, Split: shop}
 	open := clusterstate.Route{Name: "o", Priority: 1, Split: shop, Unsealed: true}
 	cases := []struct {
--- a/internal/cdn/edge/link_test.go
+++ b/internal/cdn/edge/link_test.go
@@ -142,7 +142,7 @@
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			assert.NilError(t, err)
 			defer l.Close()
-			go peerrpc.Serve(l, "Edge", peerrpc.Shared(&c.peer))
+			go peerrpc.Serve(l, "Edge", peerrpc.SharedService(&c.peer))
 			e := &Edge{inbound: newLink(c.mbps)}
 			got, err := e.fetchFromPeer(t.Context(), peerrpc.NewPeer(l.Addr().String()), Fetch{Key: objectcache.Key{Path: "/a"}})
 			assert.Equal(t, c.peer.pieces, c.pieces)
@@ -160,7 +160,7 @@
 func TestPieceRequiresSameCopy(t *testing.T) {
 	e := &Edge{cache: objectcache.New(1 << 20)}
 	k, body := objectcache.Key{Host: "h", Path: "/a"}, []byte("0123456789")
-	e.cache.Put(k, &objectcache.Copy{Body: body, ETag: "e", Shelf: time.Minute, At: time.Now(), Index: 1})
+	e.cache.Put(k, &objectcache.Entry{Body: body, ETag: "e", TTL: time.Minute, ValidatedAt: time.Now(), LogIndex: 1})
 	p := &peerHandler{edge: e}
 	cases := []struct {
 		q    Piece
--- a/internal/cdn/edge/listener.go
+++ b/internal/cdn/edge/listener.go
@@ -58,7 +58,7 @@
 		}
 		return nil, err
 	}
-	conn := &clientConn{Conn: halfclose.New(c), listener: l, since: time.Now()}
+	conn := &clientConn{Conn: halfclose.NewConn(c), listener: l, since: time.Now()}
 	l.mu.Lock()
 	l.conns[conn] = struct{}{}
 	l.mu.Unlock()
@@ -98,7 +98,7 @@
 // onDisconnect sets the function that is called when the request's client disconnects after it has sent more data on its connection.
 func onDisconnect(r *http.Request, f func()) {
 	if c, ok := r.Context().Value(connectionKey{}).(*clientConn); ok {
-		c.OnLeave(f)
+		c.OnDisconnect(f)
 	}
 }
 
--- a/internal/cdn/edge/listener_test.go
+++ b/internal/cdn/edge/listener_test.go
@@ -43,7 +43,7 @@
 	for _, byteFirst := range []bool{true, false} {
 		listener := newClientListener(nil)
 		s := &scriptedConn{bytes: make(chan byte, 1)}
-		c := &clientConn{Conn: halfclose.New(s), listener: listener}
+		c := &clientConn{Conn: halfclose.NewConn(s), listener: listener}
 		listener.conns[c] = struct{}{}
 		buf := make([]byte, 1)
 		if byteFirst {
@@ -81,7 +81,7 @@
 	for _, c := range cases {
 		listener := newClientListener(nil)
 		s := &scriptedConn{bytes: make(chan byte, 1)}
-		k := &clientConn{Conn: halfclose.New(s), listener: listener, since: time.Now()}
+		k := &clientConn{Conn: halfclose.NewConn(s), listener: listener, since: time.Now()}
 		listener.conns[k] = struct{}{}
 		if c.busy {
 			s.bytes <- 'G'
@@ -100,7 +100,7 @@
 func TestTimeoutsAfterStall(t *testing.T) {
 	limits := clusterstate.Limits{Header: 3 * time.Second, Idle: 15 * time.Second}
 	listener, at := newClientListener(nil), time.Now()
-	listener.conns[&clientConn{Conn: halfclose.New(&scriptedConn{}), listener: listener, since: at}] = struct{}{}
+	listener.conns[&clientConn{Conn: halfclose.NewConn(&scriptedConn{}), listener: listener, since: at}] = struct{}{}
 	listener.checkLimits(at, limits)
 	listener.checkLimits(at.Add(20*time.Second), limits)
 	assert.Equal(t, len(listener.conns), 1, "closed before its bytes could be read")
--- a/internal/cdn/edge/objects.go
+++ b/internal/cdn/edge/objects.go
@@ -28,13 +28,13 @@
 
 // staleSlack returns how long past its shelf life a copy may still be served while the server is asked (stale-while-revalidate).
 func (e *Edge) staleSlack() time.Duration {
-	return time.Duration(float64(e.config.Bounds.StaleSlack) * staleSlackFraction)
+	return time.Duration(float64(e.config.Limits.StaleSlack) * staleSlackFraction)
 }
 
 // purgesKnown reports whether cached copies may be served: every purge acknowledged longer than contact ago is known. A router that was
 // disconnected for longer, and got no proof from a neighbour, may lack purges. Callers check it before they look up a copy; see proof.go.
 func (e *Edge) purgesKnown() bool {
-	return time.Since(e.replica.Proof()) < e.config.Bounds.Contact
+	return time.Since(e.replica.Proof()) < e.config.Limits.Contact
 }
 
 // refreshDue starts background refreshes of copies that are in demand and about to expire, while the service's rate limit has spare tokens.
@@ -43,7 +43,7 @@
 	if p == nil || !e.purgesKnown() {
 		return
 	}
-	for _, due := range e.cache.Due(now, maxRefreshes) {
+	for _, due := range e.cache.DueForRefresh(now, maxRefreshes) {
 		svc := p.services[due.Key.Service]
 		if svc == nil || !svc.limiter.hasSpare() {
 			continue
@@ -52,22 +52,22 @@
 		if route == nil {
 			continue
 		}
-		if _, err := e.permitFunc(route.Name, due.By.ClientKey)(); err != nil {
+		if _, err := e.permitFunc(route.Name, due.Requester.ClientKey)(); err != nil {
 			continue
 		}
-		e.startFetch(Fetch{Key: due.Key, Target: due.Key.Target(), Route: route.Name, ID: due.By.ID, ClientKey: due.By.ClientKey}, due.Copy, refreshTimeout, false)
+		e.startFetch(Fetch{Key: due.Key, Target: due.Key.Target(), Route: route.Name, ID: due.Requester.ID, ClientKey: due.Requester.ClientKey}, due.Entry, refreshTimeout, false)
 	}
 }
 
 // lookup returns this router's copy and its grade. It counts as a request for the object only if wanted is set.
-func (e *Edge) lookup(k objectcache.Key, asker objectcache.Asker, wanted bool) (*objectcache.Copy, objectcache.Grade) {
+func (e *Edge) lookup(k objectcache.Key, asker objectcache.Requester, wanted bool) (*objectcache.Entry, objectcache.Freshness) {
 	// Checked before the lookup: news that brings a purge must not also prove a copy that was looked up before the purge.
 	purgesKnown := e.purgesKnown()
 	cached, grade := e.cache.Peek(k, time.Now(), e.staleSlack())
 	if wanted {
 		cached, grade = e.cache.Get(k, time.Now(), e.staleSlack(), asker)
 	}
-	if grade != objectcache.NotThere && !purgesKnown {
+	if grade != objectcache.Miss && !purgesKnown {
 		grade = objectcache.Stale
 	}
 	return cached, grade
@@ -76,13 +76,13 @@
 // getObject returns an object: the cached copy, or a server's response.
 func (e *Edge) getObject(ctx context.Context, q Fetch) Fetched {
 	cached, grade := e.lookup(q.Key, q.asker(), !q.Own)
-	if q.AgeMS > 0 && grade != objectcache.NotThere && time.Since(cached.At) > time.Duration(q.AgeMS)*time.Millisecond {
+	if q.AgeMS > 0 && grade != objectcache.Miss && time.Since(cached.ValidatedAt) > time.Duration(q.AgeMS)*time.Millisecond {
 		grade = objectcache.Stale // the caller's copy is as recent
 	}
 	switch grade {
 	case objectcache.Fresh:
 		return e.cachedResponse(q, cached)
-	case objectcache.Ageing:
+	case objectcache.RefreshDue:
 		e.startFetch(q, cached, refreshTimeout, false)
 		return e.cachedResponse(q, cached)
 	}
@@ -130,13 +130,13 @@
 }
 
 // fetchedFrom returns a cached copy as a response.
-func fetchedFrom(x *objectcache.Copy) Fetched {
-	return Fetched{Status: http.StatusOK, Header: x.Header, Body: x.Body, Whole: true, Index: x.Index,
-		AgeMS: time.Since(x.At).Milliseconds() + 1}
+func fetchedFrom(x *objectcache.Entry) Fetched {
+	return Fetched{Status: http.StatusOK, Header: x.Header, Body: x.Body, Whole: true, Index: x.LogIndex,
+		AgeMS: time.Since(x.ValidatedAt).Milliseconds() + 1}
 }
 
 // cachedResponse returns a cached copy as the response to q, without the body if the caller has the same copy.
-func (e *Edge) cachedResponse(q Fetch, x *objectcache.Copy) Fetched {
+func (e *Edge) cachedResponse(q Fetch, x *objectcache.Entry) Fetched {
 	got := fetchedFrom(x)
 	if q.ETag != "" && q.ETag == x.ETag {
 		got.Same, got.Header, got.Body = true, nil, nil
@@ -146,7 +146,7 @@
 
 // startFetch joins the object's fetch in flight, or starts one. It returns nil if the configuration no longer has the service. A caller
 // with waits set must call waitFor; without waits the fetch continues even if nobody waits for it.
-func (e *Edge) startFetch(q Fetch, old *objectcache.Copy, timeout time.Duration, waits bool) *fetch {
+func (e *Edge) startFetch(q Fetch, old *objectcache.Entry, timeout time.Duration, waits bool) *fetch {
 	p := e.plan.Load()
 	var svc *service
 	if p != nil {
@@ -162,7 +162,7 @@
 		e.fetches.mu.Unlock()
 		return w
 	}
-	w := &fetch{done: make(chan struct{}), clientKey: q.ClientKey, caller: e.callers.Open(e.lifetime, departure.Waiters, q.Route)}
+	w := &fetch{done: make(chan struct{}), clientKey: q.ClientKey, caller: e.callers.Open(e.lifetime, departure.CoalescedWaiters, q.Route)}
 	w.join(waits)
 	e.fetches.inFlight[key] = w
 	e.fetches.mu.Unlock()
@@ -183,7 +183,7 @@
 }
 
 // fetchObject gets an object from its shield or from the servers, or has the old copy revalidated, and caches a cacheable response.
-func (e *Edge) fetchObject(caller *departure.Caller, plan *plan, svc *service, q Fetch, old *objectcache.Copy, timeout time.Duration) Fetched {
+func (e *Edge) fetchObject(caller *departure.Caller, plan *plan, svc *service, q Fetch, old *objectcache.Entry, timeout time.Duration) Fetched {
 	route := plan.routes[q.Route]
 	if route == nil {
 		route = &clusterstate.Route{Timeout: timeout}
@@ -217,15 +217,15 @@
 	if old != nil && old.ETag != "" {
 		header["If-None-Match"] = []string{old.ETag}
 	}
-	order := &upstream.Order{ID: q.ID, Stamped: true, Keep: route.Shelf > 0, Caller: caller, Permit: permit}
+	order := &upstream.OriginRequest{ID: q.ID, RequireStamp: true, Cacheable: route.Shelf > 0, Caller: caller, Permit: permit}
 	index, started := e.replica.Index(), time.Now()
-	answer := e.sendToService(svc, route.Name, order, exchange.Request{Class: plan.className(route, tenant), Arrived: started, TimeLeft: min(timeout, route.Timeout),
+	answer := e.sendToService(svc, route.Name, order, exchange.Request{Class: plan.className(route, tenant), Arrived: started, Timeout: min(timeout, route.Timeout),
 		Method: http.MethodGet, Target: q.Target, Header: header})
 	if answer.Kind != exchange.Served {
-		if last := order.Failure(); last != nil {
+		if last := order.LastFailure(); last != nil {
 			return Fetched{Status: int(atoi(firstValue(last.Header, upstream.StatusKey))), Header: withoutHeader(last.Header, upstream.StatusKey), Body: last.Body}
 		}
-		if err := order.Denied(); err != nil {
+		if err := order.DenyReason(); err != nil {
 			return deniedFetch(err)
 		}
 		return Fetched{Refuse: max(answer.RetryAfter, defaultRetryAfter).Milliseconds()}
@@ -234,8 +234,8 @@
 	respHeader := withoutHeader(answer.Header, upstream.StatusKey)
 	switch {
 	case status == http.StatusNotModified && old != nil:
-		x := old.Renewed(started, index, route.Shelf)
-		x.For = q.asker()
+		x := old.Revalidated(started, index, route.Shelf)
+		x.FetchedFor = q.asker()
 		e.cache.Put(q.Key, x)
 		return fetchedFrom(x)
 	case status == http.StatusOK && firstValue(respHeader, upstream.HeaderStamp) != "":
@@ -247,16 +247,16 @@
 
 // fetchFromShield asks the key's shield. The result is false if there is no shield but this router, or it does not answer: the caller then
 // asks the servers itself.
-func (e *Edge) fetchFromShield(caller *departure.Caller, tier *cacheTier, q Fetch, old *objectcache.Copy, route *clusterstate.Route, timeout time.Duration) (Fetched, bool) {
+func (e *Edge) fetchFromShield(caller *departure.Caller, tier *cacheTier, q Fetch, old *objectcache.Entry, route *clusterstate.Route, timeout time.Duration) (Fetched, bool) {
 	q.Index, q.AgeMS, q.ETag = e.replica.Index(), 0, ""
 	if old != nil {
 		q.ETag, q.AgeMS = old.ETag, max(int64(route.Shelf/4/time.Millisecond), 1)
 	}
 	started := time.Now()
 	x := exchange.New(exchange.Request{ID: q.ID, Class: copyClass, Key: q.Key.Hash(), HasKey: true, Arrived: started,
-		TimeLeft: timeout, Method: http.MethodGet, Target: q.Target, Header: encodeFetch(q)})
+		Timeout: timeout, Method: http.MethodGet, Target: q.Target, Header: encodeFetch(q)})
 	answer := tier.do(x, caller)
-	if caller.Left() {
+	if caller.Cancelled() {
 		return Fetched{Refuse: defaultRetryAfter.Milliseconds()}, true
 	}
 	if answer.Kind != exchange.Served {
@@ -271,8 +271,8 @@
 		if old == nil || old.ETag != q.ETag {
 			return Fetched{}, false
 		}
-		renewed := old.Renewed(askedAt, got.Index, route.Shelf)
-		renewed.For = q.asker()
+		renewed := old.Revalidated(askedAt, got.Index, route.Shelf)
+		renewed.FetchedFor = q.asker()
 		e.cache.Put(q.Key, renewed)
 		return fetchedFrom(renewed), true
 	}
@@ -282,25 +282,25 @@
 
 // storeFromPeer caches an object that the key's cache router has returned, unless this router owns the key. While the copy is fresh it
 // saves the call; afterwards it saves the transfer of the body while the object is unchanged.
-func (e *Edge) storeFromPeer(k objectcache.Key, route *clusterstate.Route, got Fetched, old *objectcache.Copy, started time.Time) Fetched {
-	x := &objectcache.Copy{Header: got.Header, Body: got.Body, ETag: firstValue(got.Header, "Etag"),
+func (e *Edge) storeFromPeer(k objectcache.Key, route *clusterstate.Route, got Fetched, old *objectcache.Entry, started time.Time) Fetched {
+	x := &objectcache.Entry{Header: got.Header, Body: got.Body, ETag: firstValue(got.Header, "Etag"),
 		Labels: strings.Fields(strings.Join(got.Header[upstream.HeaderLabels], " "))}
 	if got.Same {
 		if old == nil {
 			return Fetched{Refuse: defaultRetryAfter.Milliseconds()}
 		}
-		x = old.Renewed(old.At, old.Index, old.Shelf)
+		x = old.Revalidated(old.ValidatedAt, old.LogIndex, old.TTL)
 	}
-	x.Lent, x.Shelf, x.Index, x.At = true, route.Shelf, got.Index, started.Add(-time.Duration(got.AgeMS)*time.Millisecond)
-	if current, grade := e.cache.Get(k, started, 0, objectcache.Asker{}); route.Shelf > 0 && (grade == objectcache.NotThere || current.Lent) {
+	x.FromOwner, x.TTL, x.LogIndex, x.ValidatedAt = true, route.Shelf, got.Index, started.Add(-time.Duration(got.AgeMS)*time.Millisecond)
+	if current, grade := e.cache.Get(k, started, 0, objectcache.Requester{}); route.Shelf > 0 && (grade == objectcache.Miss || current.FromOwner) {
 		e.cache.Put(k, x)
 	}
 	return fetchedFrom(x)
 }
 
 // storeObject caches an object if its route allows that, and returns it as a copy.
-func (e *Edge) storeObject(q Fetch, route *clusterstate.Route, header http.Header, body []byte, askedAt time.Time, index uint64) *objectcache.Copy {
-	x := &objectcache.Copy{Header: header, Body: body, ETag: firstValue(header, "Etag"), Shelf: route.Shelf, At: askedAt, Index: index, For: q.asker(),
+func (e *Edge) storeObject(q Fetch, route *clusterstate.Route, header http.Header, body []byte, askedAt time.Time, index uint64) *objectcache.Entry {
+	x := &objectcache.Entry{Header: header, Body: body, ETag: firstValue(header, "Etag"), TTL: route.Shelf, ValidatedAt: askedAt, LogIndex: index, FetchedFor: q.asker(),
 		Labels: strings.Fields(strings.Join(header[upstream.HeaderLabels], " "))}
 	if route.Shelf > 0 {
 		e.cache.Put(q.Key, x)
@@ -309,14 +309,14 @@
 }
 
 // sendToService submits a request to a service's load balancer and waits for the answer.
-func (e *Edge) sendToService(svc *service, route string, order *upstream.Order, r exchange.Request) exchange.Answer {
+func (e *Edge) sendToService(svc *service, route string, order *upstream.OriginRequest, r exchange.Request) exchange.Answer {
 	x := exchange.New(r)
-	e.sender.Begin(x, order)
-	defer e.sender.End(x)
+	e.sender.Register(x, order)
+	defer e.sender.Unregister(x)
 	answer := submitAndWait(svc.loopFor(route), x, order.Caller)
-	svc.limiter.charge(order.Sent() - 1) // one token was taken; retries after failed attempts count as well
+	svc.limiter.charge(order.SentCount() - 1) // one token was taken; retries after failed attempts count as well
 	if answer.Kind == exchange.Served {
-		svc.speeds.record(route, order.Server(), order.Took(), len(answer.Body))
+		svc.speeds.record(route, order.Server(), order.Latency(), len(answer.Body))
 	}
 	return answer
 }
@@ -324,7 +324,7 @@
 // submitAndWait submits an exchange and waits for its answer. If the caller leaves, the load balancer is notified and the answer is Failed.
 // If an attempt must be finished all the same, its answer is awaited; no further attempt is sent (departure.Caller.Begin).
 func submitAndWait(l *exchange.Loop, x *exchange.Exchange, caller *departure.Caller) exchange.Answer {
-	if caller.Left() {
+	if caller.Cancelled() {
 		return exchange.Answer{Kind: exchange.Failed}
 	}
 	l.Submit(x)
@@ -336,7 +336,7 @@
 	if caller.Finishing() {
 		return <-x.Answer()
 	}
-	l.Depart(x)
+	l.ClientDisconnected(x)
 	return exchange.Answer{Kind: exchange.Failed}
 }
 
--- a/internal/cdn/edge/pieces.go
+++ b/internal/cdn/edge/pieces.go
@@ -28,8 +28,8 @@
 
 // cachedBody returns the body of the cached copy if its ETag and length still match, else nil.
 func (e *Edge) cachedBody(k objectcache.Key, etag string, total int) []byte {
-	x, grade := e.cache.Get(k, time.Now(), e.staleSlack(), objectcache.Asker{})
-	if grade == objectcache.NotThere || etag == "" || x.ETag != etag || len(x.Body) != total {
+	x, grade := e.cache.Get(k, time.Now(), e.staleSlack(), objectcache.Requester{})
+	if grade == objectcache.Miss || etag == "" || x.ETag != etag || len(x.Body) != total {
 		return nil
 	}
 	return x.Body
@@ -56,7 +56,7 @@
 		q.Most = peerPieceBytes
 	}
 	started := time.Now()
-	q.Ticket = peerrpc.NewTicket()
+	q.Ticket = peerrpc.NewCallID()
 	got, err := peerrpc.CallWatched[Fetch, Fetched](ctx, peer, "Edge.Fetch", &q, q.Ticket)
 	e.inbound.record(len(got.Body), time.Now())
 	if err != nil || got.Total == 0 {
--- a/internal/cdn/edge/plan.go
+++ b/internal/cdn/edge/plan.go
@@ -15,7 +15,7 @@
 // plan is one configuration, compiled for serving requests. It is immutable once it is in force.
 type plan struct {
 	*clusterstate.Manifest
-	routeTable *clusterstate.Table
+	routeTable *clusterstate.RouteTable
 	routes     map[string]*clusterstate.Route // by name
 	classes    classNames                     // load balancer class names of all routes
 	topRanks   map[string]int                 // by service: the highest rank of its routes, which is the lowest number
@@ -61,9 +61,9 @@
 // change, in order, with its lock held.
 func (e *Edge) applyChange(s *clusterstate.State, c clusterstate.Command, index uint64, snapshot bool) {
 	if snapshot {
-		e.cache.Forget(index)
+		e.cache.Reset(index)
 	}
-	if snapshot || c.Configures() {
+	if snapshot || c.HasConfig() {
 		e.applyConfig(s, c.Taken)
 	}
 	switch {
@@ -103,7 +103,7 @@
 			return
 		}
 	}
-	p := &plan{Manifest: m, routeTable: clusterstate.NewTable(m), tenantTable: newTenantTable(m), services: map[string]*service{}, classes: classNames{}, routes: make(map[string]*clusterstate.Route, len(m.Routes))}
+	p := &plan{Manifest: m, routeTable: clusterstate.NewRouteTable(m), tenantTable: newTenantTable(m), services: map[string]*service{}, classes: classNames{}, routes: make(map[string]*clusterstate.Route, len(m.Routes))}
 	for i := range m.Routes {
 		p.routes[m.Routes[i].Name] = &m.Routes[i]
 		for _, t := range p.tenantPerPriority(&m.Routes[i]) {
@@ -127,7 +127,7 @@
 				e.tasks.Go(func() { l.Run(ctx) })
 			}
 		}
-		svc.limiter.setRate(def.RatePerS*s.Share(def.Name, e.config.Node), e.config.Bounds)
+		svc.limiter.setRate(def.RatePerS*s.RateShare(def.Name, e.config.Node), e.config.Limits)
 		p.services[def.Name] = svc
 	}
 	e.plan.Store(p)
@@ -175,7 +175,7 @@
 			fraction = min(fraction, idleConnFraction*float64(def.ConnCap)/float64(max(routers, 1)))
 		}
 	}
-	return time.Duration(fraction * float64(upstream.IdleFor))
+	return time.Duration(fraction * float64(upstream.IdleTimeout))
 }
 
 // updateSettings updates the load balancers' settings, the rate limits and the idle timeout from the configuration and the number of
@@ -185,19 +185,19 @@
 	if p == nil {
 		return
 	}
-	e.sender.Pool.SetIdleFor(idleTimeout(p.Services, len(s.Routers)))
+	e.sender.Pool.SetIdleTimeout(idleTimeout(p.Services, len(s.Routers)))
 	for name, svc := range p.services {
 		settings := e.loopSettings(s, p, name)
 		for _, def := range p.Services {
 			if def.Name == name {
-				svc.limiter.setRate(def.RatePerS*s.Share(def.Name, e.config.Node), e.config.Bounds)
+				svc.limiter.setRate(def.RatePerS*s.RateShare(def.Name, e.config.Node), e.config.Limits)
 			}
 		}
 		e.enqueue(func() {
 			if !sameSettings(svc.applied, settings) {
 				svc.applied = settings
 				for _, l := range svc.loops() {
-					l.Retune(settings)
+					l.UpdateSettings(settings)
 				}
 			}
 		})
@@ -221,12 +221,12 @@
 // loopSettings returns the load balancer settings of a service. Routers is chosen so that all routers together fill at most
 // initialSlotShare of a server's slots before they have seen any response; a lone router may fill that share by itself.
 func (e *Edge) loopSettings(s *clusterstate.State, p *plan, name string) balance.Settings {
-	settings := balance.Settings{Number: 0, Zone: e.config.Zone, OverShareWorth: 1, Parallel: true, MaxRetryAfter: maxRetryAfter,
-		ConnectTimeout: time.Second, ColdFrom: warmUpStartFraction, Ramp: warmUpTime, OverloadFactor: 2, OverloadFor: 2 * time.Second}
+	settings := balance.Settings{Index: 0, Zone: e.config.Zone, OverSharePriority: 1, ParallelAttempts: true, MaxRetryAfter: maxRetryAfter,
+		ConnectTimeout: time.Second, ColdStartShare: warmUpStartFraction, RampTime: warmUpTime, OverloadFactor: 2, OverloadFor: 2 * time.Second}
 	known := map[classKey]bool{}
 	for i := range p.Routes {
 		r := &p.Routes[i]
-		if !slices.ContainsFunc(r.Split, func(x clusterstate.Share) bool { return x.Service == name && x.Weight > 0 }) {
+		if !slices.ContainsFunc(r.Split, func(x clusterstate.ServiceShare) bool { return x.Service == name && x.Weight > 0 }) {
 			continue
 		}
 		for _, t := range p.tenantPerPriority(r) {
@@ -240,7 +240,7 @@
 		}
 	}
 	if len(settings.Classes) == 0 {
-		settings.Classes = []balance.Class{{Name: "none", Aim: placeholderDeadline / 2, Deadline: placeholderDeadline, Worth: 1}}
+		settings.Classes = []balance.Class{{Name: "none", Target: placeholderDeadline / 2, Deadline: placeholderDeadline, Priority: 1}}
 	}
 	slots, servers := 0, 0
 	for _, server := range s.Servers {
--- a/internal/cdn/edge/plan_test.go
+++ b/internal/cdn/edge/plan_test.go
@@ -21,18 +21,18 @@
 	e := &Edge{config: bootconfig.Settings{Zone: "a"}}
 	s := clusterstate.New()
 	p := &plan{Manifest: &clusterstate.Manifest{Routes: []clusterstate.Route{
-		{Name: "board", Kind: clusterstate.Shelved, Target: 120 * time.Millisecond, Timeout: 1500 * time.Millisecond, Priority: 2, Tries: 3, Split: []clusterstate.Share{{Service: "vault", Weight: 1}}},
-		{Name: "claim", Kind: clusterstate.OnceOnly, Target: 500 * time.Millisecond, Timeout: 2 * time.Second, Priority: 1, Tries: 2, Split: []clusterstate.Share{{Service: "vault", Weight: 1}}},
-		{Name: "other", Kind: clusterstate.Resendable, Timeout: time.Second, Tries: 1, Split: []clusterstate.Share{{Service: "desk", Weight: 1}, {Service: "vault", Weight: 0}}},
+		{Name: "board", Kind: clusterstate.KindCacheable, Target: 120 * time.Millisecond, Timeout: 1500 * time.Millisecond, Priority: 2, Tries: 3, Split: []clusterstate.ServiceShare{{Service: "vault", Weight: 1}}},
+		{Name: "claim", Kind: clusterstate.KindOnceOnly, Target: 500 * time.Millisecond, Timeout: 2 * time.Second, Priority: 1, Tries: 2, Split: []clusterstate.ServiceShare{{Service: "vault", Weight: 1}}},
+		{Name: "other", Kind: clusterstate.KindResendable, Timeout: time.Second, Tries: 1, Split: []clusterstate.ServiceShare{{Service: "desk", Weight: 1}, {Service: "vault", Weight: 0}}},
 	}}}
 	set := e.loopSettings(s, p, "vault")
 	assert.Equal(t, len(set.Classes), 2)
-	assert.Equal(t, set.Classes[0].Aim, 375*time.Millisecond)
+	assert.Equal(t, set.Classes[0].Target, 375*time.Millisecond)
 	assert.Equal(t, set.Classes[0].Effect, balance.Safe)
-	assert.Equal(t, set.Classes[1].Aim, 500*time.Millisecond)
+	assert.Equal(t, set.Classes[1].Target, 500*time.Millisecond)
 	assert.Equal(t, set.Classes[1].Effect, balance.Unsafe)
 	assert.Equal(t, set.MaxAttempts, 2)
-	assert.Equal(t, e.loopSettings(s, p, "desk").Classes[0].Aim, 500*time.Millisecond)
+	assert.Equal(t, e.loopSettings(s, p, "desk").Classes[0].Target, 500*time.Millisecond)
 	assert.Equal(t, e.loopSettings(s, p, "none").Classes[0].Name, "none")
 
 	for i := range 11 {
@@ -49,7 +49,7 @@
 // The routers' shares of a service's rate add up to no more than its ceiling in any window, for any number of routers, also after they were
 // idle.
 func TestRateLimiterShares(t *testing.T) {
-	b := bootconfig.Bounds{CeilingWindow: 5 * time.Second, CeilingExcess: 1.1}
+	b := bootconfig.Limits{CeilingWindow: 5 * time.Second, CeilingExcess: 1.1}
 	for _, routers := range []int{1, 11, 82, 420} {
 		var r rateLimiter
 		r.setRate(410/float64(routers), b)
@@ -93,16 +93,16 @@
 // routes have equal ranks has no low ones. Without this, boards took the tokens that tiles, of twice the worth, needed.
 func TestRateLimiterRanks(t *testing.T) {
 	m := &clusterstate.Manifest{Routes: []clusterstate.Route{
-		{Name: "board", Priority: 2, Split: []clusterstate.Share{{Service: "vault", Weight: 1}}},
-		{Name: "tile", Priority: 1, Split: []clusterstate.Share{{Service: "vault", Weight: 1}}},
-		{Name: "gone", Priority: 0, Split: []clusterstate.Share{{Service: "vault"}, {Service: "desk", Weight: 1}}},
-		{Name: "seat", Priority: 0, Split: []clusterstate.Share{{Service: "desk", Weight: 1}}},
+		{Name: "board", Priority: 2, Split: []clusterstate.ServiceShare{{Service: "vault", Weight: 1}}},
+		{Name: "tile", Priority: 1, Split: []clusterstate.ServiceShare{{Service: "vault", Weight: 1}}},
+		{Name: "gone", Priority: 0, Split: []clusterstate.ServiceShare{{Service: "vault"}, {Service: "desk", Weight: 1}}},
+		{Name: "seat", Priority: 0, Split: []clusterstate.ServiceShare{{Service: "desk", Weight: 1}}},
 	}}
 	p, vault, desk := &plan{Manifest: m, topRanks: topRanks(m)}, &service{name: "vault"}, &service{name: "desk"}
 	assert.Assert(t, p.ranksLow(&m.Routes[0], nil, vault) && !p.ranksLow(&m.Routes[1], nil, vault) && !p.ranksLow(&m.Routes[3], nil, desk))
 
 	var r rateLimiter
-	r.setRate(100, bootconfig.Bounds{CeilingWindow: 5 * time.Second, CeilingExcess: 1.1})
+	r.setRate(100, bootconfig.Limits{CeilingWindow: 5 * time.Second, CeilingExcess: 1.1})
 	r.perSecond = 1e-9 // no refill during the test
 	boards, tiles := 0, 0
 	for r.take(true) {
@@ -139,7 +139,7 @@
 	}
 	total, asking := 0.0, 0
 	for _, n := range nodes {
-		share := s.Share("shop", n)
+		share := s.RateShare("shop", n)
 		if total += share; share > 0.01 {
 			asking++
 		}
@@ -177,11 +177,11 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Equal(t, len(clusterstate.Shields(c.routers)), c.shields)
-			assert.Equal(t, len(clusterstate.Lenders(c.routers)), c.lender)
+			assert.Equal(t, len(clusterstate.PeerSources(c.routers)), c.lender)
 			total, s := 0.0, clusterstate.New()
 			s.Routers = c.routers
 			for node := range c.routers {
-				total += s.Share("shop", node)
+				total += s.RateShare("shop", node)
 			}
 			assert.Assert(t, total < 1.001 && (total > 0.999 || len(c.routers) == 0), total)
 		})
@@ -192,7 +192,7 @@
 func TestClientAddressIsRequired(t *testing.T) {
 	err := Run(t.Context(), bootconfig.Settings{Serves: []string{"counter"}}, nil)
 	assert.ErrorContains(t, err, "network.listen_on.counter")
-	err = Run(t.Context(), bootconfig.Settings{Serves: []string{"counter"}, Counter: "127.0.0.1:1"}, nil)
+	err = Run(t.Context(), bootconfig.Settings{Serves: []string{"counter"}, ClientAddress: "127.0.0.1:1"}, nil)
 	assert.ErrorContains(t, err, "network.listen_on.readiness")
 }
 
@@ -205,9 +205,9 @@
 
 // Eighty-two routers that each keep a connection would fill a server that accepts 63.
 func TestIdleTimeout(t *testing.T) {
-	assert.Equal(t, idleTimeout([]clusterstate.Service{{ConnCap: 130}, {}}, 11), upstream.IdleFor)
+	assert.Equal(t, idleTimeout([]clusterstate.Service{{ConnCap: 130}, {}}, 11), upstream.IdleTimeout)
 	few := idleTimeout([]clusterstate.Service{{ConnCap: 130}, {ConnCap: 63}}, 82)
-	assert.Assert(t, few < upstream.IdleFor/2 && few > time.Second, few.String())
+	assert.Assert(t, few < upstream.IdleTimeout/2 && few > time.Second, few.String())
 }
 
 func TestParseRange(t *testing.T) {
@@ -235,8 +235,8 @@
 	seen := map[string]bool{}
 	for _, zone := range []string{"a", "b", "c", "d", "e"} {
 		tiers := &zoneFirstTiers{zone: zone}
-		tiers.Listed(0, map[string]int{"a": 2, "b": 2, "c": 0, "x": 1})
-		order := tiers.Order(0, balance.Visit{})
+		tiers.SetUp(0, map[string]int{"a": 2, "b": 2, "c": 0, "x": 1})
+		order := tiers.Order(0, balance.RequestInfo{})
 		assert.Equal(t, len(order), 3)
 		if zone == "a" || zone == "b" {
 			assert.Equal(t, order[0].Zone, zone)
--- a/internal/cdn/edge/proof.go
+++ b/internal/cdn/edge/proof.go
@@ -23,7 +23,7 @@
 // checkProof returns nil if keyed requests sent until now may run according to the plan that is loaded after this call, else errNotProven.
 // That plan lacks no key removal that was acknowledged more than revoke ago.
 func (e *Edge) checkProof(now time.Time) error {
-	revoke := e.config.Bounds.Revoke
+	revoke := e.config.Limits.RevokeTimeout
 	if revoke == 0 || now.Sub(e.replica.Proof()) < revoke-revokeMargin(revoke) {
 		return nil
 	}
@@ -38,8 +38,8 @@
 // isCurrent reports whether this router provably knows all that was acknowledged a short time ago: a part of contact, and less than
 // edition_time, after which every connected router must know of a change.
 func (e *Edge) isCurrent() bool {
-	maxAge := e.config.Bounds.Contact / contactDivisor
-	if edition := e.config.Bounds.Edition; edition > 0 {
+	maxAge := e.config.Limits.Contact / contactDivisor
+	if edition := e.config.Limits.Edition; edition > 0 {
 		maxAge = min(maxAge, edition-edition/editionMarginDivisor)
 	}
 	return time.Since(e.replica.Proof()) < maxAge
--- a/internal/cdn/edge/proof_test.go
+++ b/internal/cdn/edge/proof_test.go
@@ -13,10 +13,10 @@
 )
 
 // disconnectedEdge returns a router whose last proof is of the given time, and that was disconnected from all others then.
-func disconnectedEdge(b bootconfig.Bounds, at time.Time) *Edge {
-	e := &Edge{config: bootconfig.Settings{Bounds: b}, replica: statesync.New()}
+func disconnectedEdge(b bootconfig.Limits, at time.Time) *Edge {
+	e := &Edge{config: bootconfig.Settings{Limits: b}, replica: statesync.New()}
 	e.replica.Log = hclog.NewNullLogger()
-	e.replica.Take(clusterstate.News{Fresh: true, Proven: true}, at)
+	e.replica.Apply(clusterstate.News{Fresh: true, Proven: true}, at)
 	return e
 }
 
@@ -36,18 +36,18 @@
 		{0, time.Hour, true},
 	} {
 		now := time.Now()
-		e := disconnectedEdge(bootconfig.Bounds{Revoke: c.revoke, Contact: 5 * time.Second}, now)
+		e := disconnectedEdge(bootconfig.Limits{RevokeTimeout: c.revoke, Contact: 5 * time.Second}, now)
 		if got := e.checkProof(now.Add(c.age)); (got == nil) != c.runs {
 			t.Errorf("revoke %v: %v after the proof checkProof returns %v", c.revoke, c.age, got)
 		}
 	}
 	now := time.Now()
-	e := disconnectedEdge(bootconfig.Bounds{Revoke: 5 * time.Second}, now)
+	e := disconnectedEdge(bootconfig.Limits{RevokeTimeout: 5 * time.Second}, now)
 	later := now.Add(6 * time.Second)
-	e.replica.TakeFromNeighbour(clusterstate.News{Proven: true, AgeMS: 4000}, later)
+	e.replica.ApplyFromNeighbour(clusterstate.News{Proven: true, AgeMS: 4000}, later)
 	assert.NilError(t, e.checkProof(later))
 	assert.ErrorIs(t, e.checkProof(later.Add(time.Second)), errNotProven)
-	e.replica.TakeFromNeighbour(clusterstate.News{Proven: true, AgeMS: 4000, Index: 7}, later.Add(time.Second))
+	e.replica.ApplyFromNeighbour(clusterstate.News{Proven: true, AgeMS: 4000, Index: 7}, later.Add(time.Second))
 	assert.ErrorIs(t, e.checkProof(later.Add(time.Second)), errNotProven, "proof from a response that lacks changes that the neighbour holds")
 	e.replica = statesync.New()
 	assert.ErrorIs(t, e.checkProof(now), errNotProven, "proof of an empty replica")
@@ -55,7 +55,7 @@
 
 // Cached copies are served while all purges older than contact are known. A router is current while its proof is younger than half of that.
 func TestCachedCopiesRequireProof(t *testing.T) {
-	bounds := bootconfig.Bounds{Contact: time.Hour}
+	bounds := bootconfig.Limits{Contact: time.Hour}
 	for _, c := range []struct {
 		age              time.Duration
 		current, vouched bool
--- a/internal/cdn/edge/ratelimit.go
+++ b/internal/cdn/edge/ratelimit.go
@@ -33,7 +33,7 @@
 )
 
 // setRate sets the limit to perS requests per second; 0 removes it.
-func (r *rateLimiter) setRate(perS float64, b bootconfig.Bounds) {
+func (r *rateLimiter) setRate(perS float64, b bootconfig.Limits) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	perSecond := perS * rateFraction
@@ -77,7 +77,7 @@
 			return
 		case now := <-ticker.C:
 			needs, holder := clusterstate.Needs{Node: e.config.Node, Per: map[string]float64{}}, ""
-			e.replica.Read(func(s *clusterstate.State) {
+			e.replica.View(func(s *clusterstate.State) {
 				holder = s.Duty.Holder
 				for name, svc := range e.services {
 					if demand := svc.limiter.sampleDemand(now); demand >= minReportedDemand {
@@ -89,7 +89,7 @@
 				continue
 			}
 			callCtx, cancel := context.WithTimeout(ctx, demandInterval)
-			if _, err := peerrpc.Call[clusterstate.Needs, bool](callCtx, e.peers.At(e.config.Inner(holder, bootconfig.ConfigStorePort)), "ConfigStore.Need", &needs); err != nil {
+			if _, err := peerrpc.Call[clusterstate.Needs, bool](callCtx, e.peers.At(e.config.InternalAddress(holder, bootconfig.ConfigStorePort)), "ConfigStore.Need", &needs); err != nil {
 				e.log.Debug("cannot report demand", "err", err)
 			}
 			cancel()
--- a/internal/cdn/edge/serve.go
+++ b/internal/cdn/edge/serve.go
@@ -55,8 +55,8 @@
 func (e *Edge) serve(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	e.counters.Requests.Add(1)
-	q := &request{Request: r, w: w, outbound: e.outbound, id: r.Header.Get(upstream.HeaderID), arrived: arrived, timeLeft: defaultTimeLeft, plan: e.plan.Load(), closeConn: e.closeConns.Load()}
-	if ms := atoi(r.Header.Get(upstream.HeaderLeft)); ms > 0 {
+	q := &request{Request: r, w: w, outbound: e.outbound, id: r.Header.Get(upstream.HeaderRequestID), arrived: arrived, timeLeft: defaultTimeLeft, plan: e.plan.Load(), closeConn: e.closeConns.Load()}
+	if ms := atoi(r.Header.Get(upstream.HeaderTimeLeft)); ms > 0 {
 		q.timeLeft = time.Duration(min(ms, int64(time.Hour/time.Millisecond))) * time.Millisecond
 	}
 	if q.plan == nil { // just started: the replicated state has not arrived yet
@@ -75,7 +75,7 @@
 		return
 	}
 	q.timeLeft = min(q.timeLeft, q.route.Timeout)
-	if q.route.Kind == clusterstate.Shelved && (r.Method == http.MethodGet || r.Method == http.MethodHead) {
+	if q.route.Kind == clusterstate.KindCacheable && (r.Method == http.MethodGet || r.Method == http.MethodHead) {
 		// A cacheable response does not depend on the request body, and an unread body would hide a disconnect.
 		io.Copy(io.Discard, http.MaxBytesReader(q.w, r.Body, smallBodyBytes))
 		e.serveObject(q, objectKey(q, strings.ToLower(host)))
@@ -88,9 +88,9 @@
 // trackCaller registers the request's client as a caller until the returned function is called.
 func (e *Edge) trackCaller(q *request) (done func()) {
 	q.caller = e.callers.Open(q.Context(), departure.Client, q.route.Name)
-	onDisconnect(q.Request, q.caller.Leave)
+	onDisconnect(q.Request, q.caller.Cancel)
 	return func() {
-		disconnected := q.caller.Left()
+		disconnected := q.caller.Cancelled()
 		q.caller.Close()
 		if disconnected && !q.answered { // http.Server would send an empty 200 for a handler that writes nothing
 			panic(http.ErrAbortHandler)
@@ -107,8 +107,8 @@
 		return
 	}
 	if r.ContentLength < 0 || r.ContentLength > smallBodyBytes { // buffered whole, within the memory budget of all request bodies
-		maxBytes = min(maxBytes, e.bodyBudget.Most())
-		release, ok := e.bodyBudget.Take(max(r.ContentLength, min(maxBytes, smallBodyBytes)))
+		maxBytes = min(maxBytes, e.bodyBudget.Size())
+		release, ok := e.bodyBudget.Acquire(max(r.ContentLength, min(maxBytes, smallBodyBytes)))
 		if !ok {
 			q.refuse(defaultRetryAfter)
 			return
@@ -133,7 +133,7 @@
 
 // forward sends a request to a server of its route's service and writes the response.
 func (e *Edge) forward(q *request, body []byte) {
-	svc := q.plan.services[q.route.Pick(rand.Float64())]
+	svc := q.plan.services[q.route.PickService(rand.Float64())]
 	if svc == nil {
 		q.refuse(defaultRetryAfter)
 		return
@@ -151,17 +151,17 @@
 	}
 	header := upstream.EndToEnd(q.Header.Clone())
 	if e.plan.Load().keys != nil { // tenants may have been configured since the request arrived
-		delete(header, upstream.HeaderKey)
-		delete(header, upstream.HeaderSender)
+		delete(header, upstream.HeaderClientKey)
+		delete(header, upstream.HeaderTenant)
 	}
 	header["Host"] = []string{q.Host}
-	order := &upstream.Order{ID: q.id, OnceOnly: q.route.Kind == clusterstate.OnceOnly, Caller: q.caller, Permit: permit, Account: e.usageAccount(q.tenant)}
-	answer := e.sendToService(svc, q.route.Name, order, exchange.Request{ID: q.id, Class: q.plan.className(q.route, q.tenant), Arrived: q.arrived, TimeLeft: q.timeLeft,
-		Write: q.route.Kind == clusterstate.OnceOnly, Method: q.Method, Target: requestTarget(q.Request), Header: header, Body: body})
-	denied := order.Denied()
-	switch failure := order.Failure(); {
-	case q.caller.Left(): // the client has disconnected
-	case denied != nil && order.SurelyNotRun():
+	order := &upstream.OriginRequest{ID: q.id, OnceOnly: q.route.Kind == clusterstate.KindOnceOnly, Caller: q.caller, Permit: permit, UsageCounter: e.usageAccount(q.tenant)}
+	answer := e.sendToService(svc, q.route.Name, order, exchange.Request{ID: q.id, Class: q.plan.className(q.route, q.tenant), Arrived: q.arrived, Timeout: q.timeLeft,
+		Write: q.route.Kind == clusterstate.KindOnceOnly, Method: q.Method, Target: requestTarget(q.Request), Header: header, Body: body})
+	denied := order.DenyReason()
+	switch failure := order.LastFailure(); {
+	case q.caller.Cancelled(): // the client has disconnected
+	case denied != nil && order.NeverRan():
 		q.deny(denialOf(denied))
 	case answer.Kind == exchange.Served:
 		q.writeResponse(int(atoi(firstValue(answer.Header, upstream.StatusKey))), answer.Header, answer.Body)
@@ -181,7 +181,7 @@
 // objectKey returns the cache key of the requested object. Path and query are not normalized: another spelling may be another object.
 func objectKey(q *request, host string) objectcache.Key {
 	k := objectcache.Key{Host: host, Path: q.URL.EscapedPath(), Query: q.URL.RawQuery}
-	k.Service = q.route.Pick(float64(k.Hash()>>11) / (1 << 53))
+	k.Service = q.route.PickService(float64(k.Hash()>>11) / (1 << 53))
 	return k
 }
 
@@ -189,7 +189,7 @@
 // work, so its client is not tracked.
 func (e *Edge) serveObject(q *request, k objectcache.Key) {
 	q.onAnswer = e.answerCounter(q.tenant)
-	cached, grade := e.lookup(k, objectcache.Asker{ID: q.id, ClientKey: q.clientKey}, true)
+	cached, grade := e.lookup(k, objectcache.Requester{ID: q.id, ClientKey: q.clientKey}, true)
 	if grade == objectcache.Fresh {
 		q.deliver(fetchedFrom(cached))
 		return
@@ -199,20 +199,20 @@
 }
 
 // serveFromTier answers from the cache router that owns the key, or from the servers if that router does not answer.
-func (e *Edge) serveFromTier(q *request, k objectcache.Key, cached *objectcache.Copy) {
+func (e *Edge) serveFromTier(q *request, k objectcache.Key, cached *objectcache.Entry) {
 	query := Fetch{Key: k, Target: k.Target(), ID: q.id, ClientKey: q.clientKey, Route: q.route.Name, Index: e.replica.Index()}
-	if cached != nil && cached.Lent && e.purgesKnown() {
+	if cached != nil && cached.FromOwner && e.purgesKnown() {
 		query.ETag = cached.ETag
 	}
 	timeLeft := q.timeLeft - tierReserve
 	if timeLeft <= 0 {
 		timeLeft = q.timeLeft
 	}
-	x := exchange.New(exchange.Request{ID: q.id, Class: copyClass, Key: k.Hash(), HasKey: true, Arrived: q.arrived, TimeLeft: timeLeft,
+	x := exchange.New(exchange.Request{ID: q.id, Class: copyClass, Key: k.Hash(), HasKey: true, Arrived: q.arrived, Timeout: timeLeft,
 		Method: http.MethodGet, Target: query.Target, Header: encodeFetch(query)})
 	started := time.Now()
 	answer := e.zoneCaches.do(x, q.caller)
-	if q.caller.Left() {
+	if q.caller.Cancelled() {
 		return
 	}
 	if answer.Kind == exchange.Served {
@@ -316,7 +316,7 @@
 	q.answered = true
 	out := q.w.Header()
 	if q.id != "" {
-		out[upstream.HeaderID] = []string{q.id}
+		out[upstream.HeaderRequestID] = []string{q.id}
 	}
 	if out["Content-Type"] == nil {
 		out["Content-Type"] = nil // keeps net/http from sniffing the content type
--- a/internal/cdn/edge/serve_test.go
+++ b/internal/cdn/edge/serve_test.go
@@ -55,17 +55,17 @@
 	body, _ := io.ReadAll(r.Body)
 	o.mu.Lock()
 	o.requests = append(o.requests, fmt.Sprintf("%s %s %s %s", r.Method, r.Host, r.RequestURI, body))
-	o.identitiesSeen = append(o.identitiesSeen, identity{r.Header.Get(upstream.HeaderID), r.Header.Get("Sender"), r.Header.Get("Key")})
+	o.identitiesSeen = append(o.identitiesSeen, identity{r.Header.Get(upstream.HeaderRequestID), r.Header.Get("Sender"), r.Header.Get("Key")})
 	version, wait, status := o.version, o.gate, o.status
 	o.mu.Unlock()
 	if wait != nil {
 		<-wait
 	}
-	if id := r.Header.Get(upstream.HeaderID); id != "" {
-		w.Header().Set(upstream.HeaderID, id)
+	if id := r.Header.Get(upstream.HeaderRequestID); id != "" {
+		w.Header().Set(upstream.HeaderRequestID, id)
 	}
 	if o.rejects() {
-		w.Header().Set(upstream.HeaderNotRun, "1")
+		w.Header().Set(upstream.HeaderNotProcessed, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -110,13 +110,13 @@
 // newTestEdge returns a router without core machines, and a function by which the test applies commands to its state.
 func newTestEdge(t testing.TB, o *origin, routes string) (*Edge, func(c clusterstate.Command)) {
 	t.Helper()
-	e := &Edge{config: bootconfig.Settings{Node: "me", Zone: "a", MemoryMB: 64, FileHandles: 1024, Bounds: bootconfig.Bounds{Contact: time.Hour, StaleSlack: 2 * time.Second,
+	e := &Edge{config: bootconfig.Settings{Node: "me", Zone: "a", MemoryMB: 64, FileHandles: 1024, Limits: bootconfig.Limits{Contact: time.Hour, StaleSlack: 2 * time.Second,
 		CeilingWindow: 5 * time.Second, CeilingExcess: 1.1}},
 		log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), replica: statesync.New(), cache: objectcache.New(8 << 20), clock: exchange.NewClock(),
 		changes: make(chan func(), 64), lifetime: t.Context()}
 	e.init()
 	e.replica.Set, e.replica.Log = e.config, e.log
-	e.replica.Take(clusterstate.News{Fresh: true, Proven: true}, time.Now())
+	e.replica.Apply(clusterstate.News{Fresh: true, Proven: true}, time.Now())
 	go e.zoneCaches.loop.Run(t.Context())
 	go e.shields.loop.Run(t.Context())
 	go e.zoneShields.loop.Run(t.Context())
@@ -125,12 +125,12 @@
 	apply := func(c clusterstate.Command) {
 		index++
 		out := s.Apply(index, c)
-		assert.Equal(t, out.Status, clusterstate.Done, out.Text)
+		assert.Equal(t, out.Status, clusterstate.StatusOK, out.Text)
 		e.applyChange(s, c, index, false)
 	}
 	apply(clusterstate.Command{Put: []byte(`{"edition":"r1","based_on":0,"parcels":[` + routes + `{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{}}]}`)})
 	apply(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "me", Zone: "a"}}})
-	apply(clusterstate.Command{Server: &clusterstate.Server{ID: "i-1", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.Open, Beat: 1}})
+	apply(clusterstate.Command{Server: &clusterstate.Server{ID: "i-1", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.ServerOpen, Beat: 1}})
 	done := make(chan struct{})
 	e.enqueue(func() { close(done) })
 	<-done
@@ -158,7 +158,7 @@
 	q, err := http.NewRequest(method, url+target, strings.NewReader(body))
 	assert.NilError(t, err)
 	q.Host = "a.example"
-	q.Header.Set(upstream.HeaderID, fmt.Sprint("try-", time.Now().UnixNano()))
+	q.Header.Set(upstream.HeaderRequestID, fmt.Sprint("try-", time.Now().UnixNano()))
 	for i := 0; i+1 < len(head); i += 2 {
 		q.Header.Set(head[i], head[i+1])
 	}
@@ -267,7 +267,7 @@
 	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 1")
 	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 1")
 	before := len(o.seen())
-	e.config.Bounds.Contact, e.replica.Set.Bounds.Contact = 0, 0 // the proof is too old
+	e.config.Limits.Contact, e.replica.Set.Limits.Contact = 0, 0 // the proof is too old
 	o.set(func() { o.version = 2 })
 	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 2")
 	assert.Equal(t, len(o.seen()), before+1)
--- a/internal/cdn/edge/servers.go
+++ b/internal/cdn/edge/servers.go
@@ -27,7 +27,7 @@
 	case e.listDelay == 0:
 		e.pushServerLists(s)
 	case first:
-		time.AfterFunc(e.listDelay, func() { e.replica.Read(e.pushServerLists) })
+		time.AfterFunc(e.listDelay, func() { e.replica.View(e.pushServerLists) })
 	}
 }
 
@@ -52,7 +52,7 @@
 			continue
 		}
 		hasLocal := false
-		list := exchange.List{Addresses: map[balance.ServerID]string{}}
+		list := exchange.ServerList{Addresses: map[balance.ServerID]string{}}
 		list.Kind, list.Version = balance.Complete, int64(s.Index)
 		for _, id := range slices.Sorted(maps.Keys(s.Servers)) {
 			server := s.Servers[id]
@@ -61,7 +61,7 @@
 			}
 			entry := balance.Entry{Server: balance.ServerID(id), Zone: server.Zone, Weight: float64(max(server.Slots, 1)) * svc.speeds.weightFactor(id), Started: e.warmupStart(server)}
 			hasLocal = hasLocal || server.Zone == e.config.Zone
-			if server.State != clusterstate.Open {
+			if server.State != clusterstate.ServerOpen {
 				entry.State = balance.Draining
 			}
 			list.Entries = append(list.Entries, entry)
@@ -71,7 +71,7 @@
 		e.serverLists.Add(1)
 		e.enqueue(func() {
 			for _, loop := range svc.loops() {
-				loop.Listed(list)
+				loop.UpdateServers(list)
 			}
 		})
 	}
--- a/internal/cdn/edge/serverspeeds.go
+++ b/internal/cdn/edge/serverspeeds.go
@@ -114,7 +114,7 @@
 
 // reweighServers sends new server lists to the load balancers of services whose servers' speeds have changed.
 func (e *Edge) reweighServers() {
-	e.replica.Read(func(s *clusterstate.State) {
+	e.replica.View(func(s *clusterstate.State) {
 		for name, svc := range e.services {
 			servers := map[string]bool{}
 			for id, x := range s.Servers {
--- a/internal/cdn/edge/statelog.go
+++ b/internal/cdn/edge/statelog.go
@@ -31,7 +31,7 @@
 // logState logs the state once.
 func (e *Edge) logState() {
 	for _, l := range []*exchange.Loop{e.zoneCaches.loop, e.shields.loop, e.zoneShields.loop} {
-		l.View(slog.LevelInfo)
+		l.LogView(slog.LevelInfo)
 	}
 	p := e.plan.Load()
 	if p == nil {
@@ -41,7 +41,7 @@
 		limiter := svc.limiter.view()
 		e.log.Info("service state", "service", name, "share_per_s", limiter.perSecond, "tokens", limiter.tokens, "burst", limiter.burst, "need_per_s", limiter.demand)
 		for _, l := range svc.loops() {
-			l.View(slog.LevelInfo)
+			l.LogView(slog.LevelInfo)
 		}
 	}
 }
--- a/internal/cdn/edge/usage.go
+++ b/internal/cdn/edge/usage.go
@@ -36,11 +36,11 @@
 func (e *Edge) trueTime() time.Time { return e.wallClock.Now(time.Now()) }
 
 // usageAccount returns the account by which a tenant's request to servers is counted; nil if usage is not reported.
-func (e *Edge) usageAccount(tenant *clusterstate.Tenant) upstream.Account {
+func (e *Edge) usageAccount(tenant *clusterstate.Tenant) upstream.UsageCounter {
 	if e.meter == nil || tenant == nil {
 		return nil
 	}
-	return usage.NewRequest(e.meter, e.trueTime)
+	return usage.NewRequestCount(e.meter, e.trueTime)
 }
 
 // answerCounter returns a function that counts a tenant's request on a cacheable route if its status is a success; nil if usage is not
@@ -83,13 +83,13 @@
 // reportUsageOnce reports the counts that are not yet fixed in the log, through neighbours if the duty holder can't be reached.
 func (e *Edge) reportUsageOnce(ctx context.Context) {
 	var fixed int64
-	e.replica.Read(func(s *clusterstate.State) { fixed = s.Usage.Fixed })
-	e.meter.Fixed(fixed)
+	e.replica.View(func(s *clusterstate.State) { fixed = s.Usage.Fixed })
+	e.meter.DropFixed(fixed)
 	report := e.meter.Report(e.trueTime())
 	if e.sendReport(ctx, &report) == nil {
 		return
 	}
-	neighbours := e.peerView.Neighbours()
+	neighbours := e.peerView.Addresses()
 	for _, at := range neighbours[:min(len(neighbours), maxReportRelays)] {
 		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 		_, err := peerrpc.Call[usage.Report, bool](callCtx, e.peers.At(at), "Edge.PassUsage", &report)
@@ -104,13 +104,13 @@
 // sendReport sends a report to the duty holder.
 func (e *Edge) sendReport(ctx context.Context, report *usage.Report) error {
 	holder := ""
-	e.replica.Read(func(s *clusterstate.State) { holder = s.Duty.Holder })
+	e.replica.View(func(s *clusterstate.State) { holder = s.Duty.Holder })
 	if holder == "" {
 		return Error.New("usage: there is no duty holder")
 	}
 	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	_, err := peerrpc.Call[usage.Report, bool](callCtx, e.peers.At(e.config.Inner(holder, bootconfig.ConfigStorePort)), "ConfigStore.Usage", report)
+	_, err := peerrpc.Call[usage.Report, bool](callCtx, e.peers.At(e.config.InternalAddress(holder, bootconfig.ConfigStorePort)), "ConfigStore.Usage", report)
 	return err
 }
 
--- a/internal/cdn/edge/usage_test.go
+++ b/internal/cdn/edge/usage_test.go
@@ -69,7 +69,7 @@
 func newRequest(method, target string, head ...string) *http.Request {
 	r := httptest.NewRequest(method, "http://a.example"+target, nil)
 	r.RequestURI = target
-	r.Header.Set(upstream.HeaderID, "try")
+	r.Header.Set(upstream.HeaderRequestID, "try")
 	for i := 0; i+1 < len(head); i += 2 {
 		r.Header.Set(head[i], head[i+1])
 	}
--- a/internal/cdn/edge/weighted.go
+++ b/internal/cdn/edge/weighted.go
@@ -19,8 +19,8 @@
 // newWeightedPlacement returns a placement without servers.
 func newWeightedPlacement() balance.Placement { return new(weightedPlacement) }
 
-// Follow replaces the servers and their weights.
-func (p *weightedPlacement) Follow(weights map[balance.ServerID]float64) {
+// SetWeights replaces the servers and their weights.
+func (p *weightedPlacement) SetWeights(weights map[balance.ServerID]float64) {
 	p.servers, p.cumulative = slices.AppendSeq(p.servers[:0], maps.Keys(weights)), p.cumulative[:0]
 	slices.Sort(p.servers)
 	total := 0.0
--- a/internal/cdn/edge/zonefirst.go
+++ b/internal/cdn/edge/zonefirst.go
@@ -14,15 +14,15 @@
 	tiers []balance.Tier
 }
 
-// Listed implements balance.Tiers: it orders the zones that have servers.
-func (t *zoneFirstTiers) Listed(_ balance.Time, up map[string]int) {
+// SetUp implements balance.Tiers: it orders the zones that have servers.
+func (t *zoneFirstTiers) SetUp(_ balance.Time, up map[string]int) {
 	t.tiers = t.tiers[:0]
 	if up[t.zone] > 0 {
-		t.tiers = append(t.tiers, balance.Tier{Zone: t.zone, Part: 1})
+		t.tiers = append(t.tiers, balance.Tier{Zone: t.zone, LimitShare: 1})
 	}
 	for _, zone := range slices.Sorted(maps.Keys(up)) {
 		if zone != t.zone && up[zone] > 0 {
-			t.tiers = append(t.tiers, balance.Tier{Zone: zone, Part: 1})
+			t.tiers = append(t.tiers, balance.Tier{Zone: zone, LimitShare: 1})
 		}
 	}
 	if len(t.tiers) > 2 { // the second zone depends on the own zone: not all traffic of a lost zone goes to the same one
@@ -40,13 +40,13 @@
 }
 
 // Order implements balance.Tiers.
-func (t *zoneFirstTiers) Order(balance.Time, balance.Visit) []balance.Tier { return t.tiers }
+func (t *zoneFirstTiers) Order(balance.Time, balance.RequestInfo) []balance.Tier { return t.tiers }
 
-// Begun implements balance.Tiers; attempts don't change the order.
-func (t *zoneFirstTiers) Begun(balance.Time, string, uint64, bool, bool) bool { return false }
+// AttemptBegun implements balance.Tiers; attempts don't change the order.
+func (t *zoneFirstTiers) AttemptBegun(balance.Time, string, uint64, bool, bool) bool { return false }
 
-// Ended implements balance.Tiers.
-func (t *zoneFirstTiers) Ended(balance.Time, balance.Stay) {}
+// AttemptEnded implements balance.Tiers.
+func (t *zoneFirstTiers) AttemptEnded(balance.Time, balance.AttemptResult) {}
 
 // View implements balance.Tiers; there is nothing to show.
 func (t *zoneFirstTiers) View() ([]balance.SiteView, float64) { return nil, 0 }
--- a/internal/cdn/halfclose/halfclose.go
+++ b/internal/cdn/halfclose/halfclose.go
@@ -52,8 +52,8 @@
 	closed       bool
 }
 
-// Listen returns a listener that wraps each accepted connection in a Conn.
-func Listen(l net.Listener) net.Listener { return listener{l} }
+// NewListener returns a listener that wraps each accepted connection in a Conn.
+func NewListener(l net.Listener) net.Listener { return listener{l} }
 
 type listener struct{ net.Listener }
 
@@ -62,15 +62,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return New(c), nil
+	return NewConn(c), nil
 }
 
-// New wraps a client connection.
-func New(c net.Conn) *Conn { return &Conn{Conn: c, interrupt: make(chan struct{}, 1)} }
+// NewConn wraps a client connection.
+func NewConn(c net.Conn) *Conn { return &Conn{Conn: c, interrupt: make(chan struct{}, 1)} }
 
-// OnLeave sets a function that is called, once, if the client of the current request disconnects after it has sent more bytes: an
+// OnDisconnect sets a function that is called, once, if the client of the current request disconnects after it has sent more bytes: an
 // http.Server can't detect that. It is cleared at the next request.
-func (c *Conn) OnLeave(f func()) {
+func (c *Conn) OnDisconnect(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onDisconnect = f
--- a/internal/cdn/halfclose/halfclose_test.go
+++ b/internal/cdn/halfclose/halfclose_test.go
@@ -22,7 +22,7 @@
 
 func (h *blockingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	disconnected := make(chan struct{}, 1)
-	r.Context().Value(connKey{}).(*Conn).OnLeave(func() { disconnected <- struct{}{} })
+	r.Context().Value(connKey{}).(*Conn).OnDisconnect(func() { disconnected <- struct{}{} })
 	io.Copy(io.Discard, r.Body)
 	h.started <- r.URL.Path
 	select {
@@ -71,7 +71,7 @@
 			assert.NilError(t, err)
 			h := &blockingHandler{make(chan string, 4), make(chan struct{}), make(chan string, 4)}
 			server := &http.Server{Handler: h, ConnContext: withConn}
-			go server.Serve(Listen(l))
+			go server.Serve(NewListener(l))
 			defer server.Close()
 			dialled, err := net.Dial("tcp", l.Addr().String())
 			assert.NilError(t, err)
@@ -129,7 +129,7 @@
 	assert.NilError(t, err)
 	h := &blockingHandler{make(chan string, 4), make(chan struct{}), make(chan string, 4)}
 	server := &http.Server{Handler: h, ConnContext: withConn}
-	go server.Serve(Listen(l))
+	go server.Serve(NewListener(l))
 	defer server.Close()
 	dialled, err := net.Dial("tcp", l.Addr().String())
 	assert.NilError(t, err)
--- a/internal/cdn/httproute/httproute.go
+++ b/internal/cdn/httproute/httproute.go
@@ -10,30 +10,30 @@
 // Handler handles a request; param is the path segment that matched the braces, empty if there are none.
 type Handler func(w http.ResponseWriter, r *http.Request, param string)
 
-// Tree is a node of the routing tree, and the http.Handler of the tree below it. Routes must be added before it serves requests.
-type Tree struct {
-	children map[string]*Tree
-	wildcard *Tree
+// Mux is a node of the routing tree, and the http.Handler of the tree below it. Routes must be added before it serves requests.
+type Mux struct {
+	children map[string]*Mux
+	wildcard *Mux
 	handlers map[string]Handler
 }
 
-// On adds a route for a method and a path such as /servers/{id}, and returns the tree.
-func (m *Tree) On(method, path string, h Handler) *Tree {
+// Handle adds a route for a method and a path such as /servers/{id}, and returns the tree.
+func (m *Mux) Handle(method, path string, h Handler) *Mux {
 	node := m
 	for segment := range strings.SplitSeq(strings.Trim(path, "/"), "/") {
 		next := &node.wildcard
 		if !strings.HasPrefix(segment, "{") {
 			if node.children == nil {
-				node.children = map[string]*Tree{}
+				node.children = map[string]*Mux{}
 			}
 			if node.children[segment] == nil {
-				node.children[segment] = &Tree{}
+				node.children[segment] = &Mux{}
 			}
 			node = node.children[segment]
 			continue
 		}
 		if *next == nil {
-			*next = &Tree{}
+			*next = &Mux{}
 		}
 		node = *next
 	}
@@ -45,7 +45,7 @@
 }
 
 // ServeHTTP calls the matching handler. It responds with 404 if no path matches, or 405 if the path has no handler for the method.
-func (m *Tree) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (m *Mux) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	node, param := m, ""
 	for segment := range strings.SplitSeq(strings.Trim(r.URL.Path, "/"), "/") {
 		next := node.children[segment]
--- a/internal/cdn/localnet/claim_test.go
+++ b/internal/cdn/localnet/claim_test.go
@@ -11,18 +11,18 @@
 func TestNetworksHaveTheirOwnAddresses(t *testing.T) {
 	program := func(string) []string { return []string{"sleep", "60"} }
 	start := func(at byte) (*Network, error) {
-		return Start(Shape{Core: 1, Net: at, Dir: t.TempDir(), Program: program})
+		return Start(Shape{Core: 1, Subnet: at, Dir: t.TempDir(), Program: program})
 	}
 	one, err := start(0)
 	assert.NilError(t, err)
 	other, err := start(0)
 	assert.NilError(t, err)
-	assert.Assert(t, one.Net != other.Net)
+	assert.Assert(t, one.Subnet != other.Subnet)
 	assert.Assert(t, one.Machines[0].IP != other.Machines[0].IP)
-	_, err = start(one.Net)
+	_, err = start(one.Subnet)
 	assert.ErrorContains(t, err, "no addresses are free")
 	one.Stop()
-	again, err := start(one.Net)
+	again, err := start(one.Subnet)
 	assert.NilError(t, err)
 	again.Stop()
 	other.Stop()
--- a/internal/cdn/localnet/localnet.go
+++ b/internal/cdn/localnet/localnet.go
@@ -31,12 +31,12 @@
 	Stores      int // cache routers without clients, whose links are far wider than the 12 Mbit/s of the edges; 0: all links are alike
 	Zones       int // machines are assigned to zones round-robin
 	Dir         string
-	Net         byte // the network uses 127.0.Net.x, so that several fit on one machine; 0: the first free subnet
+	Subnet      byte // the network uses 127.0.Net.x, so that several fit on one machine; 0: the first free subnet
 	// Program returns the command line of a program; it is run with CEDARMAST_CONFIG set.
-	Program func(name string) []string
-	Out     io.Writer // receives all processes' logs; nil: none
-	Metrics bool      // processes export their metrics; see Figures
-	Reports bool      // the tenants' usage is reported to a stand-in platform
+	Program      func(name string) []string
+	Out          io.Writer // receives all processes' logs; nil: none
+	Metrics      bool      // processes export their metrics; see Figures
+	UsageReports bool      // the tenants' usage is reported to a stand-in platform
 	// Time limits that are written to the settings; 0: left out, so that the default applies.
 	Revoke, Contact time.Duration
 }
@@ -89,14 +89,14 @@
 
 // Start reserves a subnet, writes the settings and starts all processes.
 func Start(shape Shape) (*Network, error) {
-	subnet, claim, err := claimSubnet(shape.Net)
+	subnet, claim, err := claimSubnet(shape.Subnet)
 	if err != nil {
 		return nil, err
 	}
-	shape.Net = subnet
+	shape.Subnet = subnet
 	n := &Network{Shape: shape, subnetClaim: claim, client: http.Client{Timeout: 3 * time.Second}, started: time.Now()}
 	for i := range shape.Core + shape.Edges + shape.Stores {
-		m := &Machine{IP: fmt.Sprintf("127.0.%d.%d", shape.Net, i+1), Zone: fmt.Sprint("zone-", i%max(shape.Zones, 1)+1), Core: i < shape.Core, Store: i >= shape.Core+shape.Edges,
+		m := &Machine{IP: fmt.Sprintf("127.0.%d.%d", shape.Subnet, i+1), Zone: fmt.Sprint("zone-", i%max(shape.Zones, 1)+1), Core: i < shape.Core, Store: i >= shape.Core+shape.Edges,
 			firstStart: true, processes: map[string]*process{}}
 		m.Name = fmt.Sprint("edge-", i-shape.Core+1)
 		if m.Core {
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	for _, m := range n.Machines {
-		if err := n.Up(m); err != nil {
+		if err := n.StartMachine(m); err != nil {
 			n.Stop()
 			return nil, err
 		}
@@ -159,15 +159,15 @@
 		writeLine("network.zones."+z, "here")
 	}
 	writeLine("yard.heartbeat", heartbeatInterval.String())
-	if n.Reports {
+	if n.UsageReports {
 		n.platformSettings(writeLine)
 	}
 	n.writeTimings(writeLine)
 	return b.String()
 }
 
-// Up writes a machine's settings and starts those of its processes that are not running.
-func (n *Network) Up(m *Machine) error {
+// StartMachine writes a machine's settings and starts those of its processes that are not running.
+func (n *Network) StartMachine(m *Machine) error {
 	names := []string{"edge"}
 	if m.Core {
 		names = []string{"configstore", "registry"}
@@ -243,8 +243,8 @@
 	}
 }
 
-// Wipe deletes the data directory of a machine that is down.
-func (n *Network) Wipe(m *Machine) error { return os.RemoveAll(filepath.Join(m.Dir, "data")) }
+// WipeDisk deletes the data directory of a machine that is down.
+func (n *Network) WipeDisk(m *Machine) error { return os.RemoveAll(filepath.Join(m.Dir, "data")) }
 
 // Stop stops all servers, kills all processes and releases the addresses.
 func (n *Network) Stop() {
@@ -313,13 +313,13 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Ask sends a client's request with an id to an edge, and returns the status, header and body.
-func (n *Network) Ask(m *Machine, method, host, path, id string) (int, http.Header, string, error) {
+// Request sends a client's request with an id to an edge, and returns the status, header and body.
+func (n *Network) Request(m *Machine, method, host, path, id string) (int, http.Header, string, error) {
 	return n.sendRequest(m, method, host, path, http.Header{"Try-Id": {id}})
 }
 
-// AskWithKey sends a GET request with a key to an edge, and returns the status.
-func (n *Network) AskWithKey(m *Machine, host, path, id, key string) (int, error) {
+// RequestWithKey sends a GET request with a key to an edge, and returns the status.
+func (n *Network) RequestWithKey(m *Machine, host, path, id, key string) (int, error) {
 	status, _, _, err := n.sendRequest(m, http.MethodGet, host, path, http.Header{"Try-Id": {id}, "Key": {key}})
 	return status, err
 }
@@ -355,8 +355,8 @@
 	Acked          chan struct{} // receives a value for each acknowledged heartbeat if a receiver is waiting
 }
 
-// Figures returns the metrics of all processes of a machine in the Prometheus text format. It requires Shape.Metrics.
-func (n *Network) Figures(ctx context.Context, m *Machine) (string, error) {
+// ReadMetrics returns the metrics of all processes of a machine in the Prometheus text format. It requires Shape.Metrics.
+func (n *Network) ReadMetrics(ctx context.Context, m *Machine) (string, error) {
 	names := []string{"edge"}
 	if m.Core {
 		names = []string{"configstore", "registry"}
@@ -381,8 +381,8 @@
 	return metrics, nil
 }
 
-// Client returns the address and port on which a machine accepts clients' requests.
-func (m *Machine) Client() string { return fmt.Sprintf("%s:%d", m.IP, clientPort) }
+// ClientAddress returns the address and port on which a machine accepts clients' requests.
+func (m *Machine) ClientAddress() string { return fmt.Sprintf("%s:%d", m.IP, clientPort) }
 
 // Serve starts a stand-in server of a service at the address 127.0.Net.host.
 func (n *Network) Serve(id, service string, host byte) (*Server, error) {
@@ -391,7 +391,7 @@
 
 // ServeWith starts a stand-in server at 127.0.Net.host whose requests the handler serves; nil: the server itself.
 func (n *Network) ServeWith(id, service string, host byte, handler http.Handler) (*Server, error) {
-	l, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", n.Net, host))
+	l, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", n.Subnet, host))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -434,15 +434,15 @@
 	fmt.Fprintf(w, "%s %s version %d of %s\n", r.Method, r.URL.Path, s.version, s.Service)
 }
 
-// Change replaces all objects with a newer version.
-func (s *Server) Change() {
+// UpdateObjects replaces all objects with a newer version.
+func (s *Server) UpdateObjects() {
 	s.mu.Lock()
 	s.version++
 	s.mu.Unlock()
 }
 
-// Ran returns how many requests it ran in total, and the maximum for one id.
-func (s *Server) Ran() (total, maxPerID int) {
+// RunCounts returns how many requests it ran in total, and the maximum for one id.
+func (s *Server) RunCounts() (total, maxPerID int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, count := range s.ran {
@@ -451,15 +451,15 @@
 	return total, maxPerID
 }
 
-// Close reports the state closing in all further heartbeats.
-func (s *Server) Close() {
+// Drain reports the state closing in all further heartbeats.
+func (s *Server) Drain() {
 	s.mu.Lock()
 	s.state = "closing"
 	s.mu.Unlock()
 }
 
-// Mute stops its heartbeats; it still accepts requests.
-func (s *Server) Mute() { s.stopHeartbeats() }
+// StopHeartbeats stops its heartbeats; it still accepts requests.
+func (s *Server) StopHeartbeats() { s.stopHeartbeats() }
 
 // Stop stops its heartbeats and closes its connections, without telling the registry.
 func (s *Server) Stop() {
--- a/internal/cdn/localnet/localnet_test.go
+++ b/internal/cdn/localnet/localnet_test.go
@@ -20,7 +20,7 @@
 
 // TestMain runs one of the three programs instead of the tests when the test binary is started as that program.
 func TestMain(m *testing.M) {
-	if programs.Play() {
+	if programs.RunIfRequested() {
 		return
 	}
 	os.Exit(m.Run())
@@ -33,7 +33,7 @@
 
 func (s Shape) startForTest(t *testing.T) *Network {
 	t.Helper()
-	s.Dir, s.Out, s.Program = t.TempDir(), t.Output(), programs.Line
+	s.Dir, s.Out, s.Program = t.TempDir(), t.Output(), programs.CommandLine
 	n, err := Start(s)
 	assert.NilError(t, err)
 	t.Cleanup(n.Stop)
@@ -69,7 +69,7 @@
 }
 
 func (n *Network) get(m *Machine, path, id string) (int, string) {
-	status, _, body, err := n.Ask(m, "GET", "shop.example", path, id)
+	status, _, body, err := n.Request(m, "GET", "shop.example", path, id)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -112,8 +112,8 @@
 	}
 	waitFor(t, 10*time.Second, "every core machine is a voter", func() bool { return len(n.status(n.Machines[0]).Members) == 4 })
 
-	one.Change()
-	two.Change()
+	one.UpdateObjects()
+	two.UpdateObjects()
 	assert.Equal(t, n.controlStatus(t, "POST", "/purge", []byte(`{"domain":"shop.example","path":"/shelved/1"}`)), 200)
 	for i, m := range n.EdgeMachines() {
 		took := waitFor(t, 2*time.Second, "the purge", func() bool {
@@ -125,26 +125,26 @@
 	status, _ := n.get(n.EdgeMachines()[0], "/new/1", "c")
 	assert.Equal(t, status, 404)
 
-	one.Close()
+	one.Drain()
 	<-one.Acked // the call in flight, which may still have reported the state open
 	<-one.Acked
 	waitFor(t, 2*time.Second, "no request reaches a closing server", func() bool {
-		before, _ := one.Ran()
+		before, _ := one.RunCounts()
 		for i := range 12 {
 			n.get(n.EdgeMachines()[i%3], "/resendable/1", fmt.Sprint("d", i, time.Now().UnixNano()))
 		}
-		after, _ := one.Ran()
+		after, _ := one.RunCounts()
 		return after == before
 	})
 
 	l := n.leader()
 	assert.Assert(t, l != nil)
 	n.Signal(l, syscall.SIGKILL)
-	assert.NilError(t, n.Wipe(l))
+	assert.NilError(t, n.WipeDisk(l))
 	begun := time.Now()
 	assert.Equal(t, n.controlStatus(t, "PUT", "/manifest", Manifest(7, 3, "shop", "new")), 200)
 	t.Log("a configuration acknowledged after the leader's loss within", time.Since(begun))
-	assert.NilError(t, n.Up(l))
+	assert.NilError(t, n.StartMachine(l))
 	for i, m := range n.EdgeMachines() {
 		waitFor(t, 5*time.Second, "the new route", func() bool {
 			status, _ := n.get(m, "/new/1", fmt.Sprint("e", i, time.Now().UnixNano()))
@@ -160,7 +160,7 @@
 		n.Signal(m, syscall.SIGKILL)
 	}
 	for _, m := range n.Machines[:n.Core] {
-		assert.NilError(t, n.Up(m))
+		assert.NilError(t, n.StartMachine(m))
 	}
 	ctx, done := context.WithTimeout(t.Context(), 10*time.Second)
 	defer done()
@@ -171,7 +171,7 @@
 
 	edge := n.EdgeMachines()[0]
 	n.Signal(edge, syscall.SIGKILL)
-	assert.NilError(t, n.Up(edge))
+	assert.NilError(t, n.StartMachine(edge))
 	waitFor(t, 10*time.Second, "an edge, which has no disk, is ready again", func() bool { return n.Ready(edge) })
 	status, _ = n.get(edge, "/new/1", "f")
 	assert.Equal(t, status, 200, "a ready edge holds what was acknowledged before it asked")
@@ -205,7 +205,7 @@
 	}
 	waitFor(t, 10*time.Second, "all are in the roster", routers(5))
 	everywhere("an object through the stores", 5*time.Second)
-	ran, _ := shop.Ran()
+	ran, _ := shop.RunCounts()
 	assert.Assert(t, ran <= 2, "at most one fetch per zone, by its store: %d", ran)
 
 	stores := n.StoreMachines()
@@ -215,13 +215,13 @@
 	n.Signal(stores[1], syscall.SIGKILL)
 	everywhere("an object without any store", 6*time.Second)
 	waitFor(t, 10*time.Second, "both are removed from the roster", routers(3))
-	shop.Change()
+	shop.UpdateObjects()
 	version++
 	assert.Equal(t, n.controlStatus(t, "POST", "/purge", []byte(`{"domain":"shop.example","path":"/shelved/1"}`)), 200)
 	next = 0
 	everywhere("the purged object anew", 3*time.Second)
 	for _, m := range stores {
-		assert.NilError(t, n.Up(m))
+		assert.NilError(t, n.StartMachine(m))
 	}
 	waitFor(t, 10*time.Second, "both are back", routers(5))
 	next = 10
--- a/internal/cdn/localnet/platform.go
+++ b/internal/cdn/localnet/platform.go
@@ -23,20 +23,20 @@
 	platformMaxBody        = 1 << 20
 )
 
-// PlatformMood is how a stand-in platform responds to calls.
-type PlatformMood int
+// PlatformBehavior is how a stand-in platform responds to calls.
+type PlatformBehavior int
 
 // The behaviors of a stand-in platform.
 const (
-	Answering PlatformMood = iota // checks each call and answers
-	Busy                          // answers 429
-	Failing                       // answers 500
-	Resetting                     // takes the call, then closes the connection without an answer
-	Silent                        // takes the call, then closes the connection without an answer at the next call of Behave
+	Answering PlatformBehavior = iota // checks each call and answers
+	Busy                              // answers 429
+	Failing                           // answers 500
+	Resetting                         // takes the call, then closes the connection without an answer
+	Silent                            // takes the call, then closes the connection without an answer at the next call of Behave
 )
 
-// UsageCall is one usage report as received.
-type UsageCall struct {
+// UsageReport is one usage report as received.
+type UsageReport struct {
 	Holder string           `json:"-"`
 	Fence  uint64           `json:"-"`
 	Round  int64            `json:"round"`
@@ -50,7 +50,7 @@
 	http  http.Server
 
 	mu              sync.Mutex
-	behavior        PlatformMood
+	behavior        PlatformBehavior
 	delay           time.Duration
 	behaviorChanged chan struct{} // closed and replaced at every call of Behave
 	windowCounts    map[int64]map[string]int64
@@ -87,8 +87,8 @@
 // Stop closes the listener and all connections.
 func (p *Platform) Stop() { p.http.Close() }
 
-// Behave sets how further calls are answered and how long each is delayed, and releases calls that a Silent platform holds.
-func (p *Platform) Behave(behavior PlatformMood, delay time.Duration) {
+// SetBehavior sets how further calls are answered and how long each is delayed, and releases calls that a Silent platform holds.
+func (p *Platform) SetBehavior(behavior PlatformBehavior, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.behavior, p.delay = behavior, delay
@@ -103,22 +103,22 @@
 	return maps.Clone(p.windowCounts)
 }
 
-// Breaches returns the recorded violations.
-func (p *Platform) Breaches() []string {
+// Violations returns the recorded violations.
+func (p *Platform) Violations() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.violations...)
 }
 
-// Answered returns how many calls were answered with a status. Calls without an answer are not counted.
-func (p *Platform) Answered(status int) int {
+// AnswerCount returns how many calls were answered with a status. Calls without an answer are not counted.
+func (p *Platform) AnswerCount(status int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.answerCounts[status]
 }
 
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	call := UsageCall{Holder: r.Header.Get("Holder")}
+	call := UsageReport{Holder: r.Header.Get("Holder")}
 	fence, err := strconv.ParseUint(r.Header.Get("Fence"), 10, 64)
 	call.Fence = fence
 	if decodeErr := json.NewDecoder(http.MaxBytesReader(w, r.Body, platformMaxBody)).Decode(&call); err != nil || decodeErr != nil || r.Method != http.MethodPost || r.URL.Path != "/usage" ||
@@ -139,17 +139,17 @@
 	case Failing:
 		p.answer(w, http.StatusInternalServerError)
 	case Resetting:
-		p.Take(call, time.Now())
+		p.Accept(call, time.Now())
 		panic(http.ErrAbortHandler)
 	case Silent:
-		p.Take(call, time.Now())
+		p.Accept(call, time.Now())
 		select {
 		case <-changed:
 		case <-r.Context().Done():
 		}
 		panic(http.ErrAbortHandler)
 	default:
-		p.answer(w, p.Take(call, time.Now()))
+		p.answer(w, p.Accept(call, time.Now()))
 	}
 }
 
@@ -161,8 +161,8 @@
 	w.WriteHeader(status)
 }
 
-// Take checks a call, records its counts and violations, and returns the status for its answer.
-func (p *Platform) Take(call UsageCall, now time.Time) int {
+// Accept checks a call, records its counts and violations, and returns the status for its answer.
+func (p *Platform) Accept(call UsageReport, now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if other, seen := p.holders[call.Fence]; seen && other != call.Holder {
@@ -224,12 +224,12 @@
 
 // platformAddress returns the address and port of the stand-in platform.
 func (n *Network) platformAddress() string {
-	return fmt.Sprintf("127.0.%d.%d:%d", n.Net, platformHost, platformPort)
+	return fmt.Sprintf("127.0.%d.%d:%d", n.Subnet, platformHost, platformPort)
 }
 
 // startPlatform starts the stand-in platform, if the network has one.
 func (n *Network) startPlatform() error {
-	if !n.Reports {
+	if !n.UsageReports {
 		return nil
 	}
 	n.Platform = NewPlatform(platformLease)
--- a/internal/cdn/localnet/reload_test.go
+++ b/internal/cdn/localnet/reload_test.go
@@ -46,7 +46,7 @@
 	assert.Assert(t, reloaded < took, "the reload took %s, the end %s", reloaded, took)
 	assert.Assert(t, strings.Contains(settings(), second+","+first), settings())
 	assert.Equal(t, len(m.processes), 0)
-	assert.NilError(t, n.Up(m))
+	assert.NilError(t, n.StartMachine(m))
 	assert.Equal(t, len(m.processes), 2)
 }
 
--- a/internal/cdn/localnet/revoke_test.go
+++ b/internal/cdn/localnet/revoke_test.go
@@ -18,7 +18,7 @@
 func TestAPausedProxyRunsNothingForARemovedKey(t *testing.T) {
 	const clients = 40
 	revoke := 2 * time.Second
-	n := Shape{Core: 3, Edges: 2, Zones: 2, Net: 79, Revoke: revoke}.startForTest(t)
+	n := Shape{Core: 3, Edges: 2, Zones: 2, Subnet: 79, Revoke: revoke}.startForTest(t)
 	server, err := n.Serve("i-1", "shop", 200)
 	assert.NilError(t, err)
 	put := func(body []byte) {
@@ -29,13 +29,13 @@
 	put(keyedManifest())
 	paused := n.EdgeMachines()[0]
 	served := func() bool {
-		status, err := n.AskWithKey(paused, "shop.example", "/resendable/1", fmt.Sprint("try-", time.Now().UnixNano()), "k-wax")
+		status, err := n.RequestWithKey(paused, "shop.example", "/resendable/1", fmt.Sprint("try-", time.Now().UnixNano()), "k-wax")
 		return err == nil && status == http.StatusOK
 	}
 	waitFor(t, 20*time.Second, "served", served)
 	var open []net.Conn
 	for range clients {
-		c, err := net.Dial("tcp", paused.Client())
+		c, err := net.Dial("tcp", paused.ClientAddress())
 		assert.NilError(t, err)
 		defer c.Close()
 		open = append(open, c)
@@ -43,7 +43,7 @@
 	n.Signal(paused, syscall.SIGSTOP)
 	put(manifestWithoutWax(2, 1))
 	<-time.After(revoke + 100*time.Millisecond)
-	before, _ := server.Ran()
+	before, _ := server.RunCounts()
 	for i, c := range open {
 		fmt.Fprintf(c, "GET /resendable/%d HTTP/1.1\r\nHost: shop.example\r\nTry-Id: late-%d\r\nTime-Left: 2000\r\nKey: k-wax\r\n\r\n", i, i)
 	}
@@ -57,6 +57,6 @@
 		})
 	}
 	all.Wait()
-	after, _ := server.Ran()
+	after, _ := server.RunCounts()
 	assert.Equal(t, after, before, "requests with a removed key have run")
 }
--- a/internal/cdn/localnet/show.go
+++ b/internal/cdn/localnet/show.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Show starts a network and demonstrates a request served, served from the cache, and purged. If stayUp is set it keeps the network
+// Demo starts a network and demonstrates a request served, served from the cache, and purged. If stayUp is set it keeps the network
 // up until the context ends.
-func Show(ctx context.Context, shape Shape, out io.Writer, stayUp bool) error {
+func Demo(ctx context.Context, shape Shape, out io.Writer, stayUp bool) error {
 	executable, err := os.Executable()
 	if err != nil {
 		return Error.Wrap(err)
@@ -53,17 +53,17 @@
 	}
 	showRequest := func(what, id string) error {
 		started := time.Now()
-		status, _, body, err := n.Ask(edge, "GET", "shop.example", "/shelved/1", id)
+		status, _, body, err := n.Request(edge, "GET", "shop.example", "/shelved/1", id)
 		for err == nil && status != 200 && time.Since(started) < 5*time.Second {
 			time.Sleep(20 * time.Millisecond)
-			status, _, body, err = n.Ask(edge, "GET", "shop.example", "/shelved/1", id)
+			status, _, body, err = n.Request(edge, "GET", "shop.example", "/shelved/1", id)
 		}
 		if err != nil {
 			return Error.Wrap(err)
 		}
 		runs := 0
 		for _, s := range servers {
-			all, _ := s.Ran()
+			all, _ := s.RunCounts()
 			runs += all
 		}
 		fmt.Fprintf(out, "%-28s %d in %s, %d runs at servers: %s", what, status, time.Since(started).Round(100*time.Microsecond), runs, body)
@@ -76,7 +76,7 @@
 		return err
 	}
 	for _, s := range servers {
-		s.Change()
+		s.UpdateObjects()
 	}
 	if err := showRequest("changed, not purged", "c"); err != nil {
 		return err
--- a/internal/cdn/localnet/usage_test.go
+++ b/internal/cdn/localnet/usage_test.go
@@ -30,7 +30,7 @@
 // fence: the platform has each window with one set of counts, none is missing between the first and the last, and there are no
 // violations.
 func TestUsageOverALostHolder(t *testing.T) {
-	n := Shape{Core: 3, Zones: 2, Net: 77, Reports: true}.startForTest(t)
+	n := Shape{Core: 3, Zones: 2, Subnet: 77, UsageReports: true}.startForTest(t)
 	firstRound := usage.RoundOf(time.Now(), platformWindow)
 	report := usage.Report{Node: "edge-1", Life: "1"}
 	count := func() {
@@ -48,14 +48,14 @@
 	}
 	waitFor(t, 30*time.Second, "two windows are accepted", accepted(2))
 	holder := n.status(n.leader()).Duty
-	n.Platform.Behave(Silent, 0)
+	n.Platform.SetBehavior(Silent, 0)
 	waitFor(t, 15*time.Second, "a call is in flight", accepted(1))
 	for _, m := range n.CoreMachines() {
 		if m.IP == holder.Holder {
 			n.Signal(m, syscall.SIGKILL)
 		}
 	}
-	n.Platform.Behave(Answering, 0)
+	n.Platform.SetBehavior(Answering, 0)
 	waitFor(t, 40*time.Second, "two more windows are accepted", accepted(2))
 
 	windows := n.Platform.Windows()
@@ -67,8 +67,8 @@
 	for i := range int64(len(windows)) {
 		assert.DeepEqual(t, windows[first+i], map[string]int64{"a": first + i - firstRound + 1})
 	}
-	assert.Equal(t, len(n.Platform.Breaches()), 0, strings.Join(n.Platform.Breaches(), "\n"))
-	assert.Assert(t, n.Platform.Answered(http.StatusOK) >= 4)
+	assert.Equal(t, len(n.Platform.Violations()), 0, strings.Join(n.Platform.Violations(), "\n"))
+	assert.Assert(t, n.Platform.AnswerCount(http.StatusOK) >= 4)
 	waitFor(t, 10*time.Second, "the duty has moved", func() bool {
 		l := n.leader()
 		return l != nil && n.status(l).Duty.Epoch > holder.Epoch
@@ -98,7 +98,7 @@
 // The usage that the platform receives for each tenant equals the requests that two proxies served, though one of them is restarted
 // gracefully meanwhile.
 func TestUsageOfClients(t *testing.T) {
-	n := Shape{Core: 3, Edges: 2, Zones: 2, Net: 78, Reports: true}.startForTest(t)
+	n := Shape{Core: 3, Edges: 2, Zones: 2, Subnet: 78, UsageReports: true}.startForTest(t)
 	_, err := n.Serve("i-1", "shop", 200)
 	assert.NilError(t, err)
 	status, text, err := n.Control(t.Context(), http.MethodPut, "/manifest", keyedManifest())
@@ -106,7 +106,7 @@
 	assert.Equal(t, status, http.StatusOK, "%s", text)
 	served := map[string]int64{}
 	ask := func(m *Machine, path, tenant string) bool {
-		status, err := n.AskWithKey(m, "shop.example", path, fmt.Sprint("try-", time.Now().UnixNano()), "k-"+tenant)
+		status, err := n.RequestWithKey(m, "shop.example", path, fmt.Sprint("try-", time.Now().UnixNano()), "k-"+tenant)
 		if err == nil && status == http.StatusOK {
 			served[tenant]++
 		}
@@ -121,11 +121,11 @@
 		ask(m, "/shelved/1", "ink")
 		if i == 20 {
 			n.Signal(m, syscall.SIGTERM)
-			assert.NilError(t, n.Up(m))
+			assert.NilError(t, n.StartMachine(m))
 			waitFor(t, 20*time.Second, "it is back", func() bool { return ask(m, "/resendable/2", "wax") })
 		}
 	}
-	status, err = n.AskWithKey(n.EdgeMachines()[0], "shop.example", "/resendable/1", "try-unknown", "k-none")
+	status, err = n.RequestWithKey(n.EdgeMachines()[0], "shop.example", "/resendable/1", "try-unknown", "k-none")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusUnauthorized)
 	reported := func() map[string]int64 {
@@ -139,5 +139,5 @@
 	}
 	waitFor(t, 30*time.Second, "all usage is reported", func() bool { return reported()["wax"] >= served["wax"] && reported()["ink"] >= served["ink"] })
 	assert.DeepEqual(t, reported(), served)
-	assert.Equal(t, len(n.Platform.Breaches()), 0, strings.Join(n.Platform.Breaches(), "\n"))
+	assert.Equal(t, len(n.Platform.Violations()), 0, strings.Join(n.Platform.Violations(), "\n"))
 }
--- a/internal/cdn/metrics/metrics.go
+++ b/internal/cdn/metrics/metrics.go
@@ -26,29 +26,29 @@
 	idleTimeout       = 15 * time.Second
 )
 
-// Place is the port and path of the metrics endpoint.
-type Place struct {
+// Endpoint is the port and path of the metrics endpoint.
+type Endpoint struct {
 	Port int
 	Path string // with the leading slash
 }
 
-// ParsePlace parses PORT/PATH.
-func ParsePlace(text string) (Place, error) {
+// ParseEndpoint parses PORT/PATH.
+func ParseEndpoint(text string) (Endpoint, error) {
 	port, path, ok := strings.Cut(text, "/")
 	n, err := strconv.Atoi(port)
 	if !ok || err != nil || n < 1 || n > 65535 || path == "" {
-		return Place{}, Error.New("%q: not of the form PORT/PATH", text)
+		return Endpoint{}, Error.New("%q: not of the form PORT/PATH", text)
 	}
-	return Place{Port: n, Path: "/" + path}, nil
+	return Endpoint{Port: n, Path: "/" + path}, nil
 }
 
 // Serve serves the collectors' metrics, and those of the process's CPU time and memory, at the endpoint in the settings until the context
 // ends. Without an endpoint it does nothing. If it can't listen, it only logs the error: missing metrics are not worth an outage.
 func Serve(ctx context.Context, settings bootconfig.Settings, log hclog.Logger, collectors ...prometheus.Collector) {
-	if settings.Metrics == "" {
+	if settings.MetricsEndpoint == "" {
 		return
 	}
-	endpoint, err := ParsePlace(settings.Metrics)
+	endpoint, err := ParseEndpoint(settings.MetricsEndpoint)
 	if err != nil {
 		log.Error("metrics are not served", "err", err)
 		return
--- a/internal/cdn/objectcache/objectcache.go
+++ b/internal/cdn/objectcache/objectcache.go
@@ -35,32 +35,32 @@
 	return h
 }
 
-// Copy is a cache entry: a complete object as a server returned it. Its exported fields must not change once it is stored.
-type Copy struct {
-	Header http.Header // end-to-end headers, without those that belong to one request
-	Body   []byte
-	ETag   string
-	Labels []string
-	Shelf  time.Duration // time to live, from the request to the server or the last validation
-	At     time.Time     // when it was requested from the server, or last confirmed as unchanged
-	Index  uint64        // index of the replicated log when the server was asked
-	Lent   bool          // fetched from the cache router that owns the key: the owner refreshes it, not this router
-
-	For Asker // the request that it was fetched for
-
-	requester     Asker // the last request that it served; ID is cleared once a server has seen it; guarded by Cache.mu
-	refreshesLeft int   // refreshes that remain until it is requested again; guarded by Cache.mu
+// Entry is a cache entry: a complete object as a server returned it. Its exported fields must not change once it is stored.
+type Entry struct {
+	Header      http.Header // end-to-end headers, without those that belong to one request
+	Body        []byte
+	ETag        string
+	Labels      []string
+	TTL         time.Duration // time to live, from the request to the server or the last validation
+	ValidatedAt time.Time     // when it was requested from the server, or last confirmed as unchanged
+	LogIndex    uint64        // index of the replicated log when the server was asked
+	FromOwner   bool          // fetched from the cache router that owns the key: the owner refreshes it, not this router
+
+	FetchedFor Requester // the request that it was fetched for
+
+	requester     Requester // the last request that it served; ID is cleared once a server has seen it; guarded by Cache.mu
+	refreshesLeft int       // refreshes that remain until it is requested again; guarded by Cache.mu
 }
 
-// Asker identifies a client's request for an object. ID and ClientKey belong together: a server gets the id with that key's tenant.
-type Asker struct {
+// Requester identifies a client's request for an object. ID and ClientKey belong together: a server gets the id with that key's tenant.
+type Requester struct {
 	ID        string // the client's Try-Id
 	ClientKey string // empty on a route that needs no key
 }
 
-// Renewed returns the entry as revalidated by a server: with a new time, log index and time to live.
-func (e *Copy) Renewed(at time.Time, index uint64, ttl time.Duration) *Copy {
-	return &Copy{Header: e.Header, Body: e.Body, ETag: e.ETag, Labels: e.Labels, Shelf: ttl, At: at, Index: index, Lent: e.Lent, For: e.For}
+// Revalidated returns the entry as revalidated by a server: with a new time, log index and time to live.
+func (e *Entry) Revalidated(at time.Time, index uint64, ttl time.Duration) *Entry {
+	return &Entry{Header: e.Header, Body: e.Body, ETag: e.ETag, Labels: e.Labels, TTL: ttl, ValidatedAt: at, LogIndex: index, FromOwner: e.FromOwner, FetchedFor: e.FetchedFor}
 }
 
 // refreshesPerUse is how many times an entry is refreshed after it was last requested. Two cover an object that is requested once in
@@ -68,7 +68,7 @@
 const refreshesPerUse = 2
 
 // size estimates the entry's memory in bytes.
-func (e *Copy) size() int64 {
+func (e *Entry) size() int64 {
 	n := int64(len(e.Body)) + 512
 	for name, values := range e.Header {
 		n += int64(len(name)) + 32
@@ -79,15 +79,15 @@
 	return n
 }
 
-// Grade says how fresh a cache entry is.
-type Grade int
+// Freshness says how fresh a cache entry is.
+type Freshness int
 
 // The values, from the freshest.
 const (
-	Fresh    Grade = iota
-	Ageing         // may be served, but it is time to revalidate it with the server
-	Stale          // may only be revalidated
-	NotThere       // not in the cache
+	Fresh      Freshness = iota
+	RefreshDue           // may be served, but it is time to revalidate it with the server
+	Stale                // may only be revalidated
+	Miss                 // not in the cache
 )
 
 // Cache holds entries up to a total size in bytes.
@@ -95,18 +95,18 @@
 	maxBytes int64
 
 	mu             sync.Mutex
-	lru            *simplelru.LRU[Key, *Copy]
+	lru            *simplelru.LRU[Key, *Entry]
 	bytes          int64
 	byPath         map[pathKey]map[Key]struct{}
 	byLabel        map[string]map[Key]struct{}
 	recentPurges   []purge      // the latest ones, oldest first: an object requested before a purge is not stored after it
 	refreshes      refreshQueue // refresh times of stored entries, and of some that were removed
 	forgottenIndex uint64       // purges up to this index are no longer remembered
-	Counts         Counts       // guarded by mu
+	Stats          Stats        // guarded by mu
 }
 
-// Counts holds counters of entries: stored, evicted for memory, purged, and not stored because a purge arrived during the fetch.
-type Counts struct{ Stored, Dropped, Purged, Late int64 }
+// Stats holds counters of entries: stored, evicted for memory, purged, and not stored because a purge arrived during the fetch.
+type Stats struct{ Stored, Evicted, Purged, PurgedInFlight int64 }
 
 type pathKey struct{ host, path string }
 
@@ -124,17 +124,17 @@
 // New returns an empty cache for at most so many bytes.
 func New(maxBytes int64) *Cache {
 	c := &Cache{maxBytes: maxBytes, byPath: map[pathKey]map[Key]struct{}{}, byLabel: map[string]map[Key]struct{}{}}
-	c.lru, _ = simplelru.NewLRU[Key, *Copy](maxEntries, nil) // fails only for a size that is not positive
+	c.lru, _ = simplelru.NewLRU[Key, *Entry](maxEntries, nil) // fails only for a size that is not positive
 	return c
 }
 
 // Get returns the entry of a key and its freshness. Slack is how long after its expiry it may still be served while it is revalidated.
 // Requester is the client's request that the entry will answer; without an id it stands for no request.
-func (c *Cache) Get(k Key, now time.Time, slack time.Duration, requester Asker) (*Copy, Grade) {
+func (c *Cache) Get(k Key, now time.Time, slack time.Duration, requester Requester) (*Entry, Freshness) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	entry, freshness := c.lookup(k, now, slack)
-	if freshness == Fresh || freshness == Ageing {
+	if freshness == Fresh || freshness == RefreshDue {
 		entry.refreshesLeft = refreshesPerUse
 		if requester.ID != "" {
 			entry.requester = requester
@@ -144,40 +144,40 @@
 }
 
 // Peek is like Get, but does not count as a request for the entry, so that it is not refreshed again because of it.
-func (c *Cache) Peek(k Key, now time.Time, slack time.Duration) (*Copy, Grade) {
+func (c *Cache) Peek(k Key, now time.Time, slack time.Duration) (*Entry, Freshness) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lookup(k, now, slack)
 }
 
 // lookup finds an entry and its freshness. c.mu must be held.
-func (c *Cache) lookup(k Key, now time.Time, slack time.Duration) (*Copy, Grade) {
+func (c *Cache) lookup(k Key, now time.Time, slack time.Duration) (*Entry, Freshness) {
 	entry, ok := c.lru.Get(k)
 	if !ok {
-		return nil, NotThere
+		return nil, Miss
 	}
 	return entry, entry.freshness(now, slack)
 }
 
 // freshness returns the entry's freshness at the given time. Slack is as in Get.
-func (e *Copy) freshness(now time.Time, slack time.Duration) Grade {
-	switch age := now.Sub(e.At); {
+func (e *Entry) freshness(now time.Time, slack time.Duration) Freshness {
+	switch age := now.Sub(e.ValidatedAt); {
 	case age < e.refreshAge():
 		return Fresh
-	case age < e.Shelf+slack:
-		return Ageing
+	case age < e.TTL+slack:
+		return RefreshDue
 	}
 	return Stale
 }
 
 // refreshAge is the age from which the entry should be revalidated.
-func (e *Copy) refreshAge() time.Duration { return e.Shelf * 3 / 4 }
+func (e *Entry) refreshAge() time.Duration { return e.TTL * 3 / 4 }
 
 // refresh is the time at which an entry is to be revalidated.
 type refresh struct {
 	at time.Time
 	Key
-	*Copy
+	*Entry
 }
 
 // refreshQueue is a heap of refreshes, ordered by time.
@@ -194,21 +194,21 @@
 	return last
 }
 
-// Ripe is an entry that was requested lately and is about to expire.
-type Ripe struct {
+// RefreshCandidate is an entry that was requested lately and is about to expire.
+type RefreshCandidate struct {
 	Key
-	*Copy
-	By Asker // a request that the entry has served; without an id if a server may have seen the id
+	*Entry
+	Requester Requester // a request that the entry has served; without an id if a server may have seen the id
 }
 
-// Due returns up to limit entries that should be revalidated now, each once. Entries that were not requested lately are skipped.
-func (c *Cache) Due(now time.Time, limit int) (candidates []Ripe) {
+// DueForRefresh returns up to limit entries that should be revalidated now, each once. Entries that were not requested lately are skipped.
+func (c *Cache) DueForRefresh(now time.Time, limit int) (candidates []RefreshCandidate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.refreshes) > 0 && len(candidates) < limit && !c.refreshes[0].at.After(now) {
 		next := heap.Pop(&c.refreshes).(refresh)
-		if entry, ok := c.lru.Peek(next.Key); ok && entry == next.Copy && entry.refreshesLeft > 0 {
-			candidates = append(candidates, Ripe{next.Key, entry, entry.requester})
+		if entry, ok := c.lru.Peek(next.Key); ok && entry == next.Entry && entry.refreshesLeft > 0 {
+			candidates = append(candidates, RefreshCandidate{next.Key, entry, entry.requester})
 			entry.requester.ID = ""
 		}
 	}
@@ -217,34 +217,34 @@
 
 // Put stores an entry and reports whether it did. It does not if a purge of the object arrived after the server was asked, if a newer
 // entry is stored, or if the entry is larger than a quarter of the cache.
-func (c *Cache) Put(k Key, entry *Copy) bool {
+func (c *Cache) Put(k Key, entry *Entry) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if entry.Index < c.forgottenIndex || c.purgedSince(k, entry) {
-		c.Counts.Late++
+	if entry.LogIndex < c.forgottenIndex || c.purgedSince(k, entry) {
+		c.Stats.PurgedInFlight++
 		return false
 	}
-	entry.requester = Asker{ClientKey: entry.For.ClientKey}
+	entry.requester = Requester{ClientKey: entry.FetchedFor.ClientKey}
 	size := entry.size()
 	if size > c.maxBytes/4 {
 		return false
 	}
 	if old, ok := c.lru.Peek(k); ok {
-		if old.At.After(entry.At) { // the stored one was requested later
+		if old.ValidatedAt.After(entry.ValidatedAt) { // the stored one was requested later
 			return false
 		}
 		c.remove(k, old)
 		entry.refreshesLeft = max(old.refreshesLeft-1, 0)
 		// A request was served from the cache in the meantime, so no server has seen its id.
-		if old.requester.ID != "" && old.requester.ID != entry.For.ID {
+		if old.requester.ID != "" && old.requester.ID != entry.FetchedFor.ID {
 			entry.requester = old.requester
 		}
 	} else {
 		entry.refreshesLeft = refreshesPerUse
 	}
 	c.lru.Add(k, entry)
-	if !entry.Lent {
-		heap.Push(&c.refreshes, refresh{entry.At.Add(entry.refreshAge()), k, entry})
+	if !entry.FromOwner {
+		heap.Push(&c.refreshes, refresh{entry.ValidatedAt.Add(entry.refreshAge()), k, entry})
 	}
 	c.bytes += size
 	addToIndex(c.byPath, pathKey{k.Host, k.Path}, k)
@@ -256,16 +256,16 @@
 		if !ok {
 			break
 		}
-		c.Counts.Dropped++
+		c.Stats.Evicted++
 		c.remove(k, old)
 	}
-	c.Counts.Stored++
+	c.Stats.Stored++
 	return true
 }
 
 // purgedSince reports whether a purge after the entry's log index matches it.
-func (c *Cache) purgedSince(k Key, entry *Copy) bool {
-	for i := len(c.recentPurges) - 1; i >= 0 && c.recentPurges[i].index > entry.Index; i-- {
+func (c *Cache) purgedSince(k Key, entry *Entry) bool {
+	for i := len(c.recentPurges) - 1; i >= 0 && c.recentPurges[i].index > entry.LogIndex; i-- {
 		p := c.recentPurges[i]
 		if p.label == "" && p.pathKey == (pathKey{k.Host, k.Path}) {
 			return true
@@ -295,7 +295,7 @@
 }
 
 // remove removes an entry from the cache and its indexes. c.mu must be held.
-func (c *Cache) remove(k Key, entry *Copy) {
+func (c *Cache) remove(k Key, entry *Entry) {
 	c.lru.Remove(k)
 	c.bytes -= entry.size()
 	removeFromIndex(c.byPath, pathKey{k.Host, k.Path}, k)
@@ -319,15 +319,15 @@
 		matching = c.byPath[pathKey{host, path}]
 	}
 	for k := range matching {
-		if entry, ok := c.lru.Peek(k); ok && entry.Index < index {
-			c.Counts.Purged++
+		if entry, ok := c.lru.Peek(k); ok && entry.LogIndex < index {
+			c.Stats.Purged++
 			c.remove(k, entry)
 		}
 	}
 }
 
-// Forget removes all entries, because purges up to the given log index may have been missed.
-func (c *Cache) Forget(index uint64) {
+// Reset removes all entries, because purges up to the given log index may have been missed.
+func (c *Cache) Reset(index uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lru.Purge()
--- a/internal/cdn/objectcache/objectcache_test.go
+++ b/internal/cdn/objectcache/objectcache_test.go
@@ -13,19 +13,19 @@
 	key = Key{"shop", "a", "/x/1", ""}
 )
 
-func object(index uint64, at time.Time) *Copy {
-	return &Copy{Body: []byte("body"), ETag: `"1"`, Labels: []string{"red", "big"}, Shelf: 20 * time.Second, At: at, Index: index}
+func object(index uint64, at time.Time) *Entry {
+	return &Entry{Body: []byte("body"), ETag: `"1"`, Labels: []string{"red", "big"}, TTL: 20 * time.Second, ValidatedAt: at, LogIndex: index}
 }
 
 func TestFreshness(t *testing.T) {
 	c := New(1 << 20)
 	c.Put(key, object(1, t0))
-	for after, want := range map[time.Duration]Grade{0: Fresh, 14 * time.Second: Fresh, 15 * time.Second: Ageing, 21 * time.Second: Ageing, 22 * time.Second: Stale} {
-		_, got := c.Get(key, t0.Add(after), 1500*time.Millisecond, Asker{})
+	for after, want := range map[time.Duration]Freshness{0: Fresh, 14 * time.Second: Fresh, 15 * time.Second: RefreshDue, 21 * time.Second: RefreshDue, 22 * time.Second: Stale} {
+		_, got := c.Get(key, t0.Add(after), 1500*time.Millisecond, Requester{})
 		assert.Equal(t, got, want, after.String())
 	}
-	_, got := c.Get(Key{}, t0, 0, Asker{})
-	assert.Equal(t, got, NotThere)
+	_, got := c.Get(Key{}, t0, 0, Requester{})
+	assert.Equal(t, got, Miss)
 }
 
 // A purge removes entries that were requested before it, also one that is stored only after it. Entries requested after it stay.
@@ -52,8 +52,8 @@
 			if when != "stored" {
 				cache.Put(key, object(index, t0))
 			}
-			_, grade := cache.Get(key, t0, 0, Asker{})
-			assert.Equal(t, grade == NotThere, c.ends && index < 7, "%s, %s", c.name, when)
+			_, grade := cache.Get(key, t0, 0, Requester{})
+			assert.Equal(t, grade == Miss, c.ends && index < 7, "%s, %s", c.name, when)
 		}
 	}
 }
@@ -66,9 +66,9 @@
 	}
 	assert.Assert(t, !c.Put(key, object(50, t0)))
 	assert.Assert(t, c.Put(key, object(200, t0)))
-	c.Forget(9000)
-	_, grade := c.Get(key, t0, 0, Asker{})
-	assert.Equal(t, grade, NotThere)
+	c.Reset(9000)
+	_, grade := c.Get(key, t0, 0, Requester{})
+	assert.Equal(t, grade, Miss)
 	assert.Assert(t, !c.Put(key, object(8999, t0)))
 }
 
@@ -81,37 +81,37 @@
 	assert.Assert(t, bytes <= 64<<10 && n > 50, "%d %d", n, bytes)
 	assert.Equal(t, len(c.byPath), n)
 	assert.Equal(t, len(c.byLabel["red"]), n)
-	assert.Assert(t, !c.Put(key, &Copy{Body: make([]byte, 40<<10)}))
+	assert.Assert(t, !c.Put(key, &Entry{Body: make([]byte, 40<<10)}))
 }
 
 // A requested entry is refreshed before it expires, on behalf of a request that it served. Without requests it is refreshed twice.
 func TestDue(t *testing.T) {
 	c := New(1 << 20)
 	c.Put(key, object(1, t0))
-	c.Get(key, t0.Add(time.Second), 0, Asker{"try-1", "key-1"})
-	c.Get(key, t0.Add(time.Second), 0, Asker{}) // for no client: the requester stays
-	assert.Equal(t, len(c.Due(t0.Add(14*time.Second), 9)), 0)
+	c.Get(key, t0.Add(time.Second), 0, Requester{"try-1", "key-1"})
+	c.Get(key, t0.Add(time.Second), 0, Requester{}) // for no client: the requester stays
+	assert.Equal(t, len(c.DueForRefresh(t0.Add(14*time.Second), 9)), 0)
 	now := t0
-	for round, by := range []Asker{{"try-1", "key-1"}, {"", "key-1"}} { // the id goes to a server only once, the client key each time
+	for round, by := range []Requester{{"try-1", "key-1"}, {"", "key-1"}} { // the id goes to a server only once, the client key each time
 		now = now.Add(15 * time.Second)
-		due := c.Due(now, 9)
+		due := c.DueForRefresh(now, 9)
 		assert.Equal(t, len(due), 1, "turn %d", round)
-		assert.Equal(t, due[0].By, by)
-		assert.Equal(t, len(c.Due(now, 9)), 0, "each is returned once")
-		renewed := due[0].Copy.Renewed(now, 1, 20*time.Second)
-		renewed.For = by
+		assert.Equal(t, due[0].Requester, by)
+		assert.Equal(t, len(c.DueForRefresh(now, 9)), 0, "each is returned once")
+		renewed := due[0].Entry.Revalidated(now, 1, 20*time.Second)
+		renewed.FetchedFor = by
 		c.Put(key, renewed)
 	}
-	assert.Equal(t, len(c.Due(now.Add(15*time.Second), 9)), 0)
+	assert.Equal(t, len(c.DueForRefresh(now.Add(15*time.Second), 9)), 0)
 	lent := object(1, now)
-	lent.Lent = true
+	lent.FromOwner = true
 	c.Put(Key{Path: "lent"}, lent)
-	c.Get(Key{Path: "lent"}, now, 0, Asker{ID: "try-2"})
-	assert.Equal(t, len(c.Due(now.Add(time.Hour), 9)), 0, "its owner refreshes it")
+	c.Get(Key{Path: "lent"}, now, 0, Requester{ID: "try-2"})
+	assert.Equal(t, len(c.DueForRefresh(now.Add(time.Hour), 9)), 0, "its owner refreshes it")
 	fetched := object(1, now)
-	fetched.For = Asker{"try-3", "key-3"}
+	fetched.FetchedFor = Requester{"try-3", "key-3"}
 	c.Put(Key{Path: "new"}, fetched)
-	assert.Equal(t, c.Due(now.Add(15*time.Second), 9)[0].By, Asker{ClientKey: "key-3"}, "only the request that it was fetched for has asked for it")
+	assert.Equal(t, c.DueForRefresh(now.Add(15*time.Second), 9)[0].Requester, Requester{ClientKey: "key-3"}, "only the request that it was fetched for has asked for it")
 	older := object(1, t0)
 	assert.Assert(t, !c.Put(key, older), "an older response that arrives late replaces nothing")
 }
@@ -120,24 +120,24 @@
 func TestRequestIDIsSentOnce(t *testing.T) {
 	cases := []struct {
 		name       string
-		wants      Asker // requests the entry while it is refreshed for try-1
-		fetchedFor Asker // the request that the next entry is fetched for
-		want       Asker // the request that the next entry is refreshed for
+		wants      Requester // requests the entry while it is refreshed for try-1
+		fetchedFor Requester // the request that the next entry is fetched for
+		want       Requester // the request that the next entry is refreshed for
 	}{
-		{"no request in the meantime", Asker{}, Asker{"try-1", "key-1"}, Asker{"", "key-1"}},
-		{"another request in the meantime", Asker{"try-2", "key-2"}, Asker{"try-1", "key-1"}, Asker{"try-2", "key-2"}},
-		{"a request in the meantime, which fetches it", Asker{"try-2", "key-2"}, Asker{"try-2", "key-2"}, Asker{"", "key-2"}},
-		{"another request fetches it first", Asker{}, Asker{"try-3", "key-3"}, Asker{"", "key-3"}},
+		{"no request in the meantime", Requester{}, Requester{"try-1", "key-1"}, Requester{"", "key-1"}},
+		{"another request in the meantime", Requester{"try-2", "key-2"}, Requester{"try-1", "key-1"}, Requester{"try-2", "key-2"}},
+		{"a request in the meantime, which fetches it", Requester{"try-2", "key-2"}, Requester{"try-2", "key-2"}, Requester{"", "key-2"}},
+		{"another request fetches it first", Requester{}, Requester{"try-3", "key-3"}, Requester{"", "key-3"}},
 	}
 	for _, c := range cases {
 		cache := New(1 << 20)
 		cache.Put(key, object(1, t0))
-		cache.Get(key, t0, 0, Asker{"try-1", "key-1"})
-		assert.Equal(t, cache.Due(t0.Add(15*time.Second), 9)[0].By, Asker{"try-1", "key-1"})
+		cache.Get(key, t0, 0, Requester{"try-1", "key-1"})
+		assert.Equal(t, cache.DueForRefresh(t0.Add(15*time.Second), 9)[0].Requester, Requester{"try-1", "key-1"})
 		cache.Get(key, t0.Add(16*time.Second), 0, c.wants)
 		next := object(1, t0.Add(16*time.Second))
-		next.For = c.fetchedFor
+		next.FetchedFor = c.fetchedFor
 		cache.Put(key, next)
-		assert.Equal(t, cache.Due(t0.Add(31*time.Second), 9)[0].By, c.want, c.name)
+		assert.Equal(t, cache.DueForRefresh(t0.Add(31*time.Second), 9)[0].Requester, c.want, c.name)
 	}
 }
--- a/internal/cdn/peerrpc/peerrpc.go
+++ b/internal/cdn/peerrpc/peerrpc.go
@@ -19,8 +19,8 @@
 // Error is the class of this package's errors. They name the method and the peer's address.
 var Error = errs.Class("peerrpc")
 
-// ErrNotBegun is the cause of a call that certainly did not reach the peer, because no connection was established.
-var ErrNotBegun = errors.New("no connection")
+// ErrNotConnected is the cause of a call that certainly did not reach the peer, because no connection was established.
+var ErrNotConnected = errors.New("no connection")
 
 const (
 	dialTimeout = 400 * time.Millisecond
@@ -91,7 +91,7 @@
 	var zero R
 	conn, err := p.connect(ctx, options.watched)
 	if err != nil {
-		return zero, Error.New("%s at %s: %w: %w", method, p.Address, ErrNotBegun, err)
+		return zero, Error.New("%s at %s: %w: %w", method, p.Address, ErrNotConnected, err)
 	}
 	if options.watched {
 		p.addWatched(conn, 1)
@@ -112,7 +112,7 @@
 			p.drop(conn)
 		}
 		if conn.gone.Load() {
-			return zero, Error.New("%s at %s: %w", method, p.Address, ErrGone)
+			return zero, Error.New("%s at %s: %w", method, p.Address, ErrPeerGone)
 		}
 		return zero, Error.New("%s at %s: %w", method, p.Address, call.Error)
 	case <-ctx.Done():
@@ -152,8 +152,8 @@
 // errPeerHeard is the cancellation cause of a dial that is restarted.
 var errPeerHeard = errors.New("peer heard from during the dial")
 
-// Awake reports that the peer was heard from: a dial in progress is restarted.
-func (p *Peer) Awake() {
+// RestartDial reports that the peer was heard from: a dial in progress is restarted.
+func (p *Peer) RestartDial() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.restartDial != nil {
@@ -336,13 +336,13 @@
 // can no longer receive a reply.
 func serveConn(conn net.Conn, name string, service func(*Session) any) {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	defer cancel(ErrGivenUp)
+	defer cancel(ErrCallerCancelled)
 	server, err := newServer(name, service, newSession(ctx))
 	if err != nil { // cannot happen: Serve has registered the same service before
 		conn.Close()
 		return
 	}
-	server.ServeConn(&closeNotifyingConn{conn, func() { cancel(ErrGivenUp) }})
+	server.ServeConn(&closeNotifyingConn{conn, func() { cancel(ErrCallerCancelled) }})
 }
 
 // closeNotifyingConn calls onClose when its connection can no longer be read. This is needed because net/rpc waits for
--- a/internal/cdn/peerrpc/peerrpc_test.go
+++ b/internal/cdn/peerrpc/peerrpc_test.go
@@ -52,7 +52,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	w := &worker{make(chan struct{})}
-	go Serve(l, "Worker", Shared(w))
+	go Serve(l, "Worker", SharedService(w))
 	defer l.Close()
 	p := NewPeer(l.Addr().String())
 	ctx, done := context.WithTimeout(t.Context(), 20*time.Second)
@@ -77,7 +77,7 @@
 		go func() { _, err := CallWatched[bool, bool](ctx, gone, "Worker.Work", new(bool), 0); errs <- err }()
 	}
 	for range cap(errs) {
-		assert.Assert(t, errors.Is(<-errs, ErrGone))
+		assert.Assert(t, errors.Is(<-errs, ErrPeerGone))
 	}
 	assert.Assert(t, time.Since(started) < 3*time.Second, time.Since(started).String())
 
@@ -85,7 +85,7 @@
 	gone.dialTimedOutAt = time.Now()
 	gone.mu.Unlock()
 	_, err = CallWatched[bool, bool](ctx, gone, "Worker.Work", new(bool), 0)
-	assert.Assert(t, errors.Is(err, ErrNotBegun), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrNotConnected), "%v", err)
 }
 
 // After a power loss, a dial that started before its peer was up would hang until its timeout. A message from the peer
@@ -104,12 +104,12 @@
 		<-ctx.Done() // no answer, as from a machine without power
 		return ctx.Err()
 	}}
-	go func() { <-up; p.Awake(); p.Awake() }()
+	go func() { <-up; p.RestartDial(); p.RestartDial() }()
 	c, err := p.dial(t.Context(), d)
 	assert.NilError(t, err)
 	c.Close()
 	assert.Equal(t, dials, 2)
-	p.Awake() // without effect: no dial is in progress
+	p.RestartDial() // without effect: no dial is in progress
 }
 
 // blockingEcho replies to each call with its argument, once that call is released.
@@ -134,7 +134,7 @@
 	for n := range calls {
 		h.release[n] = make(chan struct{})
 	}
-	go Serve(l, "Holding", Shared(h))
+	go Serve(l, "Holding", SharedService(h))
 	return l.Addr().String(), h, func() { l.Close() }
 }
 
--- a/internal/cdn/peerrpc/session.go
+++ b/internal/cdn/peerrpc/session.go
@@ -13,26 +13,26 @@
 // nobody. A call that may be cancelled carries a ticket; the server registers the call with its session, which cancels
 // the call's context when the caller cancels the ticket or the connection ends.
 
-// ErrGivenUp is the cancellation cause of a call whose caller no longer waits.
-var ErrGivenUp = errors.New("cancelled by the caller")
+// ErrCallerCancelled is the cancellation cause of a call whose caller no longer waits.
+var ErrCallerCancelled = errors.New("cancelled by the caller")
 
-// Ticket identifies a call among those of the calling process, so that it can be cancelled; 0 for a call that cannot be
+// CallID identifies a call among those of the calling process, so that it can be cancelled; 0 for a call that cannot be
 // cancelled.
-type Ticket uint64
+type CallID uint64
 
 // lastTicket is the newest ticket of this process.
 var lastTicket atomic.Uint64
 
-// NewTicket returns a ticket that this process has not used before.
-func NewTicket() Ticket { return Ticket(lastTicket.Add(1)) }
+// NewCallID returns a ticket that this process has not used before.
+func NewCallID() CallID { return CallID(lastTicket.Add(1)) }
 
 // Session is the server's side of a connection.
 type Session struct {
 	ctx   context.Context // cancelled when the connection ends
 	mu    sync.Mutex
-	calls map[Ticket]context.CancelCauseFunc // calls in progress
+	calls map[CallID]context.CancelCauseFunc // calls in progress
 	// cancelledEarly holds tickets that were cancelled before their calls began: each call runs in its own goroutine, in no defined order.
-	cancelledEarly []Ticket
+	cancelledEarly []CallID
 }
 
 // maxCancelledEarly bounds the tickets kept for calls that have yet to begin. Most of them belong to calls that have
@@ -40,15 +40,15 @@
 const maxCancelledEarly = 256
 
 func newSession(ctx context.Context) *Session {
-	return &Session{ctx: ctx, calls: map[Ticket]context.CancelCauseFunc{}}
+	return &Session{ctx: ctx, calls: map[CallID]context.CancelCauseFunc{}}
 }
 
-// Shared makes one service answer all connections. Its calls cannot be cancelled.
-func Shared(service any) func(*Session) any { return func(*Session) any { return service } }
+// SharedService makes one service answer all connections. Its calls cannot be cancelled.
+func SharedService(service any) func(*Session) any { return func(*Session) any { return service } }
 
 // Begin returns the context of a call; done must be called when the call ends. A nil session is that of calls within
 // the process.
-func (s *Session) Begin(ticket Ticket, timeout time.Duration) (ctx context.Context, done func()) {
+func (s *Session) Begin(ticket CallID, timeout time.Duration) (ctx context.Context, done func()) {
 	if s == nil {
 		return context.WithTimeout(context.Background(), timeout)
 	}
@@ -62,7 +62,7 @@
 	for i, cancelled := range s.cancelledEarly {
 		if cancelled == ticket {
 			s.cancelledEarly = append(s.cancelledEarly[:i], s.cancelledEarly[i+1:]...)
-			cancel(ErrGivenUp)
+			cancel(ErrCallerCancelled)
 			return ctx, cancelTimeout
 		}
 	}
@@ -77,12 +77,12 @@
 }
 
 // cancel cancels the context of a call, or remembers its ticket if the call has not begun.
-func (s *Session) cancel(ticket Ticket) {
+func (s *Session) cancel(ticket CallID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if cancel := s.calls[ticket]; cancel != nil {
 		delete(s.calls, ticket)
-		cancel(ErrGivenUp)
+		cancel(ErrCallerCancelled)
 		return
 	}
 	if s.cancelledEarly = append(s.cancelledEarly, ticket); len(s.cancelledEarly) > maxCancelledEarly {
@@ -97,7 +97,7 @@
 func (peerService) Word(_ *bool, ok *bool) error { *ok = true; return nil }
 
 // GiveUp cancels a call whose caller no longer waits for it.
-func (c peerService) GiveUp(ticket *Ticket, ok *bool) error {
+func (c peerService) GiveUp(ticket *CallID, ok *bool) error {
 	c.session.cancel(*ticket)
 	*ok = true
 	return nil
@@ -109,7 +109,7 @@
 )
 
 // cancelCall tells the peer that a call is cancelled. It does not wait for the reply.
-func (c *peerConn) cancelCall(ticket Ticket) {
+func (c *peerConn) cancelCall(ticket CallID) {
 	ok := new(bool)
 	c.client.Go(cancelMethod, &ticket, ok, make(chan *rpc.Call, 1))
 }
@@ -117,17 +117,17 @@
 // CallWatched is Call for calls that may take long. It fails with ErrGone soon after the peer stops responding. When
 // ctx ends, even by its deadline, the peer is told to cancel the call with this ticket: the peer measures the call's
 // time from its arrival, which may have been late.
-func CallWatched[A, R any](ctx context.Context, p *Peer, method string, args *A, ticket Ticket) (R, error) {
+func CallWatched[A, R any](ctx context.Context, p *Peer, method string, args *A, ticket CallID) (R, error) {
 	return call[A, R](ctx, p, method, args, callOptions{watched: true, ticket: ticket})
 }
 
-// CallTicketed is Call, but tells the peer to cancel the call when ctx ends.
-func CallTicketed[A, R any](ctx context.Context, p *Peer, method string, args *A, ticket Ticket) (R, error) {
+// CallCancellable is Call, but tells the peer to cancel the call when ctx ends.
+func CallCancellable[A, R any](ctx context.Context, p *Peer, method string, args *A, ticket CallID) (R, error) {
 	return call[A, R](ctx, p, method, args, callOptions{ticket: ticket})
 }
 
 // callOptions are the options of a call.
 type callOptions struct {
 	watched bool   // fail soon after the peer stops responding
-	ticket  Ticket // cancelled when the context ends; 0: none
+	ticket  CallID // cancelled when the context ends; 0: none
 }
--- a/internal/cdn/peerrpc/session_test.go
+++ b/internal/cdn/peerrpc/session_test.go
@@ -12,12 +12,12 @@
 // blockingWorker blocks in each call until its context ends, and reports the cause.
 type blockingWorker struct {
 	session *Session
-	started chan Ticket
+	started chan CallID
 	ended   chan error
 }
 
 // Work is an RPC method.
-func (w *blockingWorker) Work(t *Ticket, ok *bool) error {
+func (w *blockingWorker) Work(t *CallID, ok *bool) error {
 	ctx, done := w.session.Begin(*t, time.Minute)
 	defer done()
 	w.started <- *t
@@ -32,12 +32,12 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
-	started, ended := make(chan Ticket, 4), make(chan error, 4)
+	started, ended := make(chan CallID, 4), make(chan error, 4)
 	go Serve(l, "Worker", func(s *Session) any { return &blockingWorker{s, started, ended} })
 	p := NewPeer(l.Addr().String())
-	work := func(ctx context.Context) Ticket {
-		ticket := NewTicket()
-		go CallWatched[Ticket, bool](ctx, p, "Worker.Work", &ticket, ticket)
+	work := func(ctx context.Context) CallID {
+		ticket := NewCallID()
+		go CallWatched[CallID, bool](ctx, p, "Worker.Work", &ticket, ticket)
 		assert.Equal(t, <-started, ticket)
 		return ticket
 	}
@@ -47,12 +47,12 @@
 	work(firstCtx)
 	work(cancelledCtx)
 	conn := p.conn
-	cancel(ErrGone) // the cause must make no difference
-	assert.ErrorIs(t, <-ended, ErrGivenUp)
+	cancel(ErrPeerGone) // the cause must make no difference
+	assert.ErrorIs(t, <-ended, ErrCallerCancelled)
 	assert.Equal(t, len(ended), 0, "the other call continues")
 	assert.Assert(t, p.conn == conn, "on the same connection")
 	p.Close()
-	assert.ErrorIs(t, <-ended, ErrGivenUp, "its connection is closed")
+	assert.ErrorIs(t, <-ended, ErrCallerCancelled, "its connection is closed")
 }
 
 // A call whose deadline has passed must end at the peer as well, even if the peer responds on the same connection: it
@@ -62,20 +62,20 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
-	started, ended := make(chan Ticket, 1), make(chan error, 1)
+	started, ended := make(chan CallID, 1), make(chan error, 1)
 	go Serve(l, "Worker", func(s *Session) any { return &blockingWorker{s, started, ended} })
 	p := NewPeer(l.Addr().String())
 	short, stop := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer stop()
-	ticket := NewTicket()
-	go CallWatched[Ticket, bool](short, p, "Worker.Work", &ticket, ticket)
+	ticket := NewCallID()
+	go CallWatched[CallID, bool](short, p, "Worker.Work", &ticket, ticket)
 	<-started
 	_, err = Call[bool, bool](t.Context(), p, pingMethod, new(bool)) // so that the connection does not count as cut
 	assert.NilError(t, err)
 	conn := p.conn
 	select {
 	case cause := <-ended:
-		assert.ErrorIs(t, cause, ErrGivenUp)
+		assert.ErrorIs(t, cause, ErrCallerCancelled)
 	case <-time.After(10 * time.Second):
 		t.Fatal("the call still runs at the peer")
 	}
@@ -86,13 +86,13 @@
 // once there are too many.
 func TestCancelBeforeBegin(t *testing.T) {
 	s := newSession(t.Context())
-	for ticket := range Ticket(2 * maxCancelledEarly) {
+	for ticket := range CallID(2 * maxCancelledEarly) {
 		s.cancel(ticket + 1)
 	}
 	assert.Equal(t, len(s.cancelledEarly), maxCancelledEarly)
 	ctx, done := s.Begin(2*maxCancelledEarly, time.Minute)
 	defer done()
-	assert.ErrorIs(t, context.Cause(ctx), ErrGivenUp)
+	assert.ErrorIs(t, context.Cause(ctx), ErrCallerCancelled)
 	ctx, done = s.Begin(1, time.Minute)
 	defer done()
 	assert.NilError(t, ctx.Err())
--- a/internal/cdn/peerrpc/watch.go
+++ b/internal/cdn/peerrpc/watch.go
@@ -20,9 +20,9 @@
 	dialPause       = 250 * time.Millisecond // no watched call dials for this time after such a failure
 )
 
-// ErrGone is the cause of a call whose peer stopped responding while it was in flight. The peer may have carried it
+// ErrPeerGone is the cause of a call whose peer stopped responding while it was in flight. The peer may have carried it
 // out.
-var ErrGone = errors.New("the peer stopped responding")
+var ErrPeerGone = errors.New("the peer stopped responding")
 
 // liveness is the state of a connection's watch. Only check changes it.
 type liveness struct {
--- a/internal/cdn/peersampling/peersampling.go
+++ b/internal/cdn/peersampling/peersampling.go
@@ -31,8 +31,8 @@
 	return &View{self: self, maxEntries: maxEntries, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// Meet adds addresses from another source, for example at the start, while the view is not full.
-func (v *View) Meet(addresses ...string) {
+// AddAddresses adds addresses from another source, for example at the start, while the view is not full.
+func (v *View) AddAddresses(addresses ...string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, address := range addresses {
@@ -42,8 +42,8 @@
 	}
 }
 
-// Neighbours returns the addresses in the view, those with the highest log index first.
-func (v *View) Neighbours() (addresses []string) {
+// Addresses returns the addresses in the view, those with the highest log index first.
+func (v *View) Addresses() (addresses []string) {
 	v.mu.Lock()
 	sorted := slices.Clone(v.entries)
 	v.mu.Unlock()
@@ -62,9 +62,9 @@
 	return addresses
 }
 
-// Begin starts an exchange. It ages all entries and removes the oldest one, whose address is returned as the target: if the target does
+// StartExchange starts an exchange. It ages all entries and removes the oldest one, whose address is returned as the target: if the target does
 // not answer, it is gone from the view. The offer, which includes this router, is to be sent to it. The target is empty if the view is.
-func (v *View) Begin(index uint64) (target string, offer []Neighbour) {
+func (v *View) StartExchange(index uint64) (target string, offer []Neighbour) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if len(v.entries) == 0 {
@@ -82,8 +82,8 @@
 	return target, append(v.sample(v.maxEntries/2-1), Neighbour{Address: v.self, Index: index})
 }
 
-// Answer merges another router's offer into the view and returns this router's own offer.
-func (v *View) Answer(offer []Neighbour, index uint64) []Neighbour {
+// HandleExchange merges another router's offer into the view and returns this router's own offer.
+func (v *View) HandleExchange(offer []Neighbour, index uint64) []Neighbour {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	own := append(v.sample(v.maxEntries/2-1), Neighbour{Address: v.self, Index: index})
@@ -91,8 +91,8 @@
 	return own
 }
 
-// End merges the answer to this router's own offer, which is passed as offered.
-func (v *View) End(answer, offered []Neighbour) {
+// FinishExchange merges the answer to this router's own offer, which is passed as offered.
+func (v *View) FinishExchange(answer, offered []Neighbour) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.merge(answer, offered)
--- a/internal/cdn/peersampling/peersampling_test.go
+++ b/internal/cdn/peersampling/peersampling_test.go
@@ -17,7 +17,7 @@
 	for i := range n {
 		views[name(i)] = New(name(i), maxEntries, uint64(i))
 		if i > 0 {
-			views[name(i)].Meet(name(i - 1))
+			views[name(i)].AddAddresses(name(i - 1))
 		}
 	}
 	rng := rand.New(rand.NewPCG(4, 4))
@@ -27,9 +27,9 @@
 			if v == nil {
 				continue
 			}
-			target, offer := v.Begin(uint64(i))
+			target, offer := v.StartExchange(uint64(i))
 			if other := views[target]; other != nil {
-				v.End(other.Answer(offer, 7), offer)
+				v.FinishExchange(other.HandleExchange(offer, 7), offer)
 			}
 		}
 	}
@@ -43,7 +43,7 @@
 		}
 		seen, queue := map[string]bool{start: true}, []string{start}
 		for len(queue) > 0 {
-			for _, to := range views[queue[0]].Neighbours() {
+			for _, to := range views[queue[0]].Addresses() {
 				if views[to] != nil && !seen[to] {
 					seen[to] = true
 					queue = append(queue, to)
@@ -67,8 +67,8 @@
 	assert.Equal(t, reachable(), n/2)
 	dead := 0
 	for _, v := range views {
-		assert.Assert(t, len(v.Neighbours()) <= maxEntries)
-		for _, to := range v.Neighbours() {
+		assert.Assert(t, len(v.Addresses()) <= maxEntries)
+		for _, to := range v.Addresses() {
 			if views[to] == nil {
 				dead++
 			}
@@ -84,8 +84,8 @@
 	for i := range 1000 {
 		flood = append(flood, Neighbour{Address: fmt.Sprint(i)})
 	}
-	v.Answer(append([]Neighbour{{Address: ""}, {Address: "a"}}, flood...), 1)
-	assert.Assert(t, len(v.Neighbours()) <= 8)
-	target, offer := v.Begin(5)
+	v.HandleExchange(append([]Neighbour{{Address: ""}, {Address: "a"}}, flood...), 1)
+	assert.Assert(t, len(v.Addresses()) <= 8)
+	target, offer := v.StartExchange(5)
 	assert.Assert(t, target != "" && len(offer) <= 4)
 }
--- a/internal/cdn/process/process.go
+++ b/internal/cdn/process/process.go
@@ -27,10 +27,10 @@
 
 // Main parses the command line and runs the program. The exit status is 2 if the settings are missing or invalid, 1 for other errors.
 func Main(p Program) {
-	settings := &cli.StringFlag{Name: "settings", Usage: "path of the settings file", Sources: cli.EnvVars(bootconfig.EnvPath)}
+	settings := &cli.StringFlag{Name: "settings", Usage: "path of the settings file", Sources: cli.EnvVars(bootconfig.EnvSettingsPath)}
 	logLevel := &cli.StringFlag{Name: "log", Usage: "minimum log level: trace, debug, info, warn, error", Value: "info"}
 	metricsFlag := &cli.StringFlag{Name: "metrics", Usage: "PORT/PATH at which the process serves its metrics; not served if left out",
-		Validator: func(text string) error { _, err := metrics.ParsePlace(text); return err }}
+		Validator: func(text string) error { _, err := metrics.ParseEndpoint(text); return err }}
 	root := &cli.Command{Name: p.Name, Usage: p.Usage, Flags: []cli.Flag{settings, logLevel}, Commands: []*cli.Command{
 		{Name: "run", Usage: "serve until SIGTERM", Flags: []cli.Flag{metricsFlag}, Action: func(ctx context.Context, c *cli.Command) error {
 			return p.run(ctx, c.String("settings"), c.String("log"), c.String("metrics"))
@@ -43,7 +43,7 @@
 			return nil
 		}},
 		{Name: "version", Usage: "print the build", Action: func(context.Context, *cli.Command) error {
-			fmt.Println(build.Line(p.Name))
+			fmt.Println(build.VersionLine(p.Name))
 			return nil
 		}},
 	}}
@@ -56,7 +56,7 @@
 // run reads the settings and runs the program until it ends or SIGTERM or SIGINT arrives.
 func (p Program) run(ctx context.Context, path, level, metricsEndpoint string) error {
 	if path == "" {
-		return cli.Exit("no settings file: set "+bootconfig.EnvPath+" or --settings", 2)
+		return cli.Exit("no settings file: set "+bootconfig.EnvSettingsPath+" or --settings", 2)
 	}
 	settings, err := bootconfig.Read(path)
 	if err != nil {
@@ -65,7 +65,7 @@
 	log := hclog.New(&hclog.LoggerOptions{Name: p.Name, Level: hclog.LevelFromString(level), Output: os.Stderr, DisableTime: true})
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	settings.Named, settings.Metrics = new(bootconfig.Seeds), metricsEndpoint
+	settings.CurrentSeeds, settings.MetricsEndpoint = new(bootconfig.Seeds), metricsEndpoint
 	go watchSettings(ctx, path, settings, log)
 	if err := p.Run(ctx, settings, log); err != nil {
 		log.Error("ended", "err", err)
@@ -94,7 +94,7 @@
 		if fmt.Sprint(updated.Seeds) != fmt.Sprint(settings.Seeds) {
 			log.Info("seeds changed", "seeds", updated.Seeds)
 			settings.Seeds = updated.Seeds
-			settings.Named.Set(updated.Seeds)
+			settings.CurrentSeeds.Set(updated.Seeds)
 		}
 	}
 }
--- a/internal/cdn/programs/programs.go
+++ b/internal/cdn/programs/programs.go
@@ -13,8 +13,8 @@
 // programVariable is the environment variable that names the program to run as.
 const programVariable = "LOCALNET_PROGRAM"
 
-// Play runs the program that the environment names, and returns false if it names none.
-func Play() bool {
+// RunIfRequested runs the program that the environment names, and returns false if it names none.
+func RunIfRequested() bool {
 	byName := map[string]process.Program{"configstore": {Name: "configstore", Run: configstore.Run}, "registry": {Name: "registry", Run: registry.Run},
 		"edge": {Name: "edge", Run: edge.Run}}
 	p, ok := byName[os.Getenv(programVariable)]
@@ -26,7 +26,7 @@
 	return true
 }
 
-// Line returns the command line that runs this binary as the named program.
-func Line(name string) []string {
+// CommandLine returns the command line that runs this binary as the named program.
+func CommandLine(name string) []string {
 	return []string{"/usr/bin/env", programVariable + "=" + name, os.Args[0]}
 }
--- a/internal/cdn/raftlog/disk_test.go
+++ b/internal/cdn/raftlog/disk_test.go
@@ -23,12 +23,12 @@
 	j, held, lost, err := raftlog.Open(disk)
 	assert.NilError(t, err)
 	assert.Equal(t, held.ID+lost, "")
-	assert.NilError(t, j.Begin(raftlog.Held{ID: "me"}))
+	assert.NilError(t, j.Begin(raftlog.DiskState{ID: "me"}))
 	return j
 }
 
 // stateOn returns the state on a disk.
-func stateOn(t *testing.T, disk *simulation.Disk) raftlog.Held {
+func stateOn(t *testing.T, disk *simulation.Disk) raftlog.DiskState {
 	t.Helper()
 	_, held, lost, err := raftlog.Open(disk)
 	assert.NilError(t, err)
@@ -62,7 +62,7 @@
 			}
 			all = append(all, command(3))
 			assert.NilError(t, j.Save(nil, nil, all[2:]))
-			disk.PowerLost()
+			disk.LosePower()
 			assert.DeepEqual(t, stateOn(t, disk).Entries, all)
 		}
 	}
@@ -74,14 +74,14 @@
 	for seed := range uint64(powerFailureSeeds) {
 		disk := simulation.NewDisk(seed)
 		j := newJournalOn(t, disk)
-		disk.PowerLost()
+		disk.LosePower()
 		assert.Equal(t, stateOn(t, disk).ID, "me")
 		for round := range uint64(3) {
 			j, held, _, err := raftlog.Open(disk)
 			assert.NilError(t, err)
 			assert.NilError(t, j.Begin(held))
 			assert.NilError(t, j.Save(nil, nil, []consensus.Entry{command(round + 1)}))
-			disk.PowerLost()
+			disk.LosePower()
 			assert.Equal(t, uint64(len(stateOn(t, disk).Entries)), round+1)
 		}
 		j.Close()
--- a/internal/cdn/raftlog/files.go
+++ b/internal/cdn/raftlog/files.go
@@ -7,10 +7,10 @@
 	"path/filepath"
 )
 
-// Files is the directory of a journal, with the operations that the journal needs. Tests and simulations substitute their own
+// Directory is the directory of a journal, with the operations that the journal needs. Tests and simulations substitute their own
 // implementation. Creating, renaming or removing a file is durable only once Sync has returned, and data written to a file only
 // once the file's own Sync has.
-type Files interface {
+type Directory interface {
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
 	Create(name string) (File, error) // creates an empty file, or truncates an existing one, for writing
@@ -29,8 +29,8 @@
 // osDirectory is the path of a directory of the operating system.
 type osDirectory string
 
-// OpenFolder returns a directory of the operating system and creates it if it is missing.
-func OpenFolder(dir string) (Files, error) {
+// OpenDirectory returns a directory of the operating system and creates it if it is missing.
+func OpenDirectory(dir string) (Directory, error) {
 	if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return nil, Error.Wrap(err)
--- a/internal/cdn/raftlog/raftlog.go
+++ b/internal/cdn/raftlog/raftlog.go
@@ -36,7 +36,7 @@
 
 // Journal is an open journal. It is not safe for concurrent use.
 type Journal struct {
-	files           Files
+	files           Directory
 	generation      int // the newest one that exists or was attempted
 	current         File
 	framing         framing
@@ -51,7 +51,7 @@
 // Open reads the journal in a directory. The returned journal accepts no saves before it is renewed by Begin or Renew, since how
 // the previous process ended is unknown. For an empty directory, held.ID is empty. If the disk has corrupted synced data,
 // held.ID is empty as well, and lost is the name of the file that was set aside.
-func Open(files Files) (j *Journal, held Held, lost string, err error) {
+func Open(files Directory) (j *Journal, held DiskState, lost string, err error) {
 	j = &Journal{files: files}
 	generations, err := j.listGenerations()
 	if err != nil {
@@ -64,13 +64,13 @@
 		case err != nil:
 			return nil, held, "", err
 		case state == corrupt:
-			return j, Held{}, fileName(generations[i]), j.setAside(generations[:i+1])
+			return j, DiskState{}, fileName(generations[i]), j.setAside(generations[:i+1])
 		case state == complete:
 			j.diskID = held.ID
 			return j, held, "", nil
 		}
 	}
-	return j, Held{}, "", nil
+	return j, DiskState{}, "", nil
 }
 
 // fileName returns the file name of a generation.
@@ -106,7 +106,7 @@
 )
 
 // load reads the file of a generation.
-func (j *Journal) load(generation int) (held Held, _ fileState, err error) {
+func (j *Journal) load(generation int) (held DiskState, _ fileState, err error) {
 	data, err := j.files.Read(fileName(generation))
 	if err != nil {
 		return held, incomplete, err
@@ -122,7 +122,7 @@
 		}
 	}
 	if !sealed {
-		return Held{}, incomplete, nil
+		return DiskState{}, incomplete, nil
 	}
 	return held, complete, nil
 }
@@ -155,7 +155,7 @@
 
 // Begin sets the ID of the disk and writes a new generation with the given state. It must be called once after Open, before the
 // first Save.
-func (j *Journal) Begin(held Held) error {
+func (j *Journal) Begin(held DiskState) error {
 	j.diskID = held.ID
 	return j.Renew(held.Hard, held.Snapshot, held.Entries)
 }
--- a/internal/cdn/raftlog/raftlog_test.go
+++ b/internal/cdn/raftlog/raftlog_test.go
@@ -23,15 +23,15 @@
 	dir := t.TempDir()
 	j, h := open(t, dir)
 	assert.Equal(t, h.ID, "")
-	assert.NilError(t, j.Begin(Held{ID: "me", Snapshot: consensus.Snapshot{
+	assert.NilError(t, j.Begin(DiskState{ID: "me", Snapshot: consensus.Snapshot{
 		Membership: consensus.Membership{Voters: []consensus.Member{{ID: "me", Addr: "a"}}}}}))
 	return dir, j
 }
 
 // open opens the journal in a directory and fails if it is corrupt.
-func open(t *testing.T, dir string) (*Journal, Held) {
+func open(t *testing.T, dir string) (*Journal, DiskState) {
 	t.Helper()
-	files, err := OpenFolder(dir)
+	files, err := OpenDirectory(dir)
 	assert.NilError(t, err)
 	j, h, lost, err := Open(files)
 	assert.NilError(t, err)
@@ -40,7 +40,7 @@
 }
 
 // reopen opens a journal and renews it for writing, as a process does when it starts.
-func reopen(t *testing.T, dir string) (*Journal, Held) {
+func reopen(t *testing.T, dir string) (*Journal, DiskState) {
 	t.Helper()
 	j, h := open(t, dir)
 	j.Note(h.Committed)
@@ -85,7 +85,7 @@
 			at++
 		}
 		j.Close()
-		var h Held
+		var h DiskState
 		j, h = reopen(t, dir)
 		assert.Equal(t, h.Committed, s.want, "step %d", i)
 		assert.Equal(t, uint64(len(h.Entries)), at-1)
@@ -165,7 +165,7 @@
 	position := strings.Index(string(text), "command 3")
 	text[position] ^= 0x55
 	assert.NilError(t, os.WriteFile(file, text, 0o644))
-	files, err := OpenFolder(dir)
+	files, err := OpenDirectory(dir)
 	assert.NilError(t, err)
 	_, h, lost, err := Open(files)
 	assert.NilError(t, err)
@@ -182,7 +182,7 @@
 func TestOldFormatIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, os.Mkdir(filepath.Join(dir, oldFormatPrefix+"00000003"), 0o755))
-	files, err := OpenFolder(dir)
+	files, err := OpenDirectory(dir)
 	assert.NilError(t, err)
 	_, _, _, err = Open(files)
 	assert.ErrorContains(t, err, "not read any more")
--- a/internal/cdn/raftlog/record.go
+++ b/internal/cdn/raftlog/record.go
@@ -22,8 +22,8 @@
 
 var errTruncated = errors.New("record is truncated")
 
-// Held is the state on a disk.
-type Held struct {
+// DiskState is the state on a disk.
+type DiskState struct {
 	ID       string // random ID of the disk, chosen at its first use; empty if it has not been used
 	Hard     consensus.HardState
 	Snapshot consensus.Snapshot
@@ -39,7 +39,7 @@
 }
 
 // replay applies the records of a batch. It sets sealed if one of them is a seal.
-func (h *Held) replay(batch []byte, sealed *bool) error {
+func (h *DiskState) replay(batch []byte, sealed *bool) error {
 	for len(batch) > 0 {
 		size, n := binary.Uvarint(batch)
 		if n <= 0 || size >= uint64(len(batch)-n) {
@@ -55,7 +55,7 @@
 }
 
 // applyRecord applies one record.
-func (h *Held) applyRecord(kind byte, body []byte, sealed *bool) (err error) {
+func (h *DiskState) applyRecord(kind byte, body []byte, sealed *bool) (err error) {
 	switch kind {
 	case kindID:
 		h.ID = string(body)
@@ -82,7 +82,7 @@
 }
 
 // applyEntry adds an entry, which replaces all entries from its index on. An entry covered by the snapshot is ignored.
-func (h *Held) applyEntry(body []byte) error {
+func (h *DiskState) applyEntry(body []byte) error {
 	e, err := decodeEntry(body)
 	if err != nil {
 		return err
--- a/internal/cdn/registry/duty.go
+++ b/internal/cdn/registry/duty.go
@@ -52,12 +52,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(reg.settings.Heartbeat / 2):
+		case <-time.After(reg.settings.HeartbeatInterval / 2):
 		}
 		now := time.Now()
 		var duty clusterstate.Duty
 		var servers, routers, innerRouters []string
-		reg.replica.Read(func(s *clusterstate.State) {
+		reg.replica.View(func(s *clusterstate.State) {
 			duty = s.Duty
 			for id := range s.Servers {
 				servers = append(servers, id)
@@ -71,7 +71,7 @@
 			}
 		})
 		phase, _ := reg.replica.Phase()
-		t.update(duty, reg.settings.IP, phase == statesync.InTouch, now)
+		t.update(duty, reg.settings.IP, phase == statesync.Connected, now)
 		reg.expireHeartbeats(now)
 		if t.epoch == 0 {
 			continue
@@ -88,14 +88,14 @@
 
 // serverTimeout is the time without a heartbeat after which a server is removed.
 func (reg *Registry) serverTimeout() time.Duration {
-	return maxMissedHeartbeats * reg.settings.Heartbeat
+	return maxMissedHeartbeats * reg.settings.HeartbeatInterval
 }
 
 // expireHeartbeats drops heartbeats that are older than twice the server timeout.
 func (reg *Registry) expireHeartbeats(now time.Time) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	reg.heartbeats.Forget(2*reg.serverTimeout(), now)
+	reg.heartbeats.Expire(2*reg.serverTimeout(), now)
 }
 
 // removeSilentServers removes servers that have missed several heartbeats. A new duty holder first waits for the whole
@@ -114,7 +114,7 @@
 	reg.mu.Unlock()
 	for _, key := range reg.confirmSilent(ctx, silent, len(servers), reg.serverTimeout()) {
 		id := key[len(configstore.ServerKey("")):]
-		if out, err := reg.propose(ctx, clusterstate.Command{Lost: id, Epoch: t.epoch}, commitTimeout); err == nil && out.Status == clusterstate.Done {
+		if out, err := reg.propose(ctx, clusterstate.Command{Lost: id, Epoch: t.epoch}, commitTimeout); err == nil && out.Status == clusterstate.StatusOK {
 			reg.log.Info("silent server removed", "id", id, "epoch", t.epoch)
 		}
 	}
@@ -123,7 +123,7 @@
 // removeSilentRouters removes cache routers that no longer ask any core machine for news.
 func (reg *Registry) removeSilentRouters(ctx context.Context, t term, routers []string, timeout time.Duration) {
 	for _, node := range reg.confirmSilent(ctx, routers, 2*len(routers), timeout) {
-		if out, err := reg.propose(ctx, clusterstate.Command{Absent: node, Epoch: t.epoch}, commitTimeout); err == nil && out.Status == clusterstate.Done {
+		if out, err := reg.propose(ctx, clusterstate.Command{Absent: node, Epoch: t.epoch}, commitTimeout); err == nil && out.Status == clusterstate.StatusOK {
 			reg.log.Info("silent cache router removed", "node", node, "epoch", t.epoch)
 		}
 	}
@@ -159,16 +159,16 @@
 	if err != nil {
 		return
 	}
-	var divisions []clusterstate.Cut
-	reg.replica.Read(func(s *clusterstate.State) {
+	var divisions []clusterstate.RateDivision
+	reg.replica.View(func(s *clusterstate.State) {
 		for service, byRouter := range demand {
-			if c, moved := s.Recut(service, byRouter); moved {
+			if c, moved := s.DivideRate(service, byRouter); moved {
 				divisions = append(divisions, c)
 			}
 		}
 	})
 	for _, c := range divisions {
-		if out, err := reg.propose(ctx, clusterstate.Command{Cut: &c, Epoch: t.epoch}, commitTimeout); err == nil && out.Status == clusterstate.Done {
+		if out, err := reg.propose(ctx, clusterstate.Command{Cut: &c, Epoch: t.epoch}, commitTimeout); err == nil && out.Status == clusterstate.StatusOK {
 			reg.log.Info("rate limit divided", "service", c.Service, "parts", len(c.Parts), "epoch", t.epoch)
 		}
 	}
--- a/internal/cdn/registry/heartbeats.go
+++ b/internal/cdn/registry/heartbeats.go
@@ -6,10 +6,10 @@
 	"cedarmast/internal/cdn/clusterstate"
 )
 
-// Beats tracks the servers that one registry has heard: the last heartbeat of each, and the servers not yet reported to
+// Heartbeats tracks the servers that one registry has heard: the last heartbeat of each, and the servers not yet reported to
 // the config store. It decides which heartbeats are acknowledged without a log entry. It reads no clock and does no
 // I/O; the registry process and the simulation share it.
-type Beats struct {
+type Heartbeats struct {
 	last       map[string]heartbeat
 	unreported []string // servers heard since the last report to the config store
 }
@@ -23,12 +23,12 @@
 // maxTrackedServers bounds the servers whose last heartbeat is kept.
 const maxTrackedServers = 65536
 
-// NewBeats returns an empty tracker.
-func NewBeats() *Beats { return &Beats{last: map[string]heartbeat{}} }
+// NewHeartbeats returns an empty tracker.
+func NewHeartbeats() *Heartbeats { return &Heartbeats{last: map[string]heartbeat{}} }
 
-// Take records a heartbeat. It returns true for an outdated one: a later heartbeat of the same server arrived before
+// Record records a heartbeat. It returns true for an outdated one: a later heartbeat of the same server arrived before
 // it.
-func (b *Beats) Take(s clusterstate.Server, now time.Time) (outdated bool) {
+func (b *Heartbeats) Record(s clusterstate.Server, now time.Time) (outdated bool) {
 	previous, known := b.last[s.ID]
 	if known && s.Beat < previous.number {
 		return true
@@ -40,35 +40,35 @@
 	return false
 }
 
-// Settled reports whether a heartbeat may be acknowledged without a log entry. It must be of an open server, and either
+// CanAcknowledge reports whether a heartbeat may be acknowledged without a log entry. It must be of an open server, and either
 // outdated or equal to the server's entry in a replica that is connected to the config stores. Any other change is
 // acknowledged only after it is committed, and so is every announcement that a server is closing: an earlier attempt to
 // announce it may have failed.
-func Settled(s clusterstate.Server, outdated bool, known clusterstate.Server, listed, connected bool) bool {
-	if s.State != clusterstate.Open {
+func CanAcknowledge(s clusterstate.Server, outdated bool, known clusterstate.Server, listed, connected bool) bool {
+	if s.State != clusterstate.ServerOpen {
 		return false
 	}
-	return outdated || listed && connected && known.Same(s)
+	return outdated || listed && connected && known.SameState(s)
 }
 
-// Left forgets a server that was removed at its own request.
-func (b *Beats) Left(id string) { delete(b.last, id) }
+// Remove forgets a server that was removed at its own request.
+func (b *Heartbeats) Remove(id string) { delete(b.last, id) }
 
-// Heard returns the servers heard since the previous call, and clears the list.
-func (b *Beats) Heard() []string {
+// TakeUnreported returns the servers heard since the previous call, and clears the list.
+func (b *Heartbeats) TakeUnreported() []string {
 	heard := b.unreported
 	b.unreported = nil
 	return heard
 }
 
 // Silent reports whether a server has not been heard here for longer than timeout.
-func (b *Beats) Silent(id string, timeout time.Duration, now time.Time) bool {
+func (b *Heartbeats) Silent(id string, timeout time.Duration, now time.Time) bool {
 	last, known := b.last[id]
 	return !known || now.Sub(last.at) > timeout
 }
 
-// Forget drops the servers that have been silent for longer than timeout.
-func (b *Beats) Forget(timeout time.Duration, now time.Time) {
+// Expire drops the servers that have been silent for longer than timeout.
+func (b *Heartbeats) Expire(timeout time.Duration, now time.Time) {
 	for id := range b.last {
 		if b.Silent(id, timeout, now) {
 			delete(b.last, id)
--- a/internal/cdn/registry/heartbeats_test.go
+++ b/internal/cdn/registry/heartbeats_test.go
@@ -22,16 +22,16 @@
 // of the same server has already arrived: that one may have failed. Here no config store answers. An older heartbeat
 // without news is acknowledged.
 func TestClosingIsAcknowledgedOnlyWhenCommitted(t *testing.T) {
-	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewBeats(), replica: statesync.New(), callers: departure.NewLedger()}
+	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(), callers: departure.NewTracker()}
 	reg.store = reg.peers.At("127.0.0.1:1")
 	cases := []struct {
 		state  string
 		beat   int
 		status int
 	}{
-		{clusterstate.Closing, 7, http.StatusServiceUnavailable},
-		{clusterstate.Closing, 6, http.StatusServiceUnavailable},
-		{clusterstate.Open, 5, http.StatusOK},
+		{clusterstate.ServerClosing, 7, http.StatusServiceUnavailable},
+		{clusterstate.ServerClosing, 6, http.StatusServiceUnavailable},
+		{clusterstate.ServerOpen, 5, http.StatusOK},
 	}
 	for _, c := range cases {
 		body := fmt.Sprintf(`{"id":"i-1","carrier":"shop","address":"10.0.0.9:80","zone":"a","edition":"v1","berths":4,"state":%q,"warmup":"0ms","postmark":%d}`, c.state, c.beat)
@@ -56,12 +56,12 @@
 // current through other machines: the duty holder would never hear of the servers and would remove them. Once the store
 // is back, it receives the report and heartbeats are acknowledged again.
 func TestNoAcknowledgementWithoutConfigStore(t *testing.T) {
-	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewBeats(), replica: statesync.New(), callers: departure.NewLedger()}
-	reg.replica.Set.Bounds.Contact = time.Hour
+	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(), callers: departure.NewTracker()}
+	reg.replica.Set.Limits.Contact = time.Hour
 	reg.replica.Log = reg.log
 	reg.replica.Took = func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
-	server := clusterstate.Server{ID: "i-1", Service: "shop", Address: "10.0.0.9:80", Zone: "a", Edition: "v1", Slots: 4, State: clusterstate.Open, Beat: 1}
-	reg.replica.Take(clusterstate.News{Fresh: true, Changes: []clusterstate.Change{{Index: 1, Data: clusterstate.Command{Server: &server}.Encode()}}}, time.Now())
+	server := clusterstate.Server{ID: "i-1", Service: "shop", Address: "10.0.0.9:80", Zone: "a", Edition: "v1", Slots: 4, State: clusterstate.ServerOpen, Beat: 1}
+	reg.replica.Apply(clusterstate.News{Fresh: true, Changes: []clusterstate.Change{{Index: 1, Data: clusterstate.Command{Server: &server}.Encode()}}}, time.Now())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	reg.store = reg.peers.At(l.Addr().String())
@@ -81,7 +81,7 @@
 	assert.NilError(t, err)
 	defer listener.Close()
 	restarted := &fakeStore{heard: make(chan []string, 4)}
-	go peerrpc.Serve(listener, "ConfigStore", peerrpc.Shared(restarted))
+	go peerrpc.Serve(listener, "ConfigStore", peerrpc.SharedService(restarted))
 	reg.reportHeard(t.Context())
 	assert.DeepEqual(t, <-restarted.heard, []string{"i-1"})
 	assert.Equal(t, sendHeartbeat(), http.StatusOK)
--- a/internal/cdn/registry/platform_test.go
+++ b/internal/cdn/registry/platform_test.go
@@ -34,7 +34,7 @@
 	defer platform.Stop()
 	cases := []struct {
 		name    string
-		mood    localnet.PlatformMood
+		mood    localnet.PlatformBehavior
 		fence   uint64
 		allowed bool
 		want    usage.CallOutcome
@@ -50,13 +50,13 @@
 	}
 	client := platformClient{address: address, holder: "core-1", timeout: 150 * time.Millisecond}
 	for _, c := range cases {
-		platform.Behave(c.mood, 0)
+		platform.SetBehavior(c.mood, 0)
 		step := usage.Step{Kind: usage.Send, Fence: c.fence, Report: clusterstate.UsageReport{Round: 7, Counts: map[string]int64{"a": 1}}}
 		answer := client.sendReport(t.Context(), step, func() bool { return c.allowed })
 		assert.Equal(t, answer.outcome, c.want, "%s: %v", c.name, answer.err)
 	}
-	assert.Equal(t, platform.Answered(http.StatusOK), 2)
-	assert.Equal(t, len(platform.Breaches()), 0, "%v", platform.Breaches())
+	assert.Equal(t, platform.AnswerCount(http.StatusOK), 2)
+	assert.Equal(t, len(platform.Violations()), 0, "%v", platform.Violations())
 	client.address = "127.0.0.1:1"
 	assert.Equal(t, client.sendReport(t.Context(), usage.Step{}, func() bool { return true }).outcome, usage.NotSent)
 }
--- a/internal/cdn/registry/registry.go
+++ b/internal/cdn/registry/registry.go
@@ -51,26 +51,26 @@
 	peers    *peerrpc.Peers
 	store    *peerrpc.Peer // the config store on this machine
 	replica  *statesync.Replica
-	callers  *departure.Ledger // calls in progress by servers and operators
+	callers  *departure.Tracker // calls in progress by servers and operators
 
 	mu               sync.Mutex
-	heartbeats       *Beats
+	heartbeats       *Heartbeats
 	storeUnreachable bool // the last report of heard servers to the config store failed
 }
 
 // Run serves the HTTP API and runs the background tasks until ctx is cancelled.
 func Run(ctx context.Context, settings bootconfig.Settings, log hclog.Logger) error {
-	if settings.Control == "" {
+	if settings.ControlAddress == "" {
 		return Error.New("network.listen_on.control_dock: missing: the registry needs an address for its HTTP API")
 	}
-	reg := &Registry{settings: settings, log: log, peers: peerrpc.NewPeers(), heartbeats: NewBeats(), replica: statesync.New(),
-		callers: departure.NewLedger()}
-	reg.callers.LogBreaches(log)
-	localStore := settings.Inner(settings.IP, bootconfig.ConfigStorePort)
+	reg := &Registry{settings: settings, log: log, peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(),
+		callers: departure.NewTracker()}
+	reg.callers.LogViolations(log)
+	localStore := settings.InternalAddress(settings.IP, bootconfig.ConfigStorePort)
 	reg.store = reg.peers.At(localStore)
 	reg.replica.Set, reg.replica.Peers, reg.replica.Log, reg.replica.Prefer = settings, reg.peers, log.Named("statesync"), localStore
 	reg.replica.Took = func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
-	listener, err := net.Listen("tcp", settings.Control)
+	listener, err := net.Listen("tcp", settings.ControlAddress)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -87,8 +87,8 @@
 	}
 	go reg.replica.Run(ctx)
 	metrics.Serve(ctx, settings, log, collectors...)
-	go server.Serve(halfclose.Listen(listener))
-	log.Info("started", "address", settings.Control)
+	go server.Serve(halfclose.NewListener(listener))
+	log.Info("started", "address", settings.ControlAddress)
 	<-ctx.Done()
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -98,14 +98,14 @@
 }
 
 // routes returns the handlers of the HTTP API.
-func (reg *Registry) routes() *httproute.Tree {
-	return new(httproute.Tree).
-		On(http.MethodPut, "/servers/{id}", reg.putServer).
-		On(http.MethodDelete, "/servers/{id}", reg.deleteServer).
-		On(http.MethodPut, "/manifest", reg.putManifest).
-		On(http.MethodGet, "/manifest", reg.getManifest).
-		On(http.MethodPost, "/purge", reg.purge).
-		On(http.MethodGet, "/status", reg.status)
+func (reg *Registry) routes() *httproute.Mux {
+	return new(httproute.Mux).
+		Handle(http.MethodPut, "/servers/{id}", reg.putServer).
+		Handle(http.MethodDelete, "/servers/{id}", reg.deleteServer).
+		Handle(http.MethodPut, "/manifest", reg.putManifest).
+		Handle(http.MethodGet, "/manifest", reg.getManifest).
+		Handle(http.MethodPost, "/purge", reg.purge).
+		Handle(http.MethodGet, "/status", reg.status)
 }
 
 // trackCallers records each call while it is in progress, and whether its caller disconnects before the response.
@@ -129,8 +129,8 @@
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	proposal := configstore.Proposal{Data: command.Encode(), Kind: command.Kind(),
-		WaitMS: (timeout - 30*time.Millisecond).Milliseconds(), Ticket: peerrpc.NewTicket()}
-	reply, err := peerrpc.CallTicketed[configstore.Proposal, configstore.Reply](callCtx, reg.store, "ConfigStore.Propose",
+		WaitMS: (timeout - 30*time.Millisecond).Milliseconds(), Ticket: peerrpc.NewCallID()}
+	reply, err := peerrpc.CallCancellable[configstore.Proposal, configstore.Reply](callCtx, reg.store, "ConfigStore.Propose",
 		&proposal, proposal.Ticket)
 	if err == nil && !reply.Known {
 		err = Error.New("no majority in time")
@@ -148,8 +148,8 @@
 		rw.Header().Set("Retry-After", retryAfterSeconds)
 		rw.WriteHeader(http.StatusServiceUnavailable)
 		body = map[string]string{"error": err.Error()}
-	case out.Status != clusterstate.Done:
-		if out.Status == clusterstate.Forgotten {
+	case out.Status != clusterstate.StatusOK:
+		if out.Status == clusterstate.StatusUnknown {
 			rw.Header().Set("Retry-After", retryAfterSeconds)
 		}
 		rw.WriteHeader(out.Status)
@@ -163,7 +163,7 @@
 
 // invalidOutcome returns the outcome of a request that fails validation.
 func invalidOutcome(err error) clusterstate.Outcome {
-	return clusterstate.Outcome{Status: clusterstate.Invalid, Text: err.Error()}
+	return clusterstate.Outcome{Status: clusterstate.StatusInvalid, Text: err.Error()}
 }
 
 // heartbeatBody is the JSON body with which a server registers itself and sends its heartbeats.
@@ -183,11 +183,11 @@
 // to it and it knows every silent server.
 func (reg *Registry) forwardHint() any {
 	holder := ""
-	reg.replica.Read(func(s *clusterstate.State) { holder = s.Duty.Holder })
+	reg.replica.View(func(s *clusterstate.State) { holder = s.Duty.Holder })
 	if holder == "" || holder == reg.settings.IP {
 		return nil
 	}
-	_, port, _ := net.SplitHostPort(reg.settings.Control)
+	_, port, _ := net.SplitHostPort(reg.settings.ControlAddress)
 	return map[string]string{"forward_to": net.JoinHostPort(holder, port)}
 }
 
@@ -206,7 +206,7 @@
 	if b.ID == "" {
 		b.ID = id
 	}
-	warmup, err := bootconfig.Span(b.Warmup)
+	warmup, err := bootconfig.ParseDuration(b.Warmup)
 	if err != nil {
 		warmup = 0
 	}
@@ -220,13 +220,13 @@
 		return
 	}
 	reg.mu.Lock()
-	outdated, storeUnreachable := reg.heartbeats.Take(server, time.Now()), reg.storeUnreachable
+	outdated, storeUnreachable := reg.heartbeats.Record(server, time.Now()), reg.storeUnreachable
 	reg.mu.Unlock()
 	var known clusterstate.Server
 	listed := false
-	reg.replica.Read(func(state *clusterstate.State) { known, listed = state.Servers[id] })
-	if phase, _ := reg.replica.Phase(); Settled(server, outdated, known, listed, phase == statesync.InTouch && !storeUnreachable) {
-		reg.writeOutcome(rw, r, clusterstate.Outcome{Status: clusterstate.Done}, nil, reg.forwardHint())
+	reg.replica.View(func(state *clusterstate.State) { known, listed = state.Servers[id] })
+	if phase, _ := reg.replica.Phase(); CanAcknowledge(server, outdated, known, listed, phase == statesync.Connected && !storeUnreachable) {
+		reg.writeOutcome(rw, r, clusterstate.Outcome{Status: clusterstate.StatusOK}, nil, reg.forwardHint())
 		return
 	}
 	out, err := reg.propose(r.Context(), clusterstate.Command{Server: &server}, commitTimeout)
@@ -238,7 +238,7 @@
 	out, err := reg.propose(r.Context(), clusterstate.Command{Leave: id}, commitTimeout)
 	if err == nil {
 		reg.mu.Lock()
-		reg.heartbeats.Left(id)
+		reg.heartbeats.Remove(id)
 		reg.mu.Unlock()
 	}
 	reg.writeOutcome(rw, r, out, err, nil)
@@ -251,7 +251,7 @@
 		reg.writeOutcome(rw, r, invalidOutcome(err), nil, nil)
 		return
 	}
-	command, err := reg.replica.Order(body)
+	command, err := reg.replica.ConfigCommand(body)
 	if err != nil { // applying it would fail the same way; checking here saves a log entry
 		reg.writeOutcome(rw, r, invalidOutcome(err), nil, nil)
 		return
@@ -267,8 +267,8 @@
 func (reg *Registry) getManifest(rw http.ResponseWriter, r *http.Request, _ string) {
 	callCtx, cancel := context.WithTimeout(r.Context(), readTimeout)
 	defer cancel()
-	request := configstore.Asked{WaitMS: (readTimeout - 30*time.Millisecond).Milliseconds(), Ticket: peerrpc.NewTicket()}
-	body, err := peerrpc.CallTicketed[configstore.Asked, []byte](callCtx, reg.store, "ConfigStore.Manifest", &request, request.Ticket)
+	request := configstore.Asked{WaitMS: (readTimeout - 30*time.Millisecond).Milliseconds(), Ticket: peerrpc.NewCallID()}
+	body, err := peerrpc.CallCancellable[configstore.Asked, []byte](callCtx, reg.store, "ConfigStore.Manifest", &request, request.Ticket)
 	switch {
 	case err != nil:
 		reg.writeOutcome(rw, r, clusterstate.Outcome{}, err, nil)
@@ -308,7 +308,7 @@
 	callCtx, cancel := context.WithTimeout(r.Context(), readTimeout)
 	defer cancel()
 	status, err := peerrpc.Call[bool, configstore.Status](callCtx, reg.store, "ConfigStore.Status", new(bool))
-	reg.writeOutcome(rw, r, clusterstate.Outcome{Status: clusterstate.Done}, err, status)
+	reg.writeOutcome(rw, r, clusterstate.Outcome{Status: clusterstate.StatusOK}, err, status)
 }
 
 // reportHeardLoop reports the servers heard here to the machine's config store, which passes them on to the leader: a
@@ -318,7 +318,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(reg.settings.Heartbeat / 3):
+		case <-time.After(reg.settings.HeartbeatInterval / 3):
 		}
 		reg.reportHeard(ctx)
 	}
@@ -328,7 +328,7 @@
 // would know that the servers are alive, and they would be removed. They retry at another machine instead.
 func (reg *Registry) reportHeard(ctx context.Context) {
 	reg.mu.Lock()
-	heard, wasUnreachable := reg.heartbeats.Heard(), reg.storeUnreachable
+	heard, wasUnreachable := reg.heartbeats.TakeUnreported(), reg.storeUnreachable
 	reg.mu.Unlock()
 	if len(heard) == 0 && !wasUnreachable {
 		return
--- a/internal/cdn/registry/usage.go
+++ b/internal/cdn/registry/usage.go
@@ -36,8 +36,8 @@
 func newUsageDuty(reg *Registry) *usageDuty {
 	p := reg.settings.Platform
 	return &usageDuty{registry: reg, provenAt: reg.replica.Proof, clock: truetime.New(time.Now(), false),
-		reporter: usage.NewReporter(usage.Timetable{Window: p.ReportWindow, Delay: p.UsageDelay, Lease: p.Lease, DutyPerS: p.DutyPerS}),
-		platform: platformClient{address: p.Address, holder: reg.settings.Node, timeout: min(p.Lease, maxCallTimeout)},
+		reporter: usage.NewReporter(usage.Timing{Window: p.ReportWindow, Delay: p.UsageDelay, Lease: p.DutyLease, DutyPerS: p.DutyPerS}),
+		platform: platformClient{address: p.Address, holder: reg.settings.Node, timeout: min(p.DutyLease, maxCallTimeout)},
 		callsByOutcome: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cedarmast_usage_calls_total",
 			Help: "Calls of the platform with a window's usage, by outcome."}, []string{"outcome"}),
 		backlog: prometheus.NewGauge(prometheus.GaugeOpts{Name: "cedarmast_usage_backlog",
@@ -47,7 +47,7 @@
 // onTimeOfDay records the time of day that a core machine reported. Core machines synchronize their clocks with one
 // another, so the newest reading of any of them is enough.
 func (d *usageDuty) onTimeOfDay(_ string, wall, _, answered time.Time) {
-	d.clock.Hear(coreClockSource, wall, answered)
+	d.clock.SetReading(coreClockSource, wall, answered)
 }
 
 // run performs the usage duty until ctx is cancelled.
@@ -70,7 +70,7 @@
 func (d *usageDuty) runStep(ctx context.Context) time.Duration {
 	view := d.readView()
 	d.backlog.Set(float64(len(view.Ledger.Pending)))
-	if d.clock.Heard() && d.reporter.NeedsSums(view) { // the local clock alone cannot tell which windows have ended
+	if d.clock.HasReadings() && d.reporter.NeedsSums(view) { // the local clock alone cannot tell which windows have ended
 		d.readSums(ctx, &view)
 	}
 	switch step := d.reporter.Next(view); step.Kind {
@@ -78,9 +78,9 @@
 		d.fixCounts(ctx, step)
 	case usage.Send:
 		d.sendReport(ctx, step)
-	case usage.Note:
+	case usage.RecordAccepted:
 		done := d.propose(ctx, clusterstate.Command{Epoch: step.Fence, UsageTaken: step.Report.Round})
-		d.reporter.Noted(time.Now(), step.Fence, done)
+		d.reporter.Recorded(time.Now(), step.Fence, done)
 	default:
 		return min(max(time.Until(step.Until), usageMinWait), usagePollInterval)
 	}
@@ -91,7 +91,7 @@
 // proof covers.
 func (d *usageDuty) readView() (v usage.View) {
 	v.Proof = d.provenAt()
-	d.registry.replica.Read(func(s *clusterstate.State) {
+	d.registry.replica.View(func(s *clusterstate.State) {
 		if s.Duty.Holder == d.registry.settings.IP {
 			v.Epoch = s.Duty.Epoch
 		}
@@ -118,7 +118,7 @@
 // propose proposes a command of the usage duty and reports whether it is known to be committed.
 func (d *usageDuty) propose(ctx context.Context, command clusterstate.Command) bool {
 	out, err := d.registry.propose(ctx, command, commitTimeout)
-	if err != nil || out.Status != clusterstate.Done {
+	if err != nil || out.Status != clusterstate.StatusOK {
 		d.registry.log.Warn("usage command not known to be committed", "kind", command.Kind(), "epoch", command.Epoch,
 			"status", out.Status, "why", out.Text, "err", err)
 		return false
--- a/internal/cdn/registry/usage_test.go
+++ b/internal/cdn/registry/usage_test.go
@@ -48,7 +48,7 @@
 
 // updateFollower brings the follower up to date. The caller holds the lock.
 func (s *fakeConfigStore) updateFollower() {
-	s.follower.Take(s.history.Since(s.follower.Index()), time.Now())
+	s.follower.Apply(s.history.Since(s.follower.Index()), time.Now())
 }
 
 // follow passes the state to this replica from now on, and to no other.
@@ -73,10 +73,10 @@
 
 // newTestDuty returns the usage duty of a registry whose replica always counts as up to date.
 func newTestDuty(node, ip, store, platform string) *usageDuty {
-	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewBeats(), replica: statesync.New(), callers: departure.NewLedger()}
+	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(), callers: departure.NewTracker()}
 	reg.settings = bootconfig.Settings{Node: node, IP: ip, Platform: bootconfig.Platform{Address: platform, Duties: []string{bootconfig.UsageDuty},
-		DutyPerS: 1000, ReportWindow: 100 * time.Millisecond, UsageDelay: 200 * time.Millisecond, Lease: 300 * time.Millisecond}}
-	reg.replica.Log, reg.replica.Set.Bounds.Contact = reg.log, time.Hour
+		DutyPerS: 1000, ReportWindow: 100 * time.Millisecond, UsageDelay: 200 * time.Millisecond, DutyLease: 300 * time.Millisecond}}
+	reg.replica.Log, reg.replica.Set.Limits.Contact = reg.log, time.Hour
 	reg.replica.Took = func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
 	reg.store = reg.peers.At(store)
 	d := newUsageDuty(reg)
@@ -106,7 +106,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
-	go peerrpc.Serve(l, "ConfigStore", peerrpc.Shared(store))
+	go peerrpc.Serve(l, "ConfigStore", peerrpc.SharedService(store))
 	first := newTestDuty("core-1", "10.0.0.1", l.Addr().String(), at)
 	next := newTestDuty("core-2", "10.0.0.2", l.Addr().String(), at)
 
@@ -118,7 +118,7 @@
 	assert.Equal(t, store.ledger().Fixed, int64(0), "a machine's own clock alone does not tell which windows have ended")
 	first.onTimeOfDay("core-1", time.Now(), time.Now(), time.Now())
 	next.onTimeOfDay("core-1", time.Now(), time.Now(), time.Now())
-	platform.Behave(localnet.Resetting, 0)
+	platform.SetBehavior(localnet.Resetting, 0)
 	first.runUntil(t, "the platform has accepted the report", func() bool { return len(platform.Windows()) > 0 })
 	assert.Equal(t, store.ledger().Pending[0].Round, round)
 
@@ -127,25 +127,25 @@
 	store.sums = []usage.Sum{{Round: round, Counts: usage.Counts{"a": 9}, Complete: true}}
 	store.mu.Unlock()
 	store.apply(clusterstate.Command{Appoint: "10.0.0.2"})
-	platform.Behave(localnet.Answering, 0)
+	platform.SetBehavior(localnet.Answering, 0)
 	next.runUntil(t, "the report is recorded as accepted", func() bool {
 		ledger := store.ledger()
 		return ledger.Fixed > 0 && (len(ledger.Pending) == 0 || ledger.Pending[0].Round > round)
 	})
 	assert.DeepEqual(t, platform.Windows()[round], map[string]int64{"a": 4})
-	assert.Equal(t, platform.Answered(http.StatusConflict), 0)
+	assert.Equal(t, platform.AnswerCount(http.StatusConflict), 0)
 
 	proven := time.Now().Add(-time.Second)
 	first.provenAt = func() time.Time { return proven }
 	for range 5 {
 		first.runStep(t.Context())
 	}
-	assert.Equal(t, platform.Answered(http.StatusConflict), 0, "the proof is too old")
+	assert.Equal(t, platform.AnswerCount(http.StatusConflict), 0, "the proof is too old")
 	first.provenAt = time.Now // disables the lease check
 	first.runUntil(t, "refused", func() bool { return first.reporter.State() == usage.Fenced })
 	for range 5 {
 		first.runStep(t.Context())
 	}
-	assert.Equal(t, platform.Answered(http.StatusConflict), 1)
-	assert.Equal(t, len(platform.Breaches()), 0, "%v", platform.Breaches())
+	assert.Equal(t, platform.AnswerCount(http.StatusConflict), 1)
+	assert.Equal(t, len(platform.Violations()), 0, "%v", platform.Violations())
 }
--- a/internal/cdn/simulation/catchup_test.go
+++ b/internal/cdn/simulation/catchup_test.go
@@ -41,7 +41,7 @@
 // voter's acknowledgements wait for the transfer.
 func TestAMemberFarBehind(t *testing.T) {
 	const changes, routes = 600, 200
-	w := newWorld(Options{Seed: 5, Faults: []Fault{}, Machine: 3})
+	w := newWorld(Options{Seed: 5, Faults: []Fault{}, Machines: 3})
 	w.playUntil(2*time.Second, never)
 	lagging := w.hosts[(w.leader().index+1)%3]
 	lagging.stop()
@@ -57,7 +57,7 @@
 		readState(leader.machine, func(s *clusterstate.State) { base = s.Version })
 		started := w.now
 		w.propose(leader, clusterstate.Command{Put: manyRoutes(base, routes)}.Encode(), func(r configstore.Reply) {
-			if r.Known && r.Status == clusterstate.Done {
+			if r.Known && r.Status == clusterstate.StatusOK {
 				accepted++
 				slowest = max(slowest, w.now.Sub(started))
 			}
@@ -71,7 +71,7 @@
 	lagging.startAfter(0)
 	caughtUp := func() bool {
 		leader := w.leader()
-		return leader != nil && lagging.machine != nil && leader.machine.View.Applied()-lagging.machine.View.Applied() < 10 &&
+		return leader != nil && lagging.machine != nil && leader.machine.View.AppliedIndex()-lagging.machine.View.AppliedIndex() < 10 &&
 			leader.machine.Membership().Contains(lagging.machine.Self().ID) && !leader.machine.Membership().Joint()
 	}
 	w.playUntil(w.since()+10*time.Second, caughtUp)
--- a/internal/cdn/simulation/checks.go
+++ b/internal/cdn/simulation/checks.go
@@ -83,7 +83,7 @@
 		m.epoch = e.Index
 	case c.Server != nil && !m.removed[c.Server.ID]:
 		m.servers[c.Server.ID] = true
-		m.closing[c.Server.ID] = m.closing[c.Server.ID] || c.Server.State == clusterstate.Closing
+		m.closing[c.Server.ID] = m.closing[c.Server.ID] || c.Server.State == clusterstate.ServerClosing
 	case c.Leave != "":
 		delete(m.servers, c.Leave)
 		m.removed[c.Leave] = true
@@ -97,7 +97,7 @@
 // checkAfterStep checks after every step of a leader that its term has one leader and no fewer than 3 voters decide.
 func (w *world) checkAfterStep(h *host) {
 	m := h.machine
-	if !m.Leads() {
+	if !m.IsLeader() {
 		return
 	}
 	if known, seen := w.checks.leaders[m.Term()]; seen && known != m.Self().ID {
@@ -117,7 +117,7 @@
 	if !news.Fresh {
 		return
 	}
-	applied := h.machine.View.Applied()
+	applied := h.machine.View.AppliedIndex()
 	for i := len(w.checks.commitTimes) - 1; i >= 0; i-- {
 		v := w.checks.commitTimes[i]
 		if v.index <= applied {
@@ -180,7 +180,7 @@
 		return
 	}
 	w.checkVoters(leader.machine)
-	maxApplied := leader.machine.View.Applied()
+	maxApplied := leader.machine.View.AppliedIndex()
 	for _, h := range w.hosts {
 		if h.machine == nil {
 			if !h.removed {
@@ -188,7 +188,7 @@
 			}
 			continue
 		}
-		if behind := int64(maxApplied) - int64(h.machine.View.Applied()); behind > 40 {
+		if behind := int64(maxApplied) - int64(h.machine.View.AppliedIndex()); behind > 40 {
 			w.fail("host %d is %d entries behind %v after the last fault", h.index, behind, w.now.Sub(w.quietSince))
 		}
 	}
@@ -203,16 +203,16 @@
 		if h.machine == nil {
 			continue
 		}
-		if n := h.machine.Waiting(); n > 0 {
+		if n := h.machine.PendingCount(); n > 0 {
 			w.fail("host %d still has %d pending requests", h.index, n)
 		}
 		readState(h.machine, func(s *clusterstate.State) { w.checkState(fmt.Sprint("host ", h.index), s) })
 	}
 	for _, c := range w.copies {
-		c.replica.Read(func(s *clusterstate.State) { w.checkState(c.address, s) })
+		c.replica.View(func(s *clusterstate.State) { w.checkState(c.address, s) })
 	}
 	for _, e := range w.edges.all {
-		e.replica.Read(func(s *clusterstate.State) { w.checkState(e.address, s) })
+		e.replica.View(func(s *clusterstate.State) { w.checkState(e.address, s) })
 		if e.replica.ProofIsOld(w.now) {
 			w.fail("%s: freshness proof is %v old after the quiet period", e.address, w.now.Sub(e.replica.Proof()))
 		}
@@ -225,7 +225,7 @@
 		if w.checks.leaveAcknowledged[id] {
 			w.fail("%s has server %s, whose leave was acknowledged", who, id)
 		}
-		if w.checks.closingAcknowledged[id] && server.State == clusterstate.Open {
+		if w.checks.closingAcknowledged[id] && server.State == clusterstate.ServerOpen {
 			w.fail("%s has server %s as open, whose closing was acknowledged", who, id)
 		}
 	}
@@ -308,7 +308,7 @@
 			after += configHistory(encodeUpdate(c.update))
 		}
 		switch c.status {
-		case clusterstate.Done:
+		case clusterstate.StatusOK:
 			return known || fits, after
 		case 0:
 			return true, after
--- a/internal/cdn/simulation/clients.go
+++ b/internal/cdn/simulation/clients.go
@@ -158,13 +158,13 @@
 			return
 		}
 		w.recordCall(*c, r.Outcome, true)
-		if r.Status == clusterstate.Done {
+		if r.Status == clusterstate.StatusOK {
 			w.clients.updateLatencies = append(w.clients.updateLatencies, w.now.Sub(c.started))
 			w.recordAcknowledged(c.update, h)
 		}
 		then()
 	}
-	command, err := w.copies[0].replica.Order(c.update.body) // as a registry does, whose replica may be stale
+	command, err := w.copies[0].replica.ConfigCommand(c.update.body) // as a registry does, whose replica may be stale
 	if err != nil {
 		w.fail("update %s is invalid: %v", c.update.version, err)
 		return
@@ -193,7 +193,7 @@
 		done = true
 		if ok {
 			c.update = configUpdate{version: version, tag: tag}
-			w.recordCall(c, clusterstate.Outcome{Status: clusterstate.Done}, true)
+			w.recordCall(c, clusterstate.Outcome{Status: clusterstate.StatusOK}, true)
 			w.clients.readsAnswered++
 			w.recordKnown(version)
 		}
@@ -223,13 +223,13 @@
 
 // readBarrier requests a read barrier by way of the called machine.
 func (w *world) readBarrier(h *host, reply func(index uint64, ok bool)) {
-	sendRequest(w, h, w.now.Add(callerTimeout), func(m *configstore.Machine, done func(configstore.Barrier)) { m.AskBarrier(done) },
+	sendRequest(w, h, w.now.Add(callerTimeout), func(m *configstore.Machine, done func(configstore.Barrier)) { m.RequestBarrier(done) },
 		func(b configstore.Barrier) bool { return b.OK }, func(b configstore.Barrier) { reply(b.Index, b.OK) })
 }
 
 // readBarrierAt is readBarrier for a request of the machine's own registry.
 func (w *world) readBarrierAt(h *host, reply func(index uint64, ok bool)) {
-	startRequest(w, h, w.now.Add(callerTimeout), func(m *configstore.Machine, done func(configstore.Barrier)) { m.AskBarrier(done) },
+	startRequest(w, h, w.now.Add(callerTimeout), func(m *configstore.Machine, done func(configstore.Barrier)) { m.RequestBarrier(done) },
 		func(b configstore.Barrier) bool { return b.OK }, func(b configstore.Barrier) { reply(b.Index, b.OK) })
 }
 
@@ -241,7 +241,7 @@
 
 // startRequest is sendRequest for a request that has already arrived at the machine.
 func startRequest[T any](w *world, h *host, deadline time.Time, operation func(*configstore.Machine, func(T)), succeeded func(T) bool, reply func(T)) {
-	p := &leaderRequest[T]{w: w, h: h, incarnation: h.incarnation, steps: configstore.NewQuestion(false, deadline), operation: operation, succeeded: succeeded, reply: reply}
+	p := &leaderRequest[T]{w: w, h: h, incarnation: h.incarnation, steps: configstore.NewLeaderRequest(false, deadline), operation: operation, succeeded: succeeded, reply: reply}
 	p.forward = func(to *host, answer func(T)) {
 		forwardRequest(w, h, to, deadline, operation, succeeded, answer)
 		var none T
@@ -254,7 +254,7 @@
 func forwardRequest[T any](w *world, from, to *host, deadline time.Time, operation func(*configstore.Machine, func(T)), succeeded func(T) bool, answer func(T)) {
 	sendReply := func(r T) { w.deliver(to.address, from.address, func() { from.enqueue(func() { answer(r) }) }) }
 	w.deliver(from.address, to.address, func() {
-		p := &leaderRequest[T]{w: w, h: to, incarnation: to.incarnation, steps: configstore.NewQuestion(true, deadline), operation: operation, succeeded: succeeded, reply: sendReply}
+		p := &leaderRequest[T]{w: w, h: to, incarnation: to.incarnation, steps: configstore.NewLeaderRequest(true, deadline), operation: operation, succeeded: succeeded, reply: sendReply}
 		p.checkLeader()
 	})
 }
@@ -264,7 +264,7 @@
 	w           *world
 	h           *host
 	incarnation int
-	steps       *configstore.Question
+	steps       *configstore.LeaderRequest
 	operation   func(*configstore.Machine, func(T))
 	forward     func(to *host, answer func(T)) // sends the request to the leader at another machine
 	succeeded   func(T) bool
@@ -282,24 +282,24 @@
 	}
 	var none T
 	here, at := p.h.machine.View.Leader()
-	p.perform(p.steps.Led(p.w.now, here, at), none)
+	p.perform(p.steps.OnLeader(p.w.now, here, at), none)
 }
 
 // perform executes one step. result is the answer that an EndAnswered step replies with.
-func (p *leaderRequest[T]) perform(step configstore.Move, result T) {
+func (p *leaderRequest[T]) perform(step configstore.Step, result T) {
 	var none T
 	switch step.Kind {
-	case configstore.AskHere:
+	case configstore.HandleLocally:
 		p.h.enqueue(func() { p.operation(p.h.machine, p.firstAnswer()) })
-	case configstore.AskThere:
+	case configstore.ForwardToLeader:
 		if to := p.w.hostAt(step.To); to != nil && to != p.h {
 			p.forward(to, p.firstAnswer())
 		} else {
-			p.w.after(forwardTimeout, func() { p.perform(p.steps.Answered(p.w.now, false), none) })
+			p.w.after(forwardTimeout, func() { p.perform(p.steps.OnReply(p.w.now, false), none) })
 		}
 	case configstore.WaitForLeader:
 		p.w.after(pollInterval, p.checkLeader)
-	case configstore.AskAgain:
+	case configstore.RetryLater:
 		p.w.after(step.After, p.checkLeader)
 	case configstore.EndAnswered:
 		p.reply(result)
@@ -314,7 +314,7 @@
 	return func(r T) {
 		if !answered {
 			answered = true
-			p.perform(p.steps.Answered(p.w.now, p.succeeded(r)), r)
+			p.perform(p.steps.OnReply(p.w.now, p.succeeded(r)), r)
 		}
 	}
 }
@@ -328,7 +328,7 @@
 		case h.machine == nil || h.incarnation != incarnation:
 		case h.frozen:
 			h.deferred = append(h.deferred, check)
-		case h.machine.View.Applied() >= index:
+		case h.machine.View.AppliedIndex() >= index:
 			then()
 		default:
 			w.after(pollInterval, check)
@@ -344,16 +344,16 @@
 		return
 	}
 	w.clients.lastID++
-	s := clusterstate.Server{ID: fmt.Sprintf("%s-%d", name, w.clients.lastID), Service: "c", Address: "10.1.0.1:80", State: clusterstate.Open, Beat: 1}
+	s := clusterstate.Server{ID: fmt.Sprintf("%s-%d", name, w.clients.lastID), Service: "c", Address: "10.1.0.1:80", State: clusterstate.ServerOpen, Beat: 1}
 	nextHeartbeat := func(state string) clusterstate.Server {
 		s.Beat++
 		s.State = state
 		return s
 	}
-	delayed := nextHeartbeat(clusterstate.Open) // arrives again after later heartbeats and the leave
+	delayed := nextHeartbeat(clusterstate.ServerOpen) // arrives again after later heartbeats and the leave
 	w.sendUntilAcknowledged(w.heartbeatCall(delayed), func() {
-		w.sendHeartbeats(func() clusterstate.Server { return nextHeartbeat(clusterstate.Open) }, w.now.Add(w.randomDuration(time.Second, 20*time.Second)), func() {
-			w.sendUntilAcknowledged(w.heartbeatCall(nextHeartbeat(clusterstate.Closing)), func() {
+		w.sendHeartbeats(func() clusterstate.Server { return nextHeartbeat(clusterstate.ServerOpen) }, w.now.Add(w.randomDuration(time.Second, 20*time.Second)), func() {
+			w.sendUntilAcknowledged(w.heartbeatCall(nextHeartbeat(clusterstate.ServerClosing)), func() {
 				w.checks.closingAcknowledged[s.ID] = true
 				if !w.checks.model.closing[s.ID] {
 					w.fail("closing of server %s was acknowledged, but is not in the log", s.ID)
@@ -395,13 +395,13 @@
 // (registry.Settled), and proposes it otherwise.
 func (w *world) heartbeatCall(s clusterstate.Server) registryCall {
 	return func(h *host, reply func(configstore.Reply)) {
-		late := h.heartbeats.Take(s, w.now)
+		late := h.heartbeats.Record(s, w.now)
 		registryCopy := w.copies[h.index%len(w.copies)] // stands for the registry's own replica, which may be stale
 		var listedServer clusterstate.Server
 		listed := false
-		registryCopy.replica.Read(func(state *clusterstate.State) { listedServer, listed = state.Servers[s.ID] })
-		if registry.Settled(s, late, listedServer, listed, registryCopy.connected()) || w.options.SettleAll {
-			reply(configstore.Reply{Known: true, Outcome: clusterstate.Outcome{Status: clusterstate.Done}})
+		registryCopy.replica.View(func(state *clusterstate.State) { listedServer, listed = state.Servers[s.ID] })
+		if registry.CanAcknowledge(s, late, listedServer, listed, registryCopy.connected()) || w.options.AcknowledgeWithoutLog {
+			reply(configstore.Reply{Known: true, Outcome: clusterstate.Outcome{Status: clusterstate.StatusOK}})
 			return
 		}
 		heartbeat := s
@@ -449,7 +449,7 @@
 	}
 	h := w.randomHost()
 	w.sendCall(h, call, func(r configstore.Reply) {
-		w.deliver(h.address, "server", func() { finish(r.Known && r.Status == clusterstate.Done) })
+		w.deliver(h.address, "server", func() { finish(r.Known && r.Status == clusterstate.StatusOK) })
 	})
 	w.after(callerTimeout, func() { finish(false) })
 }
--- a/internal/cdn/simulation/copies.go
+++ b/internal/cdn/simulation/copies.go
@@ -57,7 +57,7 @@
 		}
 		done = true
 		if ok {
-			if c.replica.Take(n, started) == statesync.All && n.Fresh {
+			if c.replica.Apply(n, started) == statesync.CoverageComplete && n.Fresh {
 				c.currentAsOf = started
 			}
 		}
@@ -75,7 +75,7 @@
 			return
 		}
 		h.enqueue(func() {
-			news := h.machine.View.Since(index, w.now, w.now)
+			news := h.machine.View.ChangesSince(index, w.now, w.now)
 			w.checkFreshness(h, news)
 			w.deliver(h.address, c.address, func() { finish(news, true) })
 		})
