--- a/internal/cdn/simulation/disk.go
+++ b/internal/cdn/simulation/disk.go
@@ -33,14 +33,14 @@
 	durable         map[string]*inode // files that survive a power loss
 	unsyncedEntries []entryChange     // created or removed entries that were not synced
 
-	Full             bool
-	Slow             bool
-	FailSyncs        int           // number of next syncs that fail; their data is lost without an error from later syncs
-	DiesAfter        int           // operations until a power loss; 0 for none
-	IgnoreFolderSync bool          // disables a safeguard, for tests: directory entries are not synced
-	Spent            time.Duration // time spent on syncs since the last TakeSpent
-	Syncs, Bytes     int
-	powerLost        bool
+	Full                bool
+	Slow                bool
+	FailSyncs           int           // number of next syncs that fail; their data is lost without an error from later syncs
+	PowerLossAfter      int           // operations until a power loss; 0 for none
+	IgnoreDirectorySync bool          // disables a safeguard, for tests: directory entries are not synced
+	SyncTime            time.Duration // time spent on syncs since the last TakeSpent
+	Syncs, Bytes        int
+	powerLost           bool
 }
 
 // inode holds a file's contents.
@@ -69,8 +69,8 @@
 
 // beginOperation counts down to a power loss. After it, all operations fail until PowerLost or Wipe.
 func (d *Disk) beginOperation() error {
-	if d.DiesAfter > 0 {
-		if d.DiesAfter--; d.DiesAfter == 0 {
+	if d.PowerLossAfter > 0 {
+		if d.PowerLossAfter--; d.PowerLossAfter == 0 {
 			d.powerLost = true
 		}
 	}
@@ -80,12 +80,12 @@
 	return nil
 }
 
-// Died reports whether power was lost between operations, by DiesAfter.
-func (d *Disk) Died() bool { return d.powerLost }
+// PowerFailed reports whether power was lost between operations, by DiesAfter.
+func (d *Disk) PowerFailed() bool { return d.powerLost }
 
-// PowerLost keeps what was synced and a random part of the rest: each write, each block of a torn write and each directory entry
+// LosePower keeps what was synced and a random part of the rest: each write, each block of a torn write and each directory entry
 // is kept or lost independently.
-func (d *Disk) PowerLost() {
+func (d *Disk) LosePower() {
 	allLost := d.rng.IntN(loseAllOneIn) == 0
 	for _, c := range d.unsyncedEntries {
 		switch {
@@ -100,7 +100,7 @@
 		d.durable[name].losePower(d.rng, allLost)
 	}
 	d.visible, d.unsyncedEntries = maps.Clone(d.durable), nil
-	d.powerLost, d.DiesAfter = false, 0
+	d.powerLost, d.PowerLossAfter = false, 0
 }
 
 // losePower keeps a random part of the unsynced writes, or none.
@@ -138,13 +138,13 @@
 // Wipe deletes everything on the disk.
 func (d *Disk) Wipe() {
 	d.visible, d.durable, d.unsyncedEntries = map[string]*inode{}, map[string]*inode{}, nil
-	d.powerLost, d.DiesAfter = false, 0
+	d.powerLost, d.PowerLossAfter = false, 0
 }
 
-// TakeSpent returns the time that syncs took since the last call.
-func (d *Disk) TakeSpent() time.Duration {
-	spent := d.Spent
-	d.Spent = 0
+// TakeSyncTime returns the time that syncs took since the last call.
+func (d *Disk) TakeSyncTime() time.Duration {
+	spent := d.SyncTime
+	d.SyncTime = 0
 	return spent
 }
 
@@ -154,7 +154,7 @@
 	if d.Slow {
 		elapsed *= slowFactor
 	}
-	d.Spent += elapsed
+	d.SyncTime += elapsed
 	d.Syncs++
 }
 
@@ -221,7 +221,7 @@
 		d.FailSyncs--
 		return errDiskSync
 	}
-	if d.IgnoreFolderSync {
+	if d.IgnoreDirectorySync {
 		return nil
 	}
 	d.durable, d.unsyncedEntries = maps.Clone(d.visible), nil
--- a/internal/cdn/simulation/edges.go
+++ b/internal/cdn/simulation/edges.go
@@ -127,7 +127,7 @@
 	h, index := e.randomHost(), e.replica.Index()
 	answer := e.startPoll(pollTimeout, func(n clusterstate.News, started time.Time) {
 		pause := pollPause
-		if coverage := e.replica.Take(n, started); coverage == statesync.Part || coverage == statesync.All && n.Fresh {
+		if coverage := e.replica.Apply(n, started); coverage == statesync.CoveragePartial || coverage == statesync.CoverageComplete && n.Fresh {
 			pause = 0
 		}
 		e.checkProof()
@@ -151,12 +151,12 @@
 	arrived, incarnation := h.w.now, h.incarnation
 	respond := func() {
 		if h.incarnation == incarnation {
-			news := h.machine.View.Since(index, arrived, h.w.now)
+			news := h.machine.View.ChangesSince(index, arrived, h.w.now)
 			h.w.checkFreshness(h, news)
 			answer(news)
 		}
 	}
-	if news := h.machine.View.Since(index, arrived, h.w.now); news.Fresh && news.Index <= index {
+	if news := h.machine.View.ChangesSince(index, arrived, h.w.now); news.Fresh && news.Index <= index {
 		h.w.after(longPollTimeout, func() { h.runWhenThawed(respond) })
 		return
 	}
@@ -178,7 +178,7 @@
 	e.w.edges.neighbourPolls++
 	index := e.replica.Index()
 	answer := e.startPoll(neighbourPollTimeout, func(n clusterstate.News, started time.Time) {
-		e.replica.TakeFromNeighbour(n, started)
+		e.replica.ApplyFromNeighbour(n, started)
 		e.checkProof()
 	}, func() {})
 	e.deliver(e.address, other.address, func() {
@@ -203,7 +203,7 @@
 	return func(n clusterstate.News) {
 		e.runWhenThawed(func() {
 			once(func() {
-				if e.w.options.CountFromAnswer {
+				if e.w.options.DateProofFromResponse {
 					started = e.w.now
 				}
 				take(n, started)
@@ -235,7 +235,7 @@
 	w, sent := e.w, e.w.now
 	w.after(requestInterval, e.sendKeyedRequest)
 	e.runWhenThawed(func() {
-		if !w.options.RunUnproven && w.now.Sub(e.replica.Proof()) >= revocationTimeout-revocationMargin {
+		if !w.options.RunWithoutProof && w.now.Sub(e.replica.Proof()) >= revocationTimeout-revocationMargin {
 			w.edges.refused++
 			return
 		}
@@ -248,13 +248,13 @@
 
 // The kinds of faults of edges.
 const (
-	EdgesCut       Kind = "edges-cut"         // some edges and all core machines can't reach each other
-	EdgesCutOneWay Kind = "edges-cut-one-way" // messages between some edges and all core machines are lost in one direction
-	EdgesApart     Kind = "edges-apart"       // an edge and all other edges can't reach each other
-	EdgeFreeze     Kind = "edge-freeze"       // an edge's process is stopped for a time
+	EdgesCut       FaultKind = "edges-cut"         // some edges and all core machines can't reach each other
+	EdgesCutOneWay FaultKind = "edges-cut-one-way" // messages between some edges and all core machines are lost in one direction
+	EdgeIsolated   FaultKind = "edges-apart"       // an edge and all other edges can't reach each other
+	EdgeFreeze     FaultKind = "edge-freeze"       // an edge's process is stopped for a time
 )
 
-var edgeFaultKinds = []Kind{EdgesCut, EdgesCut, EdgesCutOneWay, EdgesApart, EdgeFreeze, EdgeFreeze}
+var edgeFaultKinds = []FaultKind{EdgesCut, EdgesCut, EdgesCutOneWay, EdgeIsolated, EdgeFreeze, EdgeFreeze}
 
 const maxEdgeFaults = 5
 
@@ -262,8 +262,8 @@
 func drawEdgeFaults(rng *rand.Rand) (all []Fault) {
 	for range rng.IntN(maxEdgeFaults + 1) {
 		f := Fault{Kind: edgeFaultKinds[rng.IntN(len(edgeFaultKinds))], At: faultsStart + time.Duration(rng.Int64N(int64(faultsEnd-faultsStart-time.Second))),
-			For: time.Duration(rng.Int64N(int64(20 * time.Second))), Who: rng.IntN(edgeCount), X: rng.IntN(1000)}
-		f.For = min(f.For, faultsEnd-f.At)
+			Duration: time.Duration(rng.Int64N(int64(20 * time.Second))), Target: rng.IntN(edgeCount), Param: rng.IntN(1000)}
+		f.Duration = min(f.Duration, faultsEnd-f.At)
 		all = append(all, f)
 	}
 	return all
@@ -271,30 +271,30 @@
 
 // injectEdgeFault injects a fault of edges. It returns false for other kinds.
 func (w *world) injectEdgeFault(f Fault) bool {
-	first := w.edges.all[max(f.Who, 0)%edgeCount]
+	first := w.edges.all[max(f.Target, 0)%edgeCount]
 	switch f.Kind {
 	case EdgesCut, EdgesCutOneWay:
 		var edgeAddresses, coreAddresses []string
-		for i := range 1 + f.X%edgeCount {
+		for i := range 1 + f.Param%edgeCount {
 			edgeAddresses = append(edgeAddresses, w.edges.all[(first.index+i)%edgeCount].address)
 		}
 		for _, h := range w.hosts {
 			coreAddresses = append(coreAddresses, h.address)
 		}
-		if f.Kind == EdgesCutOneWay && f.X%2 == 0 {
+		if f.Kind == EdgesCutOneWay && f.Param%2 == 0 {
 			edgeAddresses, coreAddresses = coreAddresses, edgeAddresses
 		}
-		w.after(f.For, w.network.cut(edgeAddresses, coreAddresses, f.Kind == EdgesCut))
-	case EdgesApart:
+		w.after(f.Duration, w.network.cut(edgeAddresses, coreAddresses, f.Kind == EdgesCut))
+	case EdgeIsolated:
 		var others []string
 		for _, e := range w.edges.all {
 			if e != first {
 				others = append(others, e.address)
 			}
 		}
-		w.after(f.For, w.network.cut([]string{first.address}, others, true))
+		w.after(f.Duration, w.network.cut([]string{first.address}, others, true))
 	case EdgeFreeze:
-		first.freeze(f.For)
+		first.freeze(f.Duration)
 	default:
 		return false
 	}
--- a/internal/cdn/simulation/faults.go
+++ b/internal/cdn/simulation/faults.go
@@ -7,56 +7,56 @@
 	"time"
 )
 
-// Kind is a kind of fault.
-type Kind string
+// FaultKind is a kind of fault.
+type FaultKind string
 
 // The kinds of faults of core machines.
 const (
-	Kill          Kind = "kill"            // a process is killed and restarted
-	KillAll       Kind = "kill-all"        // all processes are killed and restarted
-	PowerLoss     Kind = "power"           // a machine loses power and what its disk had not synced
-	PowerLossAll  Kind = "power-all"       // all machines lose power
-	PowerInSave   Kind = "power-in-save"   // a machine loses power between two disk operations
-	Freeze        Kind = "freeze"          // a process is stopped for a time
-	Cut           Kind = "cut"             // some machines and the others can't reach each other
-	CutOneWay     Kind = "cut-one-way"     // messages between some machines and the others are lost in one direction
-	BadNetwork    Kind = "bad-network"     // messages are lost, duplicated and delayed
-	Wipe          Kind = "wipe"            // a machine loses its disk
-	WipeOnAck     Kind = "wipe-on-ack"     // the machine that is first to commit an update, and about to acknowledge it, loses its disk
-	WipeAndPower  Kind = "wipe-and-power"  // as WipeOnAck, and all other machines lose power
-	Replace       Kind = "replace"         // a machine is removed for good, and then a new one is added at another address
-	ReplaceFirst  Kind = "replace-first"   // a new machine is added first, then the old one gets SIGTERM and is removed
-	Terminate     Kind = "terminate"       // a process gets SIGTERM and is restarted
-	DiskFull      Kind = "disk-full"       // all writes to a disk fail
-	DiskSlow      Kind = "disk-slow"       // syncs of a disk take 30 times as long
-	DiskSyncFails Kind = "disk-sync-fails" // a sync fails and its data is lost
-	Storm         Kind = "storm"           // operators update the configuration rapidly
-	DutyStalls    Kind = "duty-stalls"     // a decision of the duty holder is proposed with a delay
+	Kill            FaultKind = "kill"            // a process is killed and restarted
+	KillAll         FaultKind = "kill-all"        // all processes are killed and restarted
+	PowerLoss       FaultKind = "power"           // a machine loses power and what its disk had not synced
+	PowerLossAll    FaultKind = "power-all"       // all machines lose power
+	PowerLossInSave FaultKind = "power-in-save"   // a machine loses power between two disk operations
+	Freeze          FaultKind = "freeze"          // a process is stopped for a time
+	Cut             FaultKind = "cut"             // some machines and the others can't reach each other
+	CutOneWay       FaultKind = "cut-one-way"     // messages between some machines and the others are lost in one direction
+	BadNetwork      FaultKind = "bad-network"     // messages are lost, duplicated and delayed
+	Wipe            FaultKind = "wipe"            // a machine loses its disk
+	WipeOnAck       FaultKind = "wipe-on-ack"     // the machine that is first to commit an update, and about to acknowledge it, loses its disk
+	WipeAndPower    FaultKind = "wipe-and-power"  // as WipeOnAck, and all other machines lose power
+	Replace         FaultKind = "replace"         // a machine is removed for good, and then a new one is added at another address
+	ReplaceFirst    FaultKind = "replace-first"   // a new machine is added first, then the old one gets SIGTERM and is removed
+	Terminate       FaultKind = "terminate"       // a process gets SIGTERM and is restarted
+	DiskFull        FaultKind = "disk-full"       // all writes to a disk fail
+	DiskSlow        FaultKind = "disk-slow"       // syncs of a disk take 30 times as long
+	DiskSyncFails   FaultKind = "disk-sync-fails" // a sync fails and its data is lost
+	UpdateStorm     FaultKind = "storm"           // operators update the configuration rapidly
+	DutyDelay       FaultKind = "duty-stalls"     // a decision of the duty holder is proposed with a delay
 )
 
 // Fault is one fault to inject into a run.
 type Fault struct {
-	Kind Kind
-	At   time.Duration // since the start of the run
-	For  time.Duration
-	Who  int // index of the machine or edge; targetLeader for the leader
-	X    int // random parameter, whose meaning depends on the kind
+	Kind     FaultKind
+	At       time.Duration // since the start of the run
+	Duration time.Duration
+	Target   int // index of the machine or edge; targetLeader for the leader
+	Param    int // random parameter, whose meaning depends on the kind
 }
 
 // targetLeader stands for the machine that leads when the fault is injected.
 const targetLeader = -1
 
 func (f Fault) String() string {
-	who := fmt.Sprint(f.Who)
-	if f.Who == targetLeader {
+	who := fmt.Sprint(f.Target)
+	if f.Target == targetLeader {
 		who = "leader"
 	}
-	return fmt.Sprintf("%s at %.2fs for %.2fs on %s (%d)", f.Kind, f.At.Seconds(), f.For.Seconds(), who, f.X)
+	return fmt.Sprintf("%s at %.2fs for %.2fs on %s (%d)", f.Kind, f.At.Seconds(), f.Duration.Seconds(), who, f.Param)
 }
 
 // hostFaultKinds are the kinds that are drawn for core machines, weighted by how often each is listed.
-var hostFaultKinds = []Kind{Kill, KillAll, PowerLoss, PowerLoss, PowerLossAll, PowerInSave, PowerInSave, Freeze, Freeze, Cut, Cut, CutOneWay,
-	BadNetwork, Wipe, Wipe, WipeOnAck, WipeAndPower, WipeAndPower, Replace, ReplaceFirst, Terminate, DiskFull, DiskSlow, DiskSyncFails, Storm, DutyStalls}
+var hostFaultKinds = []FaultKind{Kill, KillAll, PowerLoss, PowerLoss, PowerLossAll, PowerLossInSave, PowerLossInSave, Freeze, Freeze, Cut, Cut, CutOneWay,
+	BadNetwork, Wipe, Wipe, WipeOnAck, WipeAndPower, WipeAndPower, Replace, ReplaceFirst, Terminate, DiskFull, DiskSlow, DiskSyncFails, UpdateStorm, DutyDelay}
 
 // drawFaults draws the faults of core machines for a run, in order of time.
 func drawFaults(rng *rand.Rand, machines int) (all []Fault) {
@@ -64,19 +64,19 @@
 		return shortest + time.Duration(rng.Int64N(int64(longest-shortest)))
 	}
 	for range 3 + rng.IntN(10) {
-		f := Fault{Kind: hostFaultKinds[rng.IntN(len(hostFaultKinds))], At: randomDuration(faultsStart, faultsEnd-time.Second), Who: rng.IntN(machines), X: rng.IntN(1000)}
+		f := Fault{Kind: hostFaultKinds[rng.IntN(len(hostFaultKinds))], At: randomDuration(faultsStart, faultsEnd-time.Second), Target: rng.IntN(machines), Param: rng.IntN(1000)}
 		if rng.IntN(3) == 0 {
-			f.Who = targetLeader
+			f.Target = targetLeader
 		}
 		switch f.Kind {
 		case Freeze, Cut, CutOneWay:
-			f.For = randomDuration(200*time.Millisecond, 20*time.Second)
-		case DiskFull, DiskSlow, BadNetwork, Storm, DutyStalls:
-			f.For = randomDuration(500*time.Millisecond, 8*time.Second)
+			f.Duration = randomDuration(200*time.Millisecond, 20*time.Second)
+		case DiskFull, DiskSlow, BadNetwork, UpdateStorm, DutyDelay:
+			f.Duration = randomDuration(500*time.Millisecond, 8*time.Second)
 		default:
-			f.For = randomDuration(minRestartDelay, 3*time.Second)
+			f.Duration = randomDuration(minRestartDelay, 3*time.Second)
 		}
-		f.For = min(f.For, faultsEnd-f.At)
+		f.Duration = min(f.Duration, faultsEnd-f.At)
 		all = append(all, f)
 	}
 	slices.SortStableFunc(all, func(a, b Fault) int { return int(a.At - b.At) })
@@ -85,10 +85,10 @@
 
 // targetHost returns the machine that a fault is meant for; nil if there is none.
 func (w *world) targetHost(f Fault) *host {
-	if f.Who == targetLeader {
+	if f.Target == targetLeader {
 		return w.leader()
 	}
-	h := w.hosts[f.Who%len(w.hosts)]
+	h := w.hosts[f.Target%len(w.hosts)]
 	if h.removed {
 		return nil
 	}
@@ -98,7 +98,7 @@
 // leader returns the leader of the highest term; nil if there is none.
 func (w *world) leader() (best *host) {
 	for _, h := range w.hosts {
-		if h.machine != nil && h.machine.Leads() && (best == nil || h.machine.Term() > best.machine.Term()) {
+		if h.machine != nil && h.machine.IsLeader() && (best == nil || h.machine.Term() > best.machine.Term()) {
 			best = h
 		}
 	}
@@ -111,8 +111,8 @@
 		return
 	}
 	h := w.targetHost(f)
-	if h == nil && f.Who == targetLeader {
-		h = w.hosts[f.X%len(w.hosts)]
+	if h == nil && f.Target == targetLeader {
+		h = w.hosts[f.Param%len(w.hosts)]
 	}
 	if h == nil || h.removed {
 		return
@@ -120,16 +120,16 @@
 	w.trace("%v: host %d", f, h.index)
 	switch f.Kind {
 	case Kill:
-		h.kill(f.For)
+		h.kill(f.Duration)
 	case PowerLoss:
-		h.losePower(f.For)
+		h.losePower(f.Duration)
 	case KillAll, PowerLossAll:
 		w.injectFaultOnAll(f, nil)
-	case PowerInSave:
-		h.disk.DiesAfter = 1 + f.X%6
-		h.markLost(f.For)
+	case PowerLossInSave:
+		h.disk.PowerLossAfter = 1 + f.Param%6
+		h.markLost(f.Duration)
 	case Freeze:
-		h.freeze(f.For)
+		h.freeze(f.Duration)
 	case Cut, CutOneWay:
 		w.cutOff(h, f)
 	case BadNetwork:
@@ -139,18 +139,18 @@
 	case WipeOnAck, WipeAndPower:
 		w.clients.onFirstCommit = func(by *host) { w.wipeAfterCommit(f, by) }
 	case Terminate:
-		h.markLost(leaveTimeout + f.For)
-		h.terminate(func() { h.startAfter(f.For) })
+		h.markLost(leaveTimeout + f.Duration)
+		h.terminate(func() { h.startAfter(f.Duration) })
 	case DiskFull, DiskSlow:
 		w.degradeDisk(h, f)
 	case DiskSyncFails:
-		h.disk.FailSyncs = 1 + f.X%2
+		h.disk.FailSyncs = 1 + f.Param%2
 		h.markLost(time.Second)
-	case Storm:
+	case UpdateStorm:
 		w.clients.updateStorm = true
-		w.after(f.For, func() { w.clients.updateStorm = false })
-	case DutyStalls:
-		w.clients.dutyDelay = f.For
+		w.after(f.Duration, func() { w.clients.updateStorm = false })
+	case DutyDelay:
+		w.clients.dutyDelay = f.Duration
 	}
 }
 
@@ -160,7 +160,7 @@
 		if h.removed || h == except {
 			continue
 		}
-		restartDelay := w.randomDuration(minRestartDelay, f.For+minRestartDelay)
+		restartDelay := w.randomDuration(minRestartDelay, f.Duration+minRestartDelay)
 		if f.Kind == KillAll {
 			h.kill(restartDelay)
 		} else {
@@ -171,8 +171,8 @@
 
 // cutOff cuts a group of machines off from the others: up to as many as may fail at once, or half of them.
 func (w *world) cutOff(first *host, f Fault) {
-	size := 1 + f.X%max(w.maxFailures, 1)
-	if f.X%5 == 0 {
+	size := 1 + f.Param%max(w.maxFailures, 1)
+	if f.Param%5 == 0 {
 		size = len(w.hosts) / 2
 	}
 	var inside, outside []string
@@ -183,35 +183,35 @@
 		} else {
 			outside = append(outside, h.address)
 		}
-		h.markLost(f.For)
+		h.markLost(f.Duration)
 	}
 	from, to := inside, outside
-	if f.Kind == CutOneWay && f.X%2 == 0 {
+	if f.Kind == CutOneWay && f.Param%2 == 0 {
 		from, to = to, from
 	}
-	w.after(f.For, w.network.cut(from, to, f.Kind == Cut))
+	w.after(f.Duration, w.network.cut(from, to, f.Kind == Cut))
 }
 
 // degradeNetwork has messages lost, duplicated and delayed for the duration of the fault.
 func (w *world) degradeNetwork(f Fault) {
 	n := &w.network
-	n.lossRate, n.duplicateRate, n.maxDelay, n.reliable = float64(f.X%30)/100, float64(f.X%20)/100, time.Duration(5+f.X%300)*time.Millisecond, false
+	n.lossRate, n.duplicateRate, n.maxDelay, n.reliable = float64(f.Param%30)/100, float64(f.Param%20)/100, time.Duration(5+f.Param%300)*time.Millisecond, false
 	for _, h := range w.hosts {
-		h.markLost(f.For)
+		h.markLost(f.Duration)
 	}
-	w.after(f.For, func() { n.lossRate, n.duplicateRate, n.maxDelay, n.reliable = 0, 0, defaultMaxDelay, true })
+	w.after(f.Duration, func() { n.lossRate, n.duplicateRate, n.maxDelay, n.reliable = 0, 0, defaultMaxDelay, true })
 }
 
 // degradeDisk makes a disk full or slow for the duration of the fault.
 func (w *world) degradeDisk(h *host, f Fault) {
-	h.markLost(f.For)
+	h.markLost(f.Duration)
 	if f.Kind == DiskFull {
 		h.disk.Full = true
-		w.after(f.For, func() { h.disk.Full = false })
+		w.after(f.Duration, func() { h.disk.Full = false })
 		return
 	}
 	h.disk.Slow = true
-	w.after(f.For, func() { h.disk.Slow = false })
+	w.after(f.Duration, func() { h.disk.Slow = false })
 }
 
 const diskLossRetryInterval = 500 * time.Millisecond
@@ -229,11 +229,11 @@
 	w.checkRecovered()
 	switch f.Kind {
 	case Wipe:
-		h.wipe(min(f.For, faultsEnd-w.since()))
+		h.wipe(min(f.Duration, faultsEnd-w.since()))
 	case Replace:
 		w.trace("host %d is removed for good", h.index)
 		h.remove()
-		w.after(min(f.For, faultsEnd-w.since()), func() { w.addReplacement(h) })
+		w.after(min(f.Duration, faultsEnd-w.since()), func() { w.addReplacement(h) })
 	case ReplaceFirst:
 		w.addReplacement(nil)
 		w.after(time.Second, func() {
@@ -256,14 +256,14 @@
 // wipeAfterCommit wipes the disk of the machine that has just committed an update, within a few milliseconds.
 func (w *world) wipeAfterCommit(f Fault, by *host) {
 	w.clients.onFirstCommit = nil
-	w.after(time.Duration(f.X%4)*time.Millisecond, func() {
+	w.after(time.Duration(f.Param%4)*time.Millisecond, func() {
 		if w.mayLoseDisk(by) && w.since() < faultsEnd-minRestartDelay {
 			w.checkRecovered()
 			if f.Kind == WipeAndPower { // the machine may restart before those that hold what it has lost
-				w.injectFaultOnAll(Fault{Kind: PowerLossAll, For: f.For}, by)
-				f.For = minRestartDelay
+				w.injectFaultOnAll(Fault{Kind: PowerLossAll, Duration: f.Duration}, by)
+				f.Duration = minRestartDelay
 			}
-			by.wipe(min(f.For, faultsEnd-w.since()))
+			by.wipe(min(f.Duration, faultsEnd-w.since()))
 		}
 	})
 }
--- a/internal/cdn/simulation/host.go
+++ b/internal/cdn/simulation/host.go
@@ -33,10 +33,10 @@
 	wipes       int // number of times its disk was wiped
 
 	machine        *configstore.Machine
-	heartbeats     *registry.Beats // heartbeats that its registry has received
-	reporting      *reporting      // usage reporting, if it is simulated
-	incarnation    int             // counts starts and stops of its process
-	pendingStarts  int             // scheduled starts
+	heartbeats     *registry.Heartbeats // heartbeats that its registry has received
+	reporting      *reporting           // usage reporting, if it is simulated
+	incarnation    int                  // counts starts and stops of its process
+	pendingStarts  int                  // scheduled starts
 	outbox         []consensus.Message
 	busyUntil      time.Time
 	frozen         bool
@@ -50,7 +50,7 @@
 // addHost adds a machine and starts it after a short random delay.
 func (w *world) addHost(index int, founder bool) *host {
 	h := &host{w: w, index: index, address: addressOf(index), founder: founder, disk: NewDisk(w.options.Seed<<8 | uint64(index))}
-	h.disk.IgnoreFolderSync = w.options.NoSync
+	h.disk.IgnoreDirectorySync = w.options.SkipDirectorySync
 	w.hosts = append(w.hosts, h)
 	h.startAfter(w.randomDuration(0, 300*time.Millisecond))
 	return h
@@ -85,21 +85,21 @@
 	h.incarnation++
 	machine, err := configstore.OpenMachine(h.config(), h.disk, h.w.now)
 	switch {
-	case h.disk.Died():
+	case h.disk.PowerFailed():
 		h.losePower(h.w.randomDuration(minRestartDelay, 2*time.Second))
 		return
-	case errors.Is(err, configstore.ErrNotBegun):
+	case errors.Is(err, configstore.ErrDiskUnavailable):
 		h.startAfter(100 * time.Millisecond)
 		return
 	case err != nil:
 		h.w.fail("host %d failed to start: %v", h.index, err)
 		return
 	}
-	h.machine, h.heartbeats = machine, registry.NewBeats()
+	h.machine, h.heartbeats = machine, registry.NewHeartbeats()
 	if p := h.predecessor; p != nil {
 		p.lostUntil, h.predecessor = h.w.now.Add(catchUpTimeout), nil
 	}
-	h.busyUntil = h.w.now.Add(h.disk.TakeSpent() + stepTime)
+	h.busyUntil = h.w.now.Add(h.disk.TakeSyncTime() + stepTime)
 	h.w.trace("host %d started as %s", h.index, machine.Self().ID)
 	h.tick()
 	h.startReporting()
@@ -111,10 +111,10 @@
 		lease = reportLease
 	}
 	return configstore.MachineConfig{DutyLease: lease, IP: ipOf(h.index), Address: h.address, Founders: w.founders, FirstStart: h.founder && h.wipes == 0,
-		Contacts: h.contacts(), Tolerate: w.maxFailures, Timing: consensus.Usual,
+		Contacts: h.contacts(), Tolerate: w.maxFailures, Timing: consensus.DefaultTiming,
 		Seed: w.options.Seed<<16 | uint64(h.index)<<8 | uint64(incarnation), Weak: w.options.Weak, Log: hclog.NewNullLogger(),
 		Send: func(m consensus.Message) { h.outbox = append(h.outbox, m) }, Identity: func() string { return fmt.Sprint("life-", incarnation) },
-		Clock:  func() time.Time { return w.now.Add(h.disk.Spent) },
+		Clock:  func() time.Time { return w.now.Add(h.disk.SyncTime) },
 		Limits: consensus.Limits{TailEntries: tailEntries, TailBytes: 1 << 20, PieceBytes: snapshotPieceBytes}, RenewEntries: maxLogEntries,
 		Committed: func(all []consensus.Entry) { w.checkCommitted(h, all) }}
 }
@@ -183,12 +183,12 @@
 
 // step advances the machine, and sends its messages once the time for processor and disk has passed.
 func (h *host) step() {
-	if err := h.machine.Turn(h.w.now); err != nil && !h.disk.Died() {
+	if err := h.machine.Advance(h.w.now); err != nil && !h.disk.PowerFailed() {
 		h.w.fail("host %d stopped with an error: %v", h.index, err)
 		return
 	}
-	h.busyUntil = h.w.now.Add(h.disk.TakeSpent() + stepTime)
-	if h.disk.Died() {
+	h.busyUntil = h.w.now.Add(h.disk.TakeSyncTime() + stepTime)
+	if h.disk.PowerFailed() {
 		h.losePower(h.w.randomDuration(minRestartDelay, 2*time.Second))
 		return
 	}
@@ -203,7 +203,7 @@
 		}
 	})
 	h.w.checkAfterStep(h)
-	if h.leaving && h.machine != nil && h.machine.Left() {
+	if h.leaving && h.machine != nil && h.machine.LeaveDone() {
 		h.w.trace("host %d has left", h.index)
 		h.stop()
 	}
@@ -229,7 +229,7 @@
 // losePower ends the process, loses unsynced data of the disk and schedules a restart.
 func (h *host) losePower(restartDelay time.Duration) {
 	h.stop()
-	h.disk.PowerLost()
+	h.disk.LosePower()
 	h.markLost(restartDelay)
 	h.startAfter(restartDelay)
 }
--- a/internal/cdn/simulation/play.go
+++ b/internal/cdn/simulation/play.go
@@ -15,8 +15,8 @@
 
 const gcPercent = 400 // runs are short and produce much garbage
 
-// Play runs consecutive seeds on all processors and passes the results to onResult one at a time, until onResult returns false.
-func Play(from, seeds uint64, options func(seed uint64) Options, onResult func(Result) (proceed bool)) {
+// RunSeeds runs consecutive seeds on all processors and passes the results to onResult one at a time, until onResult returns false.
+func RunSeeds(from, seeds uint64, options func(seed uint64) Options, onResult func(Result) (proceed bool)) {
 	var mu sync.Mutex
 	var running sync.WaitGroup
 	next, stopped := from, false
@@ -44,8 +44,8 @@
 func Sweep(from, seeds uint64, out io.Writer) error {
 	debug.SetGCPercent(gcPercent)
 	failed, updates, reads, lost := 0, 0, 0, 0
-	Play(from, seeds, func(seed uint64) Options { return Options{Seed: seed} }, func(r Result) bool {
-		updates, reads, lost = updates+r.Orders, reads+r.Reads, lost+r.DisksLost
+	RunSeeds(from, seeds, func(seed uint64) Options { return Options{Seed: seed} }, func(r Result) bool {
+		updates, reads, lost = updates+r.UpdatesAcknowledged, reads+r.ReadsAnswered, lost+r.DisksLost
 		if r.Failure != "" {
 			failed++
 			fmt.Fprintf(out, "seed %d at %v: %s\n", r.Seed, r.At, r.Failure)
@@ -72,6 +72,6 @@
 	if r.Failure != "" {
 		return Error.New("seed %d fails with %d faults at %v: %s", seed, len(r.Faults), r.At, r.Failure)
 	}
-	fmt.Fprintf(out, "seed %d: %d updates acknowledged, %d reads answered, no invariant violated\n", seed, r.Orders, r.Reads)
+	fmt.Fprintf(out, "seed %d: %d updates acknowledged, %d reads answered, no invariant violated\n", seed, r.UpdatesAcknowledged, r.ReadsAnswered)
 	return nil
 }
--- a/internal/cdn/simulation/reports.go
+++ b/internal/cdn/simulation/reports.go
@@ -37,11 +37,11 @@
 	countedTenants      = 3
 )
 
-// ReportWeaknesses disables safeguards of usage reporting, one for each field, for tests.
-type ReportWeaknesses struct {
-	SameFence bool // calls of all holders carry the same fencing token
-	NoLook    bool // a holder treats its replica as current without a freshness proof
-	Unfixed   bool // a holder sends the counts that it has collected instead of those fixed in the log
+// DisabledReportSafeguards disables safeguards of usage reporting, one for each field, for tests.
+type DisabledReportSafeguards struct {
+	SameFence         bool // calls of all holders carry the same fencing token
+	IgnoreProofAge    bool // a holder treats its replica as current without a freshness proof
+	SendUnfixedCounts bool // a holder sends the counts that it has collected instead of those fixed in the log
 }
 
 // reports is the platform's and the simulation's view of the tenants' usage.
@@ -107,8 +107,8 @@
 	w.after(usageReportInterval, p.reportUsage)
 	var fixed int64
 	var holder string
-	p.stateCopy.replica.Read(func(s *clusterstate.State) { fixed, holder = s.Usage.Fixed, s.Duty.Holder })
-	if w.options.ReportWeak.Unfixed {
+	p.stateCopy.replica.View(func(s *clusterstate.State) { fixed, holder = s.Usage.Fixed, s.Duty.Holder })
+	if w.options.ReportWeak.SendUnfixedCounts {
 		fixed = 0
 	}
 	maps.DeleteFunc(p.windows, func(round int64, _ usage.Counts) bool { return round <= fixed })
@@ -133,7 +133,7 @@
 
 // fixed returns the newest window whose counts are fixed in the machine's state.
 func (r *reporting) fixed() (round int64) {
-	if !r.h.w.options.ReportWeak.Unfixed {
+	if !r.h.w.options.ReportWeak.SendUnfixedCounts {
 		readState(r.h.machine, func(s *clusterstate.State) { round = s.Usage.Fixed })
 	}
 	return round
@@ -155,7 +155,7 @@
 		return
 	}
 	h.reporting = &reporting{h: h, incarnation: h.incarnation, started: h.w.now, collector: usage.NewCollector(),
-		reporter: usage.NewReporter(usage.Timetable{Window: reportWindow, Delay: reportDelay, Lease: reportLease, DutyPerS: reportDutyPerS})}
+		reporter: usage.NewReporter(usage.Timing{Window: reportWindow, Delay: reportDelay, Lease: reportLease, DutyPerS: reportDutyPerS})}
 	h.reporting.step()
 	h.reporting.proofLoop()
 }
@@ -182,8 +182,8 @@
 		switch step := r.reporter.Next(r.view()); step.Kind {
 		case usage.Fix:
 			r.propose(clusterstate.Command{Epoch: step.Fence, FixUsage: &step.Report}, func(done bool) { r.reporter.Fixed(w.now, step.Fence, done) })
-		case usage.Note:
-			r.propose(clusterstate.Command{Epoch: step.Fence, UsageTaken: step.Report.Round}, func(done bool) { r.reporter.Noted(w.now, step.Fence, done) })
+		case usage.RecordAccepted:
+			r.propose(clusterstate.Command{Epoch: step.Fence, UsageTaken: step.Report.Round}, func(done bool) { r.reporter.Recorded(w.now, step.Fence, done) })
 		case usage.Send:
 			r.connectAndSend(step)
 		}
@@ -224,7 +224,7 @@
 		roster = append(roster, c.address)
 	}
 	v.Sums = r.collector.Sums(r.fixed(), roster)
-	if r.h.w.options.ReportWeak.NoLook {
+	if r.h.w.options.ReportWeak.IgnoreProofAge {
 		v.Proof = v.Now
 	}
 	return v
@@ -233,7 +233,7 @@
 // propose proposes a command and calls ended with whether it was committed; false after proposeTimeout.
 func (r *reporting) propose(c clusterstate.Command, ended func(done bool)) {
 	once := r.firstResult(ended)
-	r.h.w.commandCall(c)(r.h, func(reply configstore.Reply) { once(reply.Known && reply.Status == clusterstate.Done) })
+	r.h.w.commandCall(c)(r.h, func(reply configstore.Reply) { once(reply.Known && reply.Status == clusterstate.StatusOK) })
 	r.h.w.after(proposeTimeout, func() { once(false) })
 }
 
@@ -280,12 +280,12 @@
 
 // sendReport sends a report over an open connection and passes the platform's answer to end.
 func (r *reporting) sendReport(step usage.Step, end func(usage.CallOutcome)) {
-	w, call := r.h.w, localnet.UsageCall{Holder: ipOf(r.h.index), Fence: step.Fence, Round: step.Report.Round, Counts: step.Report.Counts}
+	w, call := r.h.w, localnet.UsageReport{Holder: ipOf(r.h.index), Fence: step.Fence, Round: step.Report.Round, Counts: step.Report.Counts}
 	w.checkHolder(r.h, step.Fence)
 	if w.options.ReportWeak.SameFence {
 		call.Fence = 1
 	}
-	if w.options.ReportWeak.Unfixed {
+	if w.options.ReportWeak.SendUnfixedCounts {
 		call.Counts = r.collected(step.Report.Round)
 	}
 	w.deliver(r.h.address, platformAddress, func() {
@@ -307,7 +307,7 @@
 }
 
 // handlePlatformCall handles a call that arrives at the platform. It reports whether the platform answers.
-func (w *world) handlePlatformCall(call localnet.UsageCall) (outcome usage.CallOutcome, answers bool) {
+func (w *world) handlePlatformCall(call localnet.UsageReport) (outcome usage.CallOutcome, answers bool) {
 	percent := w.rng.IntN(100)
 	if w.since() >= faultsEnd { // no faults any more
 		percent = busyPercent
@@ -319,11 +319,11 @@
 		return usage.Busy, true
 	}
 	outcome = usage.Accepted
-	if w.reports.platform.Take(call, w.now) == http.StatusConflict {
+	if w.reports.platform.Accept(call, w.now) == http.StatusConflict {
 		outcome = usage.Refused
 	}
 	w.trace("the platform receives window %d from %s with fence %d: %v", call.Round, call.Holder, call.Fence, outcome)
-	if breaches := w.reports.platform.Breaches(); len(breaches) > 0 {
+	if breaches := w.reports.platform.Violations(); len(breaches) > 0 {
 		w.fail("the platform: %s", breaches[0])
 	}
 	return outcome, percent < 100-unansweredPercent
--- a/internal/cdn/simulation/reports_test.go
+++ b/internal/cdn/simulation/reports_test.go
@@ -14,7 +14,7 @@
 // Under faults the platform receives each window once, from one holder at a time, and on time once the faults have ended.
 func TestReports(t *testing.T) {
 	failed := 0
-	Play(0, *reportSeeds, func(seed uint64) Options { return Options{Seed: seed, Reports: true} }, func(r Result) bool {
+	RunSeeds(0, *reportSeeds, func(seed uint64) Options { return Options{Seed: seed, Reports: true} }, func(r Result) bool {
 		if r.Failure != "" {
 			failed++
 			t.Errorf("seed %d at %v: %s\n%v", r.Seed, r.At, r.Failure, r.Faults)
@@ -29,17 +29,17 @@
 func TestReportConvictions(t *testing.T) {
 	cases := []struct {
 		name string
-		weak ReportWeaknesses
+		weak DisabledReportSafeguards
 		says string // part of the failure of the invariant that it violates
 	}{
-		{"calls carry no fence", ReportWeaknesses{SameFence: true}, "fence 1 of"},
-		{"a holder does not look at its lease", ReportWeaknesses{NoLook: true}, "was appointed"},
-		{"counts are not fixed before they are sent", ReportWeaknesses{Unfixed: true}, "then map"},
+		{"calls carry no fence", DisabledReportSafeguards{SameFence: true}, "fence 1 of"},
+		{"a holder does not look at its lease", DisabledReportSafeguards{IgnoreProofAge: true}, "was appointed"},
+		{"counts are not fixed before they are sent", DisabledReportSafeguards{SendUnfixedCounts: true}, "then map"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			runs, first := 0, ""
-			Play(0, maxSeedsPerSafeguard, func(seed uint64) Options { return Options{Seed: seed, Reports: true, ReportWeak: c.weak} }, func(r Result) bool {
+			RunSeeds(0, maxSeedsPerSafeguard, func(seed uint64) Options { return Options{Seed: seed, Reports: true, ReportWeak: c.weak} }, func(r Result) bool {
 				runs++
 				if strings.Contains(r.Failure, c.says) {
 					first = fmt.Sprintf("seed %d: %.200s", r.Seed, r.Failure)
--- a/internal/cdn/simulation/weaknesses_test.go
+++ b/internal/cdn/simulation/safeguards_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Safeguards are disabled by tests only: no other code constructs a Weaknesses value, and only the packages that declare or pass on
+// Safeguards are disabled by tests only: no other code constructs a DisabledSafeguards or DisabledReportSafeguards value, and only the packages that declare or pass on
 // such a type name it.
 func TestWeaknessesAreForTests(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
@@ -21,11 +21,11 @@
 		}
 		text, err := os.ReadFile(path)
 		name, _ := filepath.Rel(root, path)
-		if strings.Contains(string(text), "Weaknesses{") {
-			assert.Check(t, false, "%s sets a Weaknesses value", name)
+		if strings.Contains(string(text), "Safeguards{") {
+			assert.Check(t, false, "%s sets a value of disabled safeguards", name)
 		}
-		if strings.Contains(string(text), "Weaknesses") {
-			assert.Check(t, allowed[filepath.Dir(name)], "%s names a Weaknesses type", name)
+		if strings.Contains(string(text), "Safeguards") {
+			assert.Check(t, allowed[filepath.Dir(name)], "%s names a type of disabled safeguards", name)
 		}
 		return err
 	})
--- a/internal/cdn/simulation/simulation_test.go
+++ b/internal/cdn/simulation/simulation_test.go
@@ -28,9 +28,9 @@
 // No invariant of the control plane is violated under the faults of any seed.
 func TestSeeds(t *testing.T) {
 	failed, updates, lost, ran, refused, neighbours := 0, 0, 0, 0, 0, 0
-	Play(0, *seeds, func(seed uint64) Options { return Options{Seed: seed} }, func(r Result) bool {
-		updates, lost = updates+r.Orders, lost+r.DisksLost
-		ran, refused, neighbours = ran+r.Ran, refused+r.Refused, neighbours+r.Neighbours
+	RunSeeds(0, *seeds, func(seed uint64) Options { return Options{Seed: seed} }, func(r Result) bool {
+		updates, lost = updates+r.UpdatesAcknowledged, lost+r.DisksLost
+		ran, refused, neighbours = ran+r.Ran, refused+r.Refused, neighbours+r.NeighbourPolls
 		if r.Failure != "" {
 			failed++
 			t.Errorf("seed %d at %v: %s\n%v", r.Seed, r.At, r.Failure, r.Faults)
@@ -50,7 +50,7 @@
 		refuse   bool
 		bothWays bool
 	}{{0, false, true}, {1, false, true}, {1, false, false}, {2, false, true}, {3, false, false}, {4, true, true}, {4, true, false}} {
-		o := Options{Seed: 1, Faults: []Fault{{Kind: EdgesCut, At: 4 * time.Second, For: 20 * time.Second, X: c.edges - 1}}}
+		o := Options{Seed: 1, Faults: []Fault{{Kind: EdgesCut, At: 4 * time.Second, Duration: 20 * time.Second, Param: c.edges - 1}}}
 		if !c.bothWays {
 			o.Faults[0].Kind = EdgesCutOneWay
 		}
@@ -61,7 +61,7 @@
 		assert.Equal(t, r.Failure, "", "%+v", c)
 		assert.Equal(t, r.Refused > 4*100, c.refuse, "%+v: %d of %d refused", c, r.Refused, r.Refused+r.Ran)
 		assert.Assert(t, c.refuse || r.Refused < 4*20, "%+v: %d refused", c, r.Refused)
-		assert.Equal(t, r.Neighbours > neighboursPerEdge*edgeCount, c.edges > 0, "%+v: %d polls of neighbours", c, r.Neighbours)
+		assert.Equal(t, r.NeighbourPolls > neighboursPerEdge*edgeCount, c.edges > 0, "%+v: %d polls of neighbours", c, r.NeighbourPolls)
 	}
 }
 
@@ -74,7 +74,7 @@
 
 // Shrink removes faults from a failing run and leaves it failing.
 func TestShrink(t *testing.T) {
-	o := Options{Seed: 4, Weak: configstore.Weaknesses{Consensus: consensus.Weaknesses{ReplaceBySmallerSet: true}}}
+	o := Options{Seed: 4, Weak: configstore.DisabledSafeguards{Consensus: consensus.DisabledSafeguards{ReplaceBySmallerSet: true}}}
 	r := Run(o)
 	assert.Assert(t, r.Failure != "")
 	small := Shrink(o, r)
@@ -86,36 +86,36 @@
 // Disabling any safeguard violates an invariant within 2,000 seeds. This shows that the simulation detects the faults that the
 // safeguards prevent.
 func TestConvictions(t *testing.T) {
-	type weak = configstore.Weaknesses
+	type weak = configstore.DisabledSafeguards
 	cases := []struct {
 		name string
 		weak weak
 		no   bool
 		all  bool // heartbeats are acknowledged without a log entry
-		copy statesync.Weaknesses
+		copy statesync.DisabledSafeguards
 		late bool // a freshness proof is dated from the response
 		runs bool // keyed requests run without a recent proof
 	}{
 		{name: "a machine that lost its disk votes under its old name", weak: weak{KeepIdentity: true}},
 		{name: "answers leave before the sync", weak: weak{SendBeforeSave: true}},
 		{name: "the folder is not synced", no: true},
-		{name: "a read asks nobody", weak: weak{Consensus: consensus.Weaknesses{ReadWithoutRound: true}}},
+		{name: "a read asks nobody", weak: weak{Consensus: consensus.DisabledSafeguards{ReadWithoutRound: true}}},
 		{name: "a leader confirms on its own word", weak: weak{AcknowledgeBeforeCommit: true}},
-		{name: "replaced by way of two", weak: weak{Consensus: consensus.Weaknesses{ReplaceBySmallerSet: true}}},
-		{name: "who joins counts at once", weak: weak{Consensus: consensus.Weaknesses{CountJoiningEarly: true}}},
+		{name: "replaced by way of two", weak: weak{Consensus: consensus.DisabledSafeguards{ReplaceBySmallerSet: true}}},
+		{name: "who joins counts at once", weak: weak{Consensus: consensus.DisabledSafeguards{CountJoiningEarly: true}}},
 		{name: "a snapshot forgets what was taken", weak: weak{ForgetTaken: true}},
 		{name: "an older duty's word counts", weak: weak{IgnoreEpoch: true}},
 		{name: "a registry acknowledges before the log", all: true},
 		{name: "keyed requests run without a proof", runs: true},
 		{name: "a proof is counted from the answer", late: true},
-		{name: "a neighbour drops its proof's age", copy: statesync.Weaknesses{DropAge: true}},
-		{name: "an incomplete answer proves", copy: statesync.Weaknesses{ProveIncomplete: true}},
+		{name: "a neighbour drops its proof's age", copy: statesync.DisabledSafeguards{DropAge: true}},
+		{name: "an incomplete answer proves", copy: statesync.DisabledSafeguards{ProveIncomplete: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			runs, first := 0, ""
-			Play(0, maxSeedsPerSafeguard, func(seed uint64) Options {
-				return Options{Seed: seed, Weak: c.weak, NoSync: c.no, SettleAll: c.all, WeakCopies: c.copy, CountFromAnswer: c.late, RunUnproven: c.runs}
+			RunSeeds(0, maxSeedsPerSafeguard, func(seed uint64) Options {
+				return Options{Seed: seed, Weak: c.weak, SkipDirectorySync: c.no, AcknowledgeWithoutLog: c.all, WeakCopies: c.copy, DateProofFromResponse: c.late, RunWithoutProof: c.runs}
 			}, func(r Result) bool {
 				runs++
 				if r.Failure != "" {
--- a/internal/cdn/simulation/voters_test.go
+++ b/internal/cdn/simulation/voters_test.go
@@ -15,7 +15,7 @@
 func BenchmarkVoters(b *testing.B) {
 	var kills []Fault
 	for at := 4 * time.Second; at < faultsEnd-2*time.Second; at += 3 * time.Second {
-		kills = append(kills, Fault{Kind: Kill, At: at, For: 2 * time.Second, Who: targetLeader})
+		kills = append(kills, Fault{Kind: Kill, At: at, Duration: 2 * time.Second, Target: targetLeader})
 	}
 	const seeds = 30
 	for _, voters := range []int{3, 5, 7, 9, 12} {
@@ -25,9 +25,9 @@
 					var took []time.Duration
 					messages, syncs, updates := 0, uint64(0), 0
 					for seed := range uint64(seeds) {
-						r := Run(Options{Seed: seed, Faults: faults, Machine: voters})
+						r := Run(Options{Seed: seed, Faults: faults, Machines: voters})
 						assert.Equal(b, r.Failure, "")
-						took, messages, syncs, updates = append(took, r.Acknowledged...), messages+r.Messages, syncs+r.Syncs, updates+r.Orders
+						took, messages, syncs, updates = append(took, r.UpdateLatencies...), messages+r.Messages, syncs+r.Syncs, updates+r.UpdatesAcknowledged
 					}
 					slices.Sort(took)
 					quantile := func(fraction float64) float64 { return took[int(fraction*float64(len(took)-1))].Seconds() * 1e3 }
--- a/internal/cdn/simulation/world.go
+++ b/internal/cdn/simulation/world.go
@@ -27,41 +27,41 @@
 
 // Options configures a run.
 type Options struct {
-	Seed   uint64
-	Faults []Fault // replace the faults drawn from the seed; nil draws them
-	Weak   configstore.Weaknesses
-	NoSync bool // disables a safeguard, for tests: syncing a directory does nothing
-	// SettleAll disables a safeguard, for tests: registries acknowledge every heartbeat without a log entry.
-	SettleAll bool
+	Seed              uint64
+	Faults            []Fault // replace the faults drawn from the seed; nil draws them
+	Weak              configstore.DisabledSafeguards
+	SkipDirectorySync bool // disables a safeguard, for tests: syncing a directory does nothing
+	// AcknowledgeWithoutLog disables a safeguard, for tests: registries acknowledge every heartbeat without a log entry.
+	AcknowledgeWithoutLog bool
 	// Reports also simulates the reporting of the tenants' usage by the duty holder.
 	Reports    bool
-	ReportWeak ReportWeaknesses
+	ReportWeak DisabledReportSafeguards
 	// Disabled safeguards of edges, for tests. WeakCopies applies to their replicas, CountFromAnswer dates a freshness proof from the
 	// response instead of the request, RunUnproven runs keyed requests without a recent proof.
-	WeakCopies      statesync.Weaknesses
-	CountFromAnswer bool
-	RunUnproven     bool
-	Machine         int // number of core machines; 0 draws it from the seed
-	Trace           func(format string, args ...any)
+	WeakCopies            statesync.DisabledSafeguards
+	DateProofFromResponse bool
+	RunWithoutProof       bool
+	Machines              int // number of core machines; 0 draws it from the seed
+	Trace                 func(format string, args ...any)
 }
 
 // Result is the outcome of a run.
 type Result struct {
-	Seed      uint64
-	Failure   string // the first violated invariant; empty if there was none
-	At        time.Duration
-	Faults    []Fault
-	Orders    int           // acknowledged configuration updates
-	Reads     int           // answered reads of the configuration
-	Elapsed   time.Duration // virtual time
-	Messages  int
-	DisksLost int // includes the disks of machines removed for good
+	Seed                uint64
+	Failure             string // the first violated invariant; empty if there was none
+	At                  time.Duration
+	Faults              []Fault
+	UpdatesAcknowledged int           // acknowledged configuration updates
+	ReadsAnswered       int           // answered reads of the configuration
+	Elapsed             time.Duration // virtual time
+	Messages            int
+	DisksLost           int // includes the disks of machines removed for good
 
-	Acknowledged []time.Duration // latency from an operator's first attempt at an update to its acknowledgement, in order of acknowledgement
-	Syncs        uint64          // disk syncs by the processes that run at the end
+	UpdateLatencies []time.Duration // latency from an operator's first attempt at an update to its acknowledgement, in order of acknowledgement
+	Syncs           uint64          // disk syncs by the processes that run at the end
 
-	Ran, Refused int // keyed requests that edges ran, and refused for lack of a recent proof
-	Neighbours   int // polls of neighbours by edges
+	Ran, Refused   int // keyed requests that edges ran, and refused for lack of a recent proof
+	NeighbourPolls int // polls of neighbours by edges
 }
 
 // event is an action scheduled for a point in time. Events with equal times run in the order in which they were scheduled.
@@ -126,9 +126,9 @@
 	if w.failure == "" {
 		w.checkHistory()
 	}
-	return Result{Seed: o.Seed, Failure: w.failure, At: w.since(), Faults: w.faults, Orders: w.clients.updatesAcknowledged, Reads: w.clients.readsAnswered,
-		Elapsed: w.since(), Messages: w.messages, DisksLost: w.disksLost, Acknowledged: w.clients.updateLatencies, Syncs: w.syncCount(),
-		Ran: w.edges.ran, Refused: w.edges.refused, Neighbours: w.edges.neighbourPolls}
+	return Result{Seed: o.Seed, Failure: w.failure, At: w.since(), Faults: w.faults, UpdatesAcknowledged: w.clients.updatesAcknowledged, ReadsAnswered: w.clients.readsAnswered,
+		Elapsed: w.since(), Messages: w.messages, DisksLost: w.disksLost, UpdateLatencies: w.clients.updateLatencies, Syncs: w.syncCount(),
+		Ran: w.edges.ran, Refused: w.edges.refused, NeighbourPolls: w.edges.neighbourPolls}
 }
 
 // syncCount returns the number of disk syncs by the running processes.
@@ -145,7 +145,7 @@
 	start := time.Unix(1_000_000, 0)
 	w := &world{options: o, rng: rand.New(rand.NewPCG(o.Seed, 0x51a)), start: start, now: start, quietSince: start, checks: newChecks()}
 	faultRNG := rand.New(rand.NewPCG(o.Seed, 0xfa17)) // separate, so that a run with fewer faults is otherwise the same
-	size := o.Machine
+	size := o.Machines
 	if size == 0 {
 		size = 3 + faultRNG.IntN(3)
 	}
@@ -222,7 +222,7 @@
 	w.network.heal()
 	w.clients.updateStorm = false
 	for _, h := range w.hosts {
-		h.disk.Full, h.disk.Slow, h.disk.FailSyncs, h.disk.DiesAfter = false, false, 0, 0
+		h.disk.Full, h.disk.Slow, h.disk.FailSyncs, h.disk.PowerLossAfter = false, false, 0, 0
 		h.thaw()
 		if h.machine == nil && !h.removed && h.pendingStarts == 0 {
 			h.startAfter(0)
--- a/internal/cdn/soak/checks.go
+++ b/internal/cdn/soak/checks.go
@@ -30,7 +30,7 @@
 // evaluate runs all checks after the day and builds the report.
 func (s *soakRun) evaluate(ctx context.Context, faultCount int) (Report, error) {
 	for _, m := range s.net.Machines { // the end of the day may have interrupted the start that follows a fault
-		if err := s.net.Up(m); err != nil {
+		if err := s.net.StartMachine(m); err != nil {
 			return Report{}, err
 		}
 	}
@@ -46,14 +46,14 @@
 	rec := s.recorder
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	r := Report{Requests: len(rec.requests), Runs: len(rec.runs), Troubles: faultCount, Breaches: rec.violations, Acknowledgements: s.acks}
+	r := Report{Requests: len(rec.requests), Runs: len(rec.runs), Faults: faultCount, Violations: rec.violations, Acknowledgements: s.acks}
 	for _, req := range rec.requests {
 		if req.abandoned {
-			r.Left++
+			r.Abandoned++
 		}
 		switch {
 		case req.keepAlive:
-			r.Kept++
+			r.KeepAlive++
 		case !req.keyLive && !req.kind.public:
 			r.Keyless++
 		case req.willAbandon() && (req.status == http.StatusServiceUnavailable || req.status == http.StatusUnauthorized):
@@ -224,7 +224,7 @@
 		if reading > 0 {
 			sleep(ctx, metricsReadInterval)
 		}
-		if text, err = s.net.Figures(ctx, m); err != nil {
+		if text, err = s.net.ReadMetrics(ctx, m); err != nil {
 			return "", nil, err
 		}
 		if nonZero = nonZeroMetrics(text); len(nonZero) == 0 {
--- a/internal/cdn/soak/clients.go
+++ b/internal/cdn/soak/clients.go
@@ -74,7 +74,7 @@
 		if rng.Float64() < forgedTenantFraction {
 			req.forgedTenant = forgedTenantName
 		}
-		s.sendRequest(ctx, req, edge.Client())
+		s.sendRequest(ctx, req, edge.ClientAddress())
 		sleep(ctx, time.Duration(rng.Int64N(int64(50*time.Millisecond))))
 	}
 }
--- a/internal/cdn/soak/faults.go
+++ b/internal/cdn/soak/faults.go
@@ -93,7 +93,7 @@
 		s.net.Signal(f.machine, syscall.SIGCONT)
 		return
 	}
-	if err := s.net.Up(f.machine); err != nil {
+	if err := s.net.StartMachine(f.machine); err != nil {
 		s.recorder.addViolation("%s does not start: %v", f.machine.Name, err)
 	}
 }
--- a/internal/cdn/soak/keepalive.go
+++ b/internal/cdn/soak/keepalive.go
@@ -106,7 +106,7 @@
 
 // open connects to the client's edge, and reports whether that succeeded.
 func (c *keepAliveClient) open() bool {
-	conn, err := net.DialTimeout("tcp", c.edge.Client(), dialTimeout)
+	conn, err := net.DialTimeout("tcp", c.edge.ClientAddress(), dialTimeout)
 	if err != nil {
 		return false
 	}
--- a/internal/cdn/soak/service.go
+++ b/internal/cdn/soak/service.go
@@ -68,7 +68,7 @@
 	start := time.Now()
 	for n := 0; result.served < probeCount && probeCtx.Err() == nil; n++ {
 		started := time.Now()
-		status, err := s.net.AskWithKey(m, "shop.example", fmt.Sprintf("/again/probe-%s-%d", m.Name, n), fmt.Sprintf("probe-%s-%d-%d", m.Name, s.Seed, n), key)
+		status, err := s.net.RequestWithKey(m, "shop.example", fmt.Sprintf("/again/probe-%s-%d", m.Name, n), fmt.Sprintf("probe-%s-%d-%d", m.Name, s.Seed, n), key)
 		result.slowest = max(result.slowest, time.Since(started))
 		switch {
 		case err == nil && status == 200:
@@ -96,7 +96,7 @@
 // logMetrics logs the metrics of a proxy that fails its probes, and the status of the core machines.
 func (s *soakRun) logMetrics(ctx context.Context, m *localnet.Machine) {
 	s.net.Signal(m, syscall.SIGUSR1) // dumps the state of its decisions to its log
-	if text, err := s.net.Figures(ctx, m); err == nil {
+	if text, err := s.net.ReadMetrics(ctx, m); err == nil {
 		for line := range strings.Lines(text) {
 			if !strings.HasPrefix(line, "#") {
 				s.logf("%s: %s", m.Name, strings.TrimSpace(line))
--- a/internal/cdn/soak/soak.go
+++ b/internal/cdn/soak/soak.go
@@ -42,26 +42,26 @@
 
 // Plan configures a soak run.
 type Plan struct {
-	Seed  uint64
-	Day   time.Duration // how long clients send requests and faults are injected
-	Shape localnet.Shape
-	Out   io.Writer // receives the log of events; nil: none
-	Keep  string    // for Sweep: the directory that keeps the logs of runs with violations; empty: none are kept
+	Seed     uint64
+	Duration time.Duration // how long clients send requests and faults are injected
+	Shape    localnet.Shape
+	Out      io.Writer // receives the log of events; nil: none
+	LogDir   string    // for Sweep: the directory that keeps the logs of runs with violations; empty: none are kept
 }
 
 // Report is the result of a soak run.
 type Report struct {
-	Requests, Left, Runs int
-	Kept                 int // of the requests: over keep-alive connections
-	Keyless              int // of the others: without a key, or with one that may be refused at once
-	Refused              int // of the rest: refused before their clients meant to leave, so that no work started for them
-	Troubles             int
-	Breaches             []string
-	Acknowledgements     acknowledgements
+	Requests, Abandoned, Runs int
+	KeepAlive                 int // of the requests: over keep-alive connections
+	Keyless                   int // of the others: without a key, or with one that may be refused at once
+	Refused                   int // of the rest: refused before their clients meant to leave, so that no work started for them
+	Faults                    int
+	Violations                []string
+	Acknowledgements          acknowledgements
 }
 
 func (r Report) String() string {
-	return fmt.Sprintf("%d requests, %d of them over keep-alive connections, %d abandoned by their clients, %d runs at servers, %d faults, %d violations reported", r.Requests, r.Kept, r.Left, r.Runs, r.Troubles, len(r.Breaches))
+	return fmt.Sprintf("%d requests, %d of them over keep-alive connections, %d abandoned by their clients, %d runs at servers, %d faults, %d violations reported", r.Requests, r.KeepAlive, r.Abandoned, r.Runs, r.Faults, len(r.Violations))
 }
 
 // soakRun is the state of one soak run.
@@ -77,8 +77,8 @@
 	outMu      sync.Mutex // guards Out
 }
 
-// Play executes one soak run of length p.Day and its checks. An error means that it could not be executed; violations are in the report.
-func Play(ctx context.Context, p Plan) (Report, error) {
+// Run executes one soak run of length p.Day and its checks. An error means that it could not be executed; violations are in the report.
+func Run(ctx context.Context, p Plan) (Report, error) {
 	p.Shape.Metrics = true
 	if p.Shape.Revoke == 0 {
 		p.Shape.Revoke, p.Shape.Contact = defaultRevoke, defaultContact
@@ -94,8 +94,8 @@
 		return Report{}, err
 	}
 	s.start = time.Now()
-	faults := drawFaults(rand.New(rand.NewPCG(p.Seed, 1)), p.Day, s.net)
-	dayCtx, stop := context.WithTimeout(ctx, p.Day)
+	faults := drawFaults(rand.New(rand.NewPCG(p.Seed, 1)), p.Duration, s.net)
+	dayCtx, stop := context.WithTimeout(ctx, p.Duration)
 	defer stop()
 	var tasks sync.WaitGroup
 	for n := range max(minClients, clientsPerEdge*p.Shape.Edges) {
@@ -146,12 +146,12 @@
 func (s *soakRun) hangServer(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(s.Seed, 2))
 	server := s.servers[rng.IntN(len(s.servers))]
-	if sleep(ctx, s.Day/4+time.Duration(rng.Int64N(int64(s.Day/4)))) != nil {
+	if sleep(ctx, s.Duration/4+time.Duration(rng.Int64N(int64(s.Duration/4)))) != nil {
 		return
 	}
 	s.logf("%s hangs for good", server.id)
 	server.hung.Store(true)
-	server.registered.Mute()
+	server.registered.StopHeartbeats()
 }
 
 // sleep waits for a duration and returns nil, or the context's error if that ends first.
--- a/internal/cdn/soak/soak_test.go
+++ b/internal/cdn/soak/soak_test.go
@@ -14,7 +14,7 @@
 
 // TestMain runs one of the three programs instead of the tests when the test binary is started as that program.
 func TestMain(m *testing.M) {
-	if programs.Play() {
+	if programs.RunIfRequested() {
 		return
 	}
 	os.Exit(m.Run())
@@ -23,13 +23,13 @@
 // A short soak run with real processes under overlapping faults: no rule of package departure is violated, no work continues for
 // clients that have left, and no server runs what a client's key does not allow. `localnet soak` runs many seeds.
 func TestShortDay(t *testing.T) {
-	shape := localnet.Shape{Core: 3, Edges: 3, Stores: 2, Zones: 2, Dir: t.TempDir(), Program: programs.Line}
-	r, err := Play(t.Context(), Plan{Seed: 1, Day: 5 * time.Second, Shape: shape, Out: t.Output()})
+	shape := localnet.Shape{Core: 3, Edges: 3, Stores: 2, Zones: 2, Dir: t.TempDir(), Program: programs.CommandLine}
+	r, err := Run(t.Context(), Plan{Seed: 1, Duration: 5 * time.Second, Shape: shape, Out: t.Output()})
 	assert.NilError(t, err)
 	t.Log(r)
-	for _, breach := range r.Breaches {
+	for _, breach := range r.Violations {
 		t.Error(breach)
 	}
 	assert.Assert(t, r.Acknowledgements.settled[math.Inf(1)]+r.Acknowledgements.unsettled[math.Inf(1)] > 0, "no acknowledgement was measured")
-	assert.Assert(t, r.Left > (r.Requests-r.Kept-r.Keyless-r.Refused)/4 && r.Runs > r.Requests/4 && r.Kept > r.Requests/10, "too little was played")
+	assert.Assert(t, r.Abandoned > (r.Requests-r.KeepAlive-r.Keyless-r.Refused)/4 && r.Runs > r.Requests/4 && r.KeepAlive > r.Requests/10, "too little was played")
 }
--- a/internal/cdn/soak/sweep.go
+++ b/internal/cdn/soak/sweep.go
@@ -20,9 +20,9 @@
 	return seeds
 }
 
-// Sweep runs the seeds one after the other with the programs in this executable's directory, prints their reports to out, and fails
+// RunSeeds runs the seeds one after the other with the programs in this executable's directory, prints their reports to out, and fails
 // if a run has violations.
-func Sweep(ctx context.Context, plan Plan, seeds []uint64, out io.Writer) error {
+func RunSeeds(ctx context.Context, plan Plan, seeds []uint64, out io.Writer) error {
 	if err := checkCapacity(plan.Shape); err != nil {
 		return err
 	}
@@ -42,10 +42,10 @@
 		}
 		fmt.Fprintf(out, "seed %d: %s\n", seed, r)
 		acks.merge(r.Acknowledgements)
-		if len(r.Breaches) > 0 {
+		if len(r.Violations) > 0 {
 			failedSeeds++
 		}
-		for _, violation := range r.Breaches[:min(len(r.Breaches), maxPrintedViolations)] {
+		for _, violation := range r.Violations[:min(len(r.Violations), maxPrintedViolations)] {
 			fmt.Fprintln(out, "   ", violation)
 		}
 	}
@@ -65,22 +65,22 @@
 	}
 	defer os.RemoveAll(dir)
 	plan.Seed, plan.Shape.Dir = seed, dir
-	if plan.Keep == "" {
-		return Play(ctx, plan)
+	if plan.LogDir == "" {
+		return Run(ctx, plan)
 	}
-	file, err := os.Create(filepath.Join(plan.Keep, fmt.Sprintf("seed-%d.log", seed)))
+	file, err := os.Create(filepath.Join(plan.LogDir, fmt.Sprintf("seed-%d.log", seed)))
 	if err != nil {
 		return Report{}, Error.Wrap(err)
 	}
 	defer func() {
 		file.Close()
-		if err == nil && len(report.Breaches) == 0 {
+		if err == nil && len(report.Violations) == 0 {
 			os.Remove(file.Name())
 		}
 	}()
 	plan.Out, plan.Shape.Out = file, file
-	report, err = Play(ctx, plan)
-	for _, violation := range report.Breaches {
+	report, err = Run(ctx, plan)
+	for _, violation := range report.Violations {
 		fmt.Fprintln(file, "BREACH", violation)
 	}
 	return report, err
--- a/internal/cdn/statesync/statesync.go
+++ b/internal/cdn/statesync/statesync.go
@@ -41,9 +41,9 @@
 
 // The phases. A copy starts as Empty and then alternates between InTouch and OutOfTouch.
 const (
-	Empty      Phase = iota // no core machine has answered yet
-	InTouch                 // a core machine that follows a leader with a majority answered lately
-	OutOfTouch              // none answered lately: the copy may be stale
+	PhaseEmpty   Phase = iota // no core machine has answered yet
+	Connected                 // a core machine that follows a leader with a majority answered lately
+	Disconnected              // none answered lately: the copy may be stale
 )
 
 // String returns the name of the phase, for logs.
@@ -64,7 +64,7 @@
 	// Neighbours returns the addresses of other processes to ask while the proof is old; it may be nil.
 	Neighbours func() []string
 	// Weak disables safeguards; for tests only.
-	Weak Weaknesses
+	Weak DisabledSafeguards
 
 	mu            sync.Mutex
 	history       *clusterstate.History
@@ -76,9 +76,9 @@
 	needWhole     bool                      // the next request is for the whole state
 }
 
-// Weaknesses disable one safeguard of a copy each. Tests set them to show that the safeguard is needed; a test checks that nothing else
+// DisabledSafeguards disable one safeguard of a copy each. Tests set them to show that the safeguard is needed; a test checks that nothing else
 // does.
-type Weaknesses struct {
+type DisabledSafeguards struct {
 	DropAge         bool // the proof that is passed on to neighbours has age 0, whatever its real age
 	ProveIncomplete bool // a reply advances the proof even if it does not contain all changes
 }
@@ -88,26 +88,26 @@
 	return &Replica{history: clusterstate.NewHistory(clusterstate.New()), changed: make(chan struct{})}
 }
 
-// Read calls a function with the state while the copy is locked. The function must not keep the state.
-func (r *Replica) Read(read func(*clusterstate.State)) {
+// View calls a function with the state while the copy is locked. The function must not keep the state.
+func (r *Replica) View(read func(*clusterstate.State)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	read(r.history.State)
 }
 
-// Order returns the command that puts a configuration on top of the one that this copy holds; see clusterstate.History.
-func (r *Replica) Order(body []byte) (clusterstate.Command, error) {
+// ConfigCommand returns the command that puts a configuration on top of the one that this copy holds; see clusterstate.History.
+func (r *Replica) ConfigCommand(body []byte) (clusterstate.Command, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.history.Order(body)
+	return r.history.ConfigCommand(body)
 }
 
 // Phase returns the phase and when the copy was last known to be current. It also notices that the contact has timed out.
 func (r *Replica) Phase() (Phase, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.phase == InTouch && time.Since(r.lastCurrent) > r.Set.Bounds.Contact/2 {
-		r.setPhase(OutOfTouch)
+	if r.phase == Connected && time.Since(r.lastCurrent) > r.Set.Limits.Contact/2 {
+		r.setPhase(Disconnected)
 	}
 	return r.phase, r.lastCurrent
 }
@@ -173,20 +173,20 @@
 	switch proof := r.Proof(); {
 	case proof.IsZero():
 	case r.Weak.DropAge:
-		reply.Prove(arrived, arrived)
+		reply.SetProof(arrived, arrived)
 	default:
-		reply.Prove(proof, arrived)
+		reply.SetProof(proof, arrived)
 	}
 	return reply
 }
 
-// Core returns the addresses of the core machines in random order, the preferred one first.
-func (r *Replica) Core() []string {
+// CoreAddresses returns the addresses of the core machines in random order, the preferred one first.
+func (r *Replica) CoreAddresses() []string {
 	r.mu.Lock()
 	addresses := slices.Clone(r.coreAddresses)
 	r.mu.Unlock()
-	for _, seed := range r.Set.SeedsNow() {
-		if address := r.Set.Inner(bootconfig.HostOf(seed), bootconfig.ConfigStorePort); !slices.Contains(addresses, address) {
+	for _, seed := range r.Set.LatestSeeds() {
+		if address := r.Set.InternalAddress(bootconfig.Host(seed), bootconfig.ConfigStorePort); !slices.Contains(addresses, address) {
 			addresses = append(addresses, address)
 		}
 	}
@@ -209,25 +209,25 @@
 // pollCore polls a core machine for changes, and moves on to the next one when a poll fails.
 func (r *Replica) pollCore(ctx context.Context) {
 	first, failures := true, 0
-	candidates := r.Core()
+	candidates := r.CoreAddresses()
 	for ctx.Err() == nil {
 		if len(candidates) == 0 {
-			candidates = r.Core()
+			candidates = r.CoreAddresses()
 		}
 		address := candidates[0]
 		reply, started, err := r.requestNews(ctx, address, first, replyTimeout<<min(failures, maxTimeoutDoublings))
-		got := Nothing
+		got := CoverageNone
 		if err == nil {
 			r.reportTime(address, reply, started, time.Now())
-			got = r.Take(reply, started)
+			got = r.Apply(reply, started)
 		}
-		if got == Part { // the same machine has more
+		if got == CoveragePartial { // the same machine has more
 			continue
 		}
-		if got == All && reply.Fresh {
+		if got == CoverageComplete && reply.Fresh {
 			first, failures = false, 0
 			if r.Prefer != "" && address != r.Prefer && rand.IntN(8) == 0 {
-				candidates = r.Core() // the preferred machine may be back
+				candidates = r.CoreAddresses() // the preferred machine may be back
 			}
 			continue
 		}
@@ -311,32 +311,32 @@
 		r.Log.Debug("poll of a neighbour failed", "err", err)
 		return
 	}
-	r.TakeFromNeighbour(reply, started)
+	r.ApplyFromNeighbour(reply, started)
 }
 
-// TakeFromNeighbour applies a neighbour's reply. It may advance the proof, but never changes the phase to InTouch. The addresses of the
+// ApplyFromNeighbour applies a neighbour's reply. It may advance the proof, but never changes the phase to InTouch. The addresses of the
 // core machines are adopted only if the neighbour's proof is newer than the copy's.
-func (r *Replica) TakeFromNeighbour(reply clusterstate.News, started time.Time) Taken {
+func (r *Replica) ApplyFromNeighbour(reply clusterstate.News, started time.Time) Coverage {
 	reply.Fresh = false
-	if !reply.ProofOf(started).After(r.Proof()) {
+	if !reply.ProvenAt(started).After(r.Proof()) {
 		reply.Core = nil
 	}
-	return r.Take(reply, started)
+	return r.Apply(reply, started)
 }
 
-// Taken tells how much of the sender's state the copy holds after a reply was applied.
-type Taken int
+// Coverage tells how much of the sender's state the copy holds after a reply was applied.
+type Coverage int
 
 // The values of Taken.
 const (
-	Nothing Taken = iota // the sender holds more, and the reply brought no change that could be applied
-	Part                 // the sender holds more, but the reply brought some changes
-	All                  // the copy holds at least all that the sender does
+	CoverageNone     Coverage = iota // the sender holds more, and the reply brought no change that could be applied
+	CoveragePartial                  // the sender holds more, but the reply brought some changes
+	CoverageComplete                 // the copy holds at least all that the sender does
 )
 
-// Take applies the reply to a request that was started at that time. A reply older than the copy changes nothing. Only if the copy then
+// Apply applies the reply to a request that was started at that time. A reply older than the copy changes nothing. Only if the copy then
 // holds all that the sender does can the reply advance the proof or change the phase to InTouch.
-func (r *Replica) Take(reply clusterstate.News, started time.Time) Taken {
+func (r *Replica) Apply(reply clusterstate.News, started time.Time) Coverage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before := r.history.State.Index
@@ -368,12 +368,12 @@
 		r.coreAddresses = reply.Core
 	}
 	got := r.coverage(reply, before)
-	if got == All && reply.Fresh {
+	if got == CoverageComplete && reply.Fresh {
 		r.lastCurrent = started
-		r.setPhase(InTouch)
+		r.setPhase(Connected)
 	}
-	if got == All || r.Weak.ProveIncomplete {
-		r.advanceProof(reply.ProofOf(started))
+	if got == CoverageComplete || r.Weak.ProveIncomplete {
+		r.advanceProof(reply.ProvenAt(started))
 	}
 	if r.history.State.Index != before {
 		close(r.changed)
@@ -384,12 +384,12 @@
 
 // coverage returns how much of the sender's state the copy holds after a reply was applied; before is the index that the copy had before
 // it. The caller holds the lock.
-func (r *Replica) coverage(reply clusterstate.News, before uint64) Taken {
+func (r *Replica) coverage(reply clusterstate.News, before uint64) Coverage {
 	switch have := r.history.State.Index; {
 	case have >= reply.Index:
-		return All
+		return CoverageComplete
 	case have > before:
-		return Part
+		return CoveragePartial
 	}
-	return Nothing
+	return CoverageNone
 }
--- a/internal/cdn/statesync/statesync_test.go
+++ b/internal/cdn/statesync/statesync_test.go
@@ -39,7 +39,7 @@
 	}
 	*reply = c.history.Since(request.Have)
 	if reply.Fresh = c.fresh; c.fresh {
-		reply.Prove(time.Now(), time.Now())
+		reply.SetProof(time.Now(), time.Now())
 	}
 	return nil
 }
@@ -62,7 +62,7 @@
 	l, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
 	t.Cleanup(func() { l.Close() })
-	go peerrpc.Serve(l, name, peerrpc.Shared(c))
+	go peerrpc.Serve(l, name, peerrpc.SharedService(c))
 }
 
 // waitFor waits for a condition, and fails the test if it does not hold within 8 s.
@@ -90,7 +90,7 @@
 	a.addPurges(1, 3)
 
 	s := New()
-	s.Set = bootconfig.Settings{IP: "127.0.0.1", SparePort: 7660, Seeds: []string{"127.0.73.1:1", "127.0.73.2:1"}, Bounds: bootconfig.Bounds{Contact: 600 * time.Millisecond}}
+	s.Set = bootconfig.Settings{IP: "127.0.0.1", FirstSparePort: 7660, Seeds: []string{"127.0.73.1:1", "127.0.73.2:1"}, Limits: bootconfig.Limits{Contact: 600 * time.Millisecond}}
 	s.Peers, s.Log = peerrpc.NewPeers(), hclog.NewNullLogger()
 	s.Neighbours = func() []string { return []string{"127.0.73.3:7661"} }
 	var seen []uint64
@@ -103,9 +103,9 @@
 		seen = append(seen, index)
 	}
 	phase, _ := s.Phase()
-	assert.Equal(t, phase, Empty)
+	assert.Equal(t, phase, PhaseEmpty)
 	go s.Run(t.Context())
-	waitFor(t, "the first news", func() bool { p, _ := s.Phase(); return p == InTouch && s.Index() == 3 })
+	waitFor(t, "the first news", func() bool { p, _ := s.Phase(); return p == Connected && s.Index() == 3 })
 	a.set(func() { assert.Check(t, a.barriers > 0) })
 	neighbour.set(func() { assert.Equal(t, neighbour.requests, 0, "a neighbour was asked without need") })
 
@@ -122,18 +122,18 @@
 	assert.Equal(t, s.Index(), uint64(12), "it never goes back")
 
 	a.set(func() { a.down = true })
-	waitFor(t, "out of touch", func() bool { p, _ := s.Phase(); return p == OutOfTouch })
+	waitFor(t, "out of touch", func() bool { p, _ := s.Phase(); return p == Disconnected })
 	neighbour.addPurges(1, 20)
 	waitFor(t, "what a neighbour has", func() bool { return s.Index() == 20 })
 	phase, _ = s.Phase()
-	assert.Equal(t, phase, OutOfTouch, "a neighbour's reply must not change the phase")
+	assert.Equal(t, phase, Disconnected, "a neighbour's reply must not change the phase")
 
 	ctx, done := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer done()
 	assert.Assert(t, !s.Await(ctx, 21) && s.Await(ctx, 20))
 	b.addPurges(13, 30)
 	b.set(func() { b.down = false })
-	waitFor(t, "in touch again", func() bool { p, _ := s.Phase(); return p == InTouch && s.Index() == 30 })
+	waitFor(t, "in touch again", func() bool { p, _ := s.Phase(); return p == Connected && s.Index() == 30 })
 }
 
 // While a copy was cut off, all core machines it knows were replaced. It asks the new ones once the settings file names them.
@@ -142,19 +142,19 @@
 	serve(t, "127.0.73.5:7660", "ConfigStore", c)
 	c.addPurges(1, 3)
 	s := New()
-	s.Set = bootconfig.Settings{IP: "127.0.0.1", SparePort: 7660, Seeds: []string{"127.0.73.4:1"}, Named: new(bootconfig.Seeds), Bounds: bootconfig.Bounds{Contact: time.Second}}
+	s.Set = bootconfig.Settings{IP: "127.0.0.1", FirstSparePort: 7660, Seeds: []string{"127.0.73.4:1"}, CurrentSeeds: new(bootconfig.Seeds), Limits: bootconfig.Limits{Contact: time.Second}}
 	s.Peers, s.Log = peerrpc.NewPeers(), hclog.NewNullLogger()
 	s.Took = func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
-	assert.DeepEqual(t, s.Core(), []string{"127.0.73.4:7660"})
+	assert.DeepEqual(t, s.CoreAddresses(), []string{"127.0.73.4:7660"})
 	go s.Run(t.Context())
-	s.Set.Named.Set([]string{"127.0.73.5:1"})
-	waitFor(t, "news from the new seed", func() bool { p, _ := s.Phase(); return p == InTouch && s.Index() == 3 })
+	s.Set.CurrentSeeds.Set([]string{"127.0.73.5:1"})
+	waitFor(t, "news from the new seed", func() bool { p, _ := s.Phase(); return p == Connected && s.Index() == 3 })
 }
 
 // newTestReplica returns a copy that polls nobody; the test passes replies to it.
 func newTestReplica() *Replica {
 	s := New()
-	s.Set.Bounds.Contact, s.Log = time.Hour, hclog.NewNullLogger()
+	s.Set.Limits.Contact, s.Log = time.Hour, hclog.NewNullLogger()
 	s.Took = func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
 	return s
 }
@@ -166,23 +166,23 @@
 	c.addPurges(1, 600)
 	s := newTestReplica()
 	first := clusterstate.Change{Index: 1, Data: clusterstate.Command{Purge: &clusterstate.Purge{Tag: "t"}}.Encode()}
-	s.Take(clusterstate.News{Changes: []clusterstate.Change{first}, Index: 1}, time.Now())
+	s.Apply(clusterstate.News{Changes: []clusterstate.Change{first}, Index: 1}, time.Now())
 	take := func() Phase {
 		var n clusterstate.News
 		assert.NilError(t, c.News(&clusterstate.Ask{Have: s.Index()}, &n))
-		s.Take(n, time.Now())
+		s.Apply(n, time.Now())
 		p, _ := s.Phase()
 		return p
 	}
-	if p := take(); p == InTouch || !s.Proof().IsZero() {
+	if p := take(); p == Connected || !s.Proof().IsZero() {
 		t.Errorf("%v with %d of 600 entries, proof %v", p, s.Index(), s.Proof())
 	}
-	assert.Equal(t, take(), InTouch)
+	assert.Equal(t, take(), Connected)
 	assert.Equal(t, s.Index(), uint64(600))
 
 	s = newTestReplica()
-	s.Take(clusterstate.News{Fresh: true, Proven: true, Index: 2, Changes: []clusterstate.Change{first, {Index: 2, Data: []byte("{")}}}, time.Now())
-	if p, _ := s.Phase(); p == InTouch || !s.Proof().IsZero() {
+	s.Apply(clusterstate.News{Fresh: true, Proven: true, Index: 2, Changes: []clusterstate.Change{first, {Index: 2, Data: []byte("{")}}}, time.Now())
+	if p, _ := s.Phase(); p == Connected || !s.Proof().IsZero() {
 		t.Errorf("%v after a change that can't be decoded, proof %v", p, s.Proof())
 	}
 }
@@ -202,7 +202,7 @@
 		{"from a sender that holds more", clusterstate.News{Proven: true, Index: 1}, 3 * time.Second, 2400 * time.Millisecond},
 		{"of a request from before a long pause", clusterstate.News{Proven: true}, 0, 2400 * time.Millisecond},
 	} {
-		s.Take(c.news, start.Add(c.started))
+		s.Apply(c.news, start.Add(c.started))
 		assert.Equal(t, s.Proof().Sub(start), c.proof, c.what)
 	}
 }
@@ -228,7 +228,7 @@
 	var all []*Replica
 	for i, seed := range []string{"127.0.73.6:1", "127.0.73.7:1", "127.0.73.7:1"} {
 		s := newTestReplica()
-		s.Set = bootconfig.Settings{IP: "127.0.0.1", SparePort: 7660, Seeds: []string{seed}, Bounds: bootconfig.Bounds{Contact: time.Hour}}
+		s.Set = bootconfig.Settings{IP: "127.0.0.1", FirstSparePort: 7660, Seeds: []string{seed}, Limits: bootconfig.Limits{Contact: time.Hour}}
 		s.Peers = peerrpc.NewPeers()
 		if i > 0 {
 			s.Neighbours = func() []string { return []string{fmt.Sprintf("127.0.73.%d:7661", 10+i-1)} }
@@ -236,7 +236,7 @@
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.73.%d:7661", 10+i))
 		assert.NilError(t, err)
 		t.Cleanup(func() { l.Close() })
-		go peerrpc.Serve(l, "Edge", peerrpc.Shared(neighbour{s}))
+		go peerrpc.Serve(l, "Edge", peerrpc.SharedService(neighbour{s}))
 		go s.Run(t.Context())
 		all = append(all, s)
 	}
@@ -244,7 +244,7 @@
 	waitFor(t, "a proof over two hops", func() bool { return last.Index() == 3 && last.Proof().After(started) })
 	assert.Assert(t, time.Since(started) < 3*time.Second, "waited for core machines that hang")
 	phase, _ := last.Phase()
-	assert.Equal(t, phase, Empty)
+	assert.Equal(t, phase, PhaseEmpty)
 	c.addPurges(4, 5)
 	since := time.Now()
 	waitFor(t, "a later proof", func() bool { return last.Proof().After(since) })
--- a/internal/cdn/truetime/truetime.go
+++ b/internal/cdn/truetime/truetime.go
@@ -28,34 +28,34 @@
 	return &Clock{started: started, includeOwn: includeOwn, offsets: map[string]time.Duration{}}
 }
 
-// Own returns the time of the own clock without any jumps since the start. It is what to send to machines that compute a
+// Uncorrected returns the time of the own clock without any jumps since the start. It is what to send to machines that compute a
 // median themselves: if a corrected time corrected others, small errors would accumulate without bound.
-func (c *Clock) Own(now time.Time) time.Time {
+func (c *Clock) Uncorrected(now time.Time) time.Time {
 	return c.started.Round(0).Add(now.Sub(c.started))
 }
 
 // Now returns the estimated time of day.
-func (c *Clock) Now(now time.Time) time.Time { return c.Own(now).Add(c.medianOffset()) }
+func (c *Clock) Now(now time.Time) time.Time { return c.Uncorrected(now).Add(c.medianOffset()) }
 
-// Hear records that the clock of a source showed wall at the time at. A new source beyond the limit is ignored.
-func (c *Clock) Hear(source string, wall, at time.Time) {
+// SetReading records that the clock of a source showed wall at the time at. A new source beyond the limit is ignored.
+func (c *Clock) SetReading(source string, wall, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, known := c.offsets[source]; !known && len(c.offsets) >= maxSources {
 		return
 	}
-	c.offsets[source] = wall.Sub(c.Own(at))
+	c.offsets[source] = wall.Sub(c.Uncorrected(at))
 }
 
-// Heard reports whether there is a reading of any other clock.
-func (c *Clock) Heard() bool {
+// HasReadings reports whether there is a reading of any other clock.
+func (c *Clock) HasReadings() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.offsets) > 0
 }
 
-// Keep deletes the readings of all sources that are not listed.
-func (c *Clock) Keep(sources []string) {
+// RetainSources deletes the readings of all sources that are not listed.
+func (c *Clock) RetainSources(sources []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for source := range c.offsets {
--- a/internal/cdn/truetime/truetime_test.go
+++ b/internal/cdn/truetime/truetime_test.go
@@ -32,8 +32,8 @@
 			start := time.Now()
 			clock := New(start, c.includeOwn)
 			for i, offset := range c.others {
-				clock.Hear(fmt.Sprint(i), start.Add(-time.Hour), start)                          // an older reading
-				clock.Hear(fmt.Sprint(i), start.Add(time.Minute+offset), start.Add(time.Minute)) // the latest
+				clock.SetReading(fmt.Sprint(i), start.Add(-time.Hour), start)                          // an older reading
+				clock.SetReading(fmt.Sprint(i), start.Add(time.Minute+offset), start.Add(time.Minute)) // the latest
 			}
 			assert.Equal(t, clock.Now(start.Add(2*time.Minute)).Sub(start.Round(0)), 2*time.Minute+c.want)
 		})
@@ -47,9 +47,9 @@
 	later := start.Add(time.Second)
 	assert.Equal(t, clock.Now(later).UnixNano(), start.UnixNano()+time.Second.Nanoseconds())
 	for i := range maxSources + 4 {
-		clock.Hear(fmt.Sprint(i), start, start)
+		clock.SetReading(fmt.Sprint(i), start, start)
 	}
 	assert.Equal(t, len(clock.offsets), maxSources)
-	clock.Keep([]string{"3"})
+	clock.RetainSources([]string{"3"})
 	assert.Equal(t, len(clock.offsets), 1)
 }
--- a/internal/cdn/upstream/cancellation_test.go
+++ b/internal/cdn/upstream/cancellation_test.go
@@ -15,15 +15,15 @@
 )
 
 // attemptAt makes one attempt at a server, without the balancer.
-func attemptAt(ctx context.Context, s *Sender, o *Order, address string) exchange.Reply {
+func attemptAt(ctx context.Context, s *Sender, o *OriginRequest, address string) exchange.AttemptResult {
 	return attemptWith(ctx, s, o, address, http.Header{"Host": {"a"}})
 }
 
 // attemptWith is attemptAt with the given request header.
-func attemptWith(ctx context.Context, s *Sender, o *Order, address string, header http.Header) exchange.Reply {
+func attemptWith(ctx context.Context, s *Sender, o *OriginRequest, address string, header http.Header) exchange.AttemptResult {
 	deadline := time.Now().Add(3 * time.Second)
 	x := exchange.New(exchange.Request{ID: o.ID, Method: "POST", Target: "/x", Header: header, Body: []byte("hello")})
-	x.Due = deadline
+	x.Deadline = deadline
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	return s.attempt(&exchange.Attempt{Exchange: x, Server: "i-1", Address: address, Context: ctx}, o)
@@ -43,9 +43,9 @@
 		ran    int
 		idle   int64 // idle connections afterwards
 	}{
-		{safe, before, balance.Moot, 0, 0},
-		{once, before, balance.Moot, 0, 0},
-		{cacheable, before, balance.Moot, 0, 0},
+		{safe, before, balance.NeverSent, 0, 0},
+		{once, before, balance.NeverSent, 0, 0},
+		{cacheable, before, balance.NeverSent, 0, 0},
 		{safe, working, balance.Cancelled, 1, 0},
 		{once, working, balance.OK, 1, 1},
 		{cacheable, working, balance.OK, 1, 1},
@@ -54,7 +54,7 @@
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%+v %s", c.kind, c.moment), func(t *testing.T) {
-			tracker := departure.NewLedger()
+			tracker := departure.NewTracker()
 			callerCtx, cancelCaller := context.WithCancel(t.Context())
 			defer cancelCaller()
 			attemptCtx, cancelAttempt := context.WithCancelCause(t.Context())
@@ -63,18 +63,18 @@
 			address := fakeServer(t, func(_ int, r *http.Request, _ string) string {
 				ran++
 				if c.moment == attemptCancelled {
-					cancelAttempt(exchange.ErrWithdrawn)
+					cancelAttempt(exchange.ErrAttemptCancelled)
 				} else {
 					cancelCaller()
 				}
 				if c.want == balance.OK {
-					return rawResponse(200, r.Header.Get(HeaderID), stampHeader, "fine")
+					return rawResponse(200, r.Header.Get(HeaderRequestID), stampHeader, "fine")
 				}
 				<-release // no response until the attempt has ended
 				return ""
 			})
 			s := NewSender(8, &exchange.Counters{})
-			o := &Order{ID: "try-1", OnceOnly: c.kind.once, Keep: c.kind.keep, Stamped: true, Caller: tracker.Open(callerCtx, departure.Client, "r")}
+			o := &OriginRequest{ID: "try-1", OnceOnly: c.kind.once, Cacheable: c.kind.keep, RequireStamp: true, Caller: tracker.Open(callerCtx, departure.Client, "r")}
 			if c.moment == before {
 				cancelCaller()
 			}
@@ -83,9 +83,9 @@
 			o.Caller.Close()
 			assert.Equal(t, got.Result, c.want, "%v", got.Err)
 			assert.Equal(t, ran, c.ran)
-			assert.Equal(t, o.Sent(), c.ran)
-			assert.Equal(t, s.Counts.IdleConnections.Load(), c.idle)
-			assert.Equal(t, s.Counts.ServerConnections.Load(), c.idle, "each slot of the pool is released once")
+			assert.Equal(t, o.SentCount(), c.ran)
+			assert.Equal(t, s.Counters.IdleConnections.Load(), c.idle)
+			assert.Equal(t, s.Counters.ServerConnections.Load(), c.idle, "each slot of the pool is released once")
 			assert.Equal(t, tracker.Violations(), int64(0))
 		})
 	}
@@ -97,14 +97,16 @@
 	_, err := s.Pool.Get(t.Context(), "i-1", "127.0.0.1:1", false, time.Second) // the only slot
 	assert.NilError(t, err)
 	callerCtx, cancelCaller := context.WithCancel(t.Context())
-	caller := departure.NewLedger().Open(callerCtx, departure.Client, "r")
-	result := make(chan exchange.Reply, 1)
-	go func() { result <- attemptAt(t.Context(), s, &Order{ID: "try-1", Caller: caller}, "127.0.0.1:1") }()
+	caller := departure.NewTracker().Open(callerCtx, departure.Client, "r")
+	result := make(chan exchange.AttemptResult, 1)
+	go func() {
+		result <- attemptAt(t.Context(), s, &OriginRequest{ID: "try-1", Caller: caller}, "127.0.0.1:1")
+	}()
 	cancelCaller()
 	started := time.Now()
 	got := <-result
-	assert.Equal(t, got.Result, balance.Moot)
+	assert.Equal(t, got.Result, balance.NeverSent)
 	assert.Assert(t, time.Since(started) < connectTimeout/2)
 	s.Pool.Release()
-	assert.Equal(t, s.Counts.ServerConnections.Load(), int64(0))
+	assert.Equal(t, s.Counters.ServerConnections.Load(), int64(0))
 }
--- a/internal/cdn/upstream/conn.go
+++ b/internal/cdn/upstream/conn.go
@@ -26,7 +26,7 @@
 }
 
 // Acquire reports whether the idle connection is still open and has no unread bytes. The pool calls it before reuse.
-func (c *conn) Acquire() bool { return socket.Peek(c.Conn) == socket.Quiet }
+func (c *conn) Acquire() bool { return socket.Peek(c.Conn) == socket.Idle }
 
 // Close closes the connection and releases its slot in the pool. Later calls do nothing.
 func (c *conn) Close() error {
@@ -60,11 +60,11 @@
 // last byte of a once-only request is held back for lastByteDelay, so that a connection that the server has dropped is detected while
 // the request certainly has not run. If the attempt is to finish although its caller is cancelled, stopWatch is called before the last
 // byte, so that a cancellation no longer closes the connection.
-func (c *conn) write(a *exchange.Attempt, o *Order, tenant string, stopWatch func() bool) (sendProgress, error) {
+func (c *conn) write(a *exchange.Attempt, o *OriginRequest, tenant string, stopWatch func() bool) (sendProgress, error) {
 	head := make([]byte, 0, 512)
 	head = fmt.Appendf(head, "%s %s HTTP/1.1\r\n", a.Method, a.Target)
 	for name, values := range a.Header {
-		if tenant != "" && (name == HeaderKey || name == HeaderSender) { // sent by the client itself: not passed on
+		if tenant != "" && (name == HeaderClientKey || name == HeaderTenant) { // sent by the client itself: not passed on
 			continue
 		}
 		for _, v := range values {
@@ -72,13 +72,13 @@
 		}
 	}
 	if tenant != "" {
-		head = fmt.Appendf(head, "%s: %s\r\n", HeaderSender, tenant)
+		head = fmt.Appendf(head, "%s: %s\r\n", HeaderTenant, tenant)
 	}
-	timeLeft := max(time.Until(a.Due).Milliseconds(), 1)
+	timeLeft := max(time.Until(a.Deadline).Milliseconds(), 1)
 	if o.ID != "" {
-		head = fmt.Appendf(head, "%s: %s\r\n", HeaderID, o.ID)
+		head = fmt.Appendf(head, "%s: %s\r\n", HeaderRequestID, o.ID)
 	}
-	head = fmt.Appendf(head, "%s: %d\r\n%s: %s\r\n", HeaderLeft, timeLeft, HeaderFor, a.Server)
+	head = fmt.Appendf(head, "%s: %d\r\n%s: %s\r\n", HeaderTimeLeft, timeLeft, HeaderTargetServer, a.Server)
 	if len(a.Body) > 0 || a.Method != http.MethodGet && a.Method != http.MethodHead {
 		head = fmt.Appendf(head, "Content-Length: %d\r\n", len(a.Body))
 	}
@@ -97,7 +97,7 @@
 	if err := o.recheckPermit(tenant); err != nil {
 		return notSent, fmt.Errorf("%w: %w", errNotSent, err)
 	}
-	if o.policy() == departure.Finish && !stopWatch() || !o.beginAttempt(tenant, a.Due) {
+	if o.policy() == departure.Finish && !stopWatch() || !o.beginAttempt(tenant, a.Deadline) {
 		return notSent, errNotSent
 	}
 	_, err := c.Conn.Write(pending)
@@ -148,7 +148,7 @@
 		}
 		if id == "" { // without an id a surplus response could not be told from the next request's
 			reusable = false
-		} else if len(resp.Header[HeaderID]) != 1 || resp.Header[HeaderID][0] != id {
+		} else if len(resp.Header[HeaderRequestID]) != 1 || resp.Header[HeaderRequestID][0] != id {
 			reusable = false // a response to an earlier request came in its place
 			if resp.Close {
 				return result, false, errors.New("connection closed after a response to another request")
--- a/internal/cdn/upstream/headers.go
+++ b/internal/cdn/upstream/headers.go
@@ -7,16 +7,16 @@
 
 // Header names of the protocol between clients, routers and servers, in canonical form.
 const (
-	HeaderID       = "Try-Id"        // request id, chosen by the client and repeated in the response
-	HeaderLeft     = "Time-Left"     // time until the request's deadline, in milliseconds
-	HeaderStamp    = "Postmark"      // marks a success response as genuine
-	HeaderFor      = "Addressee"     // id of the server that the request is meant for
-	HeaderNotRun   = "Not-Delivered" // present if the server did not process the request
-	HeaderLoad     = "Load"
-	HeaderLabels   = "Labels" // cache labels of the object, separated by spaces
-	HeaderServerID = "Server-Id"
-	HeaderKey      = "Key"    // the client's API key, never passed to a server
-	HeaderSender   = "Sender" // the tenant that owns the client's key, as passed to servers
+	HeaderRequestID    = "Try-Id"        // request id, chosen by the client and repeated in the response
+	HeaderTimeLeft     = "Time-Left"     // time until the request's deadline, in milliseconds
+	HeaderStamp        = "Postmark"      // marks a success response as genuine
+	HeaderTargetServer = "Addressee"     // id of the server that the request is meant for
+	HeaderNotProcessed = "Not-Delivered" // present if the server did not process the request
+	HeaderLoad         = "Load"
+	HeaderLabels       = "Labels" // cache labels of the object, separated by spaces
+	HeaderServerID     = "Server-Id"
+	HeaderClientKey    = "Key"    // the client's API key, never passed to a server
+	HeaderTenant       = "Sender" // the tenant that owns the client's key, as passed to servers
 )
 
 // StatusKey is the key under which a reply's header holds the server's status. No real header can have this name.
@@ -25,7 +25,7 @@
 // hopByHop holds the headers that apply to one connection or to one request only.
 var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
-	"Expect": true, HeaderID: true, HeaderLeft: true, HeaderFor: true}
+	"Expect": true, HeaderRequestID: true, HeaderTimeLeft: true, HeaderTargetServer: true}
 
 // EndToEnd removes the hop-by-hop headers from h, in place, and returns h.
 func EndToEnd(h http.Header) http.Header {
--- a/internal/cdn/upstream/permit_test.go
+++ b/internal/cdn/upstream/permit_test.go
@@ -30,10 +30,10 @@
 		{"no permission needed", nil, balance.OK, "Sender [me], Key [k-1]", 1},
 		{"a route that needs no key", []permitResult{{"", nil}, {"", nil}}, balance.OK, "Sender [me], Key [k-1]", 1},
 		{"a tenant", []permitResult{{"wax", nil}, {"wax", nil}}, balance.OK, "Sender [wax], Key []", 1},
-		{"refused before it connects", []permitResult{{"", errKeyRemoved}}, balance.Moot, "", 0},
-		{"refused before its last byte is sent", []permitResult{{"wax", nil}, {"", errKeyRemoved}}, balance.Moot, "", 1},
-		{"key moved before its last byte is sent", []permitResult{{"wax", nil}, {"ink", nil}}, balance.Moot, "", 1},
-		{"no tenant before its last byte is sent", []permitResult{{"wax", nil}, {"", nil}}, balance.Moot, "", 1},
+		{"refused before it connects", []permitResult{{"", errKeyRemoved}}, balance.NeverSent, "", 0},
+		{"refused before its last byte is sent", []permitResult{{"wax", nil}, {"", errKeyRemoved}}, balance.NeverSent, "", 1},
+		{"key moved before its last byte is sent", []permitResult{{"wax", nil}, {"ink", nil}}, balance.NeverSent, "", 1},
+		{"no tenant before its last byte is sent", []permitResult{{"wax", nil}, {"", nil}}, balance.NeverSent, "", 1},
 	}
 	for _, c := range cases {
 		for _, once := range []bool{false, true} {
@@ -41,10 +41,10 @@
 				received := ""
 				address := fakeServer(t, func(_ int, r *http.Request, _ string) string {
 					received = "Sender [" + strings.Join(r.Header["Sender"], " ") + "], Key [" + strings.Join(r.Header["Key"], " ") + "]"
-					return rawResponse(200, r.Header.Get(HeaderID), stampHeader, "fine")
+					return rawResponse(200, r.Header.Get(HeaderRequestID), stampHeader, "fine")
 				})
 				s, calls := NewSender(8, &exchange.Counters{}), 0
-				o := &Order{ID: "try-1", OnceOnly: once, Stamped: true}
+				o := &OriginRequest{ID: "try-1", OnceOnly: once, RequireStamp: true}
 				if c.results != nil {
 					o.Permit = func() (string, error) {
 						calls++
@@ -55,9 +55,9 @@
 				assert.Equal(t, got.Result, c.want, "%v", got.Err)
 				assert.Equal(t, received, c.received)
 				assert.Equal(t, calls, len(c.results))
-				assert.Equal(t, o.Sent() > 0, c.want == balance.OK)
-				assert.Equal(t, s.Counts.Dials.Load(), c.dials)
-				assert.Equal(t, s.Counts.ServerConnections.Load(), s.Counts.IdleConnections.Load(), "slots of the pool are released")
+				assert.Equal(t, o.SentCount() > 0, c.want == balance.OK)
+				assert.Equal(t, s.Counters.Dials.Load(), c.dials)
+				assert.Equal(t, s.Counters.ServerConnections.Load(), s.Counters.IdleConnections.Load(), "slots of the pool are released")
 			})
 		}
 	}
--- a/internal/cdn/upstream/upstream.go
+++ b/internal/cdn/upstream/upstream.go
@@ -34,33 +34,33 @@
 	tcpUserTimeout    = 18 // TCP_USER_TIMEOUT of Linux
 )
 
-// IdleFor is how long an idle connection is kept, unless connections to the server are scarce. Servers close idle connections after 10 s.
-const IdleFor = 8 * time.Second
+// IdleTimeout is how long an idle connection is kept, unless connections to the server are scarce. Servers close idle connections after 10 s.
+const IdleTimeout = 8 * time.Second
 
 // Sender sends attempts to servers. It implements exchange.Sender.
 type Sender struct {
-	Pool   *exchange.Pool
-	Counts *exchange.Counters
+	Pool     *exchange.Pool
+	Counters *exchange.Counters
 
 	mu       sync.Mutex
-	requests map[*exchange.Exchange]*Order
+	requests map[*exchange.Exchange]*OriginRequest
 }
 
 // NewSender returns a sender with its own pool of at most so many connections.
 func NewSender(maxConns int, counters *exchange.Counters) *Sender {
-	return &Sender{Pool: exchange.NewPool(maxConns, IdleFor, counters), Counts: counters,
-		requests: map[*exchange.Exchange]*Order{}}
+	return &Sender{Pool: exchange.NewPool(maxConns, IdleTimeout, counters), Counters: counters,
+		requests: map[*exchange.Exchange]*OriginRequest{}}
 }
 
-// Begin registers what the exchange's attempts share. It must be called before the exchange is submitted.
-func (s *Sender) Begin(x *exchange.Exchange, o *Order) {
+// Register registers what the exchange's attempts share. It must be called before the exchange is submitted.
+func (s *Sender) Register(x *exchange.Exchange, o *OriginRequest) {
 	s.mu.Lock()
 	s.requests[x] = o
 	s.mu.Unlock()
 }
 
-// End removes a registered exchange.
-func (s *Sender) End(x *exchange.Exchange) {
+// Unregister removes a registered exchange.
+func (s *Sender) Unregister(x *exchange.Exchange) {
 	s.mu.Lock()
 	delete(s.requests, x)
 	s.mu.Unlock()
@@ -75,18 +75,18 @@
 }
 
 // runAttempt carries out an attempt and reports its result, also after a panic.
-func (s *Sender) runAttempt(a *exchange.Attempt, o *Order) {
+func (s *Sender) runAttempt(a *exchange.Attempt, o *OriginRequest) {
 	defer func() {
 		if p := recover(); p != nil { // the request may have run
-			a.End(exchange.Reply{Result: balance.Unknown, Err: Error.New("panic: %v", p)})
+			a.Finish(exchange.AttemptResult{Result: balance.Unknown, Err: Error.New("panic: %v", p)})
 		}
 	}()
 	if o == nil { // the exchange was answered and removed in the meantime
-		a.End(exchange.Reply{Result: balance.Moot})
+		a.Finish(exchange.AttemptResult{Result: balance.NeverSent})
 		return
 	}
 	r := s.attempt(a, o)
-	a.End(r)
+	a.Finish(r)
 }
 
 // connect takes an idle connection to the attempt's server from the pool, or dials one. For a once-only request, connections
@@ -103,7 +103,7 @@
 	if c, ok := pooled.(*conn); ok && c != nil {
 		return c, nil
 	}
-	s.Counts.Dials.Add(1)
+	s.Counters.Dials.Add(1)
 	started := time.Now()
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
@@ -112,7 +112,7 @@
 		})
 	}}
 	netConn, err := dialer.DialContext(ctx, "tcp", a.Address)
-	a.Connect = time.Since(started)
+	a.ConnectTime = time.Since(started)
 	if err != nil {
 		s.Pool.Release()
 		return nil, err
@@ -122,11 +122,11 @@
 
 // attempt sends the request, reads the response and classifies it. A result that says that the request never ran is returned only
 // if that is certain.
-func (s *Sender) attempt(a *exchange.Attempt, o *Order) exchange.Reply {
-	ctx, release := Bind(a.Context, o.Caller)
+func (s *Sender) attempt(a *exchange.Attempt, o *OriginRequest) exchange.AttemptResult {
+	ctx, release := AttemptContext(a.Context, o.Caller)
 	defer release()
-	if o.Caller.Left() {
-		return notSentReply(a, departure.ErrLeft)
+	if o.Caller.Cancelled() {
+		return notSentReply(a, departure.ErrCallerCancelled)
 	}
 	tenant, err := o.checkPermit()
 	if err != nil {
@@ -134,13 +134,13 @@
 	}
 	c, err := s.connect(ctx, a, o.OnceOnly, o.ID == "")
 	if err != nil {
-		if cause := Withdrawal(ctx); cause != nil { // not the server's fault
+		if cause := CancelCause(ctx); cause != nil { // not the server's fault
 			return notSentReply(a, cause)
 		}
-		return exchange.Reply{Result: balance.NoConnect, Err: Error.New("connecting to %s: %w", a.Server, err)}
+		return exchange.AttemptResult{Result: balance.NoConnect, Err: Error.New("connecting to %s: %w", a.Server, err)}
 	}
 	start := time.Now()
-	if !a.Due.After(start) {
+	if !a.Deadline.After(start) {
 		s.Pool.Put(a.Server, a.Address, c, start)
 		return notSentReply(a, errDeadlinePassed)
 	}
@@ -148,11 +148,11 @@
 	if !c.idleSince.IsZero() {
 		idleTime = start.Sub(c.idleSince)
 	}
-	c.SetDeadline(a.Due)
+	c.SetDeadline(a.Deadline)
 	stopWatch := context.AfterFunc(ctx, func() { c.Close() })
 	progress, err := c.write(a, o, tenant, stopWatch)
 	if progress != notSent {
-		defer o.Caller.End(o.policy())
+		defer o.Caller.EndAttempt(o.policy())
 	}
 	var resp response
 	reusable := false
@@ -164,8 +164,8 @@
 		c.Close()
 		return s.failureReply(ctx, a, progress, start, idleTime, err)
 	}
-	s.Pool.Heard(a.Server, time.Now())
-	s.Pool.Used(idleTime, true)
+	s.Pool.RecordResponse(a.Server, time.Now())
+	s.Pool.RecordReuse(idleTime, true)
 	o.mu.Lock()
 	o.server, o.latency = a.Server, time.Since(start)
 	o.mu.Unlock()
@@ -179,17 +179,17 @@
 	return s.classifyResponse(a, o, resp)
 }
 
-// Bind returns a context that ends at the attempt's deadline, or when the attempt or its caller is cancelled, and carries the cause.
+// AttemptContext returns a context that ends at the attempt's deadline, or when the attempt or its caller is cancelled, and carries the cause.
 // The returned function releases it.
-func Bind(attempt context.Context, caller *departure.Caller) (context.Context, func()) {
+func AttemptContext(attempt context.Context, caller *departure.Caller) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(attempt)
 	callerCtx := caller.Context()
 	stop := context.AfterFunc(callerCtx, func() { cancel(context.Cause(callerCtx)) })
 	return ctx, func() { stop(); cancel(nil) }
 }
 
-// Withdrawal returns the cause if the attempt was cancelled before its deadline, nil otherwise.
-func Withdrawal(ctx context.Context) error {
+// CancelCause returns the cause if the attempt was cancelled before its deadline, nil otherwise.
+func CancelCause(ctx context.Context) error {
 	if ctx.Err() == context.Canceled {
 		return context.Cause(ctx)
 	}
@@ -199,62 +199,62 @@
 var errDeadlinePassed = errors.New("deadline exceeded before sending")
 
 // notSentReply is the reply of an attempt that was certainly not sent, for a reason that is not the server's fault.
-func notSentReply(a *exchange.Attempt, cause error) exchange.Reply {
-	return exchange.Reply{Result: balance.Moot, Err: Error.New("sending to %s: %w", a.Server, cause)}
+func notSentReply(a *exchange.Attempt, cause error) exchange.AttemptResult {
+	return exchange.AttemptResult{Result: balance.NeverSent, Err: Error.New("sending to %s: %w", a.Server, cause)}
 }
 
 // failureReply classifies an attempt that got no response and whose connection is closed. A cancellation by the caller says nothing
 // about the server, nor about how long connections may be idle, so neither is recorded as failed then.
-func (s *Sender) failureReply(ctx context.Context, a *exchange.Attempt, progress sendProgress, start time.Time, idleTime time.Duration, err error) exchange.Reply {
-	cause := Withdrawal(ctx)
+func (s *Sender) failureReply(ctx context.Context, a *exchange.Attempt, progress sendProgress, start time.Time, idleTime time.Duration, err error) exchange.AttemptResult {
+	cause := CancelCause(ctx)
 	switch {
 	case errors.Is(err, errNotSent), cause != nil && progress < maybeSent:
 		return notSentReply(a, cmp.Or(cause, err))
 	case cause != nil:
-		return exchange.Reply{Result: balance.Cancelled, Err: Error.New("at %s: %w", a.Server, cause)}
+		return exchange.AttemptResult{Result: balance.Cancelled, Err: Error.New("at %s: %w", a.Server, cause)}
 	case progress < fullySent:
-		s.Pool.Used(idleTime, false)
+		s.Pool.RecordReuse(idleTime, false)
 		result := balance.Reset
 		if progress < maybeSent {
 			result = balance.NoConnect
 		}
-		return exchange.Reply{Result: result, Err: Error.New("writing to %s: %w", a.Server, err)}
+		return exchange.AttemptResult{Result: result, Err: Error.New("writing to %s: %w", a.Server, err)}
 	}
 	var timeout net.Error
-	result := balance.Spoilt
+	result := balance.Malformed
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout(), ctx.Err() != nil:
 		result = balance.TimedOut
-		s.Pool.Silent(a.Server, start)
+		s.Pool.CloseIfSilent(a.Server, start)
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, io.EOF):
 		result = balance.Reset
 		if time.Since(start) < connectTimeout/4 {
-			s.Pool.Used(idleTime, false)
+			s.Pool.RecordReuse(idleTime, false)
 		}
 	}
-	return exchange.Reply{Result: result, Err: Error.New("reading from %s: %w", a.Server, err)}
+	return exchange.AttemptResult{Result: result, Err: Error.New("reading from %s: %w", a.Server, err)}
 }
 
 // classifyResponse decides what a response means. No other code does.
-func (s *Sender) classifyResponse(a *exchange.Attempt, o *Order, resp response) exchange.Reply {
-	notRun := resp.header.Get(HeaderNotRun) != ""
+func (s *Sender) classifyResponse(a *exchange.Attempt, o *OriginRequest, resp response) exchange.AttemptResult {
+	notRun := resp.header.Get(HeaderNotProcessed) != ""
 	if notRun || resp.status == http.StatusMisdirectedRequest {
 		o.recordNotRun()
 	}
-	reply := exchange.Reply{Result: balance.OK, Header: resp.header, Body: resp.body}
+	reply := exchange.AttemptResult{Result: balance.OK, Header: resp.header, Body: resp.body}
 	resp.header[StatusKey] = []string{strconv.Itoa(resp.status)}
 	switch {
 	case resp.status == http.StatusMisdirectedRequest:
-		return exchange.Reply{Result: balance.NoConnect, Err: Error.New("%s: its address now belongs to another server", a.Server)}
+		return exchange.AttemptResult{Result: balance.NoConnect, Err: Error.New("%s: its address now belongs to another server", a.Server)}
 	case notRun:
-		return exchange.Reply{Result: balance.Full, Err: Error.New("%s rejected the request unprocessed with status %d", a.Server, resp.status)}
-	case resp.status >= 200 && resp.status < 300 && (o.Stamped && resp.header.Get(HeaderStamp) == "" || resp.header.Get("Content-Encoding") != ""):
-		return exchange.Reply{Result: balance.Spoilt, Err: Error.New("%s: success response without a valid stamp", a.Server)}
+		return exchange.AttemptResult{Result: balance.Rejected, Err: Error.New("%s rejected the request unprocessed with status %d", a.Server, resp.status)}
+	case resp.status >= 200 && resp.status < 300 && (o.RequireStamp && resp.header.Get(HeaderStamp) == "" || resp.header.Get("Content-Encoding") != ""):
+		return exchange.AttemptResult{Result: balance.Malformed, Err: Error.New("%s: success response without a valid stamp", a.Server)}
 	case resp.status >= 500:
 		o.mu.Lock()
-		o.lastFailure = &exchange.Reply{Header: reply.Header, Body: reply.Body}
+		o.lastFailure = &exchange.AttemptResult{Header: reply.Header, Body: reply.Body}
 		o.mu.Unlock()
-		return exchange.Reply{Result: balance.Errored, Err: Error.New("%s responded with status %d", a.Server, resp.status)}
+		return exchange.AttemptResult{Result: balance.Errored, Err: Error.New("%s responded with status %d", a.Server, resp.status)}
 	}
 	return reply
 }
--- a/internal/cdn/upstream/upstream_test.go
+++ b/internal/cdn/upstream/upstream_test.go
@@ -95,19 +95,19 @@
 )
 
 // sendRequest sends one request through the loop to the fake server and returns the answer.
-func sendRequest(t *testing.T, s *Sender, l *exchange.Loop, o *Order) exchange.Answer {
+func sendRequest(t *testing.T, s *Sender, l *exchange.Loop, o *OriginRequest) exchange.Answer {
 	t.Helper()
-	x := exchange.New(exchange.Request{ID: o.ID, Class: "c", Arrived: time.Now(), TimeLeft: requestTimeout, Method: "POST", Target: "/x/1",
+	x := exchange.New(exchange.Request{ID: o.ID, Class: "c", Arrived: time.Now(), Timeout: requestTimeout, Method: "POST", Target: "/x/1",
 		Header: http.Header{"Host": {"a"}}, Body: []byte("hello")})
-	s.Begin(x, o)
-	defer s.End(x)
+	s.Register(x, o)
+	defer s.Unregister(x)
 	l.Submit(x)
 	return <-x.Answer()
 }
 
 func settingsFor(effect balance.Effect) balance.Settings {
-	return balance.Settings{Classes: []balance.Class{{Name: "c", Aim: time.Second, Deadline: requestTimeout, Worth: 1, Effect: effect}},
-		Routers: 1, OverShareWorth: 1, MaxAttempts: 2, Parallel: true, Ramp: time.Second, ColdFrom: 1, OverloadFactor: 2, OverloadFor: time.Second, MaxRetryAfter: time.Second}
+	return balance.Settings{Classes: []balance.Class{{Name: "c", Target: time.Second, Deadline: requestTimeout, Priority: 1, Effect: effect}},
+		Routers: 1, OverSharePriority: 1, MaxAttempts: 2, ParallelAttempts: true, RampTime: time.Second, ColdStartShare: 1, OverloadFactor: 2, OverloadFor: time.Second, MaxRetryAfter: time.Second}
 }
 
 func newLoop(t *testing.T, address string, effect balance.Effect) (*Sender, *exchange.Loop) {
@@ -120,16 +120,16 @@
 	counters := &exchange.Counters{}
 	s := NewSender(64, counters)
 	l := exchange.NewLoop()
-	l.Clock, l.Counts, l.Log, l.Pool, l.Sender = exchange.NewClock(), counters, slog.New(slog.DiscardHandler), s.Pool, s
+	l.Clock, l.Counters, l.Log, l.Pool, l.Sender = exchange.NewClock(), counters, slog.New(slog.DiscardHandler), s.Pool, s
 	l.Settings = settings
 	go l.Run(t.Context())
-	servers := exchange.List{Addresses: map[balance.ServerID]string{}}
+	servers := exchange.ServerList{Addresses: map[balance.ServerID]string{}}
 	servers.Kind = balance.Complete
 	for _, id := range []balance.ServerID{"i-1", "i-2"} {
 		servers.Entries = append(servers.Entries, balance.Entry{Server: id, Weight: 1})
 		servers.Addresses[id] = address
 	}
-	l.Listed(servers)
+	l.UpdateServers(servers)
 	return s, l
 }
 
@@ -181,23 +181,23 @@
 					var received atomic.Int64
 					address := fakeServer(t, func(n int, r *http.Request, body string) string {
 						received.Add(1)
-						assert.Check(t, body == "hello" && r.Header.Get(HeaderFor) != "" && r.Header.Get(HeaderLeft) != "")
+						assert.Check(t, body == "hello" && r.Header.Get(HeaderTargetServer) != "" && r.Header.Get(HeaderTimeLeft) != "")
 						response := goodResponse
 						if n == warmUps+1 {
 							response = c.first
 						}
-						return strings.ReplaceAll(response, "ID", r.Header.Get(HeaderID))
+						return strings.ReplaceAll(response, "ID", r.Header.Get(HeaderRequestID))
 					})
 					s, l := newLoop(t, address, effect)
 					for n := range warmUps {
-						sendRequest(t, s, l, &Order{ID: fmt.Sprint("warm-", n), OnceOnly: onceOnly, Stamped: true})
+						sendRequest(t, s, l, &OriginRequest{ID: fmt.Sprint("warm-", n), OnceOnly: onceOnly, RequireStamp: true})
 					}
-					o := &Order{ID: "try-7", OnceOnly: onceOnly, Stamped: true}
+					o := &OriginRequest{ID: "try-7", OnceOnly: onceOnly, RequireStamp: true}
 					started := time.Now()
 					a := sendRequest(t, s, l, o)
 					assert.Assert(t, c.name != stalled || !onceOnly || time.Since(started) > requestTimeout*9/10, "ended early because the server stalled")
 					body := string(a.Body)
-					if f := o.Failure(); a.Kind != exchange.Served && f != nil {
+					if f := o.LastFailure(); a.Kind != exchange.Served && f != nil {
 						body = string(f.Body)
 					}
 					assert.Equal(t, fmt.Sprint(int(a.Kind), " ", body), want)
@@ -219,7 +219,7 @@
 	settings.MaxAttempts = 1
 	s, l := newLoopWith(t, address, settings)
 	started := time.Now()
-	a := sendRequest(t, s, l, &Order{ID: "try-8", Stamped: true})
+	a := sendRequest(t, s, l, &OriginRequest{ID: "try-8", RequireStamp: true})
 	assert.Assert(t, a.Kind != exchange.Served && time.Since(started) > requestTimeout*9/10, "ended after %s", time.Since(started))
 }
 
@@ -232,10 +232,10 @@
 		if n == 1 {
 			return thenReset
 		}
-		return rawResponse(200, r.Header.Get(HeaderID), stampHeader, "fine")
+		return rawResponse(200, r.Header.Get(HeaderRequestID), stampHeader, "fine")
 	})
 	s, l := newLoop(t, address, balance.Safe)
-	sendRequest(t, s, l, &Order{ID: "once", OnceOnly: true, Stamped: true})
+	sendRequest(t, s, l, &OriginRequest{ID: "once", OnceOnly: true, RequireStamp: true})
 	assert.Equal(t, ran.Load(), int64(2))
 }
 
@@ -245,7 +245,7 @@
 	conns := map[string]int{}
 	address := fakeServer(t, func(n int, r *http.Request, _ string) string {
 		conns[r.RemoteAddr]++
-		id := r.Header.Get(HeaderID)
+		id := r.Header.Get(HeaderRequestID)
 		late := ""
 		if n > 1 {
 			late = rawResponse(200, "try-0", stampHeader, "fake")
@@ -254,19 +254,19 @@
 	})
 	s, l := newLoop(t, address, balance.Safe)
 	for n := 1; n <= 5; n++ {
-		a := sendRequest(t, s, l, &Order{ID: fmt.Sprint("try-", n), Stamped: true})
+		a := sendRequest(t, s, l, &OriginRequest{ID: fmt.Sprint("try-", n), RequireStamp: true})
 		assert.Equal(t, string(a.Body), fmt.Sprint("answer ", n))
 	}
 	alone := fakeServer(t, func(n int, r *http.Request, _ string) string {
-		assert.Check(t, r.Header.Get(HeaderID) == "")
+		assert.Check(t, r.Header.Get(HeaderRequestID) == "")
 		return strings.Replace(rawResponse(200, "", stampHeader, fmt.Sprint("own ", n)), "Try-Id: \r\n", "", 1)
 	})
 	s, l = newLoop(t, alone, balance.Safe)
 	for n := 1; n <= 3; n++ {
-		assert.Equal(t, string(sendRequest(t, s, l, &Order{Stamped: true}).Body), fmt.Sprint("own ", n))
+		assert.Equal(t, string(sendRequest(t, s, l, &OriginRequest{RequireStamp: true}).Body), fmt.Sprint("own ", n))
 	}
-	assert.Equal(t, s.Counts.Dials.Load(), int64(3))
-	assert.Equal(t, s.Counts.IdleConnections.Load(), int64(0))
+	assert.Equal(t, s.Counters.Dials.Load(), int64(3))
+	assert.Equal(t, s.Counters.IdleConnections.Load(), int64(0))
 }
 
 // A once-only request does not fail because the server closed the idle connection that it is sent on: its last byte is held back,
@@ -294,7 +294,7 @@
 						c.Close()
 						return
 					}
-					io.WriteString(c, rawResponse(200, q.Header.Get(HeaderID), stampHeader, "fine"))
+					io.WriteString(c, rawResponse(200, q.Header.Get(HeaderRequestID), stampHeader, "fine"))
 					if n == 0 {
 						c.(*net.TCPConn).SetLinger(0)
 						c.Close()
@@ -306,8 +306,8 @@
 		}
 	}()
 	s, loop := newLoop(t, l.Addr().String(), balance.Unsafe)
-	assert.Equal(t, string(sendRequest(t, s, loop, &Order{ID: "a", OnceOnly: true}).Body), "fine")
+	assert.Equal(t, string(sendRequest(t, s, loop, &OriginRequest{ID: "a", OnceOnly: true}).Body), "fine")
 	<-drop
-	o := &Order{ID: "b", OnceOnly: true}
+	o := &OriginRequest{ID: "b", OnceOnly: true}
 	assert.Equal(t, string(sendRequest(t, s, loop, o).Body), "fine")
 }
--- a/internal/cdn/upstream/usage_test.go
+++ b/internal/cdn/upstream/usage_test.go
@@ -12,8 +12,8 @@
 // countingAccount is an Account that counts the calls.
 type countingAccount struct{ started, notRun int }
 
-func (c *countingAccount) Begun(string) { c.started++ }
-func (c *countingAccount) NotRun()      { c.notRun++ }
+func (c *countingAccount) CountAttempt(string) { c.started++ }
+func (c *countingAccount) UncountAttempt()     { c.notRun++ }
 
 // An attempt that the server reports as not run, by its header or with status 421, is taken out of the tenant's usage again.
 func TestNotRunAttemptIsUncounted(t *testing.T) {
@@ -23,12 +23,12 @@
 		not    int
 	}{{200, stampHeader, 0}, {503, "Not-Delivered: 1\r\n", 1}, {421, "", 1}, {500, "", 0}} {
 		address := fakeServer(t, func(_ int, r *http.Request, _ string) string {
-			return rawResponse(c.status, r.Header.Get(HeaderID), c.head, "x")
+			return rawResponse(c.status, r.Header.Get(HeaderRequestID), c.head, "x")
 		})
 		account := &countingAccount{}
-		o := &Order{ID: "try-1", Account: account, Permit: func() (string, error) { return "wax", nil }}
+		o := &OriginRequest{ID: "try-1", UsageCounter: account, Permit: func() (string, error) { return "wax", nil }}
 		attemptWith(t.Context(), NewSender(8, &exchange.Counters{}), o, address, http.Header{"Host": {"a"}})
 		assert.Equal(t, *account, countingAccount{1, c.not}, "%d", c.status)
-		assert.Equal(t, o.SurelyNotRun(), c.not == 1, "%d", c.status)
+		assert.Equal(t, o.NeverRan(), c.not == 1, "%d", c.status)
 	}
 }
--- a/internal/cdn/usage/meter.go
+++ b/internal/cdn/usage/meter.go
@@ -79,8 +79,8 @@
 	delete(m.windows, oldest)
 }
 
-// Fixed drops all windows up to round, which are fixed.
-func (m *Meter) Fixed(round int64) {
+// DropFixed drops all windows up to round, which are fixed.
+func (m *Meter) DropFixed(round int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.fixed = max(m.fixed, round)
@@ -101,9 +101,9 @@
 	return r
 }
 
-// Request accounts for one request that servers run for a tenant. It is counted in the window of the first attempt that
+// RequestCount accounts for one request that servers run for a tenant. It is counted in the window of the first attempt that
 // a server may have started, and removed from the count when no server that it was sent to has started it.
-type Request struct {
+type RequestCount struct {
 	meter *Meter
 	now   func() time.Time // true time
 
@@ -113,11 +113,13 @@
 	attempts int // attempts that a server may have started
 }
 
-// NewRequest returns the account of a request that is not counted yet.
-func NewRequest(m *Meter, now func() time.Time) *Request { return &Request{meter: m, now: now} }
+// NewRequestCount returns the account of a request that is not counted yet.
+func NewRequestCount(m *Meter, now func() time.Time) *RequestCount {
+	return &RequestCount{meter: m, now: now}
+}
 
-// Begun records that an attempt of the request is sent to a server.
-func (r *Request) Begun(tenant string) {
+// CountAttempt records that an attempt of the request is sent to a server.
+func (r *RequestCount) CountAttempt(tenant string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.attempts++; r.attempts == 1 {
@@ -126,8 +128,8 @@
 	}
 }
 
-// NotRun records that a server did not start an attempt that was sent to it.
-func (r *Request) NotRun() {
+// UncountAttempt records that a server did not start an attempt that was sent to it.
+func (r *RequestCount) UncountAttempt() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.attempts--; r.attempts == 0 {
--- a/internal/cdn/usage/meter_test.go
+++ b/internal/cdn/usage/meter_test.go
@@ -36,13 +36,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Time{}
 			m := NewMeter("edge-1", "life", testWindow)
-			request := NewRequest(m, func() time.Time { return now })
+			request := NewRequestCount(m, func() time.Time { return now })
 			for _, s := range c.steps {
 				if s.begun == 0 {
-					request.NotRun()
+					request.UncountAttempt()
 				} else {
 					now = at(s.begun)
-					request.Begun(s.tenant)
+					request.CountAttempt(s.tenant)
 				}
 			}
 			assert.DeepEqual(t, m.Report(at(20)).Windows, c.want)
@@ -62,7 +62,7 @@
 	assert.Equal(t, second.Final, int64(200))
 	assert.DeepEqual(t, second.Windows, map[int64]Counts{200: {"a": 1}, 201: {"a": 1}})
 	assert.Assert(t, second.Sequence > first.Sequence)
-	m.Fixed(200)
+	m.DropFixed(200)
 	m.Count("a", at(1))
 	m.Withdraw("a", 200)
 	assert.DeepEqual(t, m.Report(at(12)).Windows, map[int64]Counts{201: {"a": 1}})
--- a/internal/cdn/usage/reporter.go
+++ b/internal/cdn/usage/reporter.go
@@ -25,8 +25,8 @@
 // holder still has the time that it must wait.
 func maxFixDelay(delay time.Duration) time.Duration { return delay * 3 / 5 }
 
-// Timetable holds the settings for usage reporting.
-type Timetable struct {
+// Timing holds the settings for usage reporting.
+type Timing struct {
 	Window   time.Duration // length of a report window
 	Delay    time.Duration // from a window's end until its report is due
 	Lease    time.Duration // two holders must not act alternately within it
@@ -54,7 +54,7 @@
 	Idle                    // holder, with no step in progress
 	Fixing                  // the counts of a window are being committed
 	Sending                 // a call of the platform is in progress
-	Noting                  // the fact that the platform accepted a window is being committed
+	Recording               // the fact that the platform accepted a window is being committed
 	Fenced                  // the platform has seen a later epoch: nothing more is done under this one
 )
 
@@ -67,10 +67,10 @@
 
 // The kinds of steps.
 const (
-	Wait StepKind = iota
-	Fix           // propose Report as the counts of its window, under the epoch in Fence
-	Send          // call the platform with Report and Fence; MaySend must be asked right before the write
-	Note          // propose that the platform accepted Report's window, under the epoch in Fence
+	Wait           StepKind = iota
+	Fix                     // propose Report as the counts of its window, under the epoch in Fence
+	Send                    // call the platform with Report and Fence; MaySend must be asked right before the write
+	RecordAccepted          // propose that the platform accepted Report's window, under the epoch in Fence
 )
 
 // Step is what a holder does next. The result of each step but Wait must be passed to Fixed, Sent or Noted.
@@ -100,7 +100,7 @@
 
 // Reporter decides what the duty holder does next to report the tenants' usage. It is not safe for concurrent use.
 type Reporter struct {
-	timetable       Timetable
+	timetable       Timing
 	state           ReporterState
 	epoch           uint64
 	heldSince       time.Time      // when this machine learned that it holds the duty under this epoch
@@ -129,7 +129,7 @@
 }
 
 // NewReporter returns the reporter of a machine that does not hold the duty.
-func NewReporter(t Timetable) *Reporter {
+func NewReporter(t Timing) *Reporter {
 	if t.DutyPerS <= 0 {
 		t.DutyPerS = defaultCallsPerSecond
 	}
@@ -156,7 +156,7 @@
 	report, fixAt := r.nextWindow(v)
 	switch {
 	case toNote != nil:
-		return r.begin(Noting, Step{Kind: Note, Report: *toNote, Fence: r.epoch})
+		return r.begin(Recording, Step{Kind: RecordAccepted, Report: *toNote, Fence: r.epoch})
 	case !fixAt.After(v.Now):
 		return r.begin(Fixing, Step{Kind: Fix, Report: report, Fence: r.epoch})
 	case toSend == nil:
@@ -267,7 +267,7 @@
 		}
 		return Sum{}, false
 	}
-	round := max(fixed+1, RoundOf(v.True, r.timetable.Window)-clusterstate.MostPendingUsage)
+	round := max(fixed+1, RoundOf(v.True, r.timetable.Window)-clusterstate.MaxPendingUsage)
 	if i := slices.IndexFunc(v.Sums, func(s Sum) bool { return s.Round == round }); i >= 0 {
 		return v.Sums[i], true
 	}
@@ -307,9 +307,9 @@
 	}
 }
 
-// Noted records the end of a Note step. If done, it is committed.
-func (r *Reporter) Noted(now time.Time, epoch uint64, done bool) {
-	if r.isCurrent(Noting, epoch) {
+// Recorded records the end of a Note step. If done, it is committed.
+func (r *Reporter) Recorded(now time.Time, epoch uint64, done bool) {
+	if r.isCurrent(Recording, epoch) {
 		if done {
 			r.accepted[r.activeRound] = true
 		}
--- a/internal/cdn/usage/reporter_test.go
+++ b/internal/cdn/usage/reporter_test.go
@@ -12,7 +12,7 @@
 const ms = time.Millisecond
 
 var (
-	timetable   = Timetable{Window: 5 * time.Second, Delay: 10 * time.Second, Lease: 3 * time.Second, DutyPerS: 10}
+	timetable   = Timing{Window: 5 * time.Second, Delay: 10 * time.Second, Lease: 3 * time.Second, DutyPerS: 10}
 	windowStart = time.Unix(500, 0) // start of window 100, by both clocks
 )
 
@@ -49,7 +49,7 @@
 }
 
 func noted(epoch uint64, done bool) func(*Reporter, time.Time) {
-	return func(r *Reporter, now time.Time) { r.Noted(now, epoch, done) }
+	return func(r *Reporter, now time.Time) { r.Recorded(now, epoch, done) }
 }
 
 func TestReporter(t *testing.T) {
@@ -68,7 +68,7 @@
 			{at: 6 * s, view: holderView(7, none, whole), want: Fix, round: 100},
 			{at: 6100 * ms, ended: fixed(7, true), view: holderView(7, none, whole), until: 16 * s},
 			{at: 6200 * ms, view: holderView(7, pending(100)), want: Send, round: 100},
-			{at: 6300 * ms, ended: sent(7, Accepted, 0), view: holderView(7, pending(100)), want: Note, round: 100},
+			{at: 6300 * ms, ended: sent(7, Accepted, 0), view: holderView(7, pending(100)), want: RecordAccepted, round: 100},
 			{at: 6400 * ms, ended: noted(7, true), view: holderView(7, pending(100)), until: 16 * s},
 			{at: 6500 * ms, view: holderView(7, clusterstate.UsageLedger{Fixed: 100}), until: 16 * s},
 			{at: 16 * s, view: holderView(7, clusterstate.UsageLedger{Fixed: 100}), want: Fix, round: 101},
@@ -135,7 +135,7 @@
 		{"a backlog is sent in order, at half of the call rate that the platform accepts", []turn{
 			{at: 0, view: holderView(7, pending(99, 100)), until: 3 * s},
 			{at: 3 * s, view: holderView(7, pending(99, 100)), want: Send, round: 99},
-			{at: 3 * s, ended: sent(7, Accepted, 0), view: holderView(7, pending(99, 100)), want: Note, round: 99},
+			{at: 3 * s, ended: sent(7, Accepted, 0), view: holderView(7, pending(99, 100)), want: RecordAccepted, round: 99},
 			{at: 3 * s, ended: noted(7, true), view: holderView(7, pending(99, 100)), until: 3200 * ms},
 			{at: 3200 * ms, view: holderView(7, pending(99, 100)), want: Send, round: 100},
 		}},
@@ -146,7 +146,7 @@
 			{at: 5 * s, ended: sent(7, Accepted, 0), view: holderView(9, pending(99)), until: 7 * s},
 			{at: 7 * s, view: holderView(9, pending(99)), want: Send, round: 99},
 			{at: 7100 * ms, ended: sent(7, Accepted, 0), view: holderView(9, pending(99)), until: 10100 * ms},
-			{at: 7200 * ms, ended: sent(9, Accepted, 0), view: holderView(9, pending(99)), want: Note, round: 99},
+			{at: 7200 * ms, ended: sent(9, Accepted, 0), view: holderView(9, pending(99)), want: RecordAccepted, round: 99},
 		}},
 	}
 	for _, c := range cases {
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -38,7 +38,7 @@
 type processEnv struct {
 	getenv         func(string) string
 	stdout, stderr io.Writer
-	newDecider     func(balance.Settings, uint64) exchange.Decider // nil: the default decider
+	newDecider     func(balance.Settings, uint64) exchange.Balancer // nil: the default decider
 }
 
 // Main runs a command line, given without the program's name, and returns the exit status: 2 for an invalid argument
@@ -70,7 +70,7 @@
 	case "move":
 		return p.move(c.Move)
 	case "version":
-		fmt.Fprintln(stdout, build.Line("cedarmast"))
+		fmt.Fprintln(stdout, build.VersionLine("cedarmast"))
 		return 0
 	case "stats":
 		return p.stats(c.Stats.Addr)
@@ -80,9 +80,9 @@
 	return p.run()
 }
 
-// RunDeciding runs a router as Main without arguments does, but with another decider than the default one. Rehearsals
+// RunWithDecider runs a router as Main without arguments does, but with another decider than the default one. Rehearsals
 // use it to run a baseline.
-func RunDeciding(newDecider func(balance.Settings, uint64) exchange.Decider, getenv func(string) string, stderr io.Writer) int {
+func RunWithDecider(newDecider func(balance.Settings, uint64) exchange.Balancer, getenv func(string) string, stderr io.Writer) int {
 	return processEnv{getenv: getenv, stdout: io.Discard, stderr: stderr, newDecider: newDecider}.run()
 }
 
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -107,7 +107,7 @@
 	setDefault(&c.Seed, "0")
 	setDefault(&c.Log, "info")
 	if c.Known == nil {
-		c.Known = &wire.Endpoints{Index: wire.Unknown}
+		c.Known = &wire.Endpoints{Index: wire.UnknownIndex}
 	}
 	if c.Settings != nil {
 		setDefault(&c.Settings.Limits.ConnIdle, int64(defaultConnIdleTimeout))
@@ -163,7 +163,7 @@
 	case c.Limits.Sockets < minSockets:
 		return fmt.Errorf("limits.sockets: %d is less than %d", c.Limits.Sockets, minSockets)
 	}
-	if err := c.Known.Check(); err != nil {
+	if err := c.Known.Validate(); err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
 	if c.Settings == nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -59,8 +59,8 @@
 	loadConfig func() (*Config, error) // reads the configuration file again
 	logLevel   *slog.LevelVar          // level of the logger, changed by a reload
 
-	newDecider func(balance.Settings, uint64) exchange.Decider // nil: the default decider
-	sharedDir  string                                          // directory shared by successive processes of one router; empty: none
+	newDecider func(balance.Settings, uint64) exchange.Balancer // nil: the default decider
+	sharedDir  string                                           // directory shared by successive processes of one router; empty: none
 }
 
 // signals holds one channel for each kind of signal, so that signals of one kind can't displace another kind.
@@ -88,7 +88,7 @@
 		select {
 		case <-opts.dumpCounters:
 			log.Info("counters", r.counts.LogAttrs()...)
-			r.loop.View(slog.LevelInfo)
+			r.loop.LogView(slog.LevelInfo)
 			continue
 		case <-opts.reload:
 			r.reload(opts)
@@ -111,7 +111,7 @@
 	counts            *exchange.Counters
 	pool              *exchange.Pool
 	loop              *exchange.Loop
-	clients           *wire.Clients
+	clients           *wire.Frontend
 	peers             *wire.Peers // nil if messages between routers are off
 	listener          net.Listener
 	clock             exchange.Clock
@@ -124,7 +124,7 @@
 	admin            *admin.Server // nil without an operators' address
 	adminListener    net.Listener
 	ready            chan struct{} // closed when the router is ready for clients
-	servers          *wire.Servers
+	servers          *wire.AttemptSender
 	profile          atomic.Pointer[settings.Profile] // current settings
 	limitsMu         sync.Mutex
 	limits           Limits // of the router; two processes share them during a replacement
@@ -141,7 +141,7 @@
 
 // start creates the components in the order of their dependencies and starts their goroutines. The router becomes
 // ready later: see awaitReady.
-func start(c *Config, log *slog.Logger, newDecider func(balance.Settings, uint64) exchange.Decider, sharedDir string) (*router, error) {
+func start(c *Config, log *slog.Logger, newDecider func(balance.Settings, uint64) exchange.Balancer, sharedDir string) (*router, error) {
 	clock := exchange.NewClock()
 	r := &router{config: c, log: log, counts: &exchange.Counters{}, acceptStopped: make(chan struct{}),
 		listed: make(chan struct{}), ready: make(chan struct{}), clock: clock, replacement: replacement{sharedDir: sharedDir, listenAddress: c.Listen}}
@@ -155,35 +155,35 @@
 
 	loop := exchange.NewLoop()
 	r.loop = loop
-	loop.Clock, loop.Counts, loop.Log, loop.Pool = clock, r.counts, log, r.pool
-	loop.Settings, loop.Seed, loop.Decide = c.Settings.Settings(), c.seed, newDecider
+	loop.Clock, loop.Counters, loop.Log, loop.Pool = clock, r.counts, log, r.pool
+	loop.Settings, loop.Seed, loop.NewBalancer = c.Settings.Settings(), c.seed, newDecider
 	c.operatorFile.Apply(&loop.Settings)
 	loop.Subscribe = func() {
 		if w := r.discovery.Load(); w != nil {
-			w.Subscribe()
+			w.RetryNow()
 		}
 	}
 	r.longRequestBudget = exchange.NewBudget(0)
 	r.profile.Store(c.Settings)
-	r.servers = &wire.Servers{Pool: r.pool, Counts: r.counts,
+	r.servers = &wire.AttemptSender{Pool: r.pool, Counters: r.counts,
 		ConnectTimeout: time.Duration(c.Settings.Limits.ConnectTimeout),
-		Careful:        func(class string) bool { return !r.profile.Load().IsSafe(class) }}
+		NonIdempotent:  func(class string) bool { return !r.profile.Load().IsSafe(class) }}
 	loop.Sender = r.servers
-	loop.Teller = noopTeller{}
+	loop.PeerSender = noopTeller{}
 	known, fromIndex := c.Known, c.Known.Index
 	if restored := r.restore(c, loop); restored != c.Known && inherited == nil {
-		known, fromIndex = restored, wire.Unknown // its index may belong to another discovery service
+		known, fromIndex = restored, wire.UnknownIndex // its index may belong to another discovery service
 	}
 	if inherited != nil {
 		r.addSnapshot(inherited.Facts, 0)
-		loop.Maintenance, loop.Settings.Answered = inherited.Maintenance.Copy(), inherited.Answered
+		loop.Maintenance, loop.Settings.PriorAnswerRate = inherited.Maintenance.Copy(), inherited.Answered
 		// newer than the file; its index may belong to another discovery service
 		if inherited.Known != nil && len(inherited.Known.Endpoints) > 0 {
-			known, fromIndex = inherited.Known, wire.Unknown
+			known, fromIndex = inherited.Known, wire.UnknownIndex
 		}
 	} else if saved, ok := r.loadMaintenance(); ok {
 		// either copy may lack an order that was given while the disk was full: a server out in one is out
-		loop.Maintenance = saved.With(loop.Maintenance)
+		loop.Maintenance = saved.Merge(loop.Maintenance)
 	}
 	defer func() {
 		if err == nil {
@@ -204,8 +204,8 @@
 		if r.peers, err = wire.ListenPeers(c.PeerListen, c.Peers); err != nil {
 			return nil, err
 		}
-		r.peers.Counts, r.peers.Heard = r.counts, func(_ int, text []byte) { loop.Heard(text) }
-		loop.Teller = r.peers
+		r.peers.Counters, r.peers.OnMessage = r.counts, func(_ int, text []byte) { loop.ReceivePeerMessage(text) }
+		loop.PeerSender = r.peers
 	}
 	r.startSharing(c, loop)
 	if c.Operators != "" {
@@ -214,20 +214,20 @@
 		}
 	}
 	if listener == nil {
-		if listener, err = listen(c.Listen, socket.Shared); err != nil {
+		if listener, err = listen(c.Listen, socket.ReusePort); err != nil {
 			return nil, fmt.Errorf("listen: %w", err)
 		}
 	}
 	r.listener = listener
-	r.clients = wire.NewClients(loop, r.counts, log, descriptors.clients)
-	r.clients.Long = r.longRequestBudget
-	r.clients.Knows = func(class string) bool { return r.profile.Load().HasClass(class) }
+	r.clients = wire.NewFrontend(loop, r.counts, log, descriptors.clients)
+	r.clients.BodyBudget = r.longRequestBudget
+	r.clients.KnownClass = func(class string) bool { return r.profile.Load().HasClass(class) }
 	r.updateLimits(func() { r.limits, r.paired = c.Limits, predecessor != nil })
 
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
 	r.background(func() { loop.Run(ctx) })
-	loop.Listed(known.List(balance.Persisted, clock))
+	loop.UpdateServers(known.ServerList(balance.Persisted, clock))
 	r.startWatch(c.Discovery, fromIndex)
 	if r.peers != nil {
 		r.background(r.peers.Run)
@@ -253,7 +253,7 @@
 	})
 	r.background(func() { r.awaitReady(ctx, c.Name, known.Index, descriptors) })
 	if r.adminListener != nil {
-		r.admin = &admin.Server{Healthy: r.clients.Serving, Maintain: r.maintain, Log: log}
+		r.admin = &admin.Server{Healthy: r.clients.IsServing, Maintain: r.maintain, Log: log}
 		if r.facts != nil {
 			r.admin.Facts = func() ([]byte, error) { return r.factsReport(c.Name) }
 		}
@@ -271,7 +271,7 @@
 // awaitReady marks the router ready once discovery has delivered a list or, while discovery does not answer, once it
 // may serve from the list known before. Without any list the router stays not ready.
 func (r *router) awaitReady(ctx context.Context, name string, knownIndex int64, descriptors descriptorShares) {
-	r.trackRecovery(ctx, knownIndex != wire.Unknown, func() {
+	r.trackRecovery(ctx, knownIndex != wire.UnknownIndex, func() {
 		r.clients.Ready.Store(true)
 		close(r.ready)
 		r.log.Info("ready", "name", name, "listen", r.listenAddress, "known_index", knownIndex,
@@ -298,7 +298,7 @@
 // noopTeller discards messages to other routers when they are off.
 type noopTeller struct{}
 
-func (noopTeller) Tell(int, []byte) {}
+func (noopTeller) SendMessage(int, []byte) {}
 
 // background runs f in a goroutine that stop waits for.
 func (r *router) background(f func()) {
@@ -317,10 +317,10 @@
 	for {
 		select {
 		case now := <-sweep.C:
-			r.pool.Sweep(now)
+			r.pool.CloseExpired(now)
 		case <-stats.C:
 			r.log.Info("counters", r.counts.LogAttrs()...)
-			r.loop.View(slog.LevelDebug)
+			r.loop.LogView(slog.LevelDebug)
 		case <-ctx.Done():
 			return
 		}
@@ -332,10 +332,10 @@
 // their clients move to the other process with the response to their next request, and none finds its connection
 // closed while it sends one.
 func (r *router) stop() {
-	expire := time.AfterFunc(shutdownTimeout, r.loop.Expire)
+	expire := time.AfterFunc(shutdownTimeout, r.loop.FailAll)
 	defer expire.Stop()
 	replaced := r.stopReplacing()
-	r.clients.Finish()
+	r.clients.StopKeepAlive()
 	if replaced {
 		r.listener.Close()
 		<-r.acceptStopped
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -365,8 +365,8 @@
 			t.Error(err)
 		}
 	}
-	discovery.Break(500) // ends a watch request that might still be waiting
-	standin.Eventually(t, "the connections are closed", func() bool { return cache.Open() == 0 && discovery.Open() == 0 })
+	discovery.SetStatus(500) // ends a watch request that might still be waiting
+	standin.Eventually(t, "the connections are closed", func() bool { return cache.OpenConns() == 0 && discovery.OpenConns() == 0 })
 	standin.Eventually(t, "the goroutines have ended", func() bool { return runtime.NumGoroutine() <= before })
 }
 
@@ -394,10 +394,10 @@
 	if _, body, _ := ask(p.address, "/read/k"); body != "a" {
 		t.Errorf("served by %q", body)
 	}
-	discovery.Change(standin.Endpoint{Name: "b", Address: b.Address, Status: "SERVING", Weight: 1})
-	discovery.Change(standin.Endpoint{Name: "a", Address: a.Address, Status: "DRAINING", Weight: 1})
+	discovery.Update(standin.Endpoint{Name: "b", Address: b.Address, Status: "SERVING", Weight: 1})
+	discovery.Update(standin.Endpoint{Name: "a", Address: a.Address, Status: "DRAINING", Weight: 1})
 	standin.Eventually(t, "the other server serves", func() bool { _, body, _ := ask(p.address, "/read/k"); return body == "b" })
-	standin.Eventually(t, "the drained server's idle connections are closed", func() bool { return a.Open() == 0 })
+	standin.Eventually(t, "the drained server's idle connections are closed", func() bool { return a.OpenConns() == 0 })
 	p.Process.Signal(syscall.SIGTERM)
 	p.waitExit(t)
 }
@@ -471,7 +471,7 @@
 func TestNotReadyWithoutAList(t *testing.T) {
 	cache := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") })
 	discovery := standin.NewDiscovery(t, 0, standin.Endpoint{Name: "a", Address: cache.Address, Status: "SERVING", Weight: 1})
-	discovery.Break(500)
+	discovery.SetStatus(500)
 	config := testConfig(t, "", discovery.Address, 256)
 	delete(config, "known")
 	p := startProcessWith(t, config, nil)
@@ -480,7 +480,7 @@
 	if status, _, err := ask(p.address, "/health/ready"); err != nil || status != 503 {
 		t.Errorf("ready without a list: %d %v", status, err)
 	}
-	discovery.Break(0)
+	discovery.SetStatus(0)
 	p.waitReady(t)
 	if status, body, err := ask(p.address, "/read/k"); err != nil || status != 200 || body != "v" {
 		t.Errorf("%d %q %v", status, body, err)
--- a/internal/daemon/move.go
+++ b/internal/daemon/move.go
@@ -40,7 +40,7 @@
 		if err := checkUnknownKeys(text); err != nil {
 			return fmt.Errorf("%s: %w", c.File, err)
 		}
-		moved, notes, err := migrate.Move(text, migrate.Shape{Routers: c.Routers, Number: c.Number, Name: c.Name, Listen: c.Listen,
+		moved, notes, err := migrate.Convert(text, migrate.Target{Routers: c.Routers, Number: c.Number, Name: c.Name, Listen: c.Listen,
 			Zone: c.Zone, Zones: c.Zones, Streams: c.Streams, ConnIdle: c.Idle})
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.File, err)
@@ -54,7 +54,7 @@
 		dropped := 0
 		for _, n := range notes {
 			label := "noted"
-			if n.Lost {
+			if n.Dropped {
 				label = "not carried"
 				dropped++
 			}
--- a/internal/daemon/move_test.go
+++ b/internal/daemon/move_test.go
@@ -55,8 +55,8 @@
 	clear(config)
 	json.Unmarshal(moved, &config)
 	p := startProcess(t, config)
-	if status, body, err := ask(p.address, "/read/7f3a"); err != nil || status != 200 || body != "v" || cache.Open() != 1 {
-		t.Fatalf("%d %q %v, %d connections", status, body, err, cache.Open())
+	if status, body, err := ask(p.address, "/read/7f3a"); err != nil || status != 200 || body != "v" || cache.OpenConns() != 1 {
+		t.Fatalf("%d %q %v, %d connections", status, body, err, cache.OpenConns())
 	}
-	standin.Eventually(t, "the connection is closed", func() bool { return cache.Open() == 0 })
+	standin.Eventually(t, "the connection is closed", func() bool { return cache.OpenConns() == 0 })
 }
--- a/internal/daemon/operator_test.go
+++ b/internal/daemon/operator_test.go
@@ -58,7 +58,7 @@
 	}
 	t.Setenv("CEDARMAST_OPERATOR", file("[sites]\nhold = \"1s\""))
 	p := startProcess(t, config)
-	discovery.Change(standin.Endpoint{Name: "b", Address: away.Address, Zone: "y", Type: "box", Status: "SERVING", Weight: 1})
+	discovery.Update(standin.Endpoint{Name: "b", Address: away.Address, Zone: "y", Type: "box", Status: "SERVING", Weight: 1})
 	standin.Eventually(t, "the list is applied", func() bool { return discovery.Requests() > 2 })
 	for range 20 {
 		if _, body, err := ask(p.address, "/read/k"); err != nil || body != "home" {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -20,8 +20,8 @@
 // startWatch watches the discovery service at address for lists newer than index.
 func (r *router) startWatch(address string, index int64) {
 	d := wire.NewDiscovery(address)
-	d.Index, d.Clock, d.Counts, d.Log, d.Listed = index, r.clock, r.counts, r.log, r.loop.Listed
-	d.Told = func() { r.listedOnce.Do(func() { close(r.listed) }) }
+	d.Index, d.Clock, d.Counters, d.Log, d.OnList = index, r.clock, r.counts, r.log, r.loop.UpdateServers
+	d.OnDelivered = func() { r.listedOnce.Do(func() { close(r.listed) }) }
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &discoveryWatch{d, cancel, make(chan struct{})}
 	r.discovery.Store(w)
@@ -46,7 +46,7 @@
 		return
 	}
 	old := r.config
-	if key := settings.Missing(old.raw, c.raw, "known", "log", "seed"); key != "" {
+	if key := settings.MissingKey(old.raw, c.raw, "known", "log", "seed"); key != "" {
 		r.log.Error("configuration not taken; the old one stays", "err", key+": missing, but set in the current configuration")
 		return
 	}
@@ -73,7 +73,7 @@
 		// current list stays in use meanwhile. The new service's indexes need not continue the old one's: it is asked
 		// for the whole list.
 		r.discovery.Load().stop()
-		r.startWatch(c.Discovery, wire.Unknown)
+		r.startWatch(c.Discovery, wire.UnknownIndex)
 	}
 	next := *old // keys that need a restart keep their values and are logged again at the next SIGHUP
 	next.Settings = r.applySettings(old.Settings, c.Settings)
@@ -86,16 +86,16 @@
 
 // applySettings applies the new settings that a running router can change and returns the settings now in effect.
 func (r *router) applySettings(old, updated *settings.Profile) *settings.Profile {
-	applied, pendingRestart := old.Retuned(updated)
+	applied, pendingRestart := old.MergeReloadable(updated)
 	for _, key := range pendingRestart {
 		r.log.Warn("a changed key waits for a restart", "key", "settings."+key)
 	}
 	if reflect.DeepEqual(old, applied) {
 		return old
 	}
-	r.pool.SetIdleFor(maxReuseIdle(time.Duration(applied.Limits.ConnIdle)))
+	r.pool.SetIdleTimeout(maxReuseIdle(time.Duration(applied.Limits.ConnIdle)))
 	r.servers.SetConnectTimeout(time.Duration(applied.Limits.ConnectTimeout))
-	r.loop.Retune(applied.Settings())
+	r.loop.UpdateSettings(applied.Settings())
 	r.profile.Store(applied) // last: a new class is admitted only after the loop knows it
 	var added, removed []string
 	for _, c := range applied.Classes {
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -58,13 +58,13 @@
 	if took := time.Since(started); took > time.Second {
 		t.Errorf("the new list took %v", took)
 	}
-	first.Break(500) // ends a watch request that might still be waiting
-	standin.Eventually(t, "the connections to the old discovery and its server are closed", func() bool { return first.Open() == 0 && a.Open() == 0 })
+	first.SetStatus(500) // ends a watch request that might still be waiting
+	standin.Eventually(t, "the connections to the old discovery and its server are closed", func() bool { return first.OpenConns() == 0 && a.OpenConns() == 0 })
 	if targets := second.Targets(); targets[0] != "/registry/instances" {
 		t.Errorf("asked for %q first", targets[0])
 	}
-	second.Change(standin.Endpoint{Name: "b", Address: b.Address, Status: "DRAINING", Weight: 1})
-	second.Change(standin.Endpoint{Name: "c", Address: c.Address, Status: "SERVING", Weight: 1})
+	second.Update(standin.Endpoint{Name: "b", Address: b.Address, Status: "DRAINING", Weight: 1})
+	second.Update(standin.Endpoint{Name: "c", Address: c.Address, Status: "SERVING", Weight: 1})
 	standin.Eventually(t, "its changes apply", func() bool { _, body, _ := ask(p.address, "/read/k"); return body == "c" })
 	p.Process.Signal(syscall.SIGTERM)
 	p.waitExit(t)
@@ -77,7 +77,7 @@
 	config := testConfig(t, a.Address, standin.NewDiscovery(t, 1).Address, 256)
 	p := startProcess(t, config)
 	silent := standin.NewDiscovery(t, 1)
-	silent.Break(-1)
+	silent.SetStatus(-1)
 	config["discovery"] = silent.Address
 	p.reloadConfig(t, marshal(t, config))
 	standin.Eventually(t, "the new service is asked", func() bool { return len(silent.Targets()) > 0 })
@@ -85,14 +85,14 @@
 		t.Errorf("served by %q meanwhile", body)
 	}
 	late := standin.NewDiscovery(t, 9, standin.Endpoint{Name: "b", Address: b.Address, Status: "SERVING", Weight: 1})
-	late.Break(500)
+	late.SetStatus(500)
 	config["discovery"] = late.Address
 	p.reloadConfig(t, marshal(t, config))
 	standin.Eventually(t, "the next service is asked more than once", func() bool { return len(late.Targets()) > 2 })
-	silent.Break(500)
-	standin.Eventually(t, "the silent service is dropped", func() bool { return silent.Open() == 0 })
-	silent.Break(-1)
-	late.Break(0)
+	silent.SetStatus(500)
+	standin.Eventually(t, "the silent service is dropped", func() bool { return silent.OpenConns() == 0 })
+	silent.SetStatus(-1)
+	late.SetStatus(0)
 	standin.Eventually(t, "its list applies", func() bool { _, body, _ := ask(p.address, "/read/k"); return body == "b" })
 	config["discovery"] = silent.Address
 	p.reloadConfig(t, marshal(t, config))
@@ -132,7 +132,7 @@
 func TestSIGHUPBeforeReady(t *testing.T) {
 	a := serverNamed(t, "a")
 	discovery := standin.NewDiscovery(t, 0, standin.Endpoint{Name: "a", Address: a.Address, Status: "SERVING", Weight: 1})
-	discovery.Break(500)
+	discovery.SetStatus(500)
 	config := testConfig(t, "", discovery.Address, 256)
 	delete(config, "known")
 	p := startProcessWith(t, config, nil)
--- a/internal/daemon/replace.go
+++ b/internal/daemon/replace.go
@@ -54,7 +54,7 @@
 	if r.sharedDir == "" {
 		return nil, nil, nil
 	}
-	p, l, text, err := handover.Take(handover.Path(r.sharedDir, r.listenAddress))
+	p, l, text, err := handover.RequestHandover(handover.SocketPath(r.sharedDir, r.listenAddress))
 	switch {
 	case errors.Is(err, handover.ErrRefused):
 		return nil, nil, err
@@ -66,7 +66,7 @@
 	}
 	var h handoverState
 	if err := json.Unmarshal(text, &h); err == nil && h.Known != nil {
-		err = h.Known.Check()
+		err = h.Known.Validate()
 	}
 	if err != nil {
 		p.Close()
@@ -104,7 +104,7 @@
 	if r.sharedDir == "" {
 		return
 	}
-	l, err := handover.Listen(handover.Path(r.sharedDir, r.listenAddress))
+	l, err := handover.Listen(handover.SocketPath(r.sharedDir, r.listenAddress))
 	if err != nil {
 		r.log.Warn("can't listen for a successor; it will start beside this process", "err", err)
 		return
@@ -130,7 +130,7 @@
 // handOver passes the state and the listener to a successor, and then runs with half of the limits until that process
 // has ended.
 func (r *router) handOver(c *net.UnixConn) {
-	p, err := handover.Greet(c)
+	p, err := handover.AcceptHandshake(c)
 	if err != nil {
 		r.log.Warn("handshake with a successor failed", "err", err)
 		return
@@ -142,10 +142,10 @@
 		return
 	}
 	r.setPaired(true)
-	list, maintenance, answered, err := r.loop.Held()
+	list, maintenance, answered, err := r.loop.Snapshot()
 	if err == nil {
 		r.peer = p
-		err = p.Give(handoverState{wire.EndpointsOf(list), maintenance, answered, r.factsSnapshot()}, r.listener.(syscall.Conn))
+		err = p.SendState(handoverState{wire.NewEndpoints(list), maintenance, answered, r.factsSnapshot()}, r.listener.(syscall.Conn))
 	}
 	r.mu.Unlock()
 	if err != nil {
@@ -184,9 +184,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	wasOut := r.isOut(server)
-	switch err := r.loop.Maintain(balance.ServerID(server), out); {
+	switch err := r.loop.SetMaintenance(balance.ServerID(server), out); {
 	case errors.Is(err, exchange.ErrUnknownServer):
-		return admin.ErrUnknown
+		return admin.ErrUnknownServer
 	case err != nil:
 		return err
 	}
@@ -202,7 +202,7 @@
 // applyPeerOrder carries out an order that the other process of a replacement has received.
 func (r *router) applyPeerOrder(server string, out bool) error {
 	wasOut := r.isOut(server)
-	err := errors.Join(r.loop.MaintainAlike(balance.ServerID(server), out), r.shareOrder(server, out, wasOut))
+	err := errors.Join(r.loop.MirrorMaintenance(balance.ServerID(server), out), r.shareOrder(server, out, wasOut))
 	r.saveMaintenance()
 	r.saveNow()
 	return err
@@ -226,7 +226,7 @@
 	r.maintenanceFileMu.Lock()
 	defer r.maintenanceFileMu.Unlock()
 	err := func() error {
-		_, maintenance, _, err := r.loop.Held()
+		_, maintenance, _, err := r.loop.Snapshot()
 		if err != nil {
 			return err
 		}
@@ -280,8 +280,8 @@
 	now := r.limits.perProcess(r.paired)
 	now.apply()
 	descriptors := splitDescriptors(now.Sockets)
-	r.pool.SetMost(descriptors.servers)
-	r.clients.SetMost(descriptors.clients)
-	r.longRequestBudget.Grow(now.longRequestBytes() - r.longRequestLimit)
+	r.pool.SetMaxOpen(descriptors.servers)
+	r.clients.SetMaxConns(descriptors.clients)
+	r.longRequestBudget.Adjust(now.longRequestBytes() - r.longRequestLimit)
 	r.longRequestLimit = now.longRequestBytes()
 }
--- a/internal/daemon/replace_test.go
+++ b/internal/daemon/replace_test.go
@@ -211,7 +211,7 @@
 func TestFailedReplacement(t *testing.T) {
 	a := serverNamed(t, "a")
 	silent := standin.NewDiscovery(t, 1)
-	silent.Break(-1)
+	silent.SetStatus(-1)
 	config := testConfig(t, a.Address, silent.Address, 200)
 	shared := t.TempDir()
 	first, second := freeAddress(t), freeAddress(t)
--- a/internal/daemon/shared.go
+++ b/internal/daemon/shared.go
@@ -16,9 +16,9 @@
 // sharing is the router's part of the state that all routers share. It is off unless the operators' file has [shared]
 // and messages between routers are on.
 type sharing struct {
-	facts     *shared.Facts // nil: off
-	snapshots []snapshot    // left by earlier processes
-	caughtUp  chan struct{} // closed when this router has caught up with the others, or there are none
+	facts     *shared.Replica // nil: off
+	snapshots []snapshot      // left by earlier processes
+	caughtUp  chan struct{}   // closed when this router has caught up with the others, or there are none
 }
 
 // snapshot is an encoded set of facts and its age.
@@ -37,7 +37,7 @@
 // startSharing creates the facts from the snapshots found and applies them to this process's maintenance orders.
 // Orders without a version are shared only once the other routers have been heard: see shareEarlierOrders.
 func (r *router) startSharing(c *Config, loop *exchange.Loop) {
-	sharedConfig, snapshots := c.operatorFile.Sharing(), r.snapshots
+	sharedConfig, snapshots := c.operatorFile.SharedSection(), r.snapshots
 	if r.snapshots = nil; sharedConfig == nil {
 		return
 	}
@@ -45,8 +45,8 @@
 		r.log.Warn("sharing is off: there are no messages between routers")
 		return
 	}
-	r.facts = shared.New(shared.Options{Routers: len(c.Peers), Number: c.Settings.MyNumber, Life: facts.Life(rand.Uint32()), Forget: sharedConfig.ForgetAfter(),
-		Tell: r.peers.Tell, Counts: r.counts})
+	r.facts = shared.New(shared.Options{Routers: len(c.Peers), Number: c.Settings.MyNumber, Life: facts.Incarnation(rand.Uint32()), Forget: sharedConfig.ForgetAfter(),
+		Tell: r.peers.SendMessage, Counts: r.counts})
 	r.caughtUp = make(chan struct{})
 	for _, s := range snapshots {
 		if err := r.facts.Load(s.text, s.age); err != nil {
@@ -59,25 +59,25 @@
 			continue
 		}
 		delete(loop.Maintenance.Out, a.Server)
-		if back := r.clock.Now().Add(-a.Age); a.Age < loop.Settings.Ramp {
+		if back := r.clock.Now().Add(-a.Age); a.Age < loop.Settings.RampTime {
 			loop.Maintenance.Back[a.Server] = max(loop.Maintenance.Back[a.Server], back)
 		}
 	}
-	r.peers.Heard = func(from int, text []byte) {
+	r.peers.OnMessage = func(from int, text []byte) {
 		if facts.IsMessage(text) {
-			r.facts.Heard(from, text)
+			r.facts.Receive(from, text)
 		} else {
-			loop.Heard(text)
+			loop.ReceivePeerMessage(text)
 		}
 	}
 	r.log.Info("state is shared", "routers", len(c.Peers), "facts", len(r.facts.Names()), "servers_out", len(loop.Maintenance.Out))
 }
 
 // orders returns the orders among the named facts, with their current merged value.
-func (r *router) orders(names []facts.Name) (all []exchange.Adopted) {
+func (r *router) orders(names []facts.Name) (all []exchange.PeerMaintenance) {
 	for _, n := range names {
-		if value, age, ok := r.facts.Value(n); ok && n.Kind == facts.Order {
-			all = append(all, exchange.Adopted{Server: balance.ServerID(n.Subject), Out: value == facts.Out, Age: age})
+		if value, age, ok := r.facts.Value(n); ok && n.Kind == facts.AdminState {
+			all = append(all, exchange.PeerMaintenance{Server: balance.ServerID(n.Subject), Out: value == facts.Drained, Age: age})
 		}
 	}
 	return all
@@ -89,11 +89,11 @@
 	if r.facts == nil {
 		return nil
 	}
-	n := facts.Name{Kind: facts.Order, Subject: server}
+	n := facts.Name{Kind: facts.AdminState, Subject: server}
 	if _, _, known := r.facts.Value(n); !out && !wasOut && !known {
 		return nil
 	}
-	if !r.facts.Set(n, map[bool]int64{true: facts.Out, false: facts.Back}[out]) {
+	if !r.facts.Set(n, map[bool]int64{true: facts.Drained, false: facts.InService}[out]) {
 		return errNotShared
 	}
 	return nil
@@ -104,7 +104,7 @@
 	if r.facts == nil {
 		return false // not used without sharing
 	}
-	_, maintenance, _, err := r.loop.Held()
+	_, maintenance, _, err := r.loop.Snapshot()
 	return err == nil && maintenance.Out[balance.ServerID(server)]
 }
 
@@ -115,17 +115,17 @@
 	caughtUp := r.caughtUp
 	for {
 		select {
-		case <-r.facts.News():
+		case <-r.facts.Notify():
 		case <-ticker.C:
 			r.forgetGoneServers()
 			continue
 		case <-ctx.Done():
 			return
 		}
-		names, upToDate := r.facts.Changed()
+		names, upToDate := r.facts.TakeChanges()
 		if len(names) > 0 {
 			r.mu.Lock() // an order given here meanwhile comes before or after these, both in the loop and in the facts
-			err := r.loop.Adopt(r.orders(names))
+			err := r.loop.ApplyPeerMaintenance(r.orders(names))
 			r.mu.Unlock()
 			if err != nil && !errors.Is(err, exchange.ErrStopped) {
 				r.log.Warn("can't apply all orders of other routers", "err", err)
@@ -146,21 +146,21 @@
 // forgetGoneServers drops the facts and orders about servers that have long been gone from the list: a router that
 // restarts would share them again.
 func (r *router) forgetGoneServers() {
-	list, _, _, err := r.loop.Held()
+	list, _, _, err := r.loop.Snapshot()
 	if err != nil {
 		return
 	}
-	listed, gone := map[string]bool{}, []exchange.Adopted(nil)
+	listed, gone := map[string]bool{}, []exchange.PeerMaintenance(nil)
 	for _, e := range list.Entries {
 		listed[string(e.Server)] = true
 	}
-	for _, n := range r.facts.Listed(listed) {
-		gone = append(gone, exchange.Adopted{Server: balance.ServerID(n.Subject)})
+	for _, n := range r.facts.ApplyList(listed) {
+		gone = append(gone, exchange.PeerMaintenance{Server: balance.ServerID(n.Subject)})
 	}
 	if len(gone) == 0 {
 		return
 	}
-	if err := r.loop.Adopt(gone); err == nil {
+	if err := r.loop.ApplyPeerMaintenance(gone); err == nil {
 		r.log.Info("servers that are long gone are forgotten", "servers", len(gone))
 		r.saveMaintenance()
 	}
@@ -171,12 +171,12 @@
 func (r *router) shareEarlierOrders() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, maintenance, _, err := r.loop.Held()
+	_, maintenance, _, err := r.loop.Snapshot()
 	if err != nil {
 		return
 	}
 	for server := range maintenance.Out {
-		if _, _, known := r.facts.Value(facts.Name{Kind: facts.Order, Subject: string(server)}); known {
+		if _, _, known := r.facts.Value(facts.Name{Kind: facts.AdminState, Subject: string(server)}); known {
 			continue
 		}
 		if err := r.shareOrder(string(server), true, true); err != nil {
--- a/internal/daemon/stored.go
+++ b/internal/daemon/stored.go
@@ -28,11 +28,11 @@
 // restore loads the state that an earlier process stored, as far as it is still valid, and returns the list to start
 // from.
 func (r *router) restore(c *Config, loop *exchange.Loop) *wire.Endpoints {
-	stateConfig := c.operatorFile.Stored()
+	stateConfig := c.operatorFile.StateSection()
 	if stateConfig == nil {
 		return c.Known
 	}
-	r.persistence = persistence{store: recovery.NewStore(stateConfig.Dir, c.Listen), saveInterval: stateConfig.Period(), saveRequests: make(chan chan error),
+	r.persistence = persistence{store: recovery.NewStore(stateConfig.Dir, c.Listen), saveInterval: stateConfig.SaveInterval(), saveRequests: make(chan chan error),
 		identity: recovery.State{Router: c.Name, Listen: c.Listen}}
 	state, ok, faults := r.store.Load()
 	for _, err := range faults {
@@ -43,15 +43,15 @@
 	}
 	// even from a state that is refused below: fact versions don't depend on the clock, and another router's copy is equally valid
 	r.addSnapshot(state.Facts, time.Since(state.Saved))
-	restored, err := recovery.Take(state, recovery.Want{Now: time.Now(), Router: c.Name, Listen: c.Listen, Discovery: c.Discovery,
-		Known: c.Known, ListFor: stateConfig.MaxListAge(), CountFor: loop.Settings.Ramp})
+	restored, err := recovery.Restore(state, recovery.RestoreOptions{Now: time.Now(), Router: c.Name, Listen: c.Listen, Discovery: c.Discovery,
+		Known: c.Known, MaxListAge: stateConfig.MaxListAge(), MaxCountAge: loop.Settings.RampTime})
 	if err != nil {
 		r.log.Warn("the stored state is refused", "err", err)
 		return c.Known
 	}
-	loop.Maintenance, loop.Settings.Answered = restored.Maintenance, restored.Answered
-	r.log.Info("stored state taken up", "age", restored.Age.Round(time.Millisecond), "list", restored.Stored, "servers", len(restored.Known.Endpoints),
-		"servers_out", len(restored.Maintenance.Out), "answered", restored.Answered, "left", restored.Left)
+	loop.Maintenance, loop.Settings.PriorAnswerRate = restored.Maintenance, restored.Answered
+	r.log.Info("stored state taken up", "age", restored.Age.Round(time.Millisecond), "list", restored.ListRestored, "servers", len(restored.Known.Endpoints),
+		"servers_out", len(restored.Maintenance.Out), "answered", restored.Answered, "left", restored.Skipped)
 	return restored.Known
 }
 
@@ -73,10 +73,10 @@
 
 // save writes the current state to disk. It logs the first failure of a series and the first success after it.
 func (r *router) save() error {
-	list, maintenance, answered, err := r.loop.Held()
+	list, maintenance, answered, err := r.loop.Snapshot()
 	if err == nil {
 		state := r.identity
-		state.Saved, state.Discovery, state.Known = time.Now(), r.discovery.Load().Address, wire.EndpointsOf(list)
+		state.Saved, state.Discovery, state.Known = time.Now(), r.discovery.Load().Address, wire.NewEndpoints(list)
 		state.Maintenance, state.Answered, state.Facts = maintenance, answered, r.factsSnapshot()
 		err = r.store.Save(state)
 	}
@@ -113,34 +113,34 @@
 // trackRecovery follows the router from its start to full service. It calls ready once the router may serve.
 func (r *router) trackRecovery(ctx context.Context, listKnown bool, ready func()) {
 	started := time.Now()
-	m := recovery.Machine{Known: listKnown, Behind: r.facts != nil}
+	m := recovery.Machine{ListKnown: listKnown, CatchUp: r.facts != nil}
 	caughtUp := r.caughtUp // nil while sharing is off
 	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
 	listed, served, failed := r.listed, int64(0), int64(0)
-	for phase := recovery.Nothing; phase != recovery.Full; {
+	for phase := recovery.NotReady; phase != recovery.FullService; {
 		var timer <-chan time.Time
 		if wait, ok := m.Wait(time.Since(started)); ok {
 			timer = time.After(wait)
 		}
 		var ticks <-chan time.Time
-		if phase == recovery.Some {
+		if phase == recovery.Serving {
 			ticks = poll.C
 		}
 		events := []recovery.Event{recovery.Tick}
 		select {
 		case <-listed:
-			listed, events = nil, append(events, recovery.Told)
+			listed, events = nil, append(events, recovery.ListReceived)
 		case <-caughtUp:
-			caughtUp, events = nil, append(events, recovery.Caught)
+			caughtUp, events = nil, append(events, recovery.CaughtUp)
 		case <-timer:
 		case <-ticks:
 			successes, failures := r.counts.Served.Load(), r.counts.Refused.Load()+r.counts.Failed.Load()
 			for range min(successes-served, maxCountedAnswers) {
-				events = append(events, recovery.Answered)
+				events = append(events, recovery.RequestServed)
 			}
 			if failures > failed { // their order is unknown: assume that the failure came last
-				events = append(events, recovery.Failed)
+				events = append(events, recovery.RequestFailed)
 			}
 			served, failed = successes, failures
 		case <-ctx.Done():
@@ -148,14 +148,14 @@
 		}
 		for _, e := range events {
 			was := phase
-			if phase = m.Handle(time.Since(started), e); was == recovery.Nothing && phase != was {
+			if phase = m.Handle(time.Since(started), e); was == recovery.NotReady && phase != was {
 				ready()
 			}
 		}
-		r.counts.Phase.Store(int64(phase))
+		r.counts.RecoveryPhase.Store(int64(phase))
 	}
 	elapsed := time.Since(started)
-	r.counts.FullAfter.Store(int64(elapsed))
+	r.counts.TimeToFullService.Store(int64(elapsed))
 	r.log.Info("back at full service", "after", elapsed.Round(time.Millisecond), "served", r.counts.Served.Load(), "refused", r.counts.Refused.Load())
 }
 
--- a/internal/daemon/stored_test.go
+++ b/internal/daemon/stored_test.go
@@ -42,7 +42,7 @@
 	})
 	p.Process.Kill()
 	<-p.exited
-	discovery.Break(500)
+	discovery.SetStatus(500)
 	p = startPersistent(t, config, dir)
 	if !strings.Contains(p.log.String(), "stored state taken up") {
 		t.Errorf("unexpected log: %s", p.log)
--- a/internal/exchange/addresses.go
+++ b/internal/exchange/addresses.go
@@ -2,8 +2,8 @@
 
 import "cedarmast/balance"
 
-// List is a server list, complete or partial, together with the servers' addresses, which the balancer does not need.
-type List struct {
+// ServerList is a server list, complete or partial, together with the servers' addresses, which the balancer does not need.
+type ServerList struct {
 	balance.List
 	Addresses map[balance.ServerID]string // host:port of each entry
 }
@@ -19,7 +19,7 @@
 
 // update applies a server list and returns the servers whose idle connections are to be closed, because they are gone, are draining,
 // or have moved or restarted.
-func (a addresses) update(l List) []balance.ServerID {
+func (a addresses) update(l ServerList) []balance.ServerID {
 	var toClose []balance.ServerID
 	listed := make(map[balance.ServerID]bool, len(l.Entries))
 	for _, e := range l.Entries {
@@ -48,7 +48,7 @@
 // markReplaced returns the list with each server marked as gone at whose address another server has started since. Server lists are
 // seconds late and may show a new server at an address before they show that the old server is gone: requests meant for the old server,
 // whose cache was warm, would reach the new one, whose cache is cold.
-func (a addresses) markReplaced(l List) List {
+func (a addresses) markReplaced(l ServerList) ServerList {
 	endpoints := map[balance.ServerID]endpoint{}
 	if l.Kind == balance.Partial {
 		for server, ep := range a {
--- a/internal/exchange/budget.go
+++ b/internal/exchange/budget.go
@@ -9,24 +9,24 @@
 // NewBudget returns a budget of the given size in bytes.
 func NewBudget(bytes int64) *Budget {
 	b := &Budget{}
-	b.Grow(bytes)
+	b.Adjust(bytes)
 	return b
 }
 
-// Grow changes the size of the budget by a number of bytes, which may be negative.
-func (b *Budget) Grow(bytes int64) {
+// Adjust changes the size of the budget by a number of bytes, which may be negative.
+func (b *Budget) Adjust(bytes int64) {
 	b.size.Add(bytes)
 	b.available.Add(bytes)
 }
 
-// Most returns the size of the budget in bytes: a longer request never fits.
-func (b *Budget) Most() int64 { return b.size.Load() }
+// Size returns the size of the budget in bytes: a longer request never fits.
+func (b *Budget) Size() int64 { return b.size.Load() }
 
-// Left returns the number of bytes that are free; negative after a reduction below what is in use.
-func (b *Budget) Left() int64 { return b.available.Load() }
+// Available returns the number of bytes that are free; negative after a reduction below what is in use.
+func (b *Budget) Available() int64 { return b.available.Load() }
 
-// Take reserves bytes if that many are free. release returns them; further calls of it have no effect.
-func (b *Budget) Take(bytes int64) (release func(), ok bool) {
+// Acquire reserves bytes if that many are free. release returns them; further calls of it have no effect.
+func (b *Budget) Acquire(bytes int64) (release func(), ok bool) {
 	if b.available.Add(-bytes) < 0 {
 		b.available.Add(bytes)
 		return nil, false
--- a/internal/exchange/clock.go
+++ b/internal/exchange/clock.go
@@ -26,5 +26,7 @@
 	return c.base.Add(t.Sub(balance.Time(c.base.UnixNano())))
 }
 
-// Unix converts a Unix time in milliseconds. 0 stays 0, which means long ago.
-func (c Clock) Unix(ms int64) balance.Time { return balance.Time(ms * int64(time.Millisecond)) }
+// FromUnixMilli converts a Unix time in milliseconds. 0 stays 0, which means long ago.
+func (c Clock) FromUnixMilli(ms int64) balance.Time {
+	return balance.Time(ms * int64(time.Millisecond))
+}
--- a/internal/exchange/events.go
+++ b/internal/exchange/events.go
@@ -18,9 +18,9 @@
 	clientDisconnected struct{ *Exchange }
 	attemptEnded       struct {
 		*Attempt
-		Reply
+		AttemptResult
 	}
-	serverListReceived  struct{ List }
+	serverListReceived  struct{ ServerList }
 	peerMessageReceived struct{ content []byte }
 	settingsChanged     struct {
 		settings balance.Settings
@@ -55,20 +55,20 @@
 
 // Submit passes a request to the loop. Its exchange gets exactly one answer, by its deadline unless the loop hangs.
 func (l *Loop) Submit(x *Exchange) {
-	timeout := x.TimeLeft
+	timeout := x.Timeout
 	if timeout <= 0 { // the client sent no timeout: use the class's deadline
 		timeout = l.classDeadline(x.Class)
 	}
-	x.Due = x.Arrived.Add(timeout - l.lag.margin(timeout))
+	x.Deadline = x.Arrived.Add(timeout - l.lag.margin(timeout))
 	l.post(requestSubmitted{x})
 }
 
-// Depart reports that the exchange's client has disconnected. Its attempts are cancelled and no answer is sent.
-func (l *Loop) Depart(x *Exchange) { l.post(clientDisconnected{x}) }
+// ClientDisconnected reports that the exchange's client has disconnected. Its attempts are cancelled and no answer is sent.
+func (l *Loop) ClientDisconnected(x *Exchange) { l.post(clientDisconnected{x}) }
 
-// Retune replaces the settings and returns once the balancer has applied them, or the loop has stopped. Tiers and Placement stay
+// UpdateSettings replaces the settings and returns once the balancer has applied them, or the loop has stopped. Tiers and Placement stay
 // unchanged.
-func (l *Loop) Retune(settings balance.Settings) {
+func (l *Loop) UpdateSettings(settings balance.Settings) {
 	done := make(chan struct{})
 	if !l.postUrgent(settingsChanged{settings, done}) {
 		return
@@ -79,17 +79,17 @@
 	}
 }
 
-// Listed passes a server list to the loop, or with kind Failed the information that fetching it failed.
-func (l *Loop) Listed(list List) { l.post(serverListReceived{list}) }
+// UpdateServers passes a server list to the loop, or with kind Failed the information that fetching it failed.
+func (l *Loop) UpdateServers(list ServerList) { l.post(serverListReceived{list}) }
 
-// Heard passes a message from another router to the balancer.
-func (l *Loop) Heard(content []byte) { l.post(peerMessageReceived{content}) }
+// ReceivePeerMessage passes a message from another router to the balancer.
+func (l *Loop) ReceivePeerMessage(content []byte) { l.post(peerMessageReceived{content}) }
 
-// Expire fails all requests in progress without waiting for their deadlines, because the router is about to be killed.
-func (l *Loop) Expire() { l.post(failAllRequested{}) }
+// FailAll fails all requests in progress without waiting for their deadlines, because the router is about to be killed.
+func (l *Loop) FailAll() { l.post(failAllRequested{}) }
 
 func (e queuedEvent) apply(l *Loop) balance.Event {
-	l.lag.record(time.Since(e.queuedAt), l.Counts)
+	l.lag.record(time.Since(e.queuedAt), l.Counters)
 	return e.event.apply(l)
 }
 
@@ -99,7 +99,7 @@
 	x.requestID = balance.RequestID(strconv.FormatUint(l.lastRequestNumber, 36))
 	l.exchanges[x.requestID] = x
 	return balance.Request{ID: x.requestID, Class: x.Class, Tenant: x.Tenant, Key: x.Key, HasKey: x.HasKey, Write: x.Write,
-		Due: l.Clock.At(x.Due)}
+		Due: l.Clock.At(x.Deadline)}
 }
 
 func (e clientDisconnected) apply(l *Loop) balance.Event {
@@ -108,10 +108,10 @@
 		x.releaseUnreadAnswer()
 		return nil
 	}
-	l.Counts.ClientsGone.Add(1)
+	l.Counters.ClientsDisconnected.Add(1)
 	x.answered = true // there is no client to receive an answer
 	for _, a := range x.attempts {
-		a.cancel(ErrWithdrawn)
+		a.cancel(ErrAttemptCancelled)
 	}
 	l.removeLater(x)
 	return balance.ClientGone{ID: x.requestID}
@@ -119,34 +119,34 @@
 
 func (e attemptEnded) apply(l *Loop) balance.Event {
 	x := e.Attempt.Exchange
-	l.Counts.Results[e.Result].Add(1)
+	l.Counters.Results[e.Result].Add(1)
 	if e.Err != nil {
 		l.Log.Debug("attempt ended", "server", e.Server, "result", resultNames[e.Result], "err", e.Err,
 			"after", time.Since(e.sent))
 	}
 	answer := Answer{Kind: Served, Header: e.Header, Body: e.Body, Rest: e.Rest, Length: e.Length}
 	if l.exchanges[x.requestID] != x { // an attempt from before a restart of the balancer
-		answer.Let()
+		answer.Release()
 		return nil
 	}
 	x.inFlight--
 	e.Attempt.outcomeApplied = true
-	if e.Result == balance.OK && x.Settle(answer) {
-		l.Counts.Served.Add(1)
+	if e.Result == balance.OK && x.SetAnswer(answer) {
+		l.Counters.Served.Add(1)
 	} else {
-		answer.Let()
+		answer.Release()
 	}
 	done := x.answered
 	l.removeLater(x)
-	return balance.Outcome{ID: x.requestID, Attempt: e.number, Server: e.Server, Result: e.Result, Fetching: e.Fetching,
-		Done: done, Connect: e.Connect}
+	return balance.Outcome{ID: x.requestID, Attempt: e.number, Server: e.Server, Result: e.Result, Fetching: e.FetchPending,
+		Done: done, Connect: e.ConnectTime}
 }
 
 func (e serverListReceived) apply(l *Loop) balance.Event {
 	if e.Kind == balance.Failed {
-		return e.List.List
+		return e.ServerList.List
 	}
-	e.List = l.addresses.markReplaced(e.List)
+	e.ServerList = l.addresses.markReplaced(e.ServerList)
 	l.version = e.Version
 	if e.Kind != balance.Partial {
 		clear(l.entries)
@@ -158,21 +158,21 @@
 			l.entries[entry.Server] = entry
 		}
 	}
-	if toClose := l.addresses.update(e.List); len(toClose) > 0 {
+	if toClose := l.addresses.update(e.ServerList); len(toClose) > 0 {
 		l.goroutines.Go(func() { // asynchronous: closing takes locks that are held during dials and reads
 			for _, server := range toClose {
-				l.Pool.Leave(server)
+				l.Pool.CloseIdle(server)
 			}
 		})
 	}
-	return l.Maintenance.overrideAll(e.List.List, l.entries)
+	return l.Maintenance.overrideAll(e.ServerList.List, l.entries)
 }
 
 func (e settingsChanged) apply(l *Loop) balance.Event {
 	e.settings.Tiers, e.settings.Placement = l.Settings.Tiers, l.Settings.Placement
 	l.updatedSettings.Store(&e.settings)
 	l.afterBatch = append(l.afterBatch, func() { close(e.done) })
-	return balance.Retuned{Settings: e.settings}
+	return balance.SettingsChanged{Settings: e.settings}
 }
 
 func (failAllRequested) apply(l *Loop) balance.Event {
@@ -186,9 +186,11 @@
 	for _, x := range l.exchanges {
 		l.fail(x, true)
 		for _, a := range x.attempts {
-			a.cancel(ErrWithdrawn)
+			a.cancel(ErrAttemptCancelled)
 		}
 	}
 }
 
-func (e peerMessageReceived) apply(*Loop) balance.Event { return balance.Heard{Content: e.content} }
+func (e peerMessageReceived) apply(*Loop) balance.Event {
+	return balance.PeerMessage{Content: e.content}
+}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -21,7 +21,7 @@
 	HasKey        bool
 	Write         bool
 	Arrived       time.Time     // when its first byte was received
-	TimeLeft      time.Duration // how long the client waits, counted from sending the request; 0 if it did not say
+	Timeout       time.Duration // how long the client waits, counted from sending the request; 0 if it did not say
 
 	Method, Target string      // from the request line, unchanged
 	Header         http.Header // end-to-end headers only
@@ -53,7 +53,7 @@
 // Everything except the answer channel is owned by the loop.
 type Exchange struct {
 	Request
-	Due time.Time // deadline of the answer; set by Submit
+	Deadline time.Time // deadline of the answer; set by Submit
 
 	answer    chan Answer // buffered, capacity 1
 	requestID balance.RequestID
@@ -68,8 +68,8 @@
 // Answer returns the channel that delivers the final answer, once.
 func (x *Exchange) Answer() <-chan Answer { return x.answer }
 
-// Settle sets the final answer and reports whether it was the first; later answers are ignored. Only the loop's goroutine may call it.
-func (x *Exchange) Settle(a Answer) bool {
+// SetAnswer sets the final answer and reports whether it was the first; later answers are ignored. Only the loop's goroutine may call it.
+func (x *Exchange) SetAnswer(a Answer) bool {
 	if x.answered {
 		return false
 	}
@@ -82,29 +82,29 @@
 func (x *Exchange) releaseUnreadAnswer() {
 	select {
 	case a := <-x.answer:
-		a.Let()
+		a.Release()
 	default:
 	}
 }
 
-// Let releases the answer's resources: it closes Rest.
-func (a Answer) Let() {
+// Release releases the answer's resources: it closes Rest.
+func (a Answer) Release() {
 	if a.Rest != nil {
 		a.Rest.Close()
 	}
 }
 
-// ErrWithdrawn is the cancellation cause of an attempt whose result the router no longer needs.
-var ErrWithdrawn = errors.New("withdrawn")
+// ErrAttemptCancelled is the cancellation cause of an attempt whose result the router no longer needs.
+var ErrAttemptCancelled = errors.New("withdrawn")
 
 // Attempt is one send of an exchange to one server. Its context ends at the exchange's deadline or when the attempt is
 // cancelled.
 type Attempt struct {
 	*Exchange
-	Server  balance.ServerID
-	Address string
-	Context context.Context
-	Connect time.Duration // time spent opening a connection for it; set by the Sender before End
+	Server      balance.ServerID
+	Address     string
+	Context     context.Context
+	ConnectTime time.Duration // time spent opening a connection for it; set by the Sender before End
 
 	number         int
 	sent           time.Time
@@ -114,23 +114,23 @@
 	loop           *Loop
 }
 
-// Sent returns the time at which the loop started the attempt.
-func (a *Attempt) Sent() time.Time { return a.sent }
-
-// Reply is the result of an attempt.
-type Reply struct {
-	Result   balance.Result
-	Fetching bool          // a cache miss while the server waits for another request's fetch of the same key
-	Header   http.Header   // with OK: end-to-end headers only
-	Body     []byte        // with OK
-	Err      error         // without OK: the cause, for the log
-	Rest     io.ReadCloser // with OK: the remainder of a long answer after Body; nil if Body is complete
-	Length   int64         // with Rest: length of Body and Rest together, in bytes; -1 if unknown
+// SentAt returns the time at which the loop started the attempt.
+func (a *Attempt) SentAt() time.Time { return a.sent }
+
+// AttemptResult is the result of an attempt.
+type AttemptResult struct {
+	Result       balance.Result
+	FetchPending bool          // a cache miss while the server waits for another request's fetch of the same key
+	Header       http.Header   // with OK: end-to-end headers only
+	Body         []byte        // with OK
+	Err          error         // without OK: the cause, for the log
+	Rest         io.ReadCloser // with OK: the remainder of a long answer after Body; nil if Body is complete
+	Length       int64         // with Rest: length of Body and Rest together, in bytes; -1 if unknown
 }
 
-// End reports the attempt's result. Only the first call has an effect, so that an attempt has exactly one outcome when an answer,
+// Finish reports the attempt's result. Only the first call has an effect, so that an attempt has exactly one outcome when an answer,
 // a timeout and a cancellation race.
-func (a *Attempt) End(r Reply) {
+func (a *Attempt) Finish(r AttemptResult) {
 	if a.ended.CompareAndSwap(false, true) {
 		a.cancel(nil)
 		a.loop.post(attemptEnded{a, r})
--- a/internal/exchange/lag.go
+++ b/internal/exchange/lag.go
@@ -31,8 +31,8 @@
 	l.peak.Store(int64(recent))
 	l.measuredAt.Store(int64(now))
 	counts.Lag.Store(int64(recent))
-	if int64(measured) > counts.LagMost.Load() {
-		counts.LagMost.Store(int64(measured))
+	if int64(measured) > counts.MaxLag.Load() {
+		counts.MaxLag.Store(int64(measured))
 	}
 }
 
--- a/internal/exchange/loop.go
+++ b/internal/exchange/loop.go
@@ -15,14 +15,14 @@
 // Sender executes attempts. Send must not block; the Sender calls the attempt's End when the attempt has ended.
 type Sender interface{ Send(a *Attempt) }
 
-// Teller sends messages to other routers, without a guarantee of delivery. Tell must not block.
-type Teller interface {
-	Tell(to int, content []byte)
+// PeerSender sends messages to other routers, without a guarantee of delivery. Tell must not block.
+type PeerSender interface {
+	SendMessage(to int, content []byte)
 }
 
-// Decider is a load balancer: it turns events into actions. balance.Balancer is the production implementation; others are baselines
+// Balancer is a load balancer: it turns events into actions. balance.Balancer is the production implementation; others are baselines
 // for simulations.
-type Decider interface {
+type Balancer interface {
 	Handle(now balance.Time, events []balance.Event) []balance.Action
 	View(now balance.Time) []balance.View
 }
@@ -30,16 +30,16 @@
 // Loop is the event loop that owns the balancer: one goroutine takes events in batches, passes them to the balancer and
 // executes the resulting actions. It never blocks on a socket.
 type Loop struct {
-	Clock     Clock
-	Counts    *Counters
-	Log       *slog.Logger
-	Pool      *Pool
-	Sender    Sender
-	Teller    Teller
-	Subscribe func() // requests updates of the server list; may be nil
-	Settings  balance.Settings
-	Seed      uint64
-	Decide    func(set balance.Settings, seed uint64) Decider // creates a balancer; nil: balance.New
+	Clock       Clock
+	Counters    *Counters
+	Log         *slog.Logger
+	Pool        *Pool
+	Sender      Sender
+	PeerSender  PeerSender
+	Subscribe   func() // requests updates of the server list; may be nil
+	Settings    balance.Settings
+	Seed        uint64
+	NewBalancer func(set balance.Settings, seed uint64) Balancer // creates a balancer; nil: balance.New
 
 	Maintenance Maintenance // initial maintenance state; owned by the loop once Run is called
 
@@ -49,7 +49,7 @@
 	afterBatch        []func()                         // called at the end of the current batch
 	stopped           chan struct{}                    // closed when the loop accepts no more events
 	goroutines        sync.WaitGroup                   // goroutines started by the loop; Run waits for them
-	balancer          Decider
+	balancer          Balancer
 	exchanges         map[balance.RequestID]*Exchange
 	addresses         addresses
 	entries           map[balance.ServerID]balance.Entry // the current server list, from which a new balancer starts
@@ -95,7 +95,7 @@
 	defer l.goroutines.Wait()
 	defer close(l.stopped) // before waiting: these goroutines may be blocked in post
 	l.balancer = l.newBalancer()
-	l.Settings.Answered = 0 // a balancer that is created later does not succeed another process
+	l.Settings.PriorAnswerRate = 0 // a balancer that is created later does not succeed another process
 	wakeTimer := time.NewTimer(time.Hour)
 	defer wakeTimer.Stop()
 	for ctx.Err() == nil {
@@ -113,13 +113,13 @@
 }
 
 // newBalancer creates a balancer with the current settings.
-func (l *Loop) newBalancer() Decider {
+func (l *Loop) newBalancer() Balancer {
 	settings := l.Settings
 	if updated := l.updatedSettings.Load(); updated != nil {
 		settings = *updated
 	}
-	if l.Decide != nil {
-		return l.Decide(settings, l.Seed)
+	if l.NewBalancer != nil {
+		return l.NewBalancer(settings, l.Seed)
 	}
 	return balance.New(settings, l.Seed)
 }
@@ -166,7 +166,7 @@
 		if !ok {
 			break
 		}
-		l.lag.record(now.Sub(expired.expiry), l.Counts)
+		l.lag.record(now.Sub(expired.expiry), l.Counters)
 		batch = append(batch, balance.Timer{Token: expired.token})
 	}
 	if len(batch) > 0 {
@@ -188,7 +188,7 @@
 		if p == nil {
 			return
 		}
-		l.Counts.Panics.Add(1)
+		l.Counters.Panics.Add(1)
 		l.Log.Error("balancer panicked; restarting it", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 		l.restartBalancer()
 	}()
@@ -243,8 +243,8 @@
 
 // fail answers an exchange as failed unless it is answered already.
 func (l *Loop) fail(x *Exchange, timedOut bool) {
-	if x.Settle(Answer{Kind: Failed, TimedOut: timedOut}) {
-		l.Counts.Failed.Add(1)
+	if x.SetAnswer(Answer{Kind: Failed, TimedOut: timedOut}) {
+		l.Counters.Failed.Add(1)
 	}
 }
 
@@ -257,26 +257,26 @@
 		}
 	case balance.Refuse:
 		if x := l.exchanges[a.ID]; x != nil {
-			if x.Settle(Answer{Kind: Refused, RetryAfter: a.RetryAfter}) {
-				l.Counts.Refused.Add(1)
+			if x.SetAnswer(Answer{Kind: Refused, RetryAfter: a.RetryAfter}) {
+				l.Counters.Refused.Add(1)
 			}
 			l.removeLater(x)
 		}
 	case balance.Fail:
 		if x := l.exchanges[a.ID]; x != nil {
-			l.fail(x, now >= l.Clock.At(x.Due))
+			l.fail(x, now >= l.Clock.At(x.Deadline))
 			l.removeLater(x)
 		}
 	case balance.Cancel:
 		if x := l.exchanges[a.ID]; x != nil && a.Attempt >= 0 && a.Attempt < len(x.attempts) {
-			x.attempts[a.Attempt].cancel(ErrWithdrawn)
+			x.attempts[a.Attempt].cancel(ErrAttemptCancelled)
 		}
 	case balance.SetTimer:
 		l.timers.add(now.Add(a.After), a.Token)
-	case balance.Tell:
-		l.Teller.Tell(a.To, a.Content)
+	case balance.SendPeerMessage:
+		l.PeerSender.SendMessage(a.To, a.Content)
 	case balance.CloseIdle:
-		l.Pool.Leave(a.Server)
+		l.Pool.CloseIdle(a.Server)
 	case balance.Subscribe:
 		if l.Subscribe != nil {
 			l.Subscribe()
@@ -288,19 +288,19 @@
 // result says so: the balancer expects an outcome for every attempt.
 func (l *Loop) send(x *Exchange, server balance.ServerID) {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	ctx, stop := context.WithDeadline(ctx, x.Due)
+	ctx, stop := context.WithDeadline(ctx, x.Deadline)
 	a := &Attempt{Exchange: x, Server: server, Address: l.addresses[server].address, Context: ctx, number: len(x.attempts),
 		sent: time.Now(), loop: l}
 	a.cancel = func(cause error) { cancel(cause); stop() }
 	x.attempts = append(x.attempts, a)
 	x.inFlight++
-	l.Counts.Attempts.Add(1)
+	l.Counters.Attempts.Add(1)
 	switch {
 	case x.answered || ctx.Err() != nil:
-		l.goroutines.Go(func() { a.End(Reply{Result: balance.Moot}) }) // asynchronous: the queue may be full, and only the loop drains it
+		l.goroutines.Go(func() { a.Finish(AttemptResult{Result: balance.NeverSent}) }) // asynchronous: the queue may be full, and only the loop drains it
 	case a.Address == "":
 		err := fmt.Errorf("no address of server %s", server)
-		l.goroutines.Go(func() { a.End(Reply{Result: balance.NoConnect, Err: err}) })
+		l.goroutines.Go(func() { a.Finish(AttemptResult{Result: balance.NoConnect, Err: err}) })
 	default:
 		l.Sender.Send(a)
 	}
--- a/internal/exchange/loop_test.go
+++ b/internal/exchange/loop_test.go
@@ -25,7 +25,7 @@
 	receivers []int
 }
 
-func (p *recordingTeller) Tell(to int, _ []byte) {
+func (p *recordingTeller) SendMessage(to int, _ []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.receivers = append(p.receivers, to)
@@ -33,11 +33,11 @@
 
 var testSettings = balance.Settings{
 	Classes: []balance.Class{
-		{Name: "read", Aim: 200 * time.Millisecond, Deadline: 800 * time.Millisecond, Worth: 1, Effect: balance.Safe},
-		{Name: "once", Aim: 200 * time.Millisecond, Deadline: 800 * time.Millisecond, Worth: 1},
+		{Name: "read", Target: 200 * time.Millisecond, Deadline: 800 * time.Millisecond, Priority: 1, Effect: balance.Safe},
+		{Name: "once", Target: 200 * time.Millisecond, Deadline: 800 * time.Millisecond, Priority: 1},
 	},
 	Routers: 1, MaxAttempts: 4, MayCancel: true, MaxRetryAfter: time.Second,
-	ColdFrom: 0.2, Ramp: time.Second, OverloadFactor: 4, OverloadFor: time.Second,
+	ColdStartShare: 0.2, RampTime: time.Second, OverloadFactor: 4, OverloadFor: time.Second,
 }
 
 // startLoop runs a loop with three servers, after change has adjusted it, and returns it with the attempts that it sends.
@@ -45,8 +45,8 @@
 	t.Helper()
 	l := NewLoop()
 	s := manualSender{make(chan *Attempt, 100)}
-	l.Clock, l.Counts, l.Log, l.Settings = NewClock(), &Counters{}, slog.New(slog.DiscardHandler), testSettings
-	l.Pool, l.Sender, l.Teller = NewPool(10, time.Second, l.Counts), s, &recordingTeller{}
+	l.Clock, l.Counters, l.Log, l.Settings = NewClock(), &Counters{}, slog.New(slog.DiscardHandler), testSettings
+	l.Pool, l.Sender, l.PeerSender = NewPool(10, time.Second, l.Counters), s, &recordingTeller{}
 	if change != nil {
 		change(l)
 	}
@@ -54,13 +54,13 @@
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
-	l.Listed(testList(balance.Complete, 1, "a", "b", "c"))
+	l.UpdateServers(testList(balance.Complete, 1, "a", "b", "c"))
 	return l, s.attempts
 }
 
 // testList returns a list of servers that share one address.
-func testList(kind balance.ListKind, version int64, names ...string) List {
-	list := List{List: balance.List{Kind: kind, Version: version}, Addresses: map[balance.ServerID]string{}}
+func testList(kind balance.ListKind, version int64, names ...string) ServerList {
+	list := ServerList{List: balance.List{Kind: kind, Version: version}, Addresses: map[balance.ServerID]string{}}
 	for _, name := range names {
 		id := balance.ServerID(name)
 		list.Entries = append(list.Entries, balance.Entry{Server: id, Weight: 1})
@@ -71,7 +71,7 @@
 
 // request returns a new exchange for a request with the given client timeout; 0 if the client sends none.
 func request(class string, timeout time.Duration) *Exchange {
-	return New(Request{Class: class, Key: 7, HasKey: true, Arrived: time.Now(), TimeLeft: timeout})
+	return New(Request{Class: class, Key: 7, HasKey: true, Arrived: time.Now(), Timeout: timeout})
 }
 
 // answerOf waits for the exchange's answer.
@@ -112,7 +112,7 @@
 	l, attempts := startLoop(t, nil)
 	x := request("read", time.Second)
 	l.Submit(x)
-	attemptOf(t, attempts).End(Reply{Result: balance.OK, Body: []byte("v")})
+	attemptOf(t, attempts).Finish(AttemptResult{Result: balance.OK, Body: []byte("v")})
 	if a := answerOf(t, x); a.Kind != Served || string(a.Body) != "v" {
 		t.Errorf("got %+v", a)
 	}
@@ -126,14 +126,14 @@
 	a := attemptOf(t, attempts)
 	var wg sync.WaitGroup
 	for _, result := range []balance.Result{balance.Reset, balance.Reset, balance.Reset} {
-		wg.Go(func() { a.End(Reply{Result: result}) })
+		wg.Go(func() { a.Finish(AttemptResult{Result: result}) })
 	}
 	wg.Wait()
 	if got := answerOf(t, x); got.Kind != Failed {
 		t.Errorf("reset attempt of a non-idempotent request: %+v", got)
 	}
 	noSecondAnswer(t, x)
-	if n := l.Counts.Results[balance.Reset].Load(); n != 1 {
+	if n := l.Counters.Results[balance.Reset].Load(); n != 1 {
 		t.Errorf("%d outcomes", n)
 	}
 }
@@ -144,12 +144,12 @@
 	x := request("once", time.Second)
 	l.Submit(x)
 	first := attemptOf(t, attempts)
-	first.End(Reply{Result: balance.NoConnect, Err: errors.New("refused")})
+	first.Finish(AttemptResult{Result: balance.NoConnect, Err: errors.New("refused")})
 	second := attemptOf(t, attempts)
 	if second.Server == first.Server {
 		t.Error("sent to the same server again")
 	}
-	second.End(Reply{Result: balance.Reset, Err: errors.New("broken")})
+	second.Finish(AttemptResult{Result: balance.Reset, Err: errors.New("broken")})
 	if a := answerOf(t, x); a.Kind != Failed {
 		t.Errorf("got %+v", a)
 	}
@@ -164,7 +164,7 @@
 	if cause := context.Cause(a.Context); !errors.Is(cause, context.DeadlineExceeded) {
 		t.Errorf("cause %v, want the deadline", cause)
 	}
-	a.End(Reply{Result: balance.TimedOut, Err: context.DeadlineExceeded})
+	a.Finish(AttemptResult{Result: balance.TimedOut, Err: context.DeadlineExceeded})
 	if got := answerOf(t, x); got.Kind != Failed || !got.TimedOut {
 		t.Errorf("got %+v", got)
 	}
@@ -178,16 +178,16 @@
 	x := request("read", time.Second)
 	l.Submit(x)
 	a := attemptOf(t, attempts)
-	l.Depart(x)
+	l.ClientDisconnected(x)
 	select {
 	case <-a.Context.Done():
 	case <-time.After(time.Second):
 		t.Fatal("the attempt was not cancelled")
 	}
-	if cause := context.Cause(a.Context); !errors.Is(cause, ErrWithdrawn) {
+	if cause := context.Cause(a.Context); !errors.Is(cause, ErrAttemptCancelled) {
 		t.Errorf("cause %v, want ErrWithdrawn", cause)
 	}
-	a.End(Reply{Result: balance.Cancelled})
+	a.Finish(AttemptResult{Result: balance.Cancelled})
 	noSecondAnswer(t, x)
 }
 
@@ -196,7 +196,7 @@
 	l, attempts := startLoop(t, nil)
 	list := testList(balance.Complete, 2, "a")
 	list.Addresses = nil
-	l.Listed(list)
+	l.UpdateServers(list)
 	x := request("read", 500*time.Millisecond)
 	l.Submit(x)
 	if a := answerOf(t, x); a.Kind != Refused {
@@ -209,7 +209,7 @@
 
 func TestNoServers(t *testing.T) {
 	l, _ := startLoop(t, nil)
-	l.Listed(testList(balance.Complete, 2))
+	l.UpdateServers(testList(balance.Complete, 2))
 	x := request("read", time.Second)
 	begun := time.Now()
 	l.Submit(x)
@@ -234,16 +234,16 @@
 		t.Errorf("got %+v", got)
 	}
 	<-a.Context.Done()
-	a.End(Reply{Result: balance.Cancelled})
+	a.Finish(AttemptResult{Result: balance.Cancelled})
 	noSecondAnswer(t, x)
 	y := request("read", time.Second)
 	l.Submit(y)
-	attemptOf(t, attempts).End(Reply{Result: balance.OK, Body: []byte("v")})
+	attemptOf(t, attempts).Finish(AttemptResult{Result: balance.OK, Body: []byte("v")})
 	if got := answerOf(t, y); got.Kind != Served {
 		t.Errorf("after the panic: %+v", got)
 	}
-	if l.Counts.Panics.Load() != 1 {
-		t.Errorf("%d panics counted", l.Counts.Panics.Load())
+	if l.Counters.Panics.Load() != 1 {
+		t.Errorf("%d panics counted", l.Counters.Panics.Load())
 	}
 }
 
@@ -260,25 +260,25 @@
 	x := request("once", time.Second)
 	l.Submit(x)
 	a := attemptOf(t, attempts)
-	l.Expire()
+	l.FailAll()
 	if got := answerOf(t, x); got.Kind != Failed {
 		t.Errorf("got %+v", got)
 	}
 	<-a.Context.Done()
-	a.End(Reply{Result: balance.Cancelled})
+	a.Finish(AttemptResult{Result: balance.Cancelled})
 	noSecondAnswer(t, x)
 }
 
 // Each of many concurrent requests is answered, and no exchange is kept afterwards.
 func TestNoExchangeLeaks(t *testing.T) {
 	l, attempts := startLoop(t, nil)
-	results := []balance.Result{balance.OK, balance.Errored, balance.Full, balance.NoConnect, balance.Reset}
+	results := []balance.Result{balance.OK, balance.Errored, balance.Rejected, balance.NoConnect, balance.Reset}
 	stop := make(chan struct{})
 	go func() {
 		for i := 0; ; i++ {
 			select {
 			case a := <-attempts:
-				go a.End(Reply{Result: results[i%len(results)]})
+				go a.Finish(AttemptResult{Result: results[i%len(results)]})
 			case <-stop:
 				return
 			}
@@ -292,7 +292,7 @@
 			l.Submit(x)
 			answerOf(t, x)
 			if i%10 == 0 {
-				l.Depart(x) // races with the answer
+				l.ClientDisconnected(x) // races with the answer
 			}
 		})
 	}
@@ -336,13 +336,13 @@
 func TestClockConvertsUnixTime(t *testing.T) {
 	c := NewClock()
 	now := time.Now()
-	if d := c.At(now).Sub(c.Unix(now.UnixMilli())); d < 0 || d > 5*time.Millisecond {
+	if d := c.At(now).Sub(c.FromUnixMilli(now.UnixMilli())); d < 0 || d > 5*time.Millisecond {
 		t.Errorf("the current time converted from Unix time is off by %v", d)
 	}
 	if got := c.Time(c.At(now)); !got.Equal(now) {
 		t.Errorf("%v became %v", now, got)
 	}
-	if c.Unix(0) != 0 {
+	if c.FromUnixMilli(0) != 0 {
 		t.Error("Unix time 0 did not stay 0")
 	}
 }
@@ -372,10 +372,10 @@
 	for class, want := range map[string]time.Duration{"read": 800 * time.Millisecond, "unheard of": time.Second} {
 		x := request(class, 0)
 		l.Submit(x)
-		if left := x.Due.Sub(x.Arrived); left > want || left < want-maxMargin {
+		if left := x.Deadline.Sub(x.Arrived); left > want || left < want-maxMargin {
 			t.Errorf("%s: %v", class, left)
 		}
-		attemptOf(t, attempts).End(Reply{Result: balance.OK})
+		attemptOf(t, attempts).Finish(AttemptResult{Result: balance.OK})
 		answerOf(t, x)
 	}
 }
@@ -391,26 +391,26 @@
 		a := attemptOf(t, attempts)
 		switch i % 4 {
 		case 0:
-			a.End(Reply{Result: balance.OK})
+			a.Finish(AttemptResult{Result: balance.OK})
 			answerOf(t, x)
 		case 1:
-			a.End(Reply{Result: balance.Reset})
+			a.Finish(AttemptResult{Result: balance.Reset})
 			answerOf(t, x)
 		case 2:
-			l.Depart(x)
+			l.ClientDisconnected(x)
 			<-a.Context.Done()
-			a.End(Reply{Result: balance.Cancelled})
+			a.Finish(AttemptResult{Result: balance.Cancelled})
 		case 3:
-			a.End(Reply{Result: balance.OK})
+			a.Finish(AttemptResult{Result: balance.OK})
 			answerOf(t, x)
-			l.Depart(x) // after the answer, so not counted as disconnected
+			l.ClientDisconnected(x) // after the answer, so not counted as disconnected
 		}
 	}
 	done := make(chan struct{})
 	l.post(callEvent(func() { close(done) }))
 	<-done
-	c := l.Counts
-	if c.Served.Load() != 10 || c.Failed.Load() != 5 || c.ClientsGone.Load() != 5 || c.Refused.Load() != 0 {
+	c := l.Counters
+	if c.Served.Load() != 10 || c.Failed.Load() != 5 || c.ClientsDisconnected.Load() != 5 || c.Refused.Load() != 0 {
 		t.Errorf("%s", c.JSON())
 	}
 	sum := int64(0)
@@ -427,12 +427,12 @@
 	peers := &recordingTeller{}
 	l, attempts := startLoop(t, func(l *Loop) {
 		l.Settings.Routers, l.Settings.PeerMessages = 8, true // with many routers, each sees only a small part of the load and tells the others
-		l.Teller = peers
+		l.PeerSender = peers
 	})
-	l.Heard([]byte("too short for anything"))
+	l.ReceivePeerMessage([]byte("too short for anything"))
 	x := request("read", time.Second)
 	l.Submit(x)
-	attemptOf(t, attempts).End(Reply{Result: balance.OK})
+	attemptOf(t, attempts).Finish(AttemptResult{Result: balance.OK})
 	answerOf(t, x)
 	for until := time.Now().Add(2 * time.Second); ; time.Sleep(time.Millisecond) {
 		peers.mu.Lock()
@@ -451,11 +451,11 @@
 // get an outcome. Otherwise enough such requests would use up every server's concurrency limit forever.
 func TestDisconnectInSameBatch(t *testing.T) {
 	l, attempts := startLoop(t, func(l *Loop) { // queued before the loop runs, so that it handles all in one batch
-		l.Listed(testList(balance.Complete, 1, "a", "b", "c"))
+		l.UpdateServers(testList(balance.Complete, 1, "a", "b", "c"))
 		for range 120 {
 			x := request("read", time.Second)
 			l.Submit(x)
-			l.Depart(x)
+			l.ClientDisconnected(x)
 		}
 	})
 	for until := time.Now().Add(2 * time.Second); ; { // the attempts that were never sent end asynchronously
@@ -463,7 +463,7 @@
 		l.Submit(x)
 		select {
 		case a := <-attempts:
-			a.End(Reply{Result: balance.OK, Body: []byte("v")})
+			a.Finish(AttemptResult{Result: balance.OK, Body: []byte("v")})
 			return
 		case a := <-x.Answer():
 			if time.Now().After(until) {
@@ -484,13 +484,13 @@
 		a := attemptOf(t, attempts)
 		switch i % 3 {
 		case 0:
-			a.End(Reply{Result: balance.OK})
+			a.Finish(AttemptResult{Result: balance.OK})
 			answerOf(t, x)
 		case 1:
-			l.Depart(x)
+			l.ClientDisconnected(x)
 		}
 	}
-	l.View(slog.LevelInfo)
+	l.LogView(slog.LevelInfo)
 	for range 2 { // the second one is handled in a later batch, when the view has been logged
 		l.Submit(request("read", time.Second))
 		attemptOf(t, attempts)
@@ -503,7 +503,7 @@
 			counted += n
 		}
 	}
-	if n := l.Counts.Astray.Load(); n != 0 || counted < 6 || counted > 7 { // the last request may be in the same batch
+	if n := l.Counters.InFlightMismatches.Load(); n != 0 || counted < 6 || counted > 7 { // the last request may be in the same batch
 		t.Errorf("%d mismatches, %d attempts counted:\n%s", n, counted, log.String())
 	}
 }
--- a/internal/exchange/maintenance.go
+++ b/internal/exchange/maintenance.go
@@ -29,8 +29,8 @@
 	return c
 }
 
-// With merges two states: a server is out if it is out in either, and the later time of being put back counts.
-func (m Maintenance) With(other Maintenance) Maintenance {
+// Merge merges two states: a server is out if it is out in either, and the later time of being put back counts.
+func (m Maintenance) Merge(other Maintenance) Maintenance {
 	merged := m.Copy()
 	maps.Copy(merged.Out, other.Out)
 	for server, back := range other.Back {
@@ -58,13 +58,13 @@
 	done            chan<- error // buffered, capacity 1
 }
 
-// Maintain takes a server out of service or puts it back, and returns once the balancer has applied the change. It is idempotent.
-func (l *Loop) Maintain(server balance.ServerID, out bool) error {
+// SetMaintenance takes a server out of service or puts it back, and returns once the balancer has applied the change. It is idempotent.
+func (l *Loop) SetMaintenance(server balance.ServerID, out bool) error {
 	return l.runCommand(maintenanceCommand{server: server, out: out})
 }
 
-// MaintainAlike applies a maintenance command that the other process of a replacement received. Unlike Maintain it accepts unknown servers.
-func (l *Loop) MaintainAlike(server balance.ServerID, out bool) error {
+// MirrorMaintenance applies a maintenance command that the other process of a replacement received. Unlike Maintain it accepts unknown servers.
+func (l *Loop) MirrorMaintenance(server balance.ServerID, out bool) error {
 	return l.runCommand(maintenanceCommand{server: server, out: out, fromPeerProcess: true})
 }
 
@@ -88,23 +88,23 @@
 	}
 }
 
-// Adopted is a maintenance command that another router received, with the time since then.
-type Adopted struct {
+// PeerMaintenance is a maintenance command that another router received, with the time since then.
+type PeerMaintenance struct {
 	Server balance.ServerID
 	Out    bool
 	Age    time.Duration
 }
 
-// Adopt applies maintenance commands that other routers received, and returns once the balancer has applied them. A server that was put
+// ApplyPeerMaintenance applies maintenance commands that other routers received, and returns once the balancer has applied them. A server that was put
 // back counts as started, with a cold cache, at the time of that command, even if this router never knew that it was out.
-func (l *Loop) Adopt(commands []Adopted) error {
+func (l *Loop) ApplyPeerMaintenance(commands []PeerMaintenance) error {
 	done := make(chan error, 1)
 	return l.postAndWait(adoptCommands{commands, done}, done)
 }
 
 // adoptCommands is the event that applies maintenance commands of other routers.
 type adoptCommands struct {
-	commands []Adopted
+	commands []PeerMaintenance
 	done     chan<- error // buffered, capacity 1
 }
 
@@ -122,7 +122,7 @@
 			continue
 		case c.Out:
 			m.Out[c.Server] = true
-			l.goroutines.Go(func() { l.Pool.Leave(c.Server) })
+			l.goroutines.Go(func() { l.Pool.CloseIdle(c.Server) })
 		default:
 			delete(m.Out, c.Server)
 			if listed {
@@ -141,9 +141,9 @@
 	return changes
 }
 
-// Held returns copies of the current server list and of the maintenance state, and the caches' recent answer rate: answers per second
+// Snapshot returns copies of the current server list and of the maintenance state, and the caches' recent answer rate: answers per second
 // for a weight of 1 of warm caches.
-func (l *Loop) Held() (list List, maintenance Maintenance, answerRate float64, err error) {
+func (l *Loop) Snapshot() (list ServerList, maintenance Maintenance, answerRate float64, err error) {
 	reply := make(chan loopState, 1)
 	if l.postUrgent(stateRequest{reply}) {
 		select {
@@ -152,13 +152,13 @@
 		case <-l.stopped:
 		}
 	}
-	return List{}, Maintenance{}, 0, ErrStopped
+	return ServerList{}, Maintenance{}, 0, ErrStopped
 }
 
 type (
 	// loopState is a copy of the loop's state.
 	loopState struct {
-		list        List
+		list        ServerList
 		maintenance Maintenance
 
 		answerRate float64
@@ -168,10 +168,10 @@
 )
 
 func (e stateRequest) apply(l *Loop) balance.Event {
-	state := loopState{list: List{balance.List{Kind: balance.Complete, Version: l.version}, map[balance.ServerID]string{}},
+	state := loopState{list: ServerList{balance.List{Kind: balance.Complete, Version: l.version}, map[balance.ServerID]string{}},
 		maintenance: l.Maintenance.Copy()}
 	if d, ok := l.balancer.(overallViewer); ok {
-		state.answerRate = d.Overall(l.Clock.Now()).Answered
+		state.answerRate = d.Overall(l.Clock.Now()).AnswerRate
 	}
 	for server, entry := range l.entries {
 		state.list.Entries = append(state.list.Entries, entry)
@@ -200,7 +200,7 @@
 		return nil, fmt.Errorf("%w: %d", ErrTooManyOut, len(m.Out))
 	case command.out:
 		m.Out[command.server] = true
-		l.goroutines.Go(func() { l.Pool.Leave(command.server) })
+		l.goroutines.Go(func() { l.Pool.CloseIdle(command.server) })
 	default:
 		delete(m.Out, command.server)
 		if listed {
--- a/internal/exchange/maintenance_test.go
+++ b/internal/exchange/maintenance_test.go
@@ -33,8 +33,8 @@
 // newManualLoop returns a loop whose batches the test runs itself, with a listRecorder as its balancer.
 func newManualLoop() (*Loop, *listRecorder) {
 	l := NewLoop()
-	l.Clock, l.Counts, l.Log, l.Settings = NewClock(), &Counters{}, slog.New(slog.DiscardHandler), testSettings
-	l.Pool, l.Teller = NewPool(10, time.Second, l.Counts), &recordingTeller{}
+	l.Clock, l.Counters, l.Log, l.Settings = NewClock(), &Counters{}, slog.New(slog.DiscardHandler), testSettings
+	l.Pool, l.PeerSender = NewPool(10, time.Second, l.Counters), &recordingTeller{}
 	h := &listRecorder{map[balance.ServerID]balance.Entry{}}
 	l.balancer = h
 	return l, h
@@ -42,7 +42,7 @@
 
 // applyList runs a batch with a server list.
 func applyList(l *Loop, kind balance.ListKind, entries ...balance.Entry) {
-	list := List{balance.List{Kind: kind, Entries: entries}, map[balance.ServerID]string{}}
+	list := ServerList{balance.List{Kind: kind, Entries: entries}, map[balance.ServerID]string{}}
 	for _, e := range entries {
 		list.Addresses[e.Server] = "address of " + string(e.Server)
 	}
@@ -106,7 +106,7 @@
 	runMaintenance(l, "a", false, false)
 	runMaintenance(l, "b", true, false)
 	var h *listRecorder
-	l.Decide = func(balance.Settings, uint64) Decider {
+	l.NewBalancer = func(balance.Settings, uint64) Balancer {
 		h = &listRecorder{map[balance.ServerID]balance.Entry{}}
 		return h
 	}
@@ -155,7 +155,7 @@
 func TestMergeMaintenance(t *testing.T) {
 	a, b := NewMaintenance(), NewMaintenance()
 	a.Out["x"], b.Out["y"], a.Back["z"], b.Back["z"] = true, true, 5, 7
-	if c := a.With(b); !c.Out["x"] || !c.Out["y"] || c.Back["z"] != 7 || len(a.Out) != 1 || len(b.Out) != 1 {
+	if c := a.Merge(b); !c.Out["x"] || !c.Out["y"] || c.Back["z"] != 7 || len(a.Out) != 1 || len(b.Out) != 1 {
 		t.Errorf("merged %v from %v and %v", c, a, b)
 	}
 }
