--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -20,14 +20,14 @@
 // responseRetention is how long the time of a server's last response is kept. It is longer than any attempt takes.
 const responseRetention = time.Minute
 
-// ErrNoRoom is returned when the maximum number of server connections is open and all of them stay in use.
-var ErrNoRoom = errors.New("connection pool exhausted")
+// ErrPoolExhausted is returned when the maximum number of server connections is open and all of them stay in use.
+var ErrPoolExhausted = errors.New("connection pool exhausted")
 
 // Pool keeps idle connections to servers and limits the number of open ones. The connection that was used last is reused first.
 type Pool struct {
-	Most    int           // maximum number of open connections, idle ones included
-	IdleFor time.Duration // idle timeout, after which a connection is not reused
-	Counts  *Counters
+	MaxOpen     int           // maximum number of open connections, idle ones included
+	IdleTimeout time.Duration // idle timeout, after which a connection is not reused
+	Counters    *Counters
 
 	mu           sync.Mutex
 	idle         map[balance.ServerID][]idleConn // oldest first
@@ -49,30 +49,30 @@
 
 // NewPool returns an empty pool with a maximum number of open connections and an idle timeout.
 func NewPool(maxOpen int, idleTimeout time.Duration, counts *Counters) *Pool {
-	return &Pool{Most: maxOpen, IdleFor: idleTimeout, Counts: counts,
+	return &Pool{MaxOpen: maxOpen, IdleTimeout: idleTimeout, Counters: counts,
 		idle: map[balance.ServerID][]idleConn{}, lastResponse: map[balance.ServerID]time.Time{}}
 }
 
-// SetMost changes the maximum number of open connections. If it is lowered, excess connections are closed when they are put back.
-func (p *Pool) SetMost(maxOpen int) {
+// SetMaxOpen changes the maximum number of open connections. If it is lowered, excess connections are closed when they are put back.
+func (p *Pool) SetMaxOpen(maxOpen int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.Most = maxOpen
+	p.MaxOpen = maxOpen
 	p.wakeNext()
 }
 
-// SetIdleFor changes the idle timeout.
-func (p *Pool) SetIdleFor(timeout time.Duration) {
+// SetIdleTimeout changes the idle timeout.
+func (p *Pool) SetIdleTimeout(timeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.IdleFor = timeout
+	p.IdleTimeout = timeout
 }
 
-// Take returns the server's most recently used idle connection, marked as in use, or nil if there is none. A non-idempotent request is
+// TakeIdle returns the server's most recently used idle connection, marked as in use, or nil if there is none. A non-idempotent request is
 // not given a connection that has been idle so long that it may be reset; that connection stays in the pool for other requests.
-func (p *Pool) Take(server balance.ServerID, address string, nonIdempotent bool, now time.Time) Conn {
+func (p *Pool) TakeIdle(server balance.ServerID, address string, nonIdempotent bool, now time.Time) Conn {
 	p.mu.Lock()
-	maxIdle := p.IdleFor
+	maxIdle := p.IdleTimeout
 	p.mu.Unlock()
 	maxIdle = p.reuse.maxIdle(false, maxIdle, now)
 	minSince := now.Add(-maxIdle)
@@ -91,8 +91,8 @@
 	}
 }
 
-// Used records whether the first request on a connection succeeded after the given idle time, which is 0 for a new connection.
-func (p *Pool) Used(idle time.Duration, ok bool) { p.reuse.record(idle, ok, time.Now()) }
+// RecordReuse records whether the first request on a connection succeeded after the given idle time, which is 0 for a new connection.
+func (p *Pool) RecordReuse(idle time.Duration, ok bool) { p.reuse.record(idle, ok, time.Now()) }
 
 // takeNewest removes the server's most recently used idle connection from the pool and returns it; nil if there is none, or for a
 // non-idempotent request if it became idle before minSince.
@@ -106,17 +106,17 @@
 	c := conns[len(conns)-1]
 	conns[len(conns)-1] = idleConn{}
 	p.idle[server] = conns[:len(conns)-1]
-	p.Counts.IdleConnections.Add(-1)
+	p.Counters.IdleConnections.Add(-1)
 	return &c
 }
 
 // Put returns a connection to the pool after a complete response. It is closed if the pool is closed or over its limit.
 func (p *Pool) Put(server balance.ServerID, address string, c Conn, now time.Time) {
 	p.mu.Lock()
-	excess := p.closed || p.open > p.Most
+	excess := p.closed || p.open > p.MaxOpen
 	if !excess {
 		p.idle[server] = append(p.idle[server], idleConn{c, address, now})
-		p.Counts.IdleConnections.Add(1)
+		p.Counters.IdleConnections.Add(1)
 		p.wakeNext()
 	}
 	p.mu.Unlock()
@@ -133,50 +133,50 @@
 	for i := range conns {
 		if conns[i].Conn == c {
 			p.idle[server] = append(conns[:i], conns[i+1:]...)
-			p.Counts.IdleConnections.Add(-1)
+			p.Counters.IdleConnections.Add(-1)
 			return
 		}
 	}
 }
 
-// Heard records that a server has sent a response.
-func (p *Pool) Heard(server balance.ServerID, now time.Time) {
+// RecordResponse records that a server has sent a response.
+func (p *Pool) RecordResponse(server balance.ServerID, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastResponse[server] = now
 }
 
-// Silent closes a server's idle connections if it has sent no response since the given time, and reports whether that is so. The server
+// CloseIfSilent closes a server's idle connections if it has sent no response since the given time, and reports whether that is so. The server
 // may have vanished, which open connections would hide and a new connection attempt reveals.
-func (p *Pool) Silent(server balance.ServerID, since time.Time) bool {
+func (p *Pool) CloseIfSilent(server balance.ServerID, since time.Time) bool {
 	p.mu.Lock()
 	silent := p.lastResponse[server].Before(since)
 	p.mu.Unlock()
 	if silent {
-		p.Leave(server)
+		p.CloseIdle(server)
 	}
 	return silent
 }
 
-// Leave closes a server's idle connections.
-func (p *Pool) Leave(server balance.ServerID) {
+// CloseIdle closes a server's idle connections.
+func (p *Pool) CloseIdle(server balance.ServerID) {
 	p.mu.Lock()
 	conns := p.idle[server]
 	delete(p.idle, server)
-	p.Counts.IdleConnections.Add(-int64(len(conns)))
+	p.Counters.IdleConnections.Add(-int64(len(conns)))
 	p.mu.Unlock()
 	for _, c := range conns {
 		c.Close()
 	}
 }
 
-// Sweep closes the connections that have exceeded the idle timeout, and removes outdated response times.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes the connections that have exceeded the idle timeout, and removes outdated response times.
+func (p *Pool) CloseExpired(now time.Time) {
 	var expired []idleConn
 	p.mu.Lock()
 	for server, conns := range p.idle {
 		n := 0
-		for n < len(conns) && now.Sub(conns[n].idleSince) >= p.IdleFor {
+		for n < len(conns) && now.Sub(conns[n].idleSince) >= p.IdleTimeout {
 			n++
 		}
 		expired = append(expired, conns[:n]...)
@@ -184,7 +184,7 @@
 			delete(p.idle, server)
 		}
 	}
-	p.Counts.IdleConnections.Add(-int64(len(expired)))
+	p.Counters.IdleConnections.Add(-int64(len(expired)))
 	for server, at := range p.lastResponse { // entries of servers that are gone, or the map would grow forever
 		if now.Sub(at) > responseRetention {
 			delete(p.lastResponse, server)
@@ -202,7 +202,7 @@
 func (p *Pool) Get(ctx context.Context, server balance.ServerID, address string, nonIdempotent bool,
 	maxWait time.Duration) (Conn, error) {
 	tryGet := func() (c Conn, ok bool) {
-		if c = p.Take(server, address, nonIdempotent, time.Now()); c != nil {
+		if c = p.TakeIdle(server, address, nonIdempotent, time.Now()); c != nil {
 			return c, true
 		}
 		return nil, p.reserve()
@@ -226,7 +226,7 @@
 		select {
 		case <-ready:
 		case <-timeout.C:
-			return nil, ErrNoRoom
+			return nil, ErrPoolExhausted
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
 		}
@@ -237,9 +237,9 @@
 func (p *Pool) reserve() bool {
 	for {
 		p.mu.Lock()
-		if p.open < p.Most {
+		if p.open < p.MaxOpen {
 			p.open++
-			p.Counts.ServerConnections.Store(int64(p.open))
+			p.Counters.ServerConnections.Store(int64(p.open))
 			p.mu.Unlock()
 			return true
 		}
@@ -266,7 +266,7 @@
 	}
 	c := p.idle[longestIdle][0]
 	p.idle[longestIdle] = p.idle[longestIdle][1:]
-	p.Counts.IdleConnections.Add(-1)
+	p.Counters.IdleConnections.Add(-1)
 	return c.Conn
 }
 
@@ -298,7 +298,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
-	p.Counts.ServerConnections.Store(int64(p.open))
+	p.Counters.ServerConnections.Store(int64(p.open))
 	p.wakeNext()
 }
 
@@ -310,7 +310,7 @@
 	p.idle = map[balance.ServerID][]idleConn{}
 	p.mu.Unlock()
 	for _, conns := range idle {
-		p.Counts.IdleConnections.Add(-int64(len(conns)))
+		p.Counters.IdleConnections.Add(-int64(len(conns)))
 		for _, c := range conns {
 			c.Close()
 		}
--- a/internal/exchange/pool_test.go
+++ b/internal/exchange/pool_test.go
@@ -42,10 +42,10 @@
 	a, b := openConn(t, p), openConn(t, p)
 	p.Put("s", "x", a, t0)
 	p.Put("s", "x", b, t0.Add(time.Millisecond))
-	if got := p.Take("s", "x", false, t0.Add(2*time.Millisecond)); got != b {
+	if got := p.TakeIdle("s", "x", false, t0.Add(2*time.Millisecond)); got != b {
 		t.Error("did not return the most recently used connection")
 	}
-	if got := p.Take("other", "x", false, t0); got != nil {
+	if got := p.TakeIdle("other", "x", false, t0); got != nil {
 		t.Error("returned another server's connection")
 	}
 }
@@ -57,7 +57,7 @@
 	p.Put("s", "x", old, t0)
 	p.Put("s", "elsewhere", moved, t0.Add(time.Second))
 	p.Put("s", "x", broken, t0.Add(time.Second))
-	if got := p.Take("s", "x", false, t0.Add(time.Second)); got != nil {
+	if got := p.TakeIdle("s", "x", false, t0.Add(time.Second)); got != nil {
 		t.Errorf("got %v", got)
 	}
 	if old.closed != 1 || moved.closed != 1 || broken.closed != 1 || p.open != 0 {
@@ -69,7 +69,7 @@
 	counts := &Counters{}
 	p := NewPool(2, time.Second, counts)
 	a, b := openConn(t, p), openConn(t, p)
-	if _, err := p.Get(t.Context(), "new", "x", false, time.Millisecond); !errors.Is(err, ErrNoRoom) {
+	if _, err := p.Get(t.Context(), "new", "x", false, time.Millisecond); !errors.Is(err, ErrPoolExhausted) {
 		t.Fatalf("third connection with a limit of 2: %v", err)
 	}
 	p.Put("s", "x", a, t0)
@@ -101,12 +101,12 @@
 			p.mu.Unlock()
 		}
 	}
-	if _, err := p.Get(t.Context(), "new", "x", false, time.Millisecond); !errors.Is(err, ErrNoRoom) {
+	if _, err := p.Get(t.Context(), "new", "x", false, time.Millisecond); !errors.Is(err, ErrPoolExhausted) {
 		t.Errorf("with a maximum wait of 1 ms: %v", err)
 	}
 	ctx, cancel := context.WithCancelCause(t.Context())
-	cancel(ErrWithdrawn)
-	if _, err := p.Get(ctx, "new", "x", false, time.Second); !errors.Is(err, ErrWithdrawn) {
+	cancel(ErrAttemptCancelled)
+	if _, err := p.Get(ctx, "new", "x", false, time.Second); !errors.Is(err, ErrAttemptCancelled) {
 		t.Errorf("cancelled: %v", err)
 	}
 	busy.Close()
@@ -149,11 +149,11 @@
 	a, b, c := openConn(t, p), openConn(t, p), openConn(t, p)
 	p.Put("s", "x", a, t0)
 	p.Put("s", "x", b, t0.Add(time.Second))
-	p.Sweep(t0.Add(time.Second))
+	p.CloseExpired(t0.Add(time.Second))
 	if a.closed != 1 || b.closed != 0 {
 		t.Error("did not close exactly the expired connection")
 	}
-	p.Leave("s")
+	p.CloseIdle("s")
 	if b.closed != 1 {
 		t.Error("an idle connection of the server is still open")
 	}
@@ -175,11 +175,11 @@
 	p := NewPool(10, time.Minute, &Counters{})
 	a := openConn(t, p)
 	p.Put("s", "x", a, t0)
-	p.Heard("s", t0.Add(time.Second))
-	if p.Silent("s", t0) || a.closed != 0 {
+	p.RecordResponse("s", t0.Add(time.Second))
+	if p.CloseIfSilent("s", t0) || a.closed != 0 {
 		t.Error("closed the connection although the server has responded")
 	}
-	if !p.Silent("s", t0.Add(2*time.Second)) || a.closed != 1 {
+	if !p.CloseIfSilent("s", t0.Add(2*time.Second)) || a.closed != 1 {
 		t.Error("kept the connection although the server is silent")
 	}
 }
--- a/internal/exchange/reuse_test.go
+++ b/internal/exchange/reuse_test.go
@@ -49,13 +49,13 @@
 	c := openConn(t, p)
 	p.Put("a", "x", c, now.Add(-150*time.Millisecond))
 	for i := range 40 {
-		p.Used(time.Millisecond, true)
-		p.Used(150*time.Millisecond, i%12 != 0)
+		p.RecordReuse(time.Millisecond, true)
+		p.RecordReuse(150*time.Millisecond, i%12 != 0)
 	}
-	if got := p.Take("a", "x", true, now); got != nil || c.closed != 0 {
+	if got := p.TakeIdle("a", "x", true, now); got != nil || c.closed != 0 {
 		t.Error("a non-idempotent request took a connection that may be reset")
 	}
-	if got := p.Take("a", "x", false, now); got != Conn(c) {
+	if got := p.TakeIdle("a", "x", false, now); got != Conn(c) {
 		t.Errorf("an idempotent request got %v", got)
 	}
 }
--- a/internal/exchange/turnover_test.go
+++ b/internal/exchange/turnover_test.go
@@ -18,15 +18,15 @@
 	go func() {
 		c, err := s.pool.Get(context.Background(), a.Server, a.Address, false, time.Second)
 		if err != nil {
-			a.End(Reply{Result: balance.NoConnect, Err: err})
+			a.Finish(AttemptResult{Result: balance.NoConnect, Err: err})
 			return
 		}
 		if c == nil {
 			c = &testConn{pool: s.pool}
 		}
-		s.pool.Heard(a.Server, time.Now())
+		s.pool.RecordResponse(a.Server, time.Now())
 		s.pool.Put(a.Server, a.Address, c, time.Now())
-		a.End(Reply{Result: balance.OK})
+		a.Finish(AttemptResult{Result: balance.OK})
 	}()
 }
 
@@ -34,35 +34,35 @@
 // the old ones. State per server or exchange must not grow with the total number of servers seen.
 func TestServerTurnover(t *testing.T) {
 	l := NewLoop()
-	l.Clock, l.Counts, l.Log, l.Settings = NewClock(), &Counters{}, slog.New(slog.DiscardHandler), testSettings
-	l.Pool = NewPool(50, time.Minute, l.Counts)
-	l.Sender, l.Teller = instantSender{l.Pool}, &recordingTeller{}
+	l.Clock, l.Counters, l.Log, l.Settings = NewClock(), &Counters{}, slog.New(slog.DiscardHandler), testSettings
+	l.Pool = NewPool(50, time.Minute, l.Counters)
+	l.Sender, l.PeerSender = instantSender{l.Pool}, &recordingTeller{}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
 	const fleet, generations = 5, 400
 	for g := range generations {
 		id := balance.ServerID(fmt.Sprint("s", g))
-		list := List{List: balance.List{Kind: balance.Partial, Version: int64(g)}, Addresses: map[balance.ServerID]string{
+		list := ServerList{List: balance.List{Kind: balance.Partial, Version: int64(g)}, Addresses: map[balance.ServerID]string{
 			id: fmt.Sprint("127.0.0.1:", 9000+g%fleet)}}
 		list.Entries = append(list.Entries, balance.Entry{Server: id, Weight: 1, Started: balance.Time(g + 1)})
 		if g >= fleet && g%2 == 0 { // otherwise the list shows only the successor, not that the old server is gone
 			list.Entries = append(list.Entries, balance.Entry{Server: balance.ServerID(fmt.Sprint("s", g-fleet)), State: balance.Gone})
 		}
-		l.Listed(list)
-		x := New(Request{Class: "read", Key: uint64(g), HasKey: true, Arrived: time.Now(), TimeLeft: 300 * time.Millisecond})
+		l.UpdateServers(list)
+		x := New(Request{Class: "read", Key: uint64(g), HasKey: true, Arrived: time.Now(), Timeout: 300 * time.Millisecond})
 		l.Submit(x)
 		if a := answerOf(t, x); a.Kind != Served {
 			t.Fatalf("generation %d: %+v", g, a)
 		}
 	}
 	until := time.Now().Add(2 * time.Second)
-	for l.Counts.IdleConnections.Load() > 2*fleet && time.Now().Before(until) {
+	for l.Counters.IdleConnections.Load() > 2*fleet && time.Now().Before(until) {
 		time.Sleep(time.Millisecond)
 	}
-	l.Pool.Sweep(time.Now().Add(responseRetention / 2))
+	l.Pool.CloseExpired(time.Now().Add(responseRetention / 2))
 	time.Sleep(400 * time.Millisecond) // wait until the timers of the requests have expired
-	l.Listed(List{List: balance.List{Kind: balance.Partial}})
+	l.UpdateServers(ServerList{List: balance.List{Kind: balance.Partial}})
 	time.Sleep(20 * time.Millisecond)
 	stop()
 	<-done
@@ -72,7 +72,7 @@
 			t.Errorf("%d %s after %d generations of %d servers", n, name, generations, fleet)
 		}
 	}
-	if l.Pool.Sweep(time.Now().Add(2 * responseRetention)); len(l.Pool.lastResponse) != 0 {
+	if l.Pool.CloseExpired(time.Now().Add(2 * responseRetention)); len(l.Pool.lastResponse) != 0 {
 		t.Errorf("%d response times are kept after their retention", len(l.Pool.lastResponse))
 	}
 	if n := len(l.timers.entries); n > 20 {
@@ -84,8 +84,8 @@
 // connections are closed. A late list entry of the old server does not restore it.
 func TestNewServerAtOldAddress(t *testing.T) {
 	a := addresses{}
-	at := func(kind balance.ListKind, state balance.State, names map[string]balance.Time) List {
-		l := List{List: balance.List{Kind: kind}, Addresses: map[balance.ServerID]string{}}
+	at := func(kind balance.ListKind, state balance.State, names map[string]balance.Time) ServerList {
+		l := ServerList{List: balance.List{Kind: kind}, Addresses: map[balance.ServerID]string{}}
 		for _, name := range []string{"old", "new", "other"} {
 			if started, ok := names[name]; ok {
 				id := balance.ServerID(name)
@@ -95,7 +95,7 @@
 		}
 		return l
 	}
-	take := func(l List) (gone []balance.ServerID, leave []balance.ServerID) {
+	take := func(l ServerList) (gone []balance.ServerID, leave []balance.ServerID) {
 		l = a.markReplaced(l)
 		for _, e := range l.Entries {
 			if e.State == balance.Gone {
--- a/internal/exchange/view.go
+++ b/internal/exchange/view.go
@@ -11,9 +11,9 @@
 // viewRequest is the event that asks the loop to log the balancer's view of the servers.
 type viewRequest struct{ level slog.Level }
 
-// View logs the balancer's view of each server together with the number of attempts in flight. A mismatch in the number of attempts in
+// LogView logs the balancer's view of each server together with the number of attempts in flight. A mismatch in the number of attempts in
 // flight is a bug and is always logged as an error.
-func (l *Loop) View(level slog.Level) { l.post(viewRequest{level}) }
+func (l *Loop) LogView(level slog.Level) { l.post(viewRequest{level}) }
 
 func (e viewRequest) apply(l *Loop) balance.Event {
 	l.viewLevel, l.viewRequested = e.level, true // after the batch: until then the loop's state is ahead of the balancer's
@@ -31,14 +31,14 @@
 		o := d.Overall(l.Clock.Now())
 		var reasons []any
 		for w, n := range o.GivenUp {
-			reasons = append(reasons, slog.Int(balance.Why(w).String(), n))
+			reasons = append(reasons, slog.Int(balance.GiveUpReason(w).String(), n))
 		}
-		l.Log.Log(context.Background(), l.viewLevel, "caches viewed", "gate", hundredths(o.Gate), "origin_gate", hundredths(o.OriginGate),
-			"errors", hundredths(o.Errors), "latency", o.Latency.Round(time.Millisecond), "taking", o.Taking.Round(time.Millisecond),
-			"retries", hundredths(o.Retries), "excluded", o.Excluded, "caches", o.Caches, slog.Group("given_up", reasons...))
+		l.Log.Log(context.Background(), l.viewLevel, "caches viewed", "gate", hundredths(o.CacheGate), "origin_gate", hundredths(o.OriginGate),
+			"errors", hundredths(o.Errors), "latency", o.Latency.Round(time.Millisecond), "taking", o.FleetLatency.Round(time.Millisecond),
+			"retries", hundredths(o.Retries), "excluded", o.Ejected, "caches", o.Caches, slog.Group("given_up", reasons...))
 		for n, s := range o.Sites {
-			l.Log.Log(context.Background(), l.viewLevel, "site viewed", "site", s.Zone, "order", n, "state", s.State, "part", hundredths(s.Part),
-				"up", s.Up, "absent", hundredths(s.Absent), "connect", s.Connect.Round(10*time.Microsecond), "fetches", hundredths(o.Fetches))
+			l.Log.Log(context.Background(), l.viewLevel, "site viewed", "site", s.Zone, "order", n, "state", s.State, "part", hundredths(s.KeyShare),
+				"up", s.Up, "absent", hundredths(s.FailShare), "connect", s.Connect.Round(10*time.Microsecond), "fetches", hundredths(o.MaxFetches))
 		}
 	}
 	tracked, running := map[balance.ServerID]int{}, map[balance.ServerID]int{}
@@ -54,13 +54,13 @@
 	}
 	for _, v := range l.balancer.View(l.Clock.Now()) {
 		level := l.viewLevel
-		if v.Out != tracked[v.Server] {
-			l.Counts.Astray.Add(1)
+		if v.InFlight != tracked[v.Server] {
+			l.Counters.InFlightMismatches.Add(1)
 			level = slog.LevelError
 		}
-		l.Log.Log(context.Background(), level, "server viewed", "server", v.Server, "counted", v.Out, "booked", tracked[v.Server],
-			"under_way", running[v.Server], "limit", int(v.Limit), "excluded", v.Excluded.Round(time.Millisecond), "trial", v.Trial,
-			"fails", v.Fails, "warmth", hundredths(v.Warmth), "heard", v.Heard.Round(time.Millisecond))
+		l.Log.Log(context.Background(), level, "server viewed", "server", v.Server, "counted", v.InFlight, "booked", tracked[v.Server],
+			"under_way", running[v.Server], "limit", int(v.Limit), "excluded", v.EjectedFor.Round(time.Millisecond), "trial", v.Trial,
+			"fails", v.Fails, "warmth", hundredths(v.WarmFraction), "heard", v.SinceAnswer.Round(time.Millisecond))
 	}
 }
 
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -4,18 +4,18 @@
 
 // Step is a transition: the name of an action and the state after it.
 type Step[S any] struct {
-	Name string
-	Then S
+	Name  string
+	State S
 }
 
 // Model defines a state space.
 type Model[S any] struct {
-	Start S
-	Next  func(S) []Step[S] // transitions from a state
-	Fault func(S) string    // describes the violated invariant; empty if there is none
-	ID    func(S) string    // equal for equivalent states, of which only the first is visited
-	Depth int               // maximum number of steps; 0: unlimited
-	Most  int               // maximum number of states: the search visits no more, so a caller should check that Walk returns fewer
+	Start     S
+	Next      func(S) []Step[S] // transitions from a state
+	Fault     func(S) string    // describes the violated invariant; empty if there is none
+	ID        func(S) string    // equal for equivalent states, of which only the first is visited
+	MaxDepth  int               // maximum number of steps; 0: unlimited
+	MaxStates int               // maximum number of states: the search visits no more, so a caller should check that Walk returns fewer
 }
 
 // Walk visits every reachable state after Start, fewest steps first. It returns the first fault with the names of the steps that lead to
@@ -26,20 +26,20 @@
 		path  []string
 	}
 	seen, frontier := map[string]bool{m.ID(m.Start): true}, []node{{state: m.Start}}
-	for depth := 0; len(frontier) > 0 && (m.Depth == 0 || depth < m.Depth); depth++ {
+	for depth := 0; len(frontier) > 0 && (m.MaxDepth == 0 || depth < m.MaxDepth); depth++ {
 		var next []node
 		for _, p := range frontier {
 			for _, s := range m.Next(p.state) {
-				if id := m.ID(s.Then); seen[id] || len(seen) >= m.Most {
+				if id := m.ID(s.State); seen[id] || len(seen) >= m.MaxStates {
 					continue
 				} else {
 					seen[id] = true
 				}
 				path := append(p.path[:len(p.path):len(p.path)], s.Name)
-				if f := m.Fault(s.Then); f != "" {
+				if f := m.Fault(s.State); f != "" {
 					return f, path, len(seen)
 				}
-				next = append(next, node{s.Then, path})
+				next = append(next, node{s.State, path})
 			}
 		}
 		frontier = next
--- a/internal/facts/codec.go
+++ b/internal/facts/codec.go
@@ -12,8 +12,8 @@
 // A message is one datagram of at most MostBytes: a magic byte, a version, a message type and the body. Messages of another version are
 // ignored; their facts arrive through a peer that speaks this version, or not at all. A truncated message is rejected as a whole.
 
-// MostBytes is the maximum length of a datagram in bytes.
-const MostBytes = 256
+// MaxDatagramBytes is the maximum length of a datagram in bytes.
+const MaxDatagramBytes = 256
 
 const (
 	magicByte = 0xFA // about one attempt message in eight million starts with these magic, version and type bytes by chance
@@ -34,8 +34,8 @@
 	return len(data) > 2 && data[0] == magicByte && data[1] == version && data[2] >= byte(typeFacts) && data[2] <= byte(typeDigestQuery)
 }
 
-// ErrMessage is returned for a datagram that is malformed or is not a message of this package.
-var ErrMessage = errors.New("not a message of facts")
+// ErrMalformedMessage is returned for a datagram that is malformed or is not a message of this package.
+var ErrMalformedMessage = errors.New("not a message of facts")
 
 // message is the decoded content of a datagram.
 type message struct {
@@ -119,15 +119,15 @@
 func (r *reader) fact(now time.Duration) (name Name, fact Fact) {
 	name.Kind = Kind(r.byte())
 	name.Subject = string(r.bytes(r.byte()))
-	incarnations := make([]Life, r.byte())
-	if fact.Seen = map[Life]uint32{}; len(incarnations) > maxIncarnations {
+	incarnations := make([]Incarnation, r.byte())
+	if fact.Seen = map[Incarnation]uint32{}; len(incarnations) > maxIncarnations {
 		r.malformed = true
 	}
 	for i := range incarnations {
 		if r.malformed {
 			return name, fact
 		}
-		incarnations[i] = Life(binary.BigEndian.Uint32(r.bytes(4)))
+		incarnations[i] = Incarnation(binary.BigEndian.Uint32(r.bytes(4)))
 		fact.Seen[incarnations[i]] = uint32(r.uvarint(math.MaxUint32))
 	}
 	for range r.byte() {
@@ -153,13 +153,13 @@
 // decode decodes a datagram received at now, by the receiver's clock.
 func decode(now time.Duration, data []byte) (m message, err error) {
 	r := &reader{data: data}
-	if len(data) > MostBytes || r.byte() != magicByte || r.byte() != version {
-		return m, ErrMessage
+	if len(data) > MaxDatagramBytes || r.byte() != magicByte || r.byte() != version {
+		return m, ErrMalformedMessage
 	}
 	m.typ = messageType(r.byte())
 	m.prefix = prefix{uint64(binary.BigEndian.Uint32(r.bytes(4))) << 32, r.byte()}
 	if m.prefix.depth > maxPrefixDepth || m.prefix != m.prefix.truncate(m.prefix.depth) {
-		return m, ErrMessage
+		return m, ErrMalformedMessage
 	}
 	switch m.typ {
 	case typeFacts:
@@ -173,10 +173,10 @@
 			m.childHashes[i] = binary.BigEndian.Uint32(r.bytes(4))
 		}
 	default:
-		return m, ErrMessage
+		return m, ErrMalformedMessage
 	}
 	if r.malformed || m.typ != typeFacts && len(r.data) > 0 {
-		return m, ErrMessage
+		return m, ErrMalformedMessage
 	}
 	return m, nil
 }
@@ -205,15 +205,15 @@
 	return data
 }
 
-// ErrSnapshot is returned for a snapshot that is malformed or has another version.
-var ErrSnapshot = errors.New("not a snapshot of facts")
+// ErrMalformedSnapshot is returned for a snapshot that is malformed or has another version.
+var ErrMalformedSnapshot = errors.New("not a snapshot of facts")
 
 // Load merges a snapshot into the store. written is when the snapshot was taken, by this store's clock, and is usually before the clock's
 // start (negative). A malformed snapshot leaves the store unchanged.
 func (s *Store) Load(written time.Duration, data []byte) error {
 	r := &reader{data: data}
 	if r.byte() != version {
-		return ErrSnapshot
+		return ErrMalformedSnapshot
 	}
 	var all []namedFact
 	for len(r.data) > 0 {
@@ -221,10 +221,10 @@
 		all = append(all, namedFact{n, f})
 	}
 	if r.malformed {
-		return ErrSnapshot
+		return ErrMalformedSnapshot
 	}
 	for _, f := range all {
-		s.Take(f.name, f.fact)
+		s.Apply(f.name, f.fact)
 	}
 	return nil
 }
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -20,29 +20,29 @@
 
 // The kinds of facts, each with the rule that decides between concurrent copies.
 const (
-	Order Kind = 1 // an operator's order for a cache server, Back or Out; Out wins, because it preserves a drain
-	Cold  Kind = 2 // start time of a cache server in Unix milliseconds; the latest wins: a server that may be cold is treated as cold
+	AdminState Kind = 1 // an operator's order for a cache server, Back or Out; Out wins, because it preserves a drain
+	StartTime  Kind = 2 // start time of a cache server in Unix milliseconds; the latest wins: a server that may be cold is treated as cold
 )
 
 // String returns the kind's name as shown to operators.
 func (k Kind) String() string {
 	switch k {
-	case Order:
+	case AdminState:
 		return "order"
-	case Cold:
+	case StartTime:
 		return "cold"
 	}
 	return strconv.Itoa(int(k))
 }
 
-// Says formats a value of this kind for operators.
-func (k Kind) Says(value int64) string {
+// FormatValue formats a value of this kind for operators.
+func (k Kind) FormatValue(value int64) string {
 	switch {
-	case k == Order && value == Out:
+	case k == AdminState && value == Drained:
 		return "out"
-	case k == Order && value == Back:
+	case k == AdminState && value == InService:
 		return "back"
-	case k == Cold:
+	case k == StartTime:
 		return time.UnixMilli(value).UTC().Format(time.RFC3339)
 	}
 	return strconv.FormatInt(value, 10)
@@ -50,8 +50,8 @@
 
 // Values of an Order.
 const (
-	Back int64 = 0 // the server is in service
-	Out  int64 = 1 // the server is drained
+	InService int64 = 0 // the server is in service
+	Drained   int64 = 1 // the server is drained
 )
 
 // Name identifies a fact.
@@ -62,17 +62,17 @@
 
 // Limits on a fact's size, so that any single fact fits into one datagram. MostSubject is in bytes.
 const (
-	MostSubject     = 48
+	MaxSubjectBytes = 48
 	maxIncarnations = 6 // incarnations that are remembered as writers of one fact
 )
 
-// Life identifies an incarnation of a router: the writer of facts from a start without stored state until that state is lost. It is drawn
+// Incarnation identifies an incarnation of a router: the writer of facts from a start without stored state until that state is lost. It is drawn
 // at random, so that a router that has lost its state can't issue the same Dot for two writes.
-type Life uint32
+type Incarnation uint32
 
 // Dot identifies one write of a fact: the writer's incarnation and its count of writes to this fact, from 1.
 type Dot struct {
-	Life  Life
+	Life  Incarnation
 	Count uint32
 }
 
@@ -87,7 +87,7 @@
 // its writes that have been seen (a version vector). A write that has been seen and is not among the copies has been superseded.
 type Fact struct {
 	Copies []Copy // by dot
-	Seen   map[Life]uint32
+	Seen   map[Incarnation]uint32
 }
 
 func byDot(a, b Copy) int {
@@ -100,7 +100,7 @@
 func Merge(a, b Fact) Fact {
 	merged := Fact{Seen: maps.Clone(a.Seen)}
 	if merged.Seen == nil {
-		merged.Seen = map[Life]uint32{}
+		merged.Seen = map[Incarnation]uint32{}
 	}
 	for incarnation, count := range b.Seen {
 		merged.Seen[incarnation] = max(merged.Seen[incarnation], count)
@@ -131,7 +131,7 @@
 // partition had more writers than that, it drops copies whose value another copy has as well, and then those with the fewest writes.
 func (f *Fact) limitIncarnations() {
 	for len(f.Seen) > maxIncarnations {
-		weight := func(incarnation Life) int {
+		weight := func(incarnation Incarnation) int {
 			i := slices.IndexFunc(f.Copies, func(c Copy) bool { return c.Dot.Life == incarnation })
 			if i < 0 {
 				return 0
@@ -141,7 +141,7 @@
 			}
 			return 2
 		}
-		victim := slices.MinFunc(slices.Collect(maps.Keys(f.Seen)), func(a, b Life) int {
+		victim := slices.MinFunc(slices.Collect(maps.Keys(f.Seen)), func(a, b Incarnation) int {
 			return cmp.Or(cmp.Compare(weight(a), weight(b)), cmp.Compare(f.Seen[a], f.Seen[b]), cmp.Compare(a, b))
 		})
 		delete(f.Seen, victim)
@@ -173,7 +173,7 @@
 
 // Store is one router's replica of all facts.
 type Store struct {
-	incarnation Life
+	incarnation Incarnation
 	facts       map[Name]entry
 	maxFacts    int
 	filter      func(Name) bool // names that are accepted; nil: all
@@ -189,15 +189,15 @@
 
 // NewStore returns an empty store that holds at most maxFacts facts. The incarnation must be drawn at random at each start without stored
 // state.
-func NewStore(incarnation Life, maxFacts int) *Store {
+func NewStore(incarnation Incarnation, maxFacts int) *Store {
 	return &Store{incarnation: incarnation, facts: map[Name]entry{}, maxFacts: maxFacts}
 }
 
 // Len returns the number of facts.
 func (s *Store) Len() int { return len(s.facts) }
 
-// Sum returns a digest of all facts. It is equal at routers with equal facts and, barring a hash collision, at no others.
-func (s *Store) Sum() (sum uint64) {
+// Digest returns a digest of all facts. It is equal at routers with equal facts and, barring a hash collision, at no others.
+func (s *Store) Digest() (sum uint64) {
 	for _, f := range s.facts {
 		sum += f.contentHash
 	}
@@ -225,7 +225,7 @@
 func (s *Store) Write(now time.Duration, n Name, value int64) bool {
 	previous, known := s.facts[n]
 	f := previous.Fact
-	if known && (n.Kind != Order || value != Out) && !slices.ContainsFunc(f.Copies, func(c Copy) bool { return c.Value != value }) {
+	if known && (n.Kind != AdminState || value != Drained) && !slices.ContainsFunc(f.Copies, func(c Copy) bool { return c.Value != value }) {
 		return true
 	}
 	if !known && len(s.facts) >= s.maxFacts || !s.accepts(n) {
@@ -234,7 +234,7 @@
 	dot := Dot{s.incarnation, f.Seen[s.incarnation] + 1}
 	seen := maps.Clone(f.Seen)
 	if seen == nil {
-		seen = map[Life]uint32{}
+		seen = map[Incarnation]uint32{}
 	}
 	seen[s.incarnation] = dot.Count
 	f = Fact{Copies: []Copy{{dot, value, now}}, Seen: seen}
@@ -243,8 +243,8 @@
 	return true
 }
 
-// Take merges another router's replica of a fact into the store and reports whether that changed the fact.
-func (s *Store) Take(n Name, f Fact) bool {
+// Apply merges another router's replica of a fact into the store and reports whether that changed the fact.
+func (s *Store) Apply(n Name, f Fact) bool {
 	previous, known := s.facts[n]
 	if !s.accepts(n) || len(f.Seen) == 0 || !known && len(s.facts) >= s.maxFacts {
 		return false
@@ -257,9 +257,9 @@
 	return s.facts[n].contentHash != previous.contentHash
 }
 
-// Keep removes all facts whose name the filter rejects, and rejects them from then on. Facts of a server that has been off the discovery
+// Retain removes all facts whose name the filter rejects, and rejects them from then on. Facts of a server that has been off the discovery
 // list for longer than any router runs without a list are removed this way, and a router that still holds them can't bring them back.
-func (s *Store) Keep(accepted func(Name) bool) {
+func (s *Store) Retain(accepted func(Name) bool) {
 	s.filter = accepted
 	maps.DeleteFunc(s.facts, func(n Name, _ entry) bool { return !s.accepts(n) })
 }
@@ -268,5 +268,5 @@
 func (s *Store) accepts(n Name) bool { return validName(n) && (s.filter == nil || s.filter(n)) }
 
 func validName(n Name) bool {
-	return (n.Kind == Order || n.Kind == Cold) && n.Subject != "" && len(n.Subject) <= MostSubject
+	return (n.Kind == AdminState || n.Kind == StartTime) && n.Subject != "" && len(n.Subject) <= MaxSubjectBytes
 }
--- a/internal/facts/facts_test.go
+++ b/internal/facts/facts_test.go
@@ -13,20 +13,20 @@
 	"cedarmast/internal/explore"
 )
 
-var testName = Name{Order, "north-c1"}
+var testName = Name{AdminState, "north-c1"}
 
 // drawStores draws three stores that hold one fact after writes and merges between them in a random order.
 func drawStores(t *rapid.T) []*Store {
 	all := make([]*Store, 3)
 	for i := range all {
-		all[i] = NewStore(Life(i+1), 10)
+		all[i] = NewStore(Incarnation(i+1), 10)
 	}
 	for range rapid.IntRange(0, 12).Draw(t, "steps") {
 		a, b := rapid.IntRange(0, 2).Draw(t, "a"), rapid.IntRange(0, 2).Draw(t, "b")
 		if a == b {
 			all[a].Write(time.Duration(rapid.IntRange(0, 100).Draw(t, "at")), testName, rapid.Int64Range(0, 2).Draw(t, "value"))
 		} else if f, ok := all[b].Get(testName); ok {
-			all[a].Take(testName, f)
+			all[a].Apply(testName, f)
 		}
 	}
 	return all
@@ -61,23 +61,23 @@
 		want      int64
 		wantCount int
 	}{
-		{Order, Out, Back, true, Back, 1},
-		{Order, Back, Out, true, Out, 1},
-		{Order, Out, Back, false, Out, 2},
-		{Order, Back, Out, false, Out, 2},
-		{Cold, 2000, 1000, true, 1000, 1}, // discovery has corrected a start time
-		{Cold, 2000, 1000, false, 2000, 2},
+		{AdminState, Drained, InService, true, InService, 1},
+		{AdminState, InService, Drained, true, Drained, 1},
+		{AdminState, Drained, InService, false, Drained, 2},
+		{AdminState, InService, Drained, false, Drained, 2},
+		{StartTime, 2000, 1000, true, 1000, 1}, // discovery has corrected a start time
+		{StartTime, 2000, 1000, false, 2000, 2},
 	} {
 		n := Name{c.kind, "c1"}
 		x, y := NewStore(1, 10), NewStore(2, 10)
 		x.Write(time.Hour, n, c.a) // by a clock far ahead, which must not matter
 		if c.later {
 			f, _ := x.Get(n)
-			y.Take(n, f)
+			y.Apply(n, f)
 		}
 		y.Write(0, n, c.b)
 		f, _ := y.Get(n)
-		x.Take(n, f)
+		x.Apply(n, f)
 		f, _ = x.Get(n)
 		if got, ok := f.Value(); !ok || got != c.want || len(f.Copies) != c.wantCount {
 			t.Errorf("%+v: %d, %d copies", c, got, len(f.Copies))
@@ -94,22 +94,22 @@
 // is kept. A full store and an unknown kind reject a new fact.
 func TestIncarnationsAreBounded(t *testing.T) {
 	f, out := Fact{}, NewStore(1000, 1)
-	out.Write(0, testName, Out)
+	out.Write(0, testName, Drained)
 	o, _ := out.Get(testName)
 	for l := range 50 {
-		s := NewStore(Life(l+1), 1)
-		s.Write(0, testName, Back)
+		s := NewStore(Incarnation(l+1), 1)
+		s.Write(0, testName, InService)
 		g, _ := s.Get(testName)
 		f = Merge(f, g)
 		if l == 25 {
 			f = Merge(f, o)
 		}
 	}
-	if v, _ := f.Value(); v != Out || len(f.Seen) > maxIncarnations || len(f.Copies) > maxIncarnations {
+	if v, _ := f.Value(); v != Drained || len(f.Seen) > maxIncarnations || len(f.Copies) > maxIncarnations {
 		t.Errorf("value %d, %d lives, %d copies", v, len(f.Seen), len(f.Copies))
 	}
 	s := NewStore(1, 1)
-	if !s.Write(0, testName, Out) || s.Write(0, Name{Order, "c2"}, Out) || s.Write(0, Name{9, "c2"}, 1) {
+	if !s.Write(0, testName, Drained) || s.Write(0, Name{AdminState, "c2"}, Drained) || s.Write(0, Name{9, "c2"}, 1) {
 		t.Error("a full store accepted another fact, or one of an unknown kind")
 	}
 }
@@ -117,11 +117,11 @@
 // A removed fact is not brought back by a router that still has it.
 func TestDroppedFactStaysDropped(t *testing.T) {
 	a, b := NewStore(1, 10), NewStore(2, 10)
-	a.Write(0, testName, Out)
+	a.Write(0, testName, Drained)
 	f, _ := a.Get(testName)
-	b.Take(testName, f)
-	a.Keep(func(n Name) bool { return n.Subject != testName.Subject })
-	if a.Take(testName, f) || a.Len() > 0 {
+	b.Apply(testName, f)
+	a.Retain(func(n Name) bool { return n.Subject != testName.Subject })
+	if a.Apply(testName, f) || a.Len() > 0 {
 		t.Error("a removed fact was accepted again")
 	}
 }
@@ -130,8 +130,8 @@
 // message that may arrive late, twice or never, and all writes, each with the set of writes that its writer had seen.
 type modelState struct {
 	stores          [3]Fact
-	incarnations    [3]Life
-	lastIncarnation Life
+	incarnations    [3]Incarnation
+	lastIncarnation Incarnation
 	knownWrites     [3]uint // sets of indices into writes, as bits
 	delayed         Fact
 	delayedWrites   uint // writes that the delayed message contains
@@ -155,7 +155,7 @@
 			return w, "", false
 		}
 		s := NewStore(w.incarnations[a], 10)
-		s.Take(testName, w.stores[a])
+		s.Apply(testName, w.stores[a])
 		before, _ := s.Get(testName)
 		s.Write(0, testName, int64(action))
 		f, _ := s.Get(testName)
@@ -244,14 +244,14 @@
 
 // exploreOrders explores every order of actions. Facts are merged independently of one another, so one fact is enough.
 func exploreOrders(reuseIncarnation bool) (fault string, states int) {
-	m := explore.Model[modelState]{Start: modelState{incarnations: [3]Life{1, 2, 3}, lastIncarnation: 3},
-		Fault: modelState.findFault, ID: modelState.key, Most: 300_000}
+	m := explore.Model[modelState]{Start: modelState{incarnations: [3]Incarnation{1, 2, 3}, lastIncarnation: 3},
+		Fault: modelState.findFault, ID: modelState.key, MaxStates: 300_000}
 	m.Next = func(w modelState) (all []explore.Step[modelState]) {
 		for action := range 6 {
 			for a := range 3 {
 				for b := range 3 {
 					if next, did, ok := w.step(action, a, b, reuseIncarnation); ok && (action == 5 || b == 0) {
-						all = append(all, explore.Step[modelState]{Name: did, Then: next})
+						all = append(all, explore.Step[modelState]{Name: did, State: next})
 					}
 				}
 			}
@@ -285,18 +285,18 @@
 // router that receives the second write.
 func TestRepeatedValueIsNotRewritten(t *testing.T) {
 	x, y := NewStore(1, 10), NewStore(2, 10)
-	x.Write(0, testName, Back)
-	y.Write(0, testName, Back)
+	x.Write(0, testName, InService)
+	y.Write(0, testName, InService)
 	f, _ := y.Get(testName)
-	x.Take(testName, f)
-	sum := x.Sum()
-	if !x.Write(time.Hour, testName, Back) || x.Sum() != sum {
+	x.Apply(testName, f)
+	sum := x.Digest()
+	if !x.Write(time.Hour, testName, InService) || x.Digest() != sum {
 		t.Error("a value that both copies already have was written again")
 	}
-	if !x.Write(time.Hour, testName, Out) || x.Sum() == sum {
+	if !x.Write(time.Hour, testName, Drained) || x.Digest() == sum {
 		t.Error("an order with another value was not written")
 	}
-	if sum = x.Sum(); !x.Write(time.Hour, testName, Out) || x.Sum() == sum {
+	if sum = x.Digest(); !x.Write(time.Hour, testName, Drained) || x.Digest() == sum {
 		t.Error("a repeated order Out is not written again, so a concurrent Back that has not arrived could win")
 	}
 }
@@ -305,25 +305,25 @@
 // nothing.
 func TestSnapshot(t *testing.T) {
 	a, b := NewStore(1, 10), NewStore(2, 10)
-	a.Write(time.Hour, testName, Out)
-	a.Write(time.Hour, Name{Order, "south-c1"}, Back)
+	a.Write(time.Hour, testName, Drained)
+	a.Write(time.Hour, Name{AdminState, "south-c1"}, InService)
 	text := a.Snapshot(time.Hour + time.Minute)
-	if err := b.Load(0, text[:len(text)-1]); err != ErrSnapshot || b.Len() > 0 {
+	if err := b.Load(0, text[:len(text)-1]); err != ErrMalformedSnapshot || b.Len() > 0 {
 		t.Errorf("cut short: %v, %d facts", err, b.Len())
 	}
-	if err := NewStore(3, 10).Load(0, append([]byte{version + 1}, text[1:]...)); err != ErrSnapshot {
+	if err := NewStore(3, 10).Load(0, append([]byte{version + 1}, text[1:]...)); err != ErrMalformedSnapshot {
 		t.Errorf("another version: %v", err)
 	}
-	if err := b.Load(-time.Minute, text); err != nil || b.Sum() != a.Sum() {
+	if err := b.Load(-time.Minute, text); err != nil || b.Digest() != a.Digest() {
 		t.Errorf("%v, %d facts of %d", err, b.Len(), a.Len())
 	}
 	if f, _ := b.Get(testName); f.Copies[0].Since != -2*time.Minute {
 		t.Errorf("written %v before the start", f.Copies[0].Since)
 	}
-	b.Write(0, testName, Back) // supersedes the stored copy, although the incarnation differs
+	b.Write(0, testName, InService) // supersedes the stored copy, although the incarnation differs
 	f, _ := b.Get(testName)
-	a.Take(testName, f)
-	if f, _ = a.Get(testName); len(f.Copies) != 1 || f.Copies[0].Value != Back {
+	a.Apply(testName, f)
+	if f, _ = a.Get(testName); len(f.Copies) != 1 || f.Copies[0].Value != InService {
 		t.Errorf("an order after the restart: %+v", f)
 	}
 }
@@ -331,8 +331,8 @@
 // Facts of a server that has been off the list for After are removed, and routers that still hold them can't bring them back. A server that
 // is listed again can have facts again. A router without a list removes nothing.
 func TestForgetter(t *testing.T) {
-	s, g := NewStore(1, 10), Forgetter{After: time.Hour}
-	s.Write(0, testName, Out)
+	s, g := NewStore(1, 10), Expirer{After: time.Hour}
+	s.Write(0, testName, Drained)
 	kept := s.facts[testName].Fact
 	listed := map[string]bool{testName.Subject: true}
 	for _, step := range []struct {
@@ -343,10 +343,10 @@
 		{2 * time.Hour, map[string]bool{"b": true}, true}, {150 * time.Minute, map[string]bool{"b": true}, true},
 		{3 * time.Hour, map[string]bool{"b": true}, false}, {200 * time.Minute, listed, true}} {
 		_, had := s.Get(testName)
-		if gone := g.Listed(step.at, s, step.list); (len(gone) == 1) != (had && !step.has) {
+		if gone := g.ApplyList(step.at, s, step.list); (len(gone) == 1) != (had && !step.has) {
 			t.Errorf("at %v: removed %v", step.at, gone)
 		}
-		s.Take(testName, kept)
+		s.Apply(testName, kept)
 		if _, has := s.Get(testName); has != step.has {
 			t.Errorf("at %v with %v: held %v", step.at, step.list, has)
 		}
--- a/internal/facts/gossip.go
+++ b/internal/facts/gossip.go
@@ -13,8 +13,8 @@
 
 // Period is the interval between calls of a Spreader's Tick. HurryPeriod is the interval until the router is synced, since clients wait for that.
 const (
-	Period      = 200 * time.Millisecond
-	HurryPeriod = 50 * time.Millisecond
+	TickInterval    = 200 * time.Millisecond
+	CatchUpInterval = 50 * time.Millisecond
 )
 
 // Limits on what a router sends. With nothing new it sends one digest of 72 bytes a period, however many routers and facts there are.
@@ -54,11 +54,11 @@
 	Text []byte
 }
 
-// Spreader replicates a store's facts to the other routers by gossip. News goes to a few random peers, each of which forwards it in turn.
+// Gossiper replicates a store's facts to the other routers by gossip. News goes to a few random peers, each of which forwards it in turn.
 // Anti-entropy compares digests with one random peer after another and finds whatever the forwarding lost. A router that returns with no
 // facts, or with old copies, catches up by the same comparison, prefix by prefix. It depends on no single peer: the next digest goes to
 // another one.
-type Spreader struct {
+type Gossiper struct {
 	*Store
 	routerCount, self int
 	rng               *rand.Rand
@@ -70,42 +70,42 @@
 	learnedTotal      int64         // changes of facts by peers since the start
 }
 
-// NewSpreader returns the spreader of the router with index self, from 0, among routerCount routers.
-func NewSpreader(s *Store, routerCount, self int, seed uint64) *Spreader {
-	return &Spreader{Store: s, routerCount: routerCount, self: self,
+// NewGossiper returns the spreader of the router with index self, from 0, among routerCount routers.
+func NewGossiper(s *Store, routerCount, self int, seed uint64) *Gossiper {
+	return &Gossiper{Store: s, routerCount: routerCount, self: self,
 		rng: rand.New(rand.NewPCG(seed, uint64(self))), pendingNews: map[Name]int{}, changed: map[Name]bool{}}
 }
 
-// InStep reports whether this router's facts have been equal to those of a peer that was itself synced, or Alone has been called. It
+// Synced reports whether this router's facts have been equal to those of a peer that was itself synced, or Alone has been called. It
 // stays true from then on.
-func (s *Spreader) InStep() bool { return s.synced }
+func (s *Gossiper) Synced() bool { return s.synced }
 
-// Learned returns how many times a peer's message has changed a fact since the start.
-func (s *Spreader) Learned() int64 { return s.learnedTotal }
+// LearnedTotal returns how many times a peer's message has changed a fact since the start.
+func (s *Gossiper) LearnedTotal() int64 { return s.learnedTotal }
 
-// Told reports whether Changed would return any names.
-func (s *Spreader) Told() bool { return len(s.changed) > 0 }
+// HasChanges reports whether Changed would return any names.
+func (s *Gossiper) HasChanges() bool { return len(s.changed) > 0 }
 
-// Changed returns the names of the facts that peers have changed since the last call, sorted.
-func (s *Spreader) Changed() []Name {
+// TakeChanges returns the names of the facts that peers have changed since the last call, sorted.
+func (s *Gossiper) TakeChanges() []Name {
 	names := slices.SortedFunc(maps.Keys(s.changed), byName)
 	clear(s.changed)
 	return names
 }
 
-// Due returns the interval until the next call of Tick.
-func (s *Spreader) Due() time.Duration {
+// NextTick returns the interval until the next call of Tick.
+func (s *Gossiper) NextTick() time.Duration {
 	if s.synced {
-		return Period
+		return TickInterval
 	}
-	return HurryPeriod
+	return CatchUpInterval
 }
 
-// Alone marks this router as synced because no peer can be reached that could have newer facts.
-func (s *Spreader) Alone() { s.synced = true }
+// MarkSynced marks this router as synced because no peer can be reached that could have newer facts.
+func (s *Gossiper) MarkSynced() { s.synced = true }
 
 // Set writes a value, as Store.Write does, and queues the fact to be sent to peers.
-func (s *Spreader) Set(now time.Duration, n Name, value int64) bool {
+func (s *Gossiper) Set(now time.Duration, n Name, value int64) bool {
 	if !s.Write(now, n, value) {
 		return false
 	}
@@ -115,10 +115,10 @@
 
 // newsRepeats returns how many times a router sends a changed fact, each time to one random peer: twice the number of
 // doublings after which all routers are reached, plus one.
-func (s *Spreader) newsRepeats() int { return 2*bits.Len(uint(s.routerCount)) + 1 }
+func (s *Gossiper) newsRepeats() int { return 2*bits.Len(uint(s.routerCount)) + 1 }
 
 // randomPeer returns the index of a random router other than this one.
-func (s *Spreader) randomPeer() int {
+func (s *Gossiper) randomPeer() int {
 	to := s.rng.IntN(s.routerCount - 1)
 	if to >= s.self {
 		to++
@@ -127,7 +127,7 @@
 }
 
 // Tick starts a new period and returns its datagrams: news, and digests to random peers. The caller calls it every Due.
-func (s *Spreader) Tick(now time.Duration) (out []Message) {
+func (s *Gossiper) Tick(now time.Duration) (out []Message) {
 	if s.repliesSent = 0; s.routerCount < 2 {
 		return nil
 	}
@@ -147,9 +147,9 @@
 	return out
 }
 
-// Burst returns datagrams that send a fact to newsRepeats random peers at once. Call it after Set: the router may crash before its next
+// Announce returns datagrams that send a fact to newsRepeats random peers at once. Call it after Set: the router may crash before its next
 // Tick, and a single datagram to a single peer may be lost.
-func (s *Spreader) Burst(now time.Duration, n Name) (out []Message) {
+func (s *Gossiper) Announce(now time.Duration, n Name) (out []Message) {
 	if _, ok := s.facts[n]; !ok || s.routerCount < 2 {
 		return nil
 	}
@@ -161,7 +161,7 @@
 }
 
 // sendNews returns the datagrams with news for one tick.
-func (s *Spreader) sendNews(now time.Duration) (out []Message) {
+func (s *Gossiper) sendNews(now time.Duration) (out []Message) {
 	due := make([]Name, 0, len(s.pendingNews))
 	for n := range s.pendingNews {
 		due = append(due, n)
@@ -184,7 +184,7 @@
 
 // encodeFacts encodes as many of the named facts as fit one datagram and returns how many names were consumed. Names whose facts have been
 // removed count as consumed.
-func (s *Spreader) encodeFacts(now time.Duration, m message, names []Name) (data []byte, n int) {
+func (s *Gossiper) encodeFacts(now time.Duration, m message, names []Name) (data []byte, n int) {
 	flag := byte(0)
 	if m.wantsReply {
 		flag = 1
@@ -193,7 +193,7 @@
 	for _, name := range names {
 		if f, ok := s.facts[name]; ok {
 			extended := appendFact(data, now, name, f.Fact)
-			if len(extended) > MostBytes {
+			if len(extended) > MaxDatagramBytes {
 				break
 			}
 			data = extended
@@ -205,7 +205,7 @@
 
 // answerWithFacts returns datagrams with the facts under a prefix, up to maxDatagramsPerAnswer, starting at a random one, so that further
 // answers cover other facts.
-func (s *Spreader) answerWithFacts(now time.Duration, to int, p prefix) (out []Message) {
+func (s *Gossiper) answerWithFacts(now time.Duration, to int, p prefix) (out []Message) {
 	names := s.namesUnder(p)
 	if len(names) > 0 {
 		start := s.rng.IntN(len(names))
@@ -219,7 +219,7 @@
 }
 
 // digest returns a digest message for a prefix: for each child the sum of the hashes of the facts under it.
-func (s *Spreader) digest(p prefix) message {
+func (s *Gossiper) digest(p prefix) message {
 	m := message{typ: typeDigest, prefix: p}
 	for _, f := range s.facts {
 		if p.contains(f.nameHash) {
@@ -230,7 +230,7 @@
 }
 
 // namesUnder returns the names of the facts under a prefix, ordered by the hash of the name.
-func (s *Spreader) namesUnder(p prefix) (names []Name) {
+func (s *Gossiper) namesUnder(p prefix) (names []Name) {
 	for n, f := range s.facts {
 		if p.contains(f.nameHash) {
 			names = append(names, n)
@@ -241,7 +241,7 @@
 }
 
 // Handle processes a datagram from the router with index from and returns the answers. Malformed datagrams are ignored.
-func (s *Spreader) Handle(now time.Duration, from int, data []byte) (out []Message) {
+func (s *Gossiper) Handle(now time.Duration, from int, data []byte) (out []Message) {
 	m, err := decode(now, data)
 	if err != nil || from == s.self || from < 0 || from >= s.routerCount {
 		return nil
@@ -249,7 +249,7 @@
 	switch m.typ {
 	case typeFacts:
 		for _, f := range m.facts {
-			if s.Take(f.name, f.fact) {
+			if s.Apply(f.name, f.fact) {
 				s.pendingNews[f.name], s.changed[f.name] = s.newsRepeats(), true
 				s.learnedSinceTick++
 				s.learnedTotal++
--- a/internal/facts/gossip_test.go
+++ b/internal/facts/gossip_test.go
@@ -7,27 +7,27 @@
 
 // A flood of queries is answered with at most maxRepliesPerTick datagrams per tick.
 func TestQueryFloodIsBounded(t *testing.T) {
-	s := NewSpreader(NewStore(1, 500), 3, 0, 1)
+	s := NewGossiper(NewStore(1, 500), 3, 0, 1)
 	for i := range 500 {
-		s.Write(0, Name{Order, string(rune('a'+i%26)) + string(rune('a'+i/26))}, Out)
+		s.Write(0, Name{AdminState, string(rune('a'+i%26)) + string(rune('a'+i/26))}, Drained)
 	}
 	sent := 0
-	question := NewSpreader(NewStore(2, 1), 3, 1, 1).digest(prefix{}).encodeDigest()
+	question := NewGossiper(NewStore(2, 1), 3, 1, 1).digest(prefix{}).encodeDigest()
 	for range 10_000 {
 		for _, m := range s.Handle(0, 1, question) {
 			sent += len(m.Text)
 		}
 	}
-	if sent == 0 || sent > maxRepliesPerTick*MostBytes {
+	if sent == 0 || sent > maxRepliesPerTick*MaxDatagramBytes {
 		t.Errorf("a flood was answered with %d bytes", sent)
 	}
 }
 
 // Any datagram is handled without a panic or the loss of an order, and each fact that was accepted can be sent again in one datagram.
 func FuzzHandle(f *testing.F) {
-	s := NewSpreader(NewStore(7, 100), 3, 0, 1)
-	s.Set(0, testName, Out)
-	s.Set(0, Name{Cold, "c2"}, 1_800_000_000_000)
+	s := NewGossiper(NewStore(7, 100), 3, 0, 1)
+	s.Set(0, testName, Drained)
+	s.Set(0, Name{StartTime, "c2"}, 1_800_000_000_000)
 	for _, m := range s.Tick(0) {
 		f.Add(m.Text)
 	}
@@ -35,10 +35,10 @@
 	f.Add([]byte{magicByte, 9})
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s := NewSpreader(NewStore(1, 100), 3, 0, 1)
-		s.Set(0, testName, Back)
+		s := NewGossiper(NewStore(1, 100), 3, 0, 1)
+		s.Set(0, testName, InService)
 		for _, m := range s.Handle(time.Hour, 1, text) {
-			if len(m.Text) > MostBytes {
+			if len(m.Text) > MaxDatagramBytes {
 				t.Fatalf("%d bytes", len(m.Text))
 			}
 		}
@@ -60,14 +60,14 @@
 // A starting router is synced once a synced peer has confirmed equal facts, and not because of peers that have just started as
 // well: after a restart of many routers, these would confirm to one another that there are no facts.
 func TestSyncedOnlyByASyncedPeer(t *testing.T) {
-	newRouters := func(held bool) (old, a, b *Spreader) {
-		old, a, b = NewSpreader(NewStore(1, 10), 3, 0, 1), NewSpreader(NewStore(2, 10), 3, 1, 1), NewSpreader(NewStore(3, 10), 3, 2, 1)
-		if old.Alone(); held {
-			old.Write(0, testName, Out)
+	newRouters := func(held bool) (old, a, b *Gossiper) {
+		old, a, b = NewGossiper(NewStore(1, 10), 3, 0, 1), NewGossiper(NewStore(2, 10), 3, 1, 1), NewGossiper(NewStore(3, 10), 3, 2, 1)
+		if old.MarkSynced(); held {
+			old.Write(0, testName, Drained)
 		}
 		return old, a, b
 	}
-	exchange := func(x, y *Spreader, number, other int) {
+	exchange := func(x, y *Gossiper, number, other int) {
 		for range 20 {
 			queue := append(x.Tick(0), y.Tick(0)...)
 			for len(queue) > 0 {
@@ -83,16 +83,16 @@
 	for _, held := range []bool{false, true} {
 		old, a, b := newRouters(held)
 		exchange(a, b, 1, 2)
-		if a.InStep() || b.InStep() {
+		if a.Synced() || b.Synced() {
 			t.Error("two routers that have just started count as synced")
 		}
 		exchange(old, a, 0, 1)
-		if _, has := a.Get(testName); !a.InStep() || has != held {
-			t.Errorf("synced %v, the fact %v", a.InStep(), has)
+		if _, has := a.Get(testName); !a.Synced() || has != held {
+			t.Errorf("synced %v, the fact %v", a.Synced(), has)
 		}
 		exchange(a, b, 1, 2)
-		if _, has := b.Get(testName); !b.InStep() || has != held {
-			t.Errorf("by way of another: synced %v, the fact %v", b.InStep(), has)
+		if _, has := b.Get(testName); !b.Synced() || has != held {
+			t.Errorf("by way of another: synced %v, the fact %v", b.Synced(), has)
 		}
 	}
 }
@@ -101,10 +101,10 @@
 // datagrams lost. With one datagram to one peer, one order in three was lost on real processes.
 func TestBurst(t *testing.T) {
 	for seed := range uint64(10) {
-		s := NewSpreader(NewStore(1, 10), 8, 0, seed)
-		s.Set(0, testName, Out)
+		s := NewGossiper(NewStore(1, 10), 8, 0, seed)
+		s.Set(0, testName, Drained)
 		told := map[int]bool{}
-		for i, m := range s.Burst(0, testName) {
+		for i, m := range s.Announce(0, testName) {
 			if i%2 == 0 { // the other datagrams are lost
 				told[m.To] = true
 			}
@@ -113,7 +113,7 @@
 			t.Errorf("seed %d: told %v", seed, told)
 		}
 	}
-	if out := NewSpreader(NewStore(1, 10), 8, 0, 1).Burst(0, testName); len(out) > 0 {
+	if out := NewGossiper(NewStore(1, 10), 8, 0, 1).Announce(0, testName); len(out) > 0 {
 		t.Errorf("%d datagrams for a fact that does not exist", len(out))
 	}
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -55,8 +55,8 @@
 	Fault  string `json:"fault,omitempty"`
 }
 
-// Path returns the socket path on which the process that serves clients at the listen address waits for its successor.
-func Path(dir, listen string) string {
+// SocketPath returns the socket path on which the process that serves clients at the listen address waits for its successor.
+func SocketPath(dir, listen string) string {
 	return filepath.Join(dir, socketPrefix+strings.NewReplacer(":", "_", "/", "_").Replace(listen))
 }
 
@@ -112,9 +112,9 @@
 	return &Peer{Ended: make(chan struct{}), conn: c, reader: r, pending: map[int]chan error{}}
 }
 
-// Take requests the state and the listener of the process that listens at the path. If there is none, the error is
+// RequestHandover requests the state and the listener of the process that listens at the path. If there is none, the error is
 // os.ErrNotExist or ECONNREFUSED.
-func Take(path string) (p *Peer, l net.Listener, state json.RawMessage, err error) {
+func RequestHandover(path string) (p *Peer, l net.Listener, state json.RawMessage, err error) {
 	name, release, err := shortenPath(path)
 	if err != nil {
 		return nil, nil, nil, err
@@ -159,8 +159,8 @@
 	return newPeer(c, r), l, m.State, nil
 }
 
-// Greet reads the handshake of a successor. The caller must follow it with Refuse or Give.
-func Greet(c *net.UnixConn) (*Peer, error) {
+// AcceptHandshake reads the handshake of a successor. The caller must follow it with Refuse or Give.
+func AcceptHandshake(c *net.UnixConn) (*Peer, error) {
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	r := bufio.NewReader(c)
 	m, err := readMessage(r)
@@ -181,8 +181,8 @@
 	p.Close()
 }
 
-// Give sends the successor the state and the listener.
-func (p *Peer) Give(state any, l syscall.Conn) error {
+// SendState sends the successor the state and the listener.
+func (p *Peer) SendState(state any, l syscall.Conn) error {
 	text, err := json.Marshal(state)
 	if err != nil {
 		return err
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -31,16 +31,16 @@
 		if err != nil {
 			return
 		}
-		p, err := Greet(c)
+		p, err := AcceptHandshake(c)
 		if err == nil {
-			err = p.Give(map[string]string{"is": strings.Repeat("long ", 100_000)}, first.(syscall.Conn))
+			err = p.SendState(map[string]string{"is": strings.Repeat("long ", 100_000)}, first.(syscall.Conn))
 		}
 		if err != nil {
 			t.Error(err)
 		}
 		given <- p
 	}()
-	successor, l, state, err := Take(path)
+	successor, l, state, err := RequestHandover(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 // refusal, a dead process.
 func TestFailedHandover(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
-	if _, _, _, err := Take(path); !errors.Is(err, os.ErrNotExist) {
+	if _, _, _, err := RequestHandover(path); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("no process: %v", err)
 	}
 	l, err := Listen(path)
@@ -134,7 +134,7 @@
 		t.Fatal(err)
 	}
 	started := time.Now()
-	if _, _, _, err := Take(path); err == nil || time.Since(started) > 2*handshakeTimeout {
+	if _, _, _, err := RequestHandover(path); err == nil || time.Since(started) > 2*handshakeTimeout {
 		t.Errorf("a silent process: %v after %v", err, time.Since(started))
 	}
 	if c, err := l.AcceptUnix(); err != nil {
@@ -149,22 +149,22 @@
 				c.Close()
 			}
 		}()
-		if _, _, _, err := Take(path); err == nil || errors.Is(err, ErrRefused) {
+		if _, _, _, err := RequestHandover(path); err == nil || errors.Is(err, ErrRefused) {
 			t.Errorf("after %q: %v", says, err)
 		}
 	}
 	go func() {
 		if c, err := l.AcceptUnix(); err == nil {
-			if p, err := Greet(c); err == nil {
+			if p, err := AcceptHandshake(c); err == nil {
 				p.Refuse("busy")
 			}
 		}
 	}()
-	if _, _, _, err := Take(path); !errors.Is(err, ErrRefused) {
+	if _, _, _, err := RequestHandover(path); !errors.Is(err, ErrRefused) {
 		t.Errorf("refused: %v", err)
 	}
 	l.Close()
-	if _, _, _, err := Take(path); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, _, _, err := RequestHandover(path); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a process that has died: %v", err)
 	}
 }
@@ -175,7 +175,7 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	path := Path(dir, "127.0.0.1:8081")
+	path := SocketPath(dir, "127.0.0.1:8081")
 	for range 2 {
 		old, successor, _ := handOver(t, path)
 		old.Close()
--- a/internal/kit/baseline/baseline.go
+++ b/internal/kit/baseline/baseline.go
@@ -16,9 +16,9 @@
 var Names = []string{"random", "least-of-two", "no-sites"}
 
 // New returns the constructor of a policy's decisions; nil if there is no policy of that name.
-func New(name string) func(balance.Settings, uint64) exchange.Decider {
+func New(name string) func(balance.Settings, uint64) exchange.Balancer {
 	if name == "no-sites" {
-		return func(set balance.Settings, seed uint64) exchange.Decider {
+		return func(set balance.Settings, seed uint64) exchange.Balancer {
 			set.Tiers = nil
 			return balance.New(set, seed)
 		}
@@ -27,7 +27,7 @@
 	if candidates == 0 {
 		return nil
 	}
-	return func(set balance.Settings, seed uint64) exchange.Decider {
+	return func(set balance.Settings, seed uint64) exchange.Balancer {
 		p := newPolicy(set)
 		rng := rand.New(rand.NewPCG(seed, 1))
 		p.choose = func(r *request) (balance.ServerID, bool) { return p.drawServer(rng, candidates, r) }
@@ -139,7 +139,7 @@
 	if p.requests[q.ID] != nil {
 		return
 	}
-	r := &request{Request: q, class: balance.Class{Aim: q.Due.Sub(p.now)}}
+	r := &request{Request: q, class: balance.Class{Target: q.Due.Sub(p.now)}}
 	for _, c := range p.set.Classes {
 		if c.Name == q.Class {
 			r.class = c
@@ -194,10 +194,10 @@
 	if s := p.servers[o.Server]; s != nil {
 		s.inFlight--
 	}
-	r.mayHaveRun = r.mayHaveRun || !o.Result.NeverRan()
+	r.mayHaveRun = r.mayHaveRun || !o.Result.HadNoEffect()
 	attemptsLeft := p.set.MaxAttempts <= 0 || len(r.attempts) < p.set.MaxAttempts
 	retryAllowed := !r.mayHaveRun || r.class.Effect == balance.Safe ||
-		r.class.Effect == balance.Keyed && r.class.Group == balance.GroupAll && p.now < r.firstSent.Add(r.class.Memory)
+		r.class.Effect == balance.Keyed && r.class.Group == balance.GroupAll && p.now < r.firstSent.Add(r.class.RepeatWindow)
 	switch {
 	case r.done:
 		delete(p.requests, r.ID)
@@ -234,7 +234,7 @@
 // View returns the number of requests in flight at each server.
 func (p *policy) View(balance.Time) (all []balance.View) {
 	for _, s := range p.up {
-		all = append(all, balance.View{Server: s.Server, Out: s.inFlight, Warmth: 1, Heard: -1})
+		all = append(all, balance.View{Server: s.Server, InFlight: s.inFlight, WarmFraction: 1, SinceAnswer: -1})
 	}
 	return all
 }
--- a/internal/kit/baseline/oracle.go
+++ b/internal/kit/baseline/oracle.go
@@ -15,7 +15,7 @@
 // and refuses at once what would miss its latency objective or overload the database. It is not an upper bound: it knows nothing
 // of the future and doesn't weigh requests against one another, so another policy may score higher (on the small "deploy" the
 // production decisions do, which shed by worth).
-func Oracle(w *model.World, router int, set balance.Settings) exchange.Decider {
+func Oracle(w *model.World, router int, set balance.Settings) exchange.Balancer {
 	p := newPolicy(set)
 	o := &oracle{policy: p, world: w, router: router, meanWork: w.MeanWork()}
 	p.choose = o.choose
@@ -47,7 +47,7 @@
 
 // choose prefers a node that caches the key, then one that fetches it or is placed for it, then the one that finishes first.
 func (o *oracle) choose(r *request) (balance.ServerID, bool) {
-	left := min(r.class.Aim, r.Due.Sub(o.now))
+	left := min(r.class.Target, r.Due.Sub(o.now))
 	var soonest, holder, home *model.Node
 	var soonestTime, holderTime time.Duration
 	var homeScore uint64
@@ -56,17 +56,17 @@
 		if s == nil || s.State != balance.Up || !n.Serves(o.router) || slices.Contains(r.attempts, balance.ServerID(n.Name)) {
 			continue
 		}
-		completion := n.Within(o.meanWork) + o.world.Trip(o.router, n)
+		completion := n.CompletionTime(o.meanWork) + o.world.RoundTrip(o.router, n)
 		if soonest == nil || completion < soonestTime {
 			soonest, soonestTime = n, completion
 		}
-		if !r.Write && n.Holds(r.Key) && (holder == nil || completion < holderTime) {
+		if !r.Write && n.Cached(r.Key) && (holder == nil || completion < holderTime) {
 			holder, holderTime = n, completion
 		}
 		if at := placementScore(r.Key, n.Name); !r.Write && completion <= left/2 && (home == nil || at > homeScore) {
 			home, homeScore = n, at
 		}
-		if !r.Write && n.Fetches(r.Key) {
+		if !r.Write && n.FetchPending(r.Key) {
 			home, homeScore = n, ^uint64(0)
 		}
 	}
@@ -76,8 +76,8 @@
 	if home == nil {
 		home = soonest
 	}
-	fetchTime, room := o.world.FetchWithin()
-	if home == nil || (room <= 0 && !home.Fetches(r.Key)) || fetchTime+home.Within(o.meanWork) > left {
+	fetchTime, room := o.world.FetchTime()
+	if home == nil || (room <= 0 && !home.FetchPending(r.Key)) || fetchTime+home.CompletionTime(o.meanWork) > left {
 		return "", false
 	}
 	return balance.ServerID(home.Name), true
--- a/internal/kit/harness/harness_test.go
+++ b/internal/kit/harness/harness_test.go
@@ -150,7 +150,7 @@
 				h.Await(3500 * time.Millisecond) // the torn file is not the only one with the order
 				h.Kill(0)
 				h.FillDisk(0, false)
-				h.Start(0, model.Finds{State: c.state})
+				h.Start(0, model.StoredState{State: c.state})
 			}}.Play(t)
 			if r.Lost+r.Double+r.Drain+r.ColdFalls+r.Held > 0 || r.Crashes > 0 || (r.StaleSends == 0) != c.keeps {
 				t.Errorf("%d crashes, %d stale sends, %v", r.Crashes, r.StaleSends, r.Breaches)
--- a/internal/kit/harness/shared_test.go
+++ b/internal/kit/harness/shared_test.go
@@ -59,7 +59,7 @@
 						if day.state[k] != "" {
 							state = day.state[k]
 						}
-						c.Start(k, model.Finds{State: state})
+						c.Start(k, model.StoredState{State: state})
 					}
 					if day.keeps {
 						Agree(t, c, "those that were killed know again", "north-c1", "out", 3*second, kill...)
--- a/internal/kit/ledger/ledger.go
+++ b/internal/kit/ledger/ledger.go
@@ -20,12 +20,12 @@
 // Time counts from the beginning of the run.
 type Time = time.Duration
 
-// Ask is one request of a client, over all its tries.
-type Ask struct {
+// Request is one request of a client, over all its tries.
+type Request struct {
 	At            Time
 	Class, Tenant int
 	Worth         float64
-	Within        bool // whether the tenant was within its share
+	WithinShare   bool // whether the tenant was within its share
 }
 
 // Outcome is the result of a try for its client.
@@ -33,12 +33,12 @@
 
 // The outcomes of a try.
 const (
-	Served  Outcome = iota // a complete answer with status 200
-	Refused                // status 429 or 503: a retry is harmless
-	Failed                 // any other status
-	Broken                 // the connection ended without a complete answer
-	Nothing                // no answer before the client's timeout
-	Unheard                // the connection could not be opened: no router took the request
+	Served       Outcome = iota // a complete answer with status 200
+	Refused                     // status 429 or 503: a retry is harmless
+	Failed                      // any other status
+	Truncated                   // the connection ended without a complete answer
+	NoAnswer                    // no answer before the client's timeout
+	NotConnected                // the connection could not be opened: no router took the request
 )
 
 // Breach is one violation of a rule.
@@ -57,7 +57,7 @@
 
 // requestRecord is what the ledger knows of a request.
 type requestRecord struct {
-	Ask
+	Request
 	earned  float64
 	served  bool
 	effects int
@@ -114,16 +114,16 @@
 
 // Counts are plain totals.
 type Counts struct {
-	Tries, Lost, Wrong, Double, Drain, ColdFalls, Held, Stray, DatabaseFalls int
-	Sends, Turned, Crossed, Connections                                      int
+	Tries, Lost, WrongBodies, DoubleEffects, DrainBreaches, ColdFalls, HeldBack, UnknownSends, DatabaseFalls int
+	Sends, Rejected, SiteCrossings, Connections                                                              int
 }
 
 // New creates the ledger of a run with its requests, which are referred to by index.
-func New(s *scenario.Scenario, requests []Ask) *Ledger {
+func New(s *scenario.Scenario, requests []Request) *Ledger {
 	l := &Ledger{scenario: s, tries: map[string]*tryRecord{}, notServing: map[routerNode]Time{}, notServingEver: map[routerNode]Time{}, excluded: map[routerNode]Time{}, excludedEver: map[routerNode]Time{}, answers: map[Outcome]int{},
 		stalled: map[int]bool{}, recentSends: map[int][]*recentSend{}, shortestObjective: math.MaxInt64}
 	for _, a := range requests {
-		l.requests = append(l.requests, requestRecord{Ask: a})
+		l.requests = append(l.requests, requestRecord{Request: a})
 	}
 	for _, c := range s.Classes {
 		l.shortestObjective = min(l.shortestObjective, c.Wanted.D())
@@ -139,16 +139,16 @@
 	}
 }
 
-// Tried records that a client sends a try to a router.
-func (l *Ledger) Tried(n int, id string, router int, at Time, patience time.Duration) {
+// TrySent records that a client sends a try to a router.
+func (l *Ledger) TrySent(n int, id string, router int, at Time, patience time.Duration) {
 	l.Counts.Tries++
 	l.requests[n].tries++
 	l.tries[id] = &tryRecord{request: n, router: router, startedAt: at, timeout: patience, bodies: map[string]bool{}}
 }
 
-// Sent records that the last byte of a try has reached a node. Ran is false if the node rejects it unread. The send is stale if
+// NodeReceived records that the last byte of a try has reached a node. Ran is false if the node rejects it unread. The send is stale if
 // the router had been told, before a restart or since, that the node drains or is gone, and the grace period is over.
-func (l *Ledger) Sent(id string, router int, node string, at Time, ran bool) {
+func (l *Ledger) NodeReceived(id string, router int, node string, at Time, ran bool) {
 	t := l.tries[id]
 	l.Counts.Sends++
 	l.noteSend(router, id, at)
@@ -161,11 +161,11 @@
 		l.perSecond.add(staleSends, at)
 	}
 	if since, out := pastGrace(l.excluded); out {
-		l.Counts.Drain++
+		l.Counts.DrainBreaches++
 		l.recordBreach(at, "drain", "%s was sent %s %v after an operator excluded it", node, id, at-since)
 	}
 	if since, ok := pastGrace(l.notServing); ok {
-		l.Counts.Drain++
+		l.Counts.DrainBreaches++
 		l.recordBreach(at, "drain", "%s was sent %s %v after the router was told that the node drains or is gone", node, id, at-since)
 	}
 	if t == nil {
@@ -173,7 +173,7 @@
 	}
 	t.sends++
 	if !ran {
-		l.Counts.Turned++
+		l.Counts.Rejected++
 		return
 	}
 	c := &l.scenario.Classes[l.requests[t.request].Class]
@@ -182,20 +182,20 @@
 		return
 	}
 	if c.Effect == "unsafe" || c.Effect == "keyed" && at-t.firstAccepted > c.Memory.D()+timingSlack {
-		l.Counts.Double++
+		l.Counts.DoubleEffects++
 		l.recordBreach(at, "effect", "%s, a %s of class %s, was sent to %s though it may have run before", id, c.Effect, c.Name, node)
 	}
 }
 
-// Stray records a send that belongs to no client's request.
-func (l *Ledger) Stray(id, node string) {
-	l.Counts.Stray++
+// UnknownSend records a send that belongs to no client's request.
+func (l *Ledger) UnknownSend(id, node string) {
+	l.Counts.UnknownSends++
 	l.recordBreach(0, "effect", "%s was sent %q, which belongs to no client request", node, id)
-	l.Counts.Double++
+	l.Counts.DoubleEffects++
 }
 
-// Ended records that a node has answered a send; good tells whether the answer was a success.
-func (l *Ledger) Ended(id string, at Time, good bool) {
+// SendAnswered records that a node has answered a send; good tells whether the answer was a success.
+func (l *Ledger) SendAnswered(id string, at Time, good bool) {
 	if t := l.tries[id]; t != nil {
 		l.noteSendEnd(t.router, id, at, good)
 		t.answeredSends++
@@ -203,8 +203,8 @@
 	}
 }
 
-// Made records a body that a node made for a try; good is false if it was written so that it can't be parsed.
-func (l *Ledger) Made(id, body string, good bool) {
+// BodyMade records a body that a node made for a try; good is false if it was written so that it can't be parsed.
+func (l *Ledger) BodyMade(id, body string, good bool) {
 	if t := l.tries[id]; t != nil && good {
 		t.bodies[body] = true
 	}
@@ -222,13 +222,13 @@
 func (l *Ledger) Effect(n int, class, effect string) {
 	a := &l.requests[n]
 	if a.effects++; a.effects > 1 && effect != "safe" {
-		l.Counts.Double++
+		l.Counts.DoubleEffects++
 		l.recordBreach(a.At, "effect", "request %d of class %s took effect %d times", n, class, a.effects)
 	}
 }
 
-// Told records that a router has been told a node's state: whether the node may be sent requests.
-func (l *Ledger) Told(router int, node string, serving bool, at Time) {
+// NodeStateTold records that a router has been told a node's state: whether the node may be sent requests.
+func (l *Ledger) NodeStateTold(router int, node string, serving bool, at Time) {
 	k := routerNode{router, node}
 	if serving {
 		delete(l.notServing, k)
@@ -243,9 +243,9 @@
 	}
 }
 
-// Ordered records that an operator has had a router exclude a node, or include it again. A router that forgets the order in a
+// OperatorOrder records that an operator has had a router exclude a node, or include it again. A router that forgets the order in a
 // restart sends stale; one that violates it without a restart breaks a rule.
-func (l *Ledger) Ordered(router int, node string, out bool, at Time) {
+func (l *Ledger) OperatorOrder(router int, node string, out bool, at Time) {
 	k := routerNode{router, node}
 	for _, known := range []map[routerNode]Time{l.excluded, l.excludedEver} {
 		if out {
@@ -280,13 +280,13 @@
 func (l *Ledger) DatabaseFall(Time) { l.Counts.DatabaseFalls++ }
 
 // Crossed records a send from one site to another.
-func (l *Ledger) Crossed() { l.Counts.Crossed++ }
+func (l *Ledger) Crossed() { l.Counts.SiteCrossings++ }
 
-// Answered records the outcome of a try for its client and reports whether it is good: one complete answer in time, made for it.
-func (l *Ledger) Answered(id string, outcome Outcome, body string, at Time) bool {
+// TryEnded records the outcome of a try for its client and reports whether it is good: one complete answer in time, made for it.
+func (l *Ledger) TryEnded(id string, outcome Outcome, body string, at Time) bool {
 	t := l.tries[id]
 	if t == nil || t.done {
-		l.Extra(id, at)
+		l.ExtraAnswer(id, at)
 		return false
 	}
 	t.done = true
@@ -296,21 +296,21 @@
 	l.answers[outcome]++
 	a := &l.requests[t.request]
 	c := &l.scenario.Classes[a.Class]
-	late := at > t.startedAt+t.timeout+timingSlack && outcome != Unheard // with Unheard no router took the try, so none can be late
+	late := at > t.startedAt+t.timeout+timingSlack && outcome != NotConnected // with Unheard no router took the try, so none can be late
 	switch {
 	case outcome == Served && !t.bodies[body]:
-		l.Counts.Wrong++
+		l.Counts.WrongBodies++
 		l.Counts.Lost++
 		l.recordBreach(at, "lost", "%s was answered with %.40q, which no node made for it", id, body)
 		return false
-	case outcome == Nothing, outcome == Broken, late:
+	case outcome == NoAnswer, outcome == Truncated, late:
 		if !t.excused {
 			l.Counts.Lost++
 			l.recordBreach(at, "lost", "%s had no complete answer %v after it was sent, with a client timeout of %v (%d sends)", id, at-t.startedAt, t.timeout, t.sends)
 		}
 		return false
 	case outcome == Refused && c.Effect == "unsafe" && t.accepted > 0:
-		l.Counts.Double++
+		l.Counts.DoubleEffects++
 		l.recordBreach(at, "effect", "%s, an unsafe of class %s, was refused though it may have run", id, c.Name)
 	}
 	if (outcome == Refused || outcome == Failed) && !t.excused {
@@ -347,7 +347,7 @@
 		allowed += l.scenario.Rules.ConnectWithin.D() * time.Duration(max(l.scenario.Rules.MaxAttempts-t.sends, 0))
 	}
 	if wait := at - idleSince; wait > allowed {
-		l.Counts.Held++
+		l.Counts.HeldBack++
 		l.recordBreach(at, "held", "%s, sent at %v, was given up %v after its last send had ended, with %v left (%d sends, %d ended)",
 			id, t.startedAt, wait, left, t.sends, t.answeredSends)
 	}
@@ -362,8 +362,8 @@
 	}
 }
 
-// Extra records answer bytes that came after the final answer of a try.
-func (l *Ledger) Extra(id string, at Time) {
+// ExtraAnswer records answer bytes that came after the final answer of a try.
+func (l *Ledger) ExtraAnswer(id string, at Time) {
 	if t := l.tries[id]; t != nil && t.stalled {
 		return // its client had left
 	}
--- a/internal/kit/ledger/recovery.go
+++ b/internal/kit/ledger/recovery.go
@@ -81,11 +81,11 @@
 // Connected records a connection that a router opened to a node.
 func (l *Ledger) Connected(at Time) { l.Counts.Connections++; l.perSecond.add(dials, at) }
 
-// ListCalled records a router's poll for the node list.
-func (l *Ledger) ListCalled(at Time) { l.perSecond.add(listCalls, at) }
+// ListPolled records a router's poll for the node list.
+func (l *Ledger) ListPolled(at Time) { l.perSecond.add(listCalls, at) }
 
-// Fetched records a request to the database.
-func (l *Ledger) Fetched(at Time) { l.perSecond.add(fetches, at) }
+// DatabaseRequested records a request to the database.
+func (l *Ledger) DatabaseRequested(at Time) { l.perSecond.add(fetches, at) }
 
 // ColdSent records a send to a node that is not warm yet.
 func (l *Ledger) ColdSent(at Time) { l.perSecond.add(coldSends, at) }
--- a/internal/kit/ledger/recovery_test.go
+++ b/internal/kit/ledger/recovery_test.go
@@ -57,23 +57,26 @@
 		know        func(l *Ledger, out bool, at Time)
 		stale, rule int
 	}{
-		"told":    {func(l *Ledger, out bool, at Time) { l.Told(0, "n", !out, at) }, 2, 1},
-		"ordered": {func(l *Ledger, out bool, at Time) { l.Ordered(0, "n", out, at); l.Told(0, "m", true, at) }, 2, 1},
+		"told": {func(l *Ledger, out bool, at Time) { l.NodeStateTold(0, "n", !out, at) }, 2, 1},
+		"ordered": {func(l *Ledger, out bool, at Time) {
+			l.OperatorOrder(0, "n", out, at)
+			l.NodeStateTold(0, "m", true, at)
+		}, 2, 1},
 	} {
 		l := newTestLedger(t)
-		l.Tried(0, "a", 0, 0, time.Second)
+		l.TrySent(0, "a", 0, 0, time.Second)
 		c.know(l, true, 0)
-		l.Sent("a", 0, "n", time.Second, true)
-		l.Sent("a", 0, "n", 3*time.Second, true)
-		l.Sent("a", 1, "n", 3*time.Second, true)
+		l.NodeReceived("a", 0, "n", time.Second, true)
+		l.NodeReceived("a", 0, "n", 3*time.Second, true)
+		l.NodeReceived("a", 1, "n", 3*time.Second, true)
 		l.Stalled(0, true, 3*time.Second)
 		l.RouterEnded(0, true)
-		l.Tried(1, "b", 0, 4*time.Second, time.Second)
+		l.TrySent(1, "b", 0, 4*time.Second, time.Second)
 		l.Stalled(0, false, 4*time.Second)
-		l.Answered("b", Nothing, "", 5*time.Second)
-		l.Sent("a", 0, "n", 4*time.Second, true)
+		l.TryEnded("b", NoAnswer, "", 5*time.Second)
+		l.NodeReceived("a", 0, "n", 4*time.Second, true)
 		c.know(l, false, 5*time.Second)
-		l.Sent("a", 0, "n", 8*time.Second, true)
+		l.NodeReceived("a", 0, "n", 8*time.Second, true)
 		if r := l.Report(); r.StaleSends != c.stale || r.Drain != c.rule || r.Lost != 1 {
 			t.Errorf("%s: %d stale sends, %d drain breaches, %d lost", name, r.StaleSends, r.Drain, r.Lost)
 		}
@@ -97,16 +100,16 @@
 		l := newTestLedger(t)
 		for n := range 5 {
 			id := string(rune('a' + n))
-			l.Tried(0, id, 0, 0, 10*time.Second)
+			l.TrySent(0, id, 0, 0, 10*time.Second)
 			if c.ends > 0 {
-				l.Sent(id, 0, "n", 0, true)
+				l.NodeReceived(id, 0, "n", 0, true)
 			}
 			if n < c.ends {
-				l.Ended(id, c.took, true)
+				l.SendAnswered(id, c.took, true)
 			}
 		}
-		l.Tried(0, "z", 0, c.at, 10*time.Second)
-		l.Answered("z", Refused, "", c.at)
+		l.TrySent(0, "z", 0, c.at, 10*time.Second)
+		l.TryEnded("z", Refused, "", c.at)
 		if r := l.Report(); r.StaleRefused != c.stale {
 			t.Errorf("%s: %d stale refusals", name, r.StaleRefused)
 		}
--- a/internal/kit/ledger/report.go
+++ b/internal/kit/ledger/report.go
@@ -86,9 +86,9 @@
 
 // The letters for a node's state as a router sees it.
 const (
-	BelievedUsed    = 'u'
-	BelievedAside   = 'x' // not in use: ejected, draining or gone
-	BelievedUnknown = '-'
+	ViewInUse    = 'u'
+	ViewExcluded = 'x' // not in use: ejected, draining or gone
+	ViewUnknown  = '-'
 )
 
 // ClassReport is the result of one request class.
@@ -112,9 +112,9 @@
 // Report computes the result. Requests after the last full second of the run count in the score too.
 func (l *Ledger) Report() *Report {
 	r := &Report{Scenario: l.scenario.Name, LengthS: l.scenario.Length.D().Seconds(), Tries: l.Counts.Tries,
-		Lost: l.Counts.Lost, Double: l.Counts.Double, Drain: l.Counts.Drain, ColdFalls: l.Counts.ColdFalls, Held: l.Counts.Held,
-		Refused: l.answers[Refused], Failed: l.answers[Failed], Unheard: l.answers[Unheard],
-		Sends: l.Counts.Sends, Crossed: l.Counts.Crossed, Connections: l.Counts.Connections, DatabaseFell: l.Counts.DatabaseFalls,
+		Lost: l.Counts.Lost, Double: l.Counts.DoubleEffects, Drain: l.Counts.DrainBreaches, ColdFalls: l.Counts.ColdFalls, Held: l.Counts.HeldBack,
+		Refused: l.answers[Refused], Failed: l.answers[Failed], Unheard: l.answers[NotConnected],
+		Sends: l.Counts.Sends, Crossed: l.Counts.SiteCrossings, Connections: l.Counts.Connections, DatabaseFell: l.Counts.DatabaseFalls,
 		Classes: map[string]ClassReport{}, Tenants: map[string]float64{}, Breaches: l.breaches, Missed: []string{}}
 	if r.Breaches == nil {
 		r.Breaches = []Breach{}
@@ -134,7 +134,7 @@
 		add(&r.Seconds[min(int(a.At/time.Second), len(r.Seconds)-1)])
 		add(&classes[a.Class])
 		counts[a.Class]++
-		if a.Within {
+		if a.WithinShare {
 			add(&tenants[a.Tenant])
 		}
 		if a.served {
@@ -202,9 +202,9 @@
 	return s.Earned / s.Asked
 }
 
-// Expected compares the report with the scenario's expectations and sets RulesHeld. A run in which a router crashed does not
+// CheckExpectations compares the report with the scenario's expectations and sets RulesHeld. A run in which a router crashed does not
 // pass.
-func (r *Report) Expected(l *Ledger) {
+func (r *Report) CheckExpectations(l *Ledger) {
 	if r.Crashes > 0 {
 		r.Missed = append(r.Missed, "router_crashes")
 	}
--- a/internal/kit/model/database.go
+++ b/internal/kit/model/database.go
@@ -36,7 +36,7 @@
 		d.currentSecond, d.requestsThisSecond = second, 0
 	}
 	d.requestsThisSecond++
-	d.world.ledger.Fetched(now)
+	d.world.ledger.DatabaseRequested(now)
 	d.Fetches++
 	d.Peak = max(d.Peak, float64(d.requestsThisSecond)/max(d.capacity(), 1))
 	if d.config.Fall > 0 && d.stalls == 0 && d.overload.add(now, 1, d.capacity(), d.config.Fall, d.config.FallFor.D()) {
--- a/internal/kit/model/link.go
+++ b/internal/kit/model/link.go
@@ -23,9 +23,9 @@
 // maxReorderDelay is the longest extra delay of a message that is reordered.
 const maxReorderDelay = 500 * time.Millisecond
 
-// Carry draws the delays after which a message from one router to another arrives: none if it is lost, and two if
+// MessageDelays draws the delays after which a message from one router to another arrives: none if it is lost, and two if
 // one fault duplicates it, otherwise one. The random numbers come from the host's own stream.
-func (w *World) Carry(rng *rand.Rand, from, to int) (after []time.Duration) {
+func (w *World) MessageDelays(rng *rand.Rand, from, to int) (after []time.Duration) {
 	m := w.scenario.Messages
 	if rng.Float64() < m.Loss {
 		return nil
@@ -79,9 +79,9 @@
 	}
 }
 
-// Strike applies a link fault to the links between routers and others, as a trouble of kind router-link does, until heal is
+// AddLinkFault applies a link fault to the links between routers and others, as a trouble of kind router-link does, until heal is
 // called. Only Way, Loss, Delay, Repeats and Reorder of the trouble are used.
-func (w *World) Strike(routers, others []int, t scenario.Trouble) (heal func()) {
+func (w *World) AddLinkFault(routers, others []int, t scenario.Trouble) (heal func()) {
 	l := &linkFault{Trouble: t, affected: map[int]bool{}, peers: map[int]bool{}}
 	for _, r := range routers {
 		l.affected[r] = true
--- a/internal/kit/model/link_test.go
+++ b/internal/kit/model/link_test.go
@@ -24,7 +24,7 @@
 			all = map[[2]int]bool{}
 			for from := range 3 {
 				for to := range 3 {
-					if from != to && len(v.Carry(rng, from, to)) == 0 {
+					if from != to && len(v.MessageDelays(rng, from, to)) == 0 {
 						all[[2]int{from, to}] = true
 					}
 				}
@@ -60,7 +60,7 @@
 	}
 	v := newTestHost(t, 1, site+"part = 1.0\nrepeats = 1.0\ndelay=[\"1s\",\"2s\"]", "messages.loss=0.0")
 	v.At(2*time.Second, func() {
-		if all := v.Carry(Stream(1, "host"), 0, 1); len(all) != 2 || all[0] < time.Second || all[1] < all[0] {
+		if all := v.MessageDelays(Stream(1, "host"), 0, 1); len(all) != 2 || all[0] < time.Second || all[1] < all[0] {
 			t.Errorf("delays of a duplicated, delayed message: %v", all)
 		}
 	})
--- a/internal/kit/model/model_test.go
+++ b/internal/kit/model/model_test.go
@@ -28,25 +28,25 @@
 		v.After(0, func() { v.Answered(t, Answer{Outcome: ledger.Refused}, v.Now()) })
 		return
 	}
-	n.Arrive(&Job{ID: t.ID, Router: t.Router, Reply: func(r *Reply) {
+	n.Arrive(&Job{ID: t.CorrelationID, Router: t.Router, Reply: func(r *Reply) {
 		v.After(r.Delay, func() {
 			o := ledger.Failed
 			switch {
-			case r.Spoilt:
-			case r.Status == Good:
+			case r.Corrupt:
+			case r.Status == StatusOK:
 				o = ledger.Served
-			case r.Status == TurnedAw:
+			case r.Status == StatusUnavailable:
 				o = ledger.Refused
 			}
 			v.Answered(t, Answer{Outcome: o, Body: r.Body}, v.Now())
 		})
 	}})
 }
-func (v *testHost) Leave(*Try) bool          { return true }
-func (v *testHost) Down(*Node)               {}
-func (v *testHost) Up(*Node)                 {}
-func (v *testHost) Silence(*Node, int, bool) {}
-func (v *testHost) News(router int) {
+func (v *testHost) CloseClient(*Try) bool           { return true }
+func (v *testHost) NodeDown(*Node)                  {}
+func (v *testHost) NodeUp(*Node)                    {}
+func (v *testHost) SetNodeSilence(*Node, int, bool) {}
+func (v *testHost) DiscoveryUpdated(router int) {
 	_, whole, entries := v.List(router, 0, false)
 	for _, e := range entries {
 		v.told[e.Node.Name] = e.Status
@@ -60,23 +60,26 @@
 			v.told[n.Name] = "gone"
 		}
 	}
-	v.Told(router, whole, entries)
+	v.ListSent(router, whole, entries)
 }
-func (v *testHost) SilenceDiscovery(bool)         {}
-func (v *testHost) FillDisk(int, bool)            {}
-func (v *testHost) StallRouter(int, bool)         {}
-func (v *testHost) StartRouter(r int, _ Finds)    { v.started = append(v.started, r); v.RouterReady(r) }
-func (v *testHost) KillRouter(r int)              { v.RouterEnded(r, true) }
-func (v *testHost) StopRouter(r int)              { v.RouterLeaving(r); v.RouterEnded(r, false) }
-func (v *testHost) ReloadRouter(int)              {}
-func (v *testHost) BadClients(int, time.Duration) {}
-func (v *testHost) Note(_ Time, what string)      { v.notes = append(v.notes, what) }
+func (v *testHost) SetDiscoverySilence(bool)   {}
+func (v *testHost) SetDiskFull(int, bool)      {}
+func (v *testHost) SetRouterStalled(int, bool) {}
+func (v *testHost) StartRouter(r int, _ StoredState) {
+	v.started = append(v.started, r)
+	v.RouterReady(r)
+}
+func (v *testHost) KillRouter(r int)                { v.RouterEnded(r, true) }
+func (v *testHost) StopRouter(r int)                { v.RouterStopping(r); v.RouterEnded(r, false) }
+func (v *testHost) ReloadRouter(int)                {}
+func (v *testHost) BadClients(int, time.Duration)   {}
+func (v *testHost) RecordEvent(_ Time, what string) { v.notes = append(v.notes, what) }
 func (v *testHost) play() *ledger.Report {
 	for r := range v.Routers() {
 		v.RouterReady(r)
 	}
-	v.Begin()
-	for !v.Over() {
+	v.Start()
+	for !v.Done() {
 		at, ok := v.Next()
 		if !ok {
 			at = v.scenario.Length.D()
@@ -107,12 +110,12 @@
 
 // A run is deterministic for a seed, and the drawn input doesn't depend on what the router does.
 func TestRunIsDeterministic(t *testing.T) {
-	play := func(seed uint64, choose func(v *testHost) func(*Try) *Node) (*ledger.Report, []Ask) {
+	play := func(seed uint64, choose func(v *testHost) func(*Try) *Node) (*ledger.Report, []Request) {
 		v := newTestHost(t, seed, "length = \"20s\"\nshort = \"20s\"")
 		if choose != nil {
 			v.choose = choose(v)
 		}
-		var drawn []Ask
+		var drawn []Request
 		for _, a := range v.requests {
 			drawn = append(drawn, *a)
 		}
@@ -143,10 +146,10 @@
 	ask := func(class int, key uint64) {
 		ids++
 		id := fmt.Sprint("t", ids)
-		v.tries[id] = &Try{Ask: &Ask{Class: class, Key: key, Work: time.Millisecond}, ID: id, Token: id}
+		v.tries[id] = &Try{Request: &Request{Class: class, Key: key, Work: time.Millisecond}, CorrelationID: id, IdempotencyKey: id}
 		n.Arrive(&Job{ID: id, Reply: func(r *Reply) { got = append(got, r.Lookup) }})
 	}
-	v.ledger = ledger.New(v.scenario, make([]ledger.Ask, 1))
+	v.ledger = ledger.New(v.scenario, make([]ledger.Request, 1))
 	settle := func() string {
 		v.Run(v.Now() + 5*time.Second)
 		s := strings.Join(got, " ")
@@ -187,7 +190,7 @@
 	}{"cold": {true, 4 * time.Second, true}, "warm": {false, 4 * time.Second, false}, "a burst": {true, 900 * time.Millisecond, false}} {
 		v := newTestHost(t, 1, "rate = 0.1\nwarm_up = \"0s\"\nlength = \"1s\"\nshort = \"1s\"", "model[0].queue=100000")
 		n := v.Nodes[0]
-		v.ledger = ledger.New(v.scenario, make([]ledger.Ask, 1))
+		v.ledger = ledger.New(v.scenario, make([]ledger.Request, 1))
 		if c.cold {
 			v.stopNode(n, false)
 			v.startNode(n)
@@ -195,7 +198,7 @@
 		for at := time.Duration(0); at < c.burst; at += 10 * time.Millisecond { // 5 cores' worth; it has 2, cold 0.4
 			v.At(v.Now()+at, func() {
 				id := fmt.Sprint("t", v.Now())
-				v.tries[id] = &Try{Ask: &Ask{Work: 50 * time.Millisecond}, ID: id, Token: id}
+				v.tries[id] = &Try{Request: &Request{Work: 50 * time.Millisecond}, CorrelationID: id, IdempotencyKey: id}
 				n.Arrive(&Job{ID: id, Reply: func(*Reply) {}})
 			})
 		}
--- a/internal/kit/model/node.go
+++ b/internal/kit/model/node.go
@@ -14,27 +14,27 @@
 
 // The statuses that nodes answer with.
 const (
-	Good     Status = 200
-	Unknown  Status = 400
-	Errored  Status = 500
-	TurnedAw Status = 503 // marked as not run
+	StatusOK            Status = 200
+	StatusBadRequest    Status = 400
+	StatusInternalError Status = 500
+	StatusUnavailable   Status = 503 // marked as not run
 )
 
 // Reply is a node's answer to one request.
 type Reply struct {
-	Status Status
-	Spoilt bool   // the host writes it so that it can't be parsed
-	Body   string // unique to this request
-	Lookup string // cache lookup result: hit, miss or pending; empty for writes
-	Delay  time.Duration
+	Status  Status
+	Corrupt bool   // the host writes it so that it can't be parsed
+	Body    string // unique to this request
+	Lookup  string // cache lookup result: hit, miss or pending; empty for writes
+	Delay   time.Duration
 }
 
 // Job is a request at a node. Reply is called once, unless the node dies or is silent.
 type Job struct {
-	ID     string
-	Router int
-	Fresh  bool         // first request on its connection, which adds the cost of the connection's setup
-	Reply  func(*Reply) // called by the model; the host writes the reply out after its delay
+	ID            string
+	Router        int
+	NewConnection bool         // first request on its connection, which adds the cost of the connection's setup
+	Reply         func(*Reply) // called by the model; the host writes the reply out after its delay
 
 	node        *Node
 	incarnation int // the node's incarnation when the request arrived
@@ -48,9 +48,9 @@
 // Node is a cache node.
 type Node struct {
 	Name  string
-	N     int
+	Index int
 	Site  int
-	Kind  *scenario.Model
+	Model *scenario.Model
 	world *World
 	rng   *rand.Rand
 
@@ -83,7 +83,7 @@
 }
 
 func (w *World) newNode(n int, name string, site int, kind *scenario.Model) *Node {
-	node := &Node{Name: name, N: n, Site: site, Kind: kind, world: w, silent: map[int]bool{}, slowdown: 1, started: longAgo,
+	node := &Node{Name: name, Index: n, Site: site, Model: kind, world: w, silent: map[int]bool{}, slowdown: 1, started: longAgo,
 		rng: Stream(w.seed, "node "+name)}
 	node.reset()
 	node.up = true
@@ -95,7 +95,7 @@
 
 // reset drops all state that a process loses when it restarts.
 func (n *Node) reset() {
-	n.cache, _ = simplelru.NewLRU[uint64, struct{}](n.Kind.Cache, nil) // fails only for a size under 1
+	n.cache, _ = simplelru.NewLRU[uint64, struct{}](n.Model.Cache, nil) // fails only for a size under 1
 	n.runningWork, n.queuedWork = 0, 0
 	n.busy, n.waiting, n.heldCompletions, n.pendingReads, n.seen = 0, nil, nil, map[uint64][]*Job{}, map[string]Time{}
 	n.overload = overloadDetector{}
@@ -109,12 +109,12 @@
 
 // Warmth returns the fraction of its full speed that a node has: it rises linearly from ColdFrom to 1 over ColdFor.
 func (n *Node) Warmth() float64 {
-	progress := float64(n.world.Now()-n.started) / float64(max(n.Kind.ColdFor.D(), 1))
-	return min(n.Kind.ColdFrom+(1-n.Kind.ColdFrom)*max(progress, 0), 1)
+	progress := float64(n.world.Now()-n.started) / float64(max(n.Model.ColdFor.D(), 1))
+	return min(n.Model.ColdFrom+(1-n.Model.ColdFrom)*max(progress, 0), 1)
 }
 
 // speed returns the current speed of one of the node's cores.
-func (n *Node) speed() float64 { return n.Kind.Speed * n.Warmth() / max(n.slowdown, 0.01) }
+func (n *Node) speed() float64 { return n.Model.Speed * n.Warmth() / max(n.slowdown, 0.01) }
 
 // Arrive handles a request whose last byte has been received. It may be called for a node that has died in the meantime;
 // the request is then dropped.
@@ -122,8 +122,8 @@
 	w := n.world
 	j.node, j.incarnation, j.try, j.arrivedAt = n, n.incarnation, w.tries[j.ID], w.Now()
 	if j.try == nil {
-		w.ledger.Stray(j.ID, n.Name)
-		n.answer(j, &Reply{Status: Unknown})
+		w.ledger.UnknownSend(j.ID, n.Name)
+		n.answer(j, &Reply{Status: StatusBadRequest})
 		return
 	}
 	if !n.up || n.collapsed {
@@ -132,8 +132,8 @@
 	c := &w.scenario.Classes[j.try.Class]
 	silent := n.Silent(j.Router)
 	rejectedByFault := !silent && n.draw() < n.rejectRate // rejected before it adds load
-	rejected := rejectedByFault || !silent && len(n.waiting) >= n.Kind.Queue && n.busy >= n.Kind.Cores
-	w.ledger.Sent(j.ID, j.Router, n.Name, w.Now(), !rejected)
+	rejected := rejectedByFault || !silent && len(n.waiting) >= n.Model.Queue && n.busy >= n.Model.Cores
+	w.ledger.NodeReceived(j.ID, j.Router, n.Name, w.Now(), !rejected)
 	if w.routerSiteIndex(j.Router) != n.Site {
 		w.ledger.Crossed()
 	}
@@ -141,10 +141,10 @@
 		w.ledger.ColdSent(w.Now())
 	}
 	j.work = j.try.Work
-	if j.Fresh {
-		j.work += n.Kind.ConnWork.D()
+	if j.NewConnection {
+		j.work += n.Model.ConnWork.D()
 	}
-	if !rejectedByFault && n.Warmth() < 1 && n.overload.add(w.Now(), j.work.Seconds(), float64(n.Kind.Cores)*n.speed(), w.scenario.Rules.Fall, w.scenario.Rules.FallFor.D()) {
+	if !rejectedByFault && n.Warmth() < 1 && n.overload.add(w.Now(), j.work.Seconds(), float64(n.Model.Cores)*n.speed(), w.scenario.Rules.Fall, w.scenario.Rules.FallFor.D()) {
 		n.collapse()
 		return
 	}
@@ -152,10 +152,10 @@
 	case silent:
 		return
 	case rejected:
-		n.answer(j, &Reply{Status: TurnedAw})
+		n.answer(j, &Reply{Status: StatusUnavailable})
 		return
 	case n.draw() < n.errorRate:
-		n.answer(j, &Reply{Status: Errored})
+		n.answer(j, &Reply{Status: StatusInternalError})
 		return
 	}
 	if c.Write {
@@ -188,7 +188,7 @@
 			if ok {
 				n.schedule(j)
 			} else {
-				n.answer(j, &Reply{Status: Errored})
+				n.answer(j, &Reply{Status: StatusInternalError})
 			}
 		}
 	})
@@ -198,7 +198,7 @@
 
 // schedule runs a job on a free core, or queues it.
 func (n *Node) schedule(j *Job) {
-	if n.busy < n.Kind.Cores {
+	if n.busy < n.Model.Cores {
 		n.run(j)
 	} else {
 		n.waiting = append(n.waiting, j)
@@ -245,20 +245,20 @@
 		n.serve(j)
 		return
 	}
-	if at, ok := w.effects[j.try.Token]; c.Effect == "keyed" && ok && j.arrivedAt-at < c.Memory.D() {
+	if at, ok := w.effects[j.try.IdempotencyKey]; c.Effect == "keyed" && ok && j.arrivedAt-at < c.Memory.D() {
 		n.serve(j) // a repeat within the deduplication window: no second effect, answered like the first
 		return
 	}
-	w.effects[j.try.Token] = w.Now()
+	w.effects[j.try.IdempotencyKey] = w.Now()
 	incarnation := n.incarnation
 	w.db.do(func(ok bool) {
 		if ok {
-			w.ledger.Effect(j.try.Ask.N, c.Name, c.Effect)
+			w.ledger.Effect(j.try.Request.Index, c.Name, c.Effect)
 			for _, o := range w.Nodes {
 				o.cache.Remove(j.try.Key)
 			}
 		} else if c.Effect == "keyed" {
-			delete(w.effects, j.try.Token)
+			delete(w.effects, j.try.IdempotencyKey)
 		}
 		if n.incarnation != incarnation || !n.up {
 			return
@@ -266,7 +266,7 @@
 		if ok {
 			n.serve(j)
 		} else {
-			n.answer(j, &Reply{Status: Errored})
+			n.answer(j, &Reply{Status: StatusInternalError})
 		}
 	})
 }
@@ -275,8 +275,8 @@
 func (n *Node) serve(j *Job) {
 	w := n.world
 	w.answersMade++
-	reply := &Reply{Status: Good, Body: answerBody(j.ID, n.Name, w.answersMade), Lookup: j.lookup, Spoilt: n.draw() < n.corruptRate}
-	w.ledger.Made(j.ID, reply.Body, !reply.Spoilt)
+	reply := &Reply{Status: StatusOK, Body: answerBody(j.ID, n.Name, w.answersMade), Lookup: j.lookup, Corrupt: n.draw() < n.corruptRate}
+	w.ledger.BodyMade(j.ID, reply.Body, !reply.Corrupt)
 	n.answer(j, reply)
 }
 
@@ -287,7 +287,7 @@
 		return
 	}
 	reply.Delay = 2 * w.oneWay(w.routerSiteIndex(j.Router), n.Site)
-	w.ledger.Ended(j.ID, w.Now()+reply.Delay, reply.Status == Good && !reply.Spoilt)
+	w.ledger.SendAnswered(j.ID, w.Now()+reply.Delay, reply.Status == StatusOK && !reply.Corrupt)
 	j.Reply(reply)
 }
 
--- a/internal/kit/model/oracle_view.go
+++ b/internal/kit/model/oracle_view.go
@@ -9,25 +9,25 @@
 	return n.up && !n.collapsed && !n.frozen && !n.draining && !n.Silent(router)
 }
 
-// Holds reports whether a read of a key would be a cache hit.
-func (n *Node) Holds(key uint64) bool { return n.cache.Contains(key) }
+// Cached reports whether a read of a key would be a cache hit.
+func (n *Node) Cached(key uint64) bool { return n.cache.Contains(key) }
 
-// Fetches reports whether a read of a key is waiting for the database.
-func (n *Node) Fetches(key uint64) bool { return len(n.pendingReads[key]) > 0 }
+// FetchPending reports whether a read of a key is waiting for the database.
+func (n *Node) FetchPending(key uint64) bool { return len(n.pendingReads[key]) > 0 }
 
-// Within estimates how long a job that arrived now would take to finish, including queueing. Running jobs are assumed to be
+// CompletionTime estimates how long a job that arrived now would take to finish, including queueing. Running jobs are assumed to be
 // half done.
-func (n *Node) Within(work time.Duration) time.Duration {
+func (n *Node) CompletionTime(work time.Duration) time.Duration {
 	before := n.queuedWork
-	if n.busy >= n.Kind.Cores {
+	if n.busy >= n.Model.Cores {
 		before += n.runningWork / 2
 	}
-	return time.Duration(float64(before/time.Duration(n.Kind.Cores)+work) / n.speed())
+	return time.Duration(float64(before/time.Duration(n.Model.Cores)+work) / n.speed())
 }
 
-// FetchWithin estimates how long a fetch that began now would take. Room is the number of further requests in this second
+// FetchTime estimates how long a fetch that began now would take. Room is the number of further requests in this second
 // that stay within the database's capacity.
-func (w *World) FetchWithin() (within time.Duration, room int) {
+func (w *World) FetchTime() (within time.Duration, room int) {
 	d := w.db
 	asked := d.requestsThisSecond
 	if int64(w.Now()/time.Second) != d.currentSecond {
--- a/internal/kit/model/registry.go
+++ b/internal/kit/model/registry.go
@@ -79,7 +79,7 @@
 	if len(a.changes) > maxChanges {
 		a.changes = slices.Clone(a.changes[len(a.changes)-maxChanges:])
 	}
-	a.world.host.News(a.router)
+	a.world.host.DiscoveryUpdated(a.router)
 }
 
 // List returns what a router's agent answers: the changes since a version, or the whole list if no version is known or the
@@ -102,16 +102,16 @@
 	return a.index, false, entries
 }
 
-// Told records that an answer of a router's agent has been written to the router.
-func (w *World) Told(router int, whole bool, entries []Entry) {
+// ListSent records that an answer of a router's agent has been written to the router.
+func (w *World) ListSent(router int, whole bool, entries []Entry) {
 	listed := map[*Node]bool{}
 	for _, e := range entries {
 		listed[e.Node] = true
-		w.ledger.Told(router, e.Node.Name, e.Status == "SERVING", w.Now())
+		w.ledger.NodeStateTold(router, e.Node.Name, e.Status == "SERVING", w.Now())
 	}
 	for _, n := range w.Nodes {
 		if whole && !listed[n] {
-			w.ledger.Told(router, n.Name, false, w.Now())
+			w.ledger.NodeStateTold(router, n.Name, false, w.Now())
 		}
 	}
 }
@@ -133,5 +133,5 @@
 	}
 }
 
-// Beginning returns the node list of the beginning of the run, as a router finds it in a configuration that was never updated.
-func (w *World) Beginning() []Entry { return w.initialEntries }
+// InitialEntries returns the node list of the beginning of the run, as a router finds it in a configuration that was never updated.
+func (w *World) InitialEntries() []Entry { return w.initialEntries }
--- a/internal/kit/model/requests.go
+++ b/internal/kit/model/requests.go
@@ -10,17 +10,17 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// Ask is one request of a client, which may take several tries.
-type Ask struct {
-	N      int // number of the request, from 0 in order of time
-	At     Time
-	Class  int
-	Tenant int
-	Site   int
-	Key    uint64
-	Worth  float64 // reduced if the tenant is over its share
-	Within bool    // whether the tenant was within its share
-	Work   time.Duration
+// Request is one request of a client, which may take several tries.
+type Request struct {
+	Index       int // number of the request, from 0 in order of time
+	At          Time
+	Class       int
+	Tenant      int
+	Site        int
+	Key         uint64
+	Worth       float64 // reduced if the tenant is over its share
+	WithinShare bool    // whether the tenant was within its share
+	Work        time.Duration
 
 	seed              uint64 // of the random numbers of its tries
 	honoursRetryAfter bool   // whether the client waits for Retry-After
@@ -30,8 +30,8 @@
 }
 
 // drawRequests draws all requests of a run, in order of time.
-func drawRequests(s *scenario.Scenario, seed uint64) []*Ask {
-	var all []*Ask
+func drawRequests(s *scenario.Scenario, seed uint64) []*Request {
+	var all []*Request
 	arrivals, class, tenant, site := Stream(seed, "arrivals"), Stream(seed, "classes"), Stream(seed, "tenants"), Stream(seed, "sites")
 	keys, work, other := newZipf(s.Keys, Stream(seed, "keys"), Stream(seed, "key changes")), Stream(seed, "work"), Stream(seed, "clients")
 	classes := make([]float64, len(s.Classes))
@@ -65,7 +65,7 @@
 		if at >= length {
 			return all
 		}
-		a := &Ask{N: len(all), At: Time(at * 1e9), Class: pickWeighted(class, classes), Tenant: pickWeighted(tenant, tenants), Site: pickWeighted(site, sites),
+		a := &Request{Index: len(all), At: Time(at * 1e9), Class: pickWeighted(class, classes), Tenant: pickWeighted(tenant, tenants), Site: pickWeighted(site, sites),
 			Key: keys.draw(at), seed: other.Uint64(), honoursRetryAfter: other.Float64() < s.Clients.Honour}
 		hotDraw, hotIndex := hotKeys.Float64(), hotKeys.Float64()
 		for i, t := range s.Troubles {
@@ -91,8 +91,8 @@
 		if at < 0 {
 			a.Work = time.Duration(float64(a.Work) * warmUpWorkFactor)
 		}
-		a.Worth, a.Within = c.Worth, buckets[a.Tenant].take(at, s.Rate*s.Tenants[a.Tenant].Share/totalShare)
-		if !a.Within {
+		a.Worth, a.WithinShare = c.Worth, buckets[a.Tenant].take(at, s.Rate*s.Tenants[a.Tenant].Share/totalShare)
+		if !a.WithinShare {
 			a.Worth *= s.Clients.OverShare
 		}
 		all = append(all, a)
@@ -220,26 +220,26 @@
 
 // Try is one attempt of a client at a request.
 type Try struct {
-	*Ask
-	Number   int    // of the try, from 0
-	ID       string // correlation id, new with every try
-	Token    string // idempotency key, the same for all tries
-	Router   int
-	Begun    Time
-	Patience time.Duration // the client's timeout
-	Left     bool          // the client has closed the connection and sees no answer
+	*Request
+	Number         int    // of the try, from 0
+	CorrelationID  string // correlation id, new with every try
+	IdempotencyKey string // idempotency key, the same for all tries
+	Router         int
+	StartedAt      Time
+	Timeout        time.Duration // the client's timeout
+	ClientGone     bool          // the client has closed the connection and sees no answer
 
 	over bool
 }
 
 // newTry creates the request's next try.
-func (a *Ask) newTry(s *scenario.Scenario, now Time) *Try {
+func (a *Request) newTry(s *scenario.Scenario, now Time) *Try {
 	r := rand.New(rand.NewPCG(a.seed, uint64(a.tries)))
 	c := &s.Classes[a.Class]
 	lo, hi := s.Clients.Patience[0], s.Clients.Patience[1]
 	patience := time.Duration((lo + (hi-lo)*r.Float64()) * float64(c.Deadline))
-	t := &Try{Ask: a, Number: a.tries, Begun: now, Patience: min(patience, a.At+c.Deadline.D()-now),
-		ID: fmt.Sprintf("%016x", r.Uint64()), Token: fmt.Sprintf("%016x", a.seed)}
+	t := &Try{Request: a, Number: a.tries, StartedAt: now, Timeout: min(patience, a.At+c.Deadline.D()-now),
+		CorrelationID: fmt.Sprintf("%016x", r.Uint64()), IdempotencyKey: fmt.Sprintf("%016x", a.seed)}
 	a.tries++
 	return t
 }
--- a/internal/kit/model/trouble.go
+++ b/internal/kit/model/trouble.go
@@ -49,7 +49,7 @@
 // startTrouble starts a trouble and schedules its end.
 func (w *World) startTrouble(i int, t scenario.Trouble) {
 	span := t.For.D()
-	w.host.Note(w.Now(), "trouble: "+t.Kind)
+	w.host.RecordEvent(w.Now(), "trouble: "+t.Kind)
 	nodes := w.affectedNodes(i, t)
 	// applyToNodes applies a change to each affected node and reverts it at the end of the trouble.
 	applyToNodes := func(on, off func(n *Node)) {
@@ -89,7 +89,7 @@
 			func(n *Node) { delete(n.silent, r); w.setSilence(n, r, false) })
 	case "site-loss":
 		if t.With {
-			w.restartRouters(w.affectedRouters(i, scenario.Trouble{Site: t.Site}), span, Finds{}, w.host.KillRouter)
+			w.restartRouters(w.affectedRouters(i, scenario.Trouble{Site: t.Site}), span, StoredState{}, w.host.KillRouter)
 		}
 		applyToNodes(w.silenceNode, w.restoreNode)
 	case "flush":
@@ -112,8 +112,8 @@
 			w.startNode(n)
 		}
 	case "discovery-silence":
-		w.host.SilenceDiscovery(true)
-		w.After(span, func() { w.host.SilenceDiscovery(false) })
+		w.host.SetDiscoverySilence(true)
+		w.After(span, func() { w.host.SetDiscoverySilence(false) })
 	case "discovery-stale":
 		w.holdUpdates(span)
 	case "discovery-flap":
@@ -130,7 +130,7 @@
 		all := w.affectedRouters(i, t)
 		fill := func(full bool) {
 			for _, r := range all {
-				w.host.FillDisk(r, full)
+				w.host.SetDiskFull(r, full)
 			}
 		}
 		fill(true)
@@ -152,7 +152,7 @@
 
 // setSilence starts or ends a node's silence towards one router.
 func (w *World) setSilence(n *Node, router int, on bool) {
-	w.host.Silence(n, router, on)
+	w.host.SetNodeSilence(n, router, on)
 	w.ledger.Silence(on, w.Now())
 }
 
@@ -165,7 +165,7 @@
 	for r := range w.routerSites {
 		w.setSilence(n, r, true)
 	}
-	w.host.Note(w.Now(), n.Name+" silent")
+	w.host.RecordEvent(w.Now(), n.Name+" silent")
 	w.announce(n, "DELETED", w.scenario.Discovery.SilentLag)
 }
 
@@ -233,10 +233,10 @@
 }
 
 // foundState returns the state that a router finds when it restarts after a trouble.
-func foundState(t scenario.Trouble) Finds { return Finds{t.Known == "old", t.State} }
+func foundState(t scenario.Trouble) StoredState { return StoredState{t.Known == "old", t.State} }
 
 // restartRouters ends routers with the given function and starts them again after a span.
-func (w *World) restartRouters(all []int, span time.Duration, found Finds, end func(int)) {
+func (w *World) restartRouters(all []int, span time.Duration, found StoredState, end func(int)) {
 	for _, r := range all {
 		end(r)
 	}
@@ -254,7 +254,7 @@
 		wasStalled := w.stallCounts[r] > 0
 		if w.stallCounts[r] += delta; w.stallCounts[r] > 0 != wasStalled {
 			w.ledger.Stalled(r, !wasStalled, w.Now())
-			w.host.StallRouter(r, !wasStalled)
+			w.host.SetRouterStalled(r, !wasStalled)
 			if wasStalled {
 				w.inRotation[r] = w.routerRunning[r]
 				continue
--- a/internal/kit/model/world.go
+++ b/internal/kit/model/world.go
@@ -10,27 +10,27 @@
 
 // Host carries out what the model requests, over sockets or in virtual time. It calls back on the goroutine that runs the queue.
 type Host interface {
-	Send(t *Try)                              // sends a client's try to its router; World.Answered follows exactly once
-	Leave(t *Try) (sent bool)                 // closes the client's connection; if the client has sent nothing yet, World.Answered follows
-	Down(n *Node)                             // the node's process has died: open connections are reset and new ones refused
-	Up(n *Node)                               // the node's process runs again
-	Silence(n *Node, router int, on bool)     // starts or ends the node's silence towards one router
-	News(router int)                          // a router's discovery agent has an update
-	SilenceDiscovery(on bool)                 // silences all discovery agents, or ends their silence
-	StartRouter(r int, f Finds)               // World.RouterReady follows
-	KillRouter(r int)                         // kills the process without a shutdown
-	StopRouter(r int)                         // shuts the process down gracefully; World.RouterEnded follows
-	StallRouter(r int, on bool)               // suspends the router's process, or resumes it
-	FillDisk(r int, full bool)                // makes the router's writes to disk fail, or succeed again
-	ReloadRouter(r int)                       // reloads the configuration, with discovery at a new address
-	BadClients(count int, span time.Duration) // runs misbehaving clients for the span
-	Note(at Time, what string)                // records an event for the report
+	Send(t *Try)                                 // sends a client's try to its router; World.Answered follows exactly once
+	CloseClient(t *Try) (sent bool)              // closes the client's connection; if the client has sent nothing yet, World.Answered follows
+	NodeDown(n *Node)                            // the node's process has died: open connections are reset and new ones refused
+	NodeUp(n *Node)                              // the node's process runs again
+	SetNodeSilence(n *Node, router int, on bool) // starts or ends the node's silence towards one router
+	DiscoveryUpdated(router int)                 // a router's discovery agent has an update
+	SetDiscoverySilence(on bool)                 // silences all discovery agents, or ends their silence
+	StartRouter(r int, f StoredState)            // World.RouterReady follows
+	KillRouter(r int)                            // kills the process without a shutdown
+	StopRouter(r int)                            // shuts the process down gracefully; World.RouterEnded follows
+	SetRouterStalled(r int, on bool)             // suspends the router's process, or resumes it
+	SetDiskFull(r int, full bool)                // makes the router's writes to disk fail, or succeed again
+	ReloadRouter(r int)                          // reloads the configuration, with discovery at a new address
+	BadClients(count int, span time.Duration)    // runs misbehaving clients for the span
+	RecordEvent(at Time, what string)            // records an event for the report
 }
 
-// Finds is the stored state that a restarting router finds.
-type Finds struct {
-	OldList bool   // the configuration holds the node list of the beginning of the run
-	State   string // condition of the stored state, as scenario.Trouble.State
+// StoredState is the stored state that a restarting router finds.
+type StoredState struct {
+	InitialList bool   // the configuration holds the node list of the beginning of the run
+	State       string // condition of the stored state, as scenario.Trouble.State
 }
 
 // World is the simulated environment of one run of a scenario.
@@ -45,7 +45,7 @@
 	db       *database
 	agents   []*agent
 
-	requests         []*Ask
+	requests         []*Request
 	tries            map[string]*Try
 	openRequests     int             // requests that may still get an answer or another try
 	effects          map[string]Time // by idempotency key: when the write took effect
@@ -66,9 +66,9 @@
 	w.db = &database{config: &s.Database, world: w}
 	w.requests = drawRequests(s, seed)
 	w.openRequests = len(w.requests)
-	var records []ledger.Ask
+	var records []ledger.Request
 	for _, a := range w.requests {
-		records = append(records, ledger.Ask{At: a.At, Class: a.Class, Tenant: a.Tenant, Worth: a.Worth, Within: a.Within})
+		records = append(records, ledger.Request{At: a.At, Class: a.Class, Tenant: a.Tenant, Worth: a.Worth, WithinShare: a.WithinShare})
 	}
 	w.ledger = ledger.New(s, records)
 	kinds := w.assignModels(len(s.NodeNames()))
@@ -140,19 +140,19 @@
 	return w.scenario.Network.Cross.D()
 }
 
-// Trip returns the network round-trip time between a router and a node.
-func (w *World) Trip(router int, n *Node) time.Duration {
+// RoundTrip returns the network round-trip time between a router and a node.
+func (w *World) RoundTrip(router int, n *Node) time.Duration {
 	return 2 * w.oneWay(w.routerSiteIndex(router), n.Site)
 }
 
 // DatabasePeak returns the highest number of database requests in one second, as a multiple of the database's capacity.
 func (w *World) DatabasePeak() float64 { return w.db.Peak }
 
-// DatabaseAsks returns the total number of database requests.
-func (w *World) DatabaseAsks() int { return w.db.Fetches }
+// DatabaseRequests returns the total number of database requests.
+func (w *World) DatabaseRequests() int { return w.db.Fetches }
 
-// Begin schedules all requests, samples and troubles of the run. All routers must be running and ready.
-func (w *World) Begin() {
+// Start schedules all requests, samples and troubles of the run. All routers must be running and ready.
+func (w *World) Start() {
 	for _, a := range w.requests {
 		w.At(a.At, func() { w.sendTry(a) })
 	}
@@ -167,7 +167,7 @@
 // sample records each node's load and state. It runs in the middle of each second.
 func (w *World) sample() {
 	for _, n := range w.Nodes {
-		n.loadSamples = append(n.loadSamples, float64(n.busy)/float64(n.Kind.Cores))
+		n.loadSamples = append(n.loadSamples, float64(n.busy)/float64(n.Model.Cores))
 		state := byte(ledger.StateUp)
 		switch {
 		case !n.up:
@@ -191,20 +191,20 @@
 	return all
 }
 
-// Over reports whether the run has ended and no request is open.
-func (w *World) Over() bool { return w.openRequests == 0 && w.Now() >= w.scenario.Length.D() }
+// Done reports whether the run has ended and no request is open.
+func (w *World) Done() bool { return w.openRequests == 0 && w.Now() >= w.scenario.Length.D() }
 
 // sendTry sends a request's next try and schedules the client's timeout.
-func (w *World) sendTry(a *Ask) {
+func (w *World) sendTry(a *Request) {
 	t := a.newTry(w.scenario, w.Now())
 	t.Router = w.chooseRouter(t)
-	w.tries[t.ID] = t
-	w.ledger.Tried(a.N, t.ID, t.Router, w.Now(), t.Patience)
-	w.After(t.Patience+answerSlack, func() {
+	w.tries[t.CorrelationID] = t
+	w.ledger.TrySent(a.Index, t.CorrelationID, t.Router, w.Now(), t.Timeout)
+	w.After(t.Timeout+answerSlack, func() {
 		if !t.over {
-			t.Left = true
-			if w.host.Leave(t) {
-				w.tryEnded(t, ledger.Nothing, 0, "", w.Now())
+			t.ClientGone = true
+			if w.host.CloseClient(t) {
+				w.tryEnded(t, ledger.NoAnswer, 0, "", w.Now())
 			}
 		}
 	})
@@ -245,7 +245,7 @@
 func (w *World) Answered(t *Try, a Answer, at Time) {
 	if t.over {
 		if a.Outcome == ledger.Served || a.Outcome == ledger.Refused || a.Outcome == ledger.Failed {
-			w.ledger.Extra(t.ID, at) // a second answer, or an answer after the try had ended
+			w.ledger.ExtraAnswer(t.CorrelationID, at) // a second answer, or an answer after the try had ended
 		}
 		return
 	}
@@ -255,8 +255,8 @@
 // tryEnded records the outcome of a try and schedules the next one if the client retries.
 func (w *World) tryEnded(t *Try, outcome ledger.Outcome, retryAfter time.Duration, body string, at Time) {
 	t.over = true
-	a := t.Ask
-	if w.ledger.Answered(t.ID, outcome, body, at) {
+	a := t.Request
+	if w.ledger.TryEnded(t.CorrelationID, outcome, body, at) {
 		a.served = true
 	}
 	if a.done {
@@ -267,7 +267,7 @@
 	if a.honoursRetryAfter {
 		wait = max(wait, retryAfter)
 	}
-	harmless := c.Effect != "unsafe" || outcome == ledger.Refused || outcome == ledger.Unheard
+	harmless := c.Effect != "unsafe" || outcome == ledger.Refused || outcome == ledger.NotConnected
 	if a.served || t.Number >= w.scenario.Clients.Retries || !harmless || w.Now()+wait >= a.At+c.Deadline.D() {
 		a.done = true
 		w.openRequests--
@@ -281,8 +281,8 @@
 	w.inRotation[r], w.routerRunning[r] = true, true
 }
 
-// RouterLeaving reports that a router has been told to shut down gracefully. New clients are directed to it for leavingDelay more.
-func (w *World) RouterLeaving(r int) {
+// RouterStopping reports that a router has been told to shut down gracefully. New clients are directed to it for leavingDelay more.
+func (w *World) RouterStopping(r int) {
 	w.After(leavingDelay, func() { w.inRotation[r] = false })
 }
 
@@ -318,8 +318,8 @@
 	n.up, n.draining = false, false
 	n.incarnation++
 	n.reset()
-	w.host.Down(n)
-	w.host.Note(w.Now(), n.Name+" down")
+	w.host.NodeDown(n)
+	w.host.RecordEvent(w.Now(), n.Name+" down")
 	if !told {
 		w.announce(n, "DELETED", w.scenario.Discovery.Lag)
 	}
@@ -334,8 +334,8 @@
 	n.incarnation++
 	n.started = w.Now()
 	n.reset()
-	w.host.Up(n)
-	w.host.Note(w.Now(), n.Name+" up, cold")
+	w.host.NodeUp(n)
+	w.host.RecordEvent(w.Now(), n.Name+" up, cold")
 	w.announce(n, "SERVING", w.scenario.Discovery.Lag)
 }
 
--- a/internal/kit/rehearse/compare.go
+++ b/internal/kit/rehearse/compare.go
@@ -118,7 +118,7 @@
 			fmt.Fprintf(p.stderr, "seed %d, %s\n", seed, c.Router[which])
 			var report *ledger.Report
 			if c.Virtual {
-				report, err = virtual.Run(p.ctx, s, virtual.Options{Seed: seed, Decide: baseline.New(c.Router[which])})
+				report, err = virtual.Run(p.ctx, s, virtual.Options{Seed: seed, NewDecider: baseline.New(c.Router[which])})
 			} else {
 				report, err = rig.Run(p.ctx, s, rig.Options{Seed: seed, Router: routers[which]})
 			}
--- a/internal/kit/rehearse/html.go
+++ b/internal/kit/rehearse/html.go
@@ -155,8 +155,8 @@
 			for i := 0; i < len(believed) && i < len(n.State); i++ {
 				serves := n.State[i] == ledger.StateUp || n.State[i] == ledger.StateCold
 				fill := ""
-				switch used := believed[i] == ledger.BelievedUsed; {
-				case believed[i] == ledger.BelievedUnknown:
+				switch used := believed[i] == ledger.ViewInUse; {
+				case believed[i] == ledger.ViewUnknown:
 					continue
 				case used && serves:
 					fill = "#d5ead9"
--- a/internal/kit/rehearse/rehearse.go
+++ b/internal/kit/rehearse/rehearse.go
@@ -93,7 +93,7 @@
 	switch given.Selected().Name { // these are routers themselves, and see to their signals
 	case "baseline":
 		if decide := baseline.New(c.Baseline.Name); decide != nil {
-			return daemon.RunDeciding(decide, os.Getenv, stderr)
+			return daemon.RunWithDecider(decide, os.Getenv, stderr)
 		}
 		fmt.Fprintf(stderr, "rehearse: there is no policy %q\n", c.Baseline.Name)
 		return badInput
@@ -125,7 +125,7 @@
 		io.WriteString(stdout, scenario.Reference())
 		return held
 	}
-	fmt.Fprintln(stdout, build.Line("rehearse"))
+	fmt.Fprintln(stdout, build.VersionLine("rehearse"))
 	return held
 }
 
@@ -222,7 +222,7 @@
 		return p.fail(fmt.Errorf("%w: --virtual has no --router, --logs or policy none", errArgument))
 	}
 	if c.Virtual {
-		report, err := virtual.Run(p.ctx, s, virtual.Options{Seed: c.Seed, Decide: baseline.New(c.Policy), Oracle: oracle})
+		report, err := virtual.Run(p.ctx, s, virtual.Options{Seed: c.Seed, NewDecider: baseline.New(c.Policy), Oracle: oracle})
 		if err != nil {
 			return p.fail(err)
 		}
--- a/internal/kit/rehearse/spread.go
+++ b/internal/kit/rehearse/spread.go
@@ -32,8 +32,8 @@
 
 // span shows how long something took, or that it did not come to pass.
 func span(d time.Duration) string {
-	if d >= spread.Patience {
-		return "over " + spread.Patience.String()
+	if d >= spread.Timeout {
+		return "over " + spread.Timeout.String()
 	}
 	return d.String()
 }
--- a/internal/kit/rehearse/sweep.go
+++ b/internal/kit/rehearse/sweep.go
@@ -102,7 +102,7 @@
 		return s, err
 	}
 	mark := sha256.New() // of all that the days hang on
-	fmt.Fprintln(mark, build.Line("rehearse"), c.Policy, c.Seeds, c.From, c.Vary)
+	fmt.Fprintln(mark, build.VersionLine("rehearse"), c.Policy, c.Seeds, c.From, c.Vary)
 	result := Sweep{Policy: cmp.Or(c.Policy, "cedarmast"), Vary: c.Vary, Seeds: c.Seeds, From: c.From}
 	for i := range points {
 		s, err := day(i)
@@ -137,7 +137,7 @@
 			if err != nil {
 				return err
 			}
-			report, err := virtual.Run(ctx, s, virtual.Options{Seed: seed, Decide: baseline.New(c.Policy)})
+			report, err := virtual.Run(ctx, s, virtual.Options{Seed: seed, NewDecider: baseline.New(c.Policy)})
 			if err != nil {
 				return err
 			}
--- a/internal/kit/rig/agent.go
+++ b/internal/kit/rig/agent.go
@@ -127,8 +127,8 @@
 		if e.Since > -r.set.WarmUp.D() && r.set.Discovery.Starts {
 			ms = r.start.Add(e.Since).UnixMilli()
 		}
-		list.Endpoints = append(list.Endpoints, endpoint{e.Node.Name, r.nodes[e.Node.N][router].address, r.world.SiteName(e.Node),
-			e.Node.Kind.Name, 0, e.Status, 1, ms})
+		list.Endpoints = append(list.Endpoints, endpoint{e.Node.Name, r.nodes[e.Node.Index][router].address, r.world.SiteName(e.Node),
+			e.Node.Model.Name, 0, e.Status, 1, ms})
 	}
 	return list
 }
@@ -142,7 +142,7 @@
 	until := time.NewTimer(min(time.Duration(wait)*time.Millisecond, longestWait))
 	defer until.Stop()
 	over := false
-	a.rig.post(func() { a.rig.world.Ledger().ListCalled(a.rig.world.Now()) })
+	a.rig.post(func() { a.rig.world.Ledger().ListPolled(a.rig.world.Now()) })
 	for {
 		a.mu.Lock()
 		changed, silent := a.changed, a.silent
@@ -161,7 +161,7 @@
 				w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 				w.Write(text)
 				if http.NewResponseController(w).Flush() == nil {
-					a.rig.post(func() { a.rig.world.Told(a.router, list.Snapshot, list.told) })
+					a.rig.post(func() { a.rig.world.ListSent(a.router, list.Snapshot, list.told) })
 				}
 				return
 			}
--- a/internal/kit/rig/beliefs.go
+++ b/internal/kit/rig/beliefs.go
@@ -64,9 +64,9 @@
 			fields[name] = value
 		}
 	}
-	node, letter := fields["server"], byte(ledger.BelievedUsed)
+	node, letter := fields["server"], byte(ledger.ViewInUse)
 	if span, err := time.ParseDuration(fields["excluded"]); err != nil || span > 0 {
-		letter = ledger.BelievedAside
+		letter = ledger.ViewExcluded
 	}
 	v.rig.post(func() { v.rig.believed(v.router, node, letter) })
 }
@@ -82,7 +82,7 @@
 	}
 	row := r.beliefs[router][node]
 	for len(row) <= second {
-		row = append(row, ledger.BelievedUnknown)
+		row = append(row, ledger.ViewUnknown)
 	}
 	row[second] = letter
 	r.beliefs[router][node] = row
@@ -99,7 +99,7 @@
 				for len(told) <= second {
 					told = append(told, false)
 				}
-				told[second] = told[second] || letter != ledger.BelievedUnknown
+				told[second] = told[second] || letter != ledger.ViewUnknown
 			}
 		}
 		all[router] = map[string]string{}
@@ -107,10 +107,10 @@
 			row := append([]byte(nil), rows[n.Name]...)
 			for second, known := range told {
 				if len(row) <= second {
-					row = append(row, ledger.BelievedUnknown)
+					row = append(row, ledger.ViewUnknown)
 				}
-				if known && row[second] == ledger.BelievedUnknown {
-					row[second] = ledger.BelievedAside
+				if known && row[second] == ledger.ViewUnknown {
+					row[second] = ledger.ViewExcluded
 				}
 			}
 			all[router][n.Name] = string(row)
--- a/internal/kit/rig/between.go
+++ b/internal/kit/rig/between.go
@@ -62,7 +62,7 @@
 		}
 		text := append([]byte(nil), buf[:n]...)
 		b.rig.post(func() {
-			for _, after := range b.rig.world.Carry(b.rig.rng, from, to) {
+			for _, after := range b.rig.world.MessageDelays(b.rig.rng, from, to) {
 				time.AfterFunc(after, func() {
 					b.socks[to][from].WriteToUDPAddrPort(text, b.home[to]) // lost, if the router has gone
 				})
--- a/internal/kit/rig/clients.go
+++ b/internal/kit/rig/clients.go
@@ -65,11 +65,11 @@
 		c.idle[address] = all[:len(all)-1]
 		c.mu.Unlock()
 		switch socket.Peek(one.Conn) {
-		case socket.Quiet:
+		case socket.Idle:
 			return one
 		case socket.Unread: // nobody has asked for anything: it answers what it has answered before
 			last := one.last
-			c.rig.post(func() { c.rig.world.Ledger().Extra(last, c.rig.world.Now()) })
+			c.rig.post(func() { c.rig.world.Ledger().ExtraAnswer(last, c.rig.world.Now()) })
 		}
 		one.Close()
 	}
@@ -101,7 +101,7 @@
 func (r *Rig) direct(t *model.Try) string {
 	for k := range uint64(len(r.world.Nodes)) {
 		if n := r.world.Nodes[(t.Key+k)%uint64(len(r.world.Nodes))]; n.Up() {
-			return r.nodes[n.N][t.Router].address
+			return r.nodes[n.Index][t.Router].address
 		}
 	}
 	return r.nodes[0][t.Router].address
@@ -145,11 +145,11 @@
 			raw, err := net.DialTimeout("tcp", address, dialWithin)
 			switch {
 			case err != nil && fresh:
-				return model.Answer{Outcome: ledger.Broken}
+				return model.Answer{Outcome: ledger.Truncated}
 			case err != nil && c.isOver(t) && time.Since(begun) >= dialAgain:
-				return model.Answer{Outcome: ledger.Nothing} // nobody took the connection while its client waited
+				return model.Answer{Outcome: ledger.NoAnswer} // nobody took the connection while its client waited
 			case err != nil:
-				return model.Answer{Outcome: ledger.Unheard}
+				return model.Answer{Outcome: ledger.NotConnected}
 			}
 			one = &conn{Conn: raw, r: bufio.NewReader(raw)}
 		}
@@ -190,9 +190,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.out[t].sent || took >= dialAgain {
-		return model.Answer{Outcome: ledger.Nothing}
+		return model.Answer{Outcome: ledger.NoAnswer}
 	}
-	return model.Answer{Outcome: ledger.Unheard}
+	return model.Answer{Outcome: ledger.NotConnected}
 }
 
 // ask sends one request on a connection; silent tells that the connection ended without a byte.
@@ -208,8 +208,8 @@
 			one.Close()
 		}
 	}()
-	a.Outcome = ledger.Broken
-	one.SetDeadline(time.Now().Add(t.Patience + time.Second)) // the model ends it before
+	a.Outcome = ledger.Truncated
+	one.SetDeadline(time.Now().Add(t.Timeout + time.Second)) // the model ends it before
 	if _, err := io.WriteString(one, c.request(t, c.rig.now())); err != nil {
 		return a, true
 	}
@@ -236,11 +236,11 @@
 		a.Outcome = ledger.Failed
 	}
 	if one.r.Buffered() > 0 {
-		c.rig.post(func() { c.rig.world.Ledger().Extra(t.ID, c.rig.world.Now()) })
+		c.rig.post(func() { c.rig.world.Ledger().ExtraAnswer(t.CorrelationID, c.rig.world.Now()) })
 		return a, false
 	}
 	one.SetDeadline(time.Time{})
-	one.used, one.last = true, t.ID
+	one.used, one.last = true, t.CorrelationID
 	keep = !resp.Close
 	return a, false
 }
@@ -251,17 +251,17 @@
 // request writes a try out at a moment of the day. It tells the time that is left then: the client's time runs from the moment at which the try
 // was due, and on a busy machine its goroutine and its connection come later.
 func (c *clients) request(t *model.Try, at time.Duration) string {
-	left := max(t.Begun+t.Patience-at, leastLeft)
+	left := max(t.StartedAt+t.Timeout-at, leastLeft)
 	class := &c.rig.set.Classes[t.Class]
 	var b strings.Builder
 	method, body := "GET", ""
 	if class.Write {
-		method, body = "PUT", fmt.Sprintf("value of %s", t.Token)
+		method, body = "PUT", fmt.Sprintf("value of %s", t.IdempotencyKey)
 	}
 	fmt.Fprintf(&b, "%s /%s/%016x HTTP/1.1\r\nHost: rehearsal.local\r\nX-Correlation-Id: %s\r\nX-Service-Class: %s\r\nX-Account: %s\r\nX-Time-Left: %dm\r\n",
-		method, class.Name, t.Key, t.ID, class.Name, c.rig.set.Tenants[t.Tenant].Name, left.Milliseconds())
+		method, class.Name, t.Key, t.CorrelationID, class.Name, c.rig.set.Tenants[t.Tenant].Name, left.Milliseconds())
 	if class.Effect == "keyed" {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.Token)
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.IdempotencyKey)
 	}
 	if body != "" {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(body))
--- a/internal/kit/rig/clients_test.go
+++ b/internal/kit/rig/clients_test.go
@@ -23,14 +23,14 @@
 		t.Fatal(err)
 	}
 	c := newClients(&Rig{set: set})
-	try := &model.Try{Ask: &model.Ask{}, Begun: 6 * time.Second, Patience: 1625 * time.Millisecond}
+	try := &model.Try{Request: &model.Request{}, StartedAt: 6 * time.Second, Timeout: 1625 * time.Millisecond}
 	for at, want := range map[time.Duration]string{
 		0:                       "1625m",
 		111 * time.Millisecond:  "1514m",
 		1624 * time.Millisecond: "1m",
 		2 * time.Second:         "1m",
 	} {
-		if text := c.request(try, try.Begun+at); !strings.Contains(text, "\r\nX-Time-Left: "+want+"\r\n") {
+		if text := c.request(try, try.StartedAt+at); !strings.Contains(text, "\r\nX-Time-Left: "+want+"\r\n") {
 			t.Errorf("sent after %v it does not tell %s: %q", at, want, text)
 		}
 	}
@@ -61,11 +61,11 @@
 		progress progress
 		want     ledger.Outcome
 	}{
-		"nothing was sent":    {progress{}, ledger.Unheard},
-		"it was sent once":    {progress{sent: true}, ledger.Nothing},
-		"its connection came": {progress{sent: true, conn: &conn{Conn: closed{}}}, ledger.Nothing},
+		"nothing was sent":    {progress{}, ledger.NotConnected},
+		"it was sent once":    {progress{sent: true}, ledger.NoAnswer},
+		"its connection came": {progress{sent: true, conn: &conn{Conn: closed{}}}, ledger.NoAnswer},
 	} {
-		try := &model.Try{Ask: &model.Ask{}, Patience: time.Second}
+		try := &model.Try{Request: &model.Request{}, Timeout: time.Second}
 		c.out[try] = &v.progress
 		if sent := c.leave(try); sent != v.progress.sent {
 			t.Errorf("%s: leave says %v", name, sent)
@@ -77,9 +77,9 @@
 			t.Errorf("%s: %d bytes were sent after the client had left", name, n)
 		}
 	}
-	try := &model.Try{Ask: &model.Ask{}}
+	try := &model.Try{Request: &model.Request{}}
 	c.out[try] = &progress{}
-	if a := c.notSent(try, dialAgain); a.Outcome != ledger.Nothing {
+	if a := c.notSent(try, dialAgain); a.Outcome != ledger.NoAnswer {
 		t.Errorf("a connection that nobody took for %v: %v", dialAgain, a.Outcome)
 	}
 }
--- a/internal/kit/rig/control.go
+++ b/internal/kit/rig/control.go
@@ -31,20 +31,22 @@
 }
 
 // Kill ends a router outright. Stop ends it in order, and Start starts it again; those two return before it has gone or is ready.
-func (c *Control) Kill(router int)                 { c.do(func() { c.rig.KillRouter(router) }) }
-func (c *Control) Stop(router int)                 { c.do(func() { c.rig.StopRouter(router) }) }
-func (c *Control) Start(router int, f model.Finds) { c.do(func() { c.rig.StartRouter(router, f) }) }
+func (c *Control) Kill(router int) { c.do(func() { c.rig.KillRouter(router) }) }
+func (c *Control) Stop(router int) { c.do(func() { c.rig.StopRouter(router) }) }
+func (c *Control) Start(router int, f model.StoredState) {
+	c.do(func() { c.rig.StartRouter(router, f) })
+}
 
 // Stall has a router's process stand still, or go on.
 func (c *Control) Stall(router int, on bool) { c.do(func() { c.rig.world.Stall(router, on) }) }
 
 // FillDisk has nothing that a router stores be written, or has it written again.
-func (c *Control) FillDisk(router int, full bool) { c.do(func() { c.rig.FillDisk(router, full) }) }
+func (c *Control) FillDisk(router int, full bool) { c.do(func() { c.rig.SetDiskFull(router, full) }) }
 
 // Strike strikes the links between some routers and others, as a trouble of kind router-link does, until heal is called.
 func (c *Control) Strike(routers, others []int, t scenario.Trouble) (heal func()) {
 	var end func()
-	c.do(func() { end = c.rig.world.Strike(routers, others, t) })
+	c.do(func() { end = c.rig.world.AddLinkFault(routers, others, t) })
 	return func() {
 		if end != nil {
 			c.do(end)
@@ -53,7 +55,7 @@
 }
 
 // Silence keeps discovery from answering any router, or ends that.
-func (c *Control) Silence(on bool) { c.do(func() { c.rig.SilenceDiscovery(on) }) }
+func (c *Control) Silence(on bool) { c.do(func() { c.rig.SetDiscoverySilence(on) }) }
 
 // Stats are a router's counters, by group and name.
 func (c *Control) Stats(router int) (all map[string]map[string]int64, err error) {
@@ -83,7 +85,7 @@
 
 // Holds has the ledger hold an order, given elsewhere, against a router from now on: a send against it is stale.
 func (c *Control) Holds(router int, node string, out bool) {
-	c.do(func() { c.rig.world.Ledger().Ordered(router, node, out, c.rig.world.Now()) })
+	c.do(func() { c.rig.world.Ledger().OperatorOrder(router, node, out, c.rig.world.Now()) })
 }
 
 // Order takes a node out for maintenance at a router, or back, by its operators' address, and tells what was answered.
@@ -100,7 +102,7 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode == http.StatusOK {
-		c.do(func() { c.rig.world.Ledger().Ordered(router, node, out, c.rig.world.Now()) })
+		c.do(func() { c.rig.world.Ledger().OperatorOrder(router, node, out, c.rig.world.Now()) })
 	}
 	return resp.StatusCode, nil
 }
--- a/internal/kit/rig/limits.go
+++ b/internal/kit/rig/limits.go
@@ -30,7 +30,7 @@
 				return
 			}
 			if mb := residentMB(pid); mb > float64(r.set.Limits.MemoryMB) {
-				r.Note(r.now(), fmt.Sprintf("%s took %.0f MB of %d and was killed for it", t.name, mb, r.set.Limits.MemoryMB))
+				r.RecordEvent(r.now(), fmt.Sprintf("%s took %.0f MB of %d and was killed for it", t.name, mb, r.set.Limits.MemoryMB))
 				syscall.Kill(-pid, syscall.SIGKILL)
 				return
 			}
--- a/internal/kit/rig/port.go
+++ b/internal/kit/rig/port.go
@@ -143,7 +143,7 @@
 	}
 	l, err := p.rig.listen(p.address)
 	if err != nil { // the address is this run's own: nobody else has it
-		p.rig.Note(p.rig.now(), fmt.Sprintf("%s can't listen again: %v", p.node.Name, err))
+		p.rig.RecordEvent(p.rig.now(), fmt.Sprintf("%s can't listen again: %v", p.node.Name, err))
 		return
 	}
 	p.accept(l)
@@ -289,17 +289,17 @@
 			continue
 		}
 		p.mu.Lock()
-		full := len(p.conns) > p.node.Kind.ConnMost
+		full := len(p.conns) > p.node.Model.ConnMost
 		p.mu.Unlock()
 		if full {
 			p.rig.post(func() {
-				p.rig.world.Ledger().Sent(id, p.router, p.node.Name, p.rig.world.Now(), false)
-				p.rig.world.Ledger().Ended(id, p.rig.world.Now(), false)
+				p.rig.world.Ledger().NodeReceived(id, p.router, p.node.Name, p.rig.world.Now(), false)
+				p.rig.world.Ledger().SendAnswered(id, p.rig.world.Now(), false)
 			})
 			io.WriteString(c, turnedAway)
 			return
 		}
-		job := &model.Job{ID: id, Router: p.router, Fresh: n == 0, Reply: func(a *model.Reply) { replies <- a }}
+		job := &model.Job{ID: id, Router: p.router, NewConnection: n == 0, Reply: func(a *model.Reply) { replies <- a }}
 		p.rig.post(func() { p.node.Arrive(job) })
 		var a *model.Reply
 		select {
@@ -321,11 +321,11 @@
 func (p *port) write(c net.Conn, a *model.Reply) bool {
 	text := ""
 	switch {
-	case a.Spoilt:
+	case a.Corrupt:
 		text = "HTTP/1.1 2\x000 OK\r\nContent-Length: 12\r\n\r\nnothing said"
-	case a.Status == model.TurnedAw:
+	case a.Status == model.StatusUnavailable:
 		text = turnedAway
-	case a.Status == model.Good:
+	case a.Status == model.StatusOK:
 		text = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n"
 		if a.Lookup != "" {
 			text += "X-Lookup: " + a.Lookup + "\r\n"
@@ -341,7 +341,7 @@
 // awaitByte waits for a request's first byte, as long as the node keeps an idle connection. A silent machine closes none.
 func (p *port) awaitByte(c net.Conn, in *bufio.Reader) bool {
 	for {
-		c.SetReadDeadline(time.Now().Add(p.node.Kind.Idle.D()))
+		c.SetReadDeadline(time.Now().Add(p.node.Model.Idle.D()))
 		_, err := in.Peek(1)
 		if err == nil {
 			c.SetReadDeadline(time.Time{})
--- a/internal/kit/rig/rig.go
+++ b/internal/kit/rig/rig.go
@@ -124,7 +124,7 @@
 	r.stopAll()
 	l := r.world.Ledger()
 	report = l.Report()
-	report.Seed, report.DatabasePeak, report.Fetches = opt.Seed, r.world.DatabasePeak(), r.world.DatabaseAsks()
+	report.Seed, report.DatabasePeak, report.Fetches = opt.Seed, r.world.DatabasePeak(), r.world.DatabaseRequests()
 	report.HostLateMS = float64(r.late.ValueAtQuantile(99)) / 1000
 	report.HostCPU = (cpuTime() - before).Seconds()
 	report.HostMemoryMB = residentMB(os.Getpid())
@@ -134,7 +134,7 @@
 		report.Crashes += router.crashed()
 	}
 	report.Marks, report.Nodes, report.Beliefs = r.marks, r.world.Samples(), r.believedAll()
-	report.Expected(l)
+	report.CheckExpectations(l)
 	if report.HostLateMS > float64(mostLate/time.Millisecond) {
 		return report, ErrLate
 	}
@@ -258,14 +258,14 @@
 	for _, t := range r.routers {
 		t.copyState(r.stateDir("state"), r.stateDir("beginning"))
 	}
-	r.world.Begin()
+	r.world.Start()
 	r.background(r.askBeliefs)
 	if r.opt.Drive != nil {
 		r.background(func() { r.opt.Drive(&Control{r}) })
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for !r.world.Over() {
+	for !r.world.Done() {
 		wait := time.Hour
 		if at, ok := r.world.Next(); ok {
 			wait = max(at-time.Since(r.start), 0)
@@ -415,32 +415,34 @@
 
 // The model asks for these.
 
-func (r *Rig) Send(t *model.Try)              { r.clients.send(t) }
-func (r *Rig) Leave(t *model.Try) (sent bool) { return r.clients.leave(t) }
+func (r *Rig) Send(t *model.Try)                    { r.clients.send(t) }
+func (r *Rig) CloseClient(t *model.Try) (sent bool) { return r.clients.leave(t) }
 
-func (r *Rig) Down(n *model.Node) {
-	for _, p := range r.nodes[n.N] {
+func (r *Rig) NodeDown(n *model.Node) {
+	for _, p := range r.nodes[n.Index] {
 		p.down()
 	}
 }
 
-func (r *Rig) Up(n *model.Node) {
-	for _, p := range r.nodes[n.N] {
+func (r *Rig) NodeUp(n *model.Node) {
+	for _, p := range r.nodes[n.Index] {
 		p.up()
 	}
 }
 
-func (r *Rig) Silence(n *model.Node, router int, on bool) { r.nodes[n.N][router].silence(on) }
+func (r *Rig) SetNodeSilence(n *model.Node, router int, on bool) {
+	r.nodes[n.Index][router].silence(on)
+}
 
-func (r *Rig) News(router int) { r.agents[router].news() }
+func (r *Rig) DiscoveryUpdated(router int) { r.agents[router].news() }
 
-func (r *Rig) SilenceDiscovery(on bool) {
+func (r *Rig) SetDiscoverySilence(on bool) {
 	for _, a := range r.agents {
 		a.silence(on)
 	}
 }
 
-func (r *Rig) StartRouter(k int, f model.Finds) {
+func (r *Rig) StartRouter(k int, f model.StoredState) {
 	r.routers[k].finds(f)
 	r.launch(k, func(err error) {
 		if err == nil {
@@ -455,19 +457,19 @@
 }
 
 func (r *Rig) StopRouter(k int) {
-	r.world.RouterLeaving(k)
+	r.world.RouterStopping(k)
 	r.background(r.routers[k].terminate)
 }
 
-func (r *Rig) StallRouter(k int, on bool) { r.routers[k].stall(on) }
+func (r *Rig) SetRouterStalled(k int, on bool) { r.routers[k].stall(on) }
 
-func (r *Rig) FillDisk(k int, full bool) { r.routers[k].fillDisk(full) }
+func (r *Rig) SetDiskFull(k int, full bool) { r.routers[k].fillDisk(full) }
 
 func (r *Rig) ReloadRouter(k int) { r.routers[k].reload() }
 
 func (r *Rig) BadClients(count int, span time.Duration) { r.clients.bad(count, span) }
 
-func (r *Rig) Note(at time.Duration, what string) {
+func (r *Rig) RecordEvent(at time.Duration, what string) {
 	r.marksMu.Lock()
 	r.marks = append(r.marks, ledger.Mark{AtS: at.Seconds(), What: what})
 	r.marksMu.Unlock()
--- a/internal/kit/rig/router.go
+++ b/internal/kit/rig/router.go
@@ -58,7 +58,7 @@
 	peerListen, peers := r.between.peers(t.k)
 	known := r.instances(t.k, 0, false)
 	if t.old {
-		known = r.listed(t.k, 0, true, r.world.Beginning())
+		known = r.listed(t.k, 0, true, r.world.InitialEntries())
 	}
 	return json.Marshal(map[string]any{
 		"name": t.name, "listen": t.listen, "discovery": r.agents[t.k].at(),
@@ -123,8 +123,8 @@
 }
 
 // finds lays out what a router is to find at its next start. It is called on the model's goroutine, with no process running.
-func (t *router) finds(f model.Finds) {
-	t.old = f.OldList
+func (t *router) finds(f model.StoredState) {
+	t.old = f.InitialList
 	dir := t.rig.stateDir("state")
 	switch f.State {
 	case "lost":
@@ -199,7 +199,7 @@
 		t.mu.Unlock()
 		close(exited)
 		if crashed {
-			r.Note(r.now(), fmt.Sprintf("%s ended with %v: %s", t.name, cmd.ProcessState, last.String()))
+			r.RecordEvent(r.now(), fmt.Sprintf("%s ended with %v: %s", t.name, cmd.ProcessState, last.String()))
 		}
 		if r.running.Load() {
 			r.post(func() { r.world.RouterEnded(k, killed) })
@@ -281,7 +281,7 @@
 	select {
 	case <-exited:
 	case <-time.After(endsWithin):
-		t.rig.Note(t.rig.now(), t.name+" did not end in time and was killed")
+		t.rig.RecordEvent(t.rig.now(), t.name+" did not end in time and was killed")
 		syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) // what it holds then is not excused
 		<-exited
 	}
--- a/internal/kit/spread/spread.go
+++ b/internal/kit/spread/spread.go
@@ -30,8 +30,8 @@
 	Quiet   int           // bytes per second that a router sends while nothing changes
 }
 
-// Patience is the timeout for each condition.
-const Patience = 30 * time.Second
+// Timeout is the timeout for each condition.
+const Timeout = 30 * time.Second
 
 const (
 	conflictingServers = 40 // servers for which the halves are given conflicting orders
@@ -49,11 +49,11 @@
 	}
 	f := newFleet(o)
 	for i := range o.Facts {
-		n := facts.Name{Kind: facts.Cold, Subject: fmt.Sprint("server-", i)}
+		n := facts.Name{Kind: facts.StartTime, Subject: fmt.Sprint("server-", i)}
 		f.spreaders[0].Write(f.now, n, int64(i))
 		fact, _ := f.spreaders[0].Get(n)
 		for _, s := range f.spreaders[1:] {
-			s.Take(n, fact)
+			s.Apply(n, fact)
 		}
 	}
 	f.run(time.Second, nil)
@@ -61,8 +61,8 @@
 	f.run(5*time.Second, nil)
 	r.Quiet = f.bytesSent[0] / 5
 
-	f.spreaders[0].Set(f.now, orderName(0), facts.Out)
-	r.Order = f.run(Patience, f.converged)
+	f.spreaders[0].Set(f.now, orderName(0), facts.Drained)
+	r.Order = f.run(Timeout, f.converged)
 
 	half, last := o.Routers/2, o.Routers-1
 	f.blocked = func(from, to int) bool { return (from < half) != (to < half) }
@@ -72,7 +72,7 @@
 	}
 	f.run(partitionTime, nil)
 	f.blocked = nil
-	r.Heal = f.run(Patience, f.converged)
+	r.Heal = f.run(Timeout, f.converged)
 	for i := range conflictingServers {
 		for _, s := range f.spreaders {
 			fact, _ := s.Get(orderName(i))
@@ -89,23 +89,25 @@
 	if o.Routers < muteGroupSize {
 		f.blocked = nil
 	}
-	r.CatchUp = f.run(Patience, f.converged)
-	r.Knows = r.CatchUp + f.run(Patience, f.spreaders[last].InStep)
+	r.CatchUp = f.run(Timeout, f.converged)
+	r.Knows = r.CatchUp + f.run(Timeout, f.spreaders[last].Synced)
 	return r, nil
 }
 
-func orderName(i int) facts.Name { return facts.Name{Kind: facts.Order, Subject: fmt.Sprint("c", i)} }
+func orderName(i int) facts.Name {
+	return facts.Name{Kind: facts.AdminState, Subject: fmt.Sprint("c", i)}
+}
 
 // fleet is a set of routers and the datagrams in transit between them.
 type fleet struct {
 	Options
 	now       time.Duration
-	spreaders []*facts.Spreader
+	spreaders []*facts.Gossiper
 	blocked   func(from, to int) bool // nil: no link is blocked
 	rng       *rand.Rand
 	inTransit map[time.Duration][]datagram // by arrival time
 	bytesSent []int                        // by router
-	lastLife  facts.Life
+	lastLife  facts.Incarnation
 }
 
 // datagram is a message in transit between two routers.
@@ -118,15 +120,15 @@
 	f := &fleet{Options: o, rng: rand.New(rand.NewPCG(o.Seed, 2)), bytesSent: make([]int, o.Routers), inTransit: map[time.Duration][]datagram{}}
 	for k := range o.Routers {
 		f.spreaders = append(f.spreaders, f.newRouter(k))
-		f.spreaders[k].Alone() // it counts as in step, like a router that has been up for long
+		f.spreaders[k].MarkSynced() // it counts as in step, like a router that has been up for long
 	}
 	return f
 }
 
 // newRouter returns a router without facts, in an incarnation of its own.
-func (f *fleet) newRouter(k int) *facts.Spreader {
+func (f *fleet) newRouter(k int) *facts.Gossiper {
 	f.lastLife++
-	return facts.NewSpreader(facts.NewStore(f.lastLife, 2*(f.Facts+conflictingServers)), f.Routers, k, f.Seed+uint64(f.lastLife))
+	return facts.NewGossiper(facts.NewStore(f.lastLife, 2*(f.Facts+conflictingServers)), f.Routers, k, f.Seed+uint64(f.lastLife))
 }
 
 // send puts messages in transit, of which some are lost or duplicated.
@@ -153,7 +155,7 @@
 		}
 		delete(f.inTransit, f.now)
 		for k, s := range f.spreaders {
-			if int(f.now/time.Millisecond)%int(s.Due()/time.Millisecond) == k%int(s.Due()/time.Millisecond) {
+			if int(f.now/time.Millisecond)%int(s.NextTick()/time.Millisecond) == k%int(s.NextTick()/time.Millisecond) {
 				f.send(k, s.Tick(f.now))
 			}
 		}
@@ -167,7 +169,7 @@
 // converged reports whether all routers hold the same facts.
 func (f *fleet) converged() bool {
 	for _, s := range f.spreaders[1:] {
-		if s.Len() != f.spreaders[0].Len() || s.Sum() != f.spreaders[0].Sum() {
+		if s.Len() != f.spreaders[0].Len() || s.Digest() != f.spreaders[0].Digest() {
 			return false
 		}
 	}
--- a/internal/kit/virtual/faults_test.go
+++ b/internal/kit/virtual/faults_test.go
@@ -12,7 +12,7 @@
 
 // countingDecider passes events on to the production decisions and counts what the router receives, over all its incarnations.
 type countingDecider struct {
-	exchange.Decider
+	exchange.Balancer
 	counts *counts
 }
 
@@ -32,11 +32,11 @@
 			if len(d.counts.firstLists) < d.counts.incarnations {
 				d.counts.firstLists = append(d.counts.firstLists, e)
 			}
-		case balance.Heard:
+		case balance.PeerMessage:
 			d.counts.messagesBySecond[second]++
 		}
 	}
-	return d.Decider.Handle(now, events)
+	return d.Balancer.Handle(now, events)
 }
 
 // runWithTroubles runs 30 s of eight routers with troubles and returns what the first router received in all its incarnations.
@@ -54,8 +54,8 @@
 		t.Fatal(err)
 	}
 	c := &counts{messagesBySecond: map[int]int{}, eventsBySecond: map[int]int{}}
-	r, err := Run(t.Context(), s, Options{Seed: 1, Decide: func(set balance.Settings, seed uint64) exchange.Decider {
-		if set.Number > 0 {
+	r, err := Run(t.Context(), s, Options{Seed: 1, NewDecider: func(set balance.Settings, seed uint64) exchange.Balancer {
+		if set.Index > 0 {
 			return balance.New(set, seed)
 		}
 		c.incarnations++
--- a/internal/kit/virtual/virtual.go
+++ b/internal/kit/virtual/virtual.go
@@ -27,9 +27,9 @@
 
 // Options are the options of a run.
 type Options struct {
-	Seed   uint64
-	Decide func(set balance.Settings, seed uint64) exchange.Decider // nil: the production decisions
-	Oracle bool                                                     // use the baseline that sees the true state, in place of both
+	Seed       uint64
+	NewDecider func(set balance.Settings, seed uint64) exchange.Balancer // nil: the production decisions
+	Oracle     bool                                                      // use the baseline that sees the true state, in place of both
 }
 
 // Timing that on sockets comes from router settings or from the host's behaviour, and limits that detect an endless loop.
@@ -66,7 +66,7 @@
 	number, incarnation int
 	running             bool
 	stopping            bool
-	decider             exchange.Decider
+	decider             exchange.Balancer
 	listVersion         int64
 	hasList             bool // has received a list in this incarnation
 	updatePending       bool // a discovery update is on its way
@@ -108,11 +108,11 @@
 	h.World = model.New(s, opt.Seed, h)
 	for k := range h.Routers() {
 		h.routers = append(h.routers, &router{host: h, number: k})
-		h.routers[k].start(model.Finds{})
+		h.routers[k].start(model.StoredState{})
 		h.RouterReady(k)
 	}
-	h.Begin()
-	for !h.Over() {
+	h.Start()
+	for !h.Done() {
 		at, ok := h.Next()
 		if !ok {
 			if h.Now() >= s.Length.D() {
@@ -130,10 +130,10 @@
 	}
 	l := h.Ledger()
 	r := l.Report()
-	r.Seed, r.DatabasePeak, r.Fetches, r.Marks, r.Nodes = opt.Seed, h.DatabasePeak(), h.DatabaseAsks(), h.marks, h.Samples()
+	r.Seed, r.DatabasePeak, r.Fetches, r.Marks, r.Nodes = opt.Seed, h.DatabasePeak(), h.DatabaseRequests(), h.marks, h.Samples()
 	r.Beliefs = map[string]map[string]string{}
 	r.Events = h.events
-	r.Expected(l)
+	r.CheckExpectations(l)
 	return r, nil
 }
 
@@ -156,15 +156,15 @@
 
 // start starts a router. Its first poll brings the whole list. If discovery is silent, the router uses the list in its
 // configuration instead, which may be the one of the beginning of the run.
-func (r *router) start(found model.Finds) {
+func (r *router) start(found model.StoredState) {
 	set := r.host.Profile(r.number).Settings()
 	r.host.Operator().Apply(&set)
-	if (found.State == "kept" || found.State == "torn") && r.host.clock().Sub(r.storedAt) <= set.Ramp {
-		set.Answered = r.storedAnswered // after a torn write the previous file is used, which is one save older
+	if (found.State == "kept" || found.State == "torn") && r.host.clock().Sub(r.storedAt) <= set.RampTime {
+		set.PriorAnswerRate = r.storedAnswered // after a torn write the previous file is used, which is one save older
 	}
-	newDecider := r.host.options.Decide
+	newDecider := r.host.options.NewDecider
 	if newDecider == nil {
-		newDecider = func(set balance.Settings, seed uint64) exchange.Decider { return balance.New(set, seed) }
+		newDecider = func(set balance.Settings, seed uint64) exchange.Balancer { return balance.New(set, seed) }
 	}
 	if r.decider = newDecider(set, r.host.options.Seed*1000003+uint64(r.number)*101+uint64(r.incarnation)); r.host.options.Oracle {
 		r.decider = baseline.Oracle(r.host.World, r.number, set)
@@ -175,8 +175,8 @@
 	r.stalled, r.heldCalls = false, nil
 	h := r.host
 	switch {
-	case found.OldList:
-		r.deliver(r.balanceList(balance.Persisted, 0, h.Beginning()))
+	case found.InitialList:
+		r.deliver(r.balanceList(balance.Persisted, 0, h.InitialEntries()))
 	case h.discoverySilences > 0:
 		_, _, entries := h.List(r.number, 0, false)
 		r.deliver(r.balanceList(balance.Persisted, 0, entries))
@@ -191,7 +191,7 @@
 func (r *router) pollList() {
 	r.listCalls++
 	poll, incarnation := r.listCalls, r.incarnation
-	r.host.Ledger().ListCalled(r.host.Now())
+	r.host.Ledger().ListPolled(r.host.Now())
 	r.host.After(listPollTimeout, func() {
 		if r.running && r.incarnation == incarnation && r.listCalls == poll {
 			r.pollList()
@@ -209,7 +209,7 @@
 	}
 	l := r.balanceList(kind, index, entries)
 	r.listVersion, r.hasList = index, true
-	h.Told(r.number, whole, entries)
+	h.ListSent(r.number, whole, entries)
 	r.deliver(l)
 }
 
@@ -218,7 +218,7 @@
 	h := r.host
 	l := balance.List{Kind: kind, Version: index}
 	for _, e := range entries {
-		entry := balance.Entry{Server: balance.ServerID(e.Node.Name), Kind: e.Node.Kind.Name, Zone: h.SiteName(e.Node), Weight: 1,
+		entry := balance.Entry{Server: balance.ServerID(e.Node.Name), Kind: e.Node.Model.Name, Zone: h.SiteName(e.Node), Weight: 1,
 			State: map[string]balance.State{"SERVING": balance.Up, "DRAINING": balance.Draining, "DELETED": balance.Gone}[e.Status]}
 		if e.Since > -h.scenario.WarmUp.D() && h.scenario.Discovery.Starts {
 			entry.Started = balance.Time(clockEpoch + int64(e.Since))
@@ -266,7 +266,7 @@
 					r.whenRunning(func() { r.deliver(balance.Timer{Token: a.Token}) })
 				}
 			})
-		case balance.Tell:
+		case balance.SendPeerMessage:
 			r.host.sendMessage(r.number, a)
 		case balance.CloseIdle:
 			delete(r.idle, r.host.Node(string(a.Server)))
@@ -275,15 +275,15 @@
 }
 
 // sendMessage delivers a message to another router as the network model decides.
-func (h *host) sendMessage(from int, a balance.Tell) {
+func (h *host) sendMessage(from int, a balance.SendPeerMessage) {
 	if a.To < 0 || a.To >= len(h.routers) {
 		return
 	}
 	to := h.routers[a.To]
-	for _, after := range h.Carry(h.rng, from, a.To) {
+	for _, after := range h.MessageDelays(h.rng, from, a.To) {
 		h.After(after, func() {
 			if to.running {
-				to.whenRunning(func() { to.deliver(balance.Heard{Content: a.Content}) })
+				to.whenRunning(func() { to.deliver(balance.PeerMessage{Content: a.Content}) })
 			}
 		})
 	}
@@ -293,7 +293,7 @@
 func (h *host) Send(t *model.Try) {
 	r := h.routers[t.Router]
 	if !r.running || r.stopping { // the router no longer listens
-		h.After(0, func() { h.Answered(t, model.Answer{Outcome: ledger.Unheard}, h.Now()) })
+		h.After(0, func() { h.Answered(t, model.Answer{Outcome: ledger.NotConnected}, h.Now()) })
 		return
 	}
 	r.whenRunning(func() { r.accept(t) })
@@ -303,7 +303,7 @@
 func (r *router) accept(t *model.Try) {
 	h := r.host
 	r.requestsStarted++
-	x := &pendingRequest{Try: t, seq: r.requestsStarted, id: balance.RequestID(strconv.FormatUint(r.requestsStarted, 36)), deadline: h.clock().Add(t.Patience - answerMargin)}
+	x := &pendingRequest{Try: t, seq: r.requestsStarted, id: balance.RequestID(strconv.FormatUint(r.requestsStarted, 36)), deadline: h.clock().Add(t.Timeout - answerMargin)}
 	r.requests[x.id] = x
 	c := &h.scenario.Classes[t.Class]
 	r.deliver(balance.Request{ID: x.id, Class: c.Name, Tenant: h.scenario.Tenants[t.Tenant].Name, Key: t.Key, HasKey: true, Write: c.Write, Due: x.deadline})
@@ -317,12 +317,12 @@
 	r.inFlight[n] = append(r.inFlight[n], a)
 	x.inFlight++
 	if x.answered {
-		h.After(0, func() { r.endAttempt(a, balance.Moot, "") })
+		h.After(0, func() { r.endAttempt(a, balance.NeverSent, "") })
 		return
 	}
 	h.After(x.deadline.Sub(h.clock()), func() { r.endAttempt(a, balance.TimedOut, "") })
 	fresh := !r.takeIdle(n)
-	trip := h.Trip(r.number, n)
+	trip := h.RoundTrip(r.number, n)
 	switch {
 	case fresh && n.Up() && n.Silent(r.number):
 		h.After(h.scenario.Rules.ConnectWithin.D(), func() { r.endAttempt(a, balance.NoConnect, "") })
@@ -339,18 +339,18 @@
 		a.connectTime = max(trip, time.Nanosecond)
 		h.Ledger().Connected(h.Now())
 	}
-	n.Arrive(&model.Job{ID: x.ID, Router: r.number, Fresh: fresh, Reply: func(reply *model.Reply) {
+	n.Arrive(&model.Job{ID: x.CorrelationID, Router: r.number, NewConnection: fresh, Reply: func(reply *model.Reply) {
 		h.After(reply.Delay, func() {
 			result := balance.Errored
 			switch {
-			case reply.Spoilt:
-				result = balance.Spoilt
-			case reply.Status == model.Good:
+			case reply.Corrupt:
+				result = balance.Malformed
+			case reply.Status == model.StatusOK:
 				result = balance.OK
-			case reply.Status == model.TurnedAw:
-				result = balance.Full
+			case reply.Status == model.StatusUnavailable:
+				result = balance.Rejected
 			}
-			if !a.ended && result != balance.Spoilt && r.running {
+			if !a.ended && result != balance.Malformed && r.running {
 				r.idle[n] = append(r.idle[n], h.clock())
 			}
 			r.endAttempt(a, result, reply.Body)
@@ -366,7 +366,7 @@
 	}
 	newest := all[len(all)-1]
 	r.idle[n] = all[:len(all)-1]
-	return r.host.clock().Sub(newest) < n.Kind.Idle.D()*9/10
+	return r.host.clock().Sub(newest) < n.Model.Idle.D()*9/10
 }
 
 // endAttempt ends an attempt once and reports the outcome to the decisions.
@@ -404,7 +404,7 @@
 	x.answered = true
 	h := r.host
 	h.After(0, func() {
-		if !x.Left {
+		if !x.ClientGone {
 			h.Answered(x.Try, a, h.Now())
 		}
 		r.release(x)
@@ -421,8 +421,8 @@
 	}
 }
 
-// Leave tells a router that a client has closed its connection.
-func (h *host) Leave(t *model.Try) (sent bool) {
+// CloseClient tells a router that a client has closed its connection.
+func (h *host) CloseClient(t *model.Try) (sent bool) {
 	r := h.routers[t.Router]
 	r.whenRunning(func() { r.clientGone(t) })
 	return true
@@ -443,8 +443,8 @@
 	}
 }
 
-// Down resets all open connections to a node.
-func (h *host) Down(n *model.Node) {
+// NodeDown resets all open connections to a node.
+func (h *host) NodeDown(n *model.Node) {
 	for _, r := range h.routers {
 		delete(r.idle, n)
 		for _, a := range slices.Clone(r.inFlight[n]) {
@@ -453,15 +453,15 @@
 	}
 }
 
-// Silence drops the idle connections when the silence ends: the node has lost its connection state.
-func (h *host) Silence(n *model.Node, k int, on bool) {
+// SetNodeSilence drops the idle connections when the silence ends: the node has lost its connection state.
+func (h *host) SetNodeSilence(n *model.Node, k int, on bool) {
 	if !on {
 		delete(h.routers[k].idle, n)
 	}
 }
 
-// News schedules a list update for a router.
-func (h *host) News(k int) {
+// DiscoveryUpdated schedules a list update for a router.
+func (h *host) DiscoveryUpdated(k int) {
 	if h.routers[k].updatePending {
 		return // the pending update will include this change
 	}
@@ -477,21 +477,21 @@
 	})
 }
 
-// SilenceDiscovery starts or ends a silence of discovery; at the end, each router gets the pending updates.
-func (h *host) SilenceDiscovery(on bool) {
+// SetDiscoverySilence starts or ends a silence of discovery; at the end, each router gets the pending updates.
+func (h *host) SetDiscoverySilence(on bool) {
 	if on {
 		h.discoverySilences++
 		return
 	}
 	if h.discoverySilences--; h.discoverySilences == 0 {
 		for k := range h.routers {
-			h.News(k)
+			h.DiscoveryUpdated(k)
 		}
 	}
 }
 
 // StartRouter starts a router's process, which is ready after routerStartTime.
-func (h *host) StartRouter(k int, f model.Finds) {
+func (h *host) StartRouter(k int, f model.StoredState) {
 	h.After(routerStartTime, func() {
 		if !h.routers[k].running {
 			h.routers[k].start(f)
@@ -507,8 +507,8 @@
 	}
 }
 
-// StallRouter suspends a router's process, or resumes it and delivers all that arrived in the meantime.
-func (h *host) StallRouter(k int, on bool) {
+// SetRouterStalled suspends a router's process, or resumes it and delivers all that arrived in the meantime.
+func (h *host) SetRouterStalled(k int, on bool) {
 	r := h.routers[k]
 	if on {
 		r.stalled = r.running
@@ -521,8 +521,8 @@
 	}
 }
 
-// FillDisk makes the router's saves fail while the disk is full.
-func (h *host) FillDisk(k int, full bool) { h.routers[k].diskFull = full }
+// SetDiskFull makes the router's saves fail while the disk is full.
+func (h *host) SetDiskFull(k int, full bool) { h.routers[k].diskFull = full }
 
 // stop ends a router's process; its open requests get no answer.
 func (r *router) stop(killed bool) {
@@ -531,14 +531,14 @@
 	if d, ok := r.decider.(interface {
 		Overall(balance.Time) balance.Overall
 	}); ok && h.scenario.Stored.On && !r.diskFull {
-		r.storedAnswered, r.storedAt = d.Overall(h.clock()).Answered, h.clock()
+		r.storedAnswered, r.storedAt = d.Overall(h.clock()).AnswerRate, h.clock()
 	}
 	all := slices.SortedFunc(maps.Values(r.requests), func(a, b *pendingRequest) int { return cmp.Compare(a.seq, b.seq) })
 	clear(r.requests)
 	for _, x := range all {
 		if !x.answered {
 			x.answered = true
-			h.After(0, func() { h.Answered(x.Try, model.Answer{Outcome: ledger.Broken}, h.Now()) })
+			h.After(0, func() { h.Answered(x.Try, model.Answer{Outcome: ledger.Truncated}, h.Now()) })
 		}
 	}
 	h.RouterEnded(r.number, killed)
@@ -550,7 +550,7 @@
 	if !r.running {
 		return
 	}
-	h.RouterLeaving(k)
+	h.RouterStopping(k)
 	incarnation := r.incarnation
 	h.After(acceptAfterStop, func() {
 		if r.running && r.incarnation == incarnation { // the late end of a stalled process is not simulated: no scenario needs it
@@ -569,13 +569,13 @@
 // ReloadRouter makes discovery send the whole list again, as it does at a new address.
 func (h *host) ReloadRouter(k int) {
 	h.routers[k].hasList = false
-	h.News(k)
+	h.DiscoveryUpdated(k)
 }
 
-func (h *host) Up(*model.Node)                { /* no connection is open, and new attempts check the node */ }
+func (h *host) NodeUp(*model.Node)            { /* no connection is open, and new attempts check the node */ }
 func (h *host) BadClients(int, time.Duration) { /* bad clients never reach the decisions */ }
 
-// Note adds an event to the marks of the report.
-func (h *host) Note(at model.Time, what string) {
+// RecordEvent adds an event to the marks of the report.
+func (h *host) RecordEvent(at model.Time, what string) {
 	h.marks = append(h.marks, ledger.Mark{AtS: at.Seconds(), What: what})
 }
--- a/internal/kit/virtual/virtual_test.go
+++ b/internal/kit/virtual/virtual_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	s.Shorten()
-	r, err := Run(t.Context(), s, Options{Seed: seed, Decide: baseline.New(policy)})
+	r, err := Run(t.Context(), s, Options{Seed: seed, NewDecider: baseline.New(policy)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 }
 
 // endlessDecider is a decision module that never terminates: it sets one timer after another, due at once.
-type endlessDecider struct{ exchange.Decider }
+type endlessDecider struct{ exchange.Balancer }
 
 func (f endlessDecider) Handle(balance.Time, []balance.Event) []balance.Action {
 	return []balance.Action{balance.SetTimer{Token: 1}}
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = Run(t.Context(), s, Options{Decide: func(balance.Settings, uint64) exchange.Decider { return endlessDecider{} }})
+	_, err = Run(t.Context(), s, Options{NewDecider: func(balance.Settings, uint64) exchange.Balancer { return endlessDecider{} }})
 	if err == nil || !strings.Contains(err.Error(), "-r1 do not terminate: ") {
 		t.Errorf("%v", err)
 	}
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -16,8 +16,8 @@
 	settingsfile "cedarmast/internal/settings"
 )
 
-// Shape describes the new deployment, as far as it does not follow from the old configuration.
-type Shape struct {
+// Target describes the new deployment, as far as it does not follow from the old configuration.
+type Target struct {
 	Routers  int           // number of client processes, each with its own router
 	Number   int           // index of this router, from 0
 	Name     string        // name of this router; empty keeps the old one
@@ -30,17 +30,17 @@
 
 // Note describes what was done with a key: how its value was changed, or why it was dropped.
 type Note struct {
-	Key  string
-	Text string
-	Lost bool // the new shape has no counterpart for the old value
+	Key     string
+	Text    string
+	Dropped bool // the new shape has no counterpart for the old value
 }
 
 type object = map[string]any
 
-// Move converts a configuration and returns it, indented, with notes on what was changed and dropped, sorted by key.
+// Convert converts a configuration and returns it, indented, with notes on what was changed and dropped, sorted by key.
 // Unknown keys are kept as they are, with numbers unchanged to the digit. A duplicate key in an object, malformed JSON (reported
 // with its line) and a configuration that already has the new shape are errors.
-func Move(text []byte, to Shape) ([]byte, []Note, error) {
+func Convert(text []byte, to Target) ([]byte, []Note, error) {
 	switch {
 	case to.Routers < 1:
 		return nil, nil, fmt.Errorf("routers: %d is less than 1", to.Routers)
@@ -66,7 +66,7 @@
 	if err := c.convertSettings(settings); err != nil {
 		return nil, nil, err
 	}
-	for _, key := range settingsfile.Unread(settings) {
+	for _, key := range settingsfile.UnknownKeys(settings) {
 		c.notes = append(c.notes, Note{"settings." + key, "carried as it is; no router reads it", false})
 	}
 	slices.SortStableFunc(c.notes, func(a, b Note) int { return strings.Compare(a.Key, b.Key) })
@@ -128,7 +128,7 @@
 
 // converter applies a Shape to a configuration and collects notes.
 type converter struct {
-	to    Shape
+	to    Target
 	notes []Note
 }
 
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -11,11 +11,11 @@
  "settings":{"FleetSize":3,"Zone":"north","Big":12345678901234567890,"FamilyInfo":{"Mode":"aside"},"Limits":{"PeerMessages":true}}}`
 
 func TestMoveKeepsUnknownKeysAndReportsLosses(t *testing.T) {
-	text, notes, err := Move([]byte(oldConfig), Shape{Routers: 80, Number: 17,
+	text, notes, err := Convert([]byte(oldConfig), Target{Routers: 80, Number: 17,
 		Zones: []string{"north", "south"}, Streams: 100, ConnIdle: time.Minute})
 	lost := ""
 	for _, n := range notes {
-		if n.Lost {
+		if n.Dropped {
 			lost += n.Key + " "
 		}
 	}
@@ -33,16 +33,16 @@
 func TestMoveRejectsInvalidInput(t *testing.T) {
 	for want, c := range map[string]struct {
 		text  string
-		shape Shape
+		shape Target
 	}{
-		"number: 2":                        {oldConfig, Shape{Routers: 2, Number: 2, Streams: 1}},
-		"streams: 0":                       {oldConfig, Shape{Routers: 2}},
-		`zone: the old one, "north"`:       {oldConfig, Shape{Routers: 2, Streams: 1, Zones: []string{"south"}}},
-		"line 3":                           {"{\n\"a\":1,\n}", Shape{Routers: 2, Streams: 1}},
-		"line 1: not a single JSON object": {"{} {}", Shape{Routers: 2, Streams: 1}},
-		"a[0].b: duplicate key":            {`{"a":[{"b":1,"b":2}]}`, Shape{Routers: 2, Streams: 1}},
+		"number: 2":                        {oldConfig, Target{Routers: 2, Number: 2, Streams: 1}},
+		"streams: 0":                       {oldConfig, Target{Routers: 2}},
+		`zone: the old one, "north"`:       {oldConfig, Target{Routers: 2, Streams: 1, Zones: []string{"south"}}},
+		"line 3":                           {"{\n\"a\":1,\n}", Target{Routers: 2, Streams: 1}},
+		"line 1: not a single JSON object": {"{} {}", Target{Routers: 2, Streams: 1}},
+		"a[0].b: duplicate key":            {`{"a":[{"b":1,"b":2}]}`, Target{Routers: 2, Streams: 1}},
 	} {
-		if _, _, err := Move([]byte(c.text), c.shape); err == nil || !strings.Contains(err.Error(), want) {
+		if _, _, err := Convert([]byte(c.text), c.shape); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v, want %q", c.text, err, want)
 		}
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -28,8 +28,8 @@
 // New returns a placement without caches.
 func New() *Rendezvous { return &Rendezvous{} }
 
-// Follow sets the caches and their weights. Caches with a weight of zero or less own no keys.
-func (r *Rendezvous) Follow(weights map[balance.ServerID]float64) {
+// SetWeights sets the caches and their weights. Caches with a weight of zero or less own no keys.
+func (r *Rendezvous) SetWeights(weights map[balance.ServerID]float64) {
 	r.caches, r.equalWeights = r.caches[:0], true
 	for id, w := range weights {
 		if w > 0 {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -31,7 +31,7 @@
 	for _, weight := range []func(int) float64{equalWeight,
 		func(i int) float64 { return float64(1 + i%3) }, func(i int) float64 { return float64(i % 2) }} {
 		all, r, got, total := fleet(20, weight), New(), map[balance.ServerID]int{}, 0.0
-		r.Follow(all)
+		r.SetWeights(all)
 		for _, w := range all {
 			total += w
 		}
@@ -73,9 +73,9 @@
 					present[id] = weight(i)
 				}
 			}
-			r.Follow(present)
+			r.SetWeights(present)
 			fresh := New()
-			fresh.Follow(present)
+			fresh.SetWeights(present)
 			for i, old := range before {
 				now := r.Owner(key(i))
 				if now != fresh.Owner(key(i)) {
@@ -93,7 +93,7 @@
 	for _, n := range []int{10, 200, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := New()
-			r.Follow(fleet(n, equalWeight))
+			r.SetWeights(fleet(n, equalWeight))
 			for i := range b.N {
 				r.Owner(uint64(i) * 0x9e3779b97f4a7c15)
 			}
--- a/internal/recovery/machine.go
+++ b/internal/recovery/machine.go
@@ -7,9 +7,9 @@
 
 // The phases, in order. A router never goes back to an earlier one.
 const (
-	Nothing Phase = iota // not ready: no list to serve from
-	Some                 // serving, from a list that may be stale or without any result seen yet
-	Full                 // full service
+	NotReady    Phase = iota // not ready: no list to serve from
+	Serving                  // serving, from a list that may be stale or without any result seen yet
+	FullService              // full service
 )
 
 // String returns the phase as stats and the log show it.
@@ -20,19 +20,19 @@
 
 // The events.
 const (
-	Tick     Event = iota // time has passed
-	Told                  // discovery has delivered a list
-	Answered              // a client has received a successful response
-	Failed                // a request was rejected or failed
-	Caught                // the router has caught up with the state that routers share
+	Tick          Event = iota // time has passed
+	ListReceived               // discovery has delivered a list
+	RequestServed              // a client has received a successful response
+	RequestFailed              // a request was rejected or failed
+	CaughtUp                   // the router has caught up with the state that routers share
 )
 
 // Machine decides what a router may do after its start. Without any further event, time alone (Tick) always leads out
 // of Some, and out of Nothing if a list is known from before; Wait returns when. Handle must be called by one
 // goroutine at a time.
 type Machine struct {
-	Known  bool // a list is known from before the start
-	Behind bool // routers share state, and others may know more
+	ListKnown bool // a list is known from before the start
+	CatchUp   bool // routers share state, and others may know more
 
 	began, servingSince time.Duration // since the start
 	phase               Phase
@@ -51,21 +51,21 @@
 // Handle processes an event that happened at now, a time since the start, and returns the resulting phase.
 func (m *Machine) Handle(now time.Duration, e Event) Phase {
 	switch e {
-	case Told:
+	case ListReceived:
 		m.listReceived = true
-	case Answered:
+	case RequestServed:
 		m.consecutiveAnswers++
-	case Failed:
+	case RequestFailed:
 		m.consecutiveAnswers = 0
-	case Caught:
-		m.Behind = false
+	case CaughtUp:
+		m.CatchUp = false
 	}
-	if m.phase == Nothing && (m.listReceived || m.Known && now >= listTimeout) && (!m.Behind || now >= catchUpTimeout) {
-		m.phase, m.servingSince, m.consecutiveAnswers = Some, now, 0
+	if m.phase == NotReady && (m.listReceived || m.ListKnown && now >= listTimeout) && (!m.CatchUp || now >= catchUpTimeout) {
+		m.phase, m.servingSince, m.consecutiveAnswers = Serving, now, 0
 	}
 	serving := now - m.servingSince
-	if m.phase == Some && (m.listReceived && (m.consecutiveAnswers >= minConsecutiveAnswers || serving >= settlePeriod) || serving >= noDiscoveryPeriod) {
-		m.phase = Full
+	if m.phase == Serving && (m.listReceived && (m.consecutiveAnswers >= minConsecutiveAnswers || serving >= settlePeriod) || serving >= noDiscoveryPeriod) {
+		m.phase = FullService
 	}
 	return m.phase
 }
@@ -73,13 +73,13 @@
 // Wait returns how long until time alone changes the phase; false if only discovery can change it.
 func (m *Machine) Wait(now time.Duration) (time.Duration, bool) {
 	switch {
-	case m.phase == Nothing && m.Behind && (m.listReceived || m.Known):
+	case m.phase == NotReady && m.CatchUp && (m.listReceived || m.ListKnown):
 		return max(catchUpTimeout-now, 0), true
-	case m.phase == Nothing && m.Known:
+	case m.phase == NotReady && m.ListKnown:
 		return max(listTimeout-now, 0), true
-	case m.phase == Some && m.listReceived:
+	case m.phase == Serving && m.listReceived:
 		return max(m.servingSince+settlePeriod-now, 0), true
-	case m.phase == Some:
+	case m.phase == Serving:
 		return max(m.servingSince+noDiscoveryPeriod-now, 0), true
 	}
 	return 0, false
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -38,12 +38,12 @@
 
 // Reasons for refusing a stored state.
 var (
-	ErrForm    = errors.New("not a stored state")
-	ErrTorn    = errors.New("file is truncated")
-	ErrFlipped = errors.New("checksum mismatch")
-	ErrVersion = errors.New("unsupported version")
-	ErrRouter  = errors.New("state of another router")
-	ErrClock   = errors.New("saved in the future: the clock was set back")
+	ErrFormat    = errors.New("not a stored state")
+	ErrTruncated = errors.New("file is truncated")
+	ErrChecksum  = errors.New("checksum mismatch")
+	ErrVersion   = errors.New("unsupported version")
+	ErrRouter    = errors.New("state of another router")
+	ErrFuture    = errors.New("saved in the future: the clock was set back")
 )
 
 // header is the first line of a stored state.
@@ -75,31 +75,31 @@
 	var h header
 	switch err := decodeStrict(line, &h); {
 	case len(text) > MaxSize || err != nil && whole:
-		return State{}, ErrForm
+		return State{}, ErrFormat
 	case err != nil || !whole:
-		return State{}, ErrTorn
+		return State{}, ErrTruncated
 	case h.Magic != magic:
-		return State{}, ErrForm
+		return State{}, ErrFormat
 	case h.Version != Version:
 		return State{}, fmt.Errorf("%w: %d, not %d", ErrVersion, h.Version, Version)
 	case len(body) < h.Length:
-		return State{}, fmt.Errorf("%w: %d of %d bytes", ErrTorn, len(body), h.Length)
+		return State{}, fmt.Errorf("%w: %d of %d bytes", ErrTruncated, len(body), h.Length)
 	case len(body) > h.Length:
-		return State{}, fmt.Errorf("%w: %d bytes, not %d", ErrForm, len(body), h.Length)
+		return State{}, fmt.Errorf("%w: %d bytes, not %d", ErrFormat, len(body), h.Length)
 	case crc32.Checksum(body, castagnoli) != h.Sum:
-		return State{}, ErrFlipped
+		return State{}, ErrChecksum
 	}
 	s := State{Maintenance: exchange.NewMaintenance()}
 	if err := decodeStrict(body, &s); err != nil {
-		return State{}, fmt.Errorf("%w: %v", ErrForm, err)
+		return State{}, fmt.Errorf("%w: %v", ErrFormat, err)
 	}
 	if s.Known != nil {
-		if err := s.Known.Check(); err != nil {
-			return State{}, fmt.Errorf("%w: %v", ErrForm, err)
+		if err := s.Known.Validate(); err != nil {
+			return State{}, fmt.Errorf("%w: %v", ErrFormat, err)
 		}
 	}
 	if s.Maintenance.Out == nil || s.Maintenance.Back == nil || !(s.Answered >= 0) {
-		return State{}, ErrForm
+		return State{}, ErrFormat
 	}
 	return s, nil
 }
@@ -112,49 +112,49 @@
 		return err
 	}
 	if d.More() {
-		return ErrForm
+		return ErrFormat
 	}
 	return nil
 }
 
-// Want is what the starting router expects of a stored state, from its configuration.
-type Want struct {
-	Now       time.Time
-	Router    string
-	Listen    string
-	Discovery string
-	Known     *wire.Endpoints // from the configuration
-	ListFor   time.Duration   // maximum age of a stored list
-	CountFor  time.Duration   // maximum age of Answered: until then the caches are as warm as they were
+// RestoreOptions is what the starting router expects of a stored state, from its configuration.
+type RestoreOptions struct {
+	Now         time.Time
+	Router      string
+	Listen      string
+	Discovery   string
+	Known       *wire.Endpoints // from the configuration
+	MaxListAge  time.Duration   // maximum age of a stored list
+	MaxCountAge time.Duration   // maximum age of Answered: until then the caches are as warm as they were
 }
 
-// Taken is the part of a stored state that was restored, and the reasons for leaving out the rest.
-type Taken struct {
-	Known       *wire.Endpoints
-	Stored      bool // Known is the stored list
-	Maintenance exchange.Maintenance
-	Answered    float64
-	Age         time.Duration
-	Left        []string
+// Restored is the part of a stored state that was restored, and the reasons for leaving out the rest.
+type Restored struct {
+	Known        *wire.Endpoints
+	ListRestored bool // Known is the stored list
+	Maintenance  exchange.Maintenance
+	Answered     float64
+	Age          time.Duration
+	Skipped      []string
 }
 
 // maxClockSkew is how far in the future a stored time may be, since clocks are adjusted by small amounts.
 const maxClockSkew = 2 * time.Second
 
-// Take decides which parts of a state a router restores. Maintenance orders are valid at any age. If the stored list
+// Restore decides which parts of a state a router restores. Maintenance orders are valid at any age. If the stored list
 // is too old or of another discovery service, its drains are applied to the configured list: they hold until discovery
 // or an operator says otherwise. Everything else expires by its age.
-func Take(s State, w Want) (Taken, error) {
-	t := Taken{Known: w.Known, Maintenance: exchange.NewMaintenance(), Age: w.Now.Sub(s.Saved)}
+func Restore(s State, w RestoreOptions) (Restored, error) {
+	t := Restored{Known: w.Known, Maintenance: exchange.NewMaintenance(), Age: w.Now.Sub(s.Saved)}
 	switch {
 	case s.Router != w.Router || s.Listen != w.Listen:
 		return t, fmt.Errorf("%w: %s at %s", ErrRouter, s.Router, s.Listen)
 	case t.Age < -maxClockSkew:
-		return t, fmt.Errorf("%w by %v", ErrClock, -t.Age)
+		return t, fmt.Errorf("%w by %v", ErrFuture, -t.Age)
 	}
 	t.Maintenance = s.Maintenance.Copy()
-	skip := func(format string, args ...any) { t.Left = append(t.Left, fmt.Sprintf(format, args...)) }
-	if t.Age <= w.CountFor {
+	skip := func(format string, args ...any) { t.Skipped = append(t.Skipped, fmt.Sprintf(format, args...)) }
+	if t.Age <= w.MaxCountAge {
 		t.Answered = s.Answered
 	} else if s.Answered > 0 {
 		skip("answer count: %v old", t.Age.Round(time.Second))
@@ -164,13 +164,13 @@
 	case s.Discovery != w.Discovery:
 		skip("list: from the discovery service at %s", s.Discovery)
 		t.Known = withDrains(w.Known, s.Known)
-	case t.Age > w.ListFor:
+	case t.Age > w.MaxListAge:
 		skip("list: %v old", t.Age.Round(time.Second))
 		t.Known = withDrains(w.Known, s.Known)
 	case w.Known != nil && w.Known.Index > s.Known.Index:
 		skip("list: index %d, but the configuration has %d", s.Known.Index, w.Known.Index)
 	default:
-		t.Known, t.Stored = s.Known, true
+		t.Known, t.ListRestored = s.Known, true
 	}
 	return t, nil
 }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -45,7 +45,7 @@
 		t.Error("decoded and encoded again, the state differs")
 	}
 	for n := range text {
-		if _, err := Decode(text[:n]); !errors.Is(err, ErrTorn) {
+		if _, err := Decode(text[:n]); !errors.Is(err, ErrTruncated) {
 			t.Fatalf("cut at %d of %d: %v", n, len(text), err)
 		}
 		flipped := bytes.Clone(text)
@@ -56,10 +56,10 @@
 	}
 	for what, want := range map[string]error{
 		strings.Replace(string(text), `"version":1`, `"version":2`, 1): ErrVersion,
-		string(text) + "x": ErrForm,
-		"{}\n{}":           ErrForm,
-		"\n":               ErrForm,
-		"":                 ErrTorn,
+		string(text) + "x": ErrFormat,
+		"{}\n{}":           ErrFormat,
+		"\n":               ErrFormat,
+		"":                 ErrTruncated,
 	} {
 		if _, err := Decode([]byte(what)); !errors.Is(err, want) {
 			t.Errorf("%.40q: %v, not %v", what, err, want)
@@ -73,47 +73,47 @@
 	known := *s.Known
 	known.Index, known.Endpoints = 6, append(known.Endpoints[:0:0], known.Endpoints...)
 	known.Endpoints[1].Status = "SERVING" // the configuration still lists the draining server as serving
-	wantWith := func(change func(*Want)) Want {
-		w := Want{Now: s.Saved.Add(time.Minute), Router: "n0", Listen: "127.0.0.1:80", Discovery: "127.0.0.1:85", Known: &known, ListFor: time.Hour, CountFor: 2 * time.Minute}
+	wantWith := func(change func(*RestoreOptions)) RestoreOptions {
+		w := RestoreOptions{Now: s.Saved.Add(time.Minute), Router: "n0", Listen: "127.0.0.1:80", Discovery: "127.0.0.1:85", Known: &known, MaxListAge: time.Hour, MaxCountAge: 2 * time.Minute}
 		if change != nil {
 			change(&w)
 		}
 		return w
 	}
 	for name, c := range map[string]struct {
-		change   func(*Want)
+		change   func(*RestoreOptions)
 		stored   bool
 		answered float64
 		status   string // of server b, which was draining when the state was stored
 	}{
 		"fresh":                   {nil, true, 12.5, "DRAINING"},
-		"count too old":           {func(w *Want) { w.CountFor = time.Second }, true, 0, "DRAINING"},
-		"list too old":            {func(w *Want) { w.ListFor = time.Second }, false, 12.5, "DRAINING"},
-		"another discovery":       {func(w *Want) { w.Discovery = "127.0.0.1:86" }, false, 12.5, "DRAINING"},
-		"a newer configuration":   {func(w *Want) { known := known; known.Index = 8; w.Known = &known }, false, 12.5, "SERVING"},
-		"a clock a moment behind": {func(w *Want) { w.Now = s.Saved.Add(-time.Second) }, true, 12.5, "DRAINING"},
+		"count too old":           {func(w *RestoreOptions) { w.MaxCountAge = time.Second }, true, 0, "DRAINING"},
+		"list too old":            {func(w *RestoreOptions) { w.MaxListAge = time.Second }, false, 12.5, "DRAINING"},
+		"another discovery":       {func(w *RestoreOptions) { w.Discovery = "127.0.0.1:86" }, false, 12.5, "DRAINING"},
+		"a newer configuration":   {func(w *RestoreOptions) { known := known; known.Index = 8; w.Known = &known }, false, 12.5, "SERVING"},
+		"a clock a moment behind": {func(w *RestoreOptions) { w.Now = s.Saved.Add(-time.Second) }, true, 12.5, "DRAINING"},
 	} {
-		got, err := Take(s, wantWith(c.change))
+		got, err := Restore(s, wantWith(c.change))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		if got.Stored != c.stored || got.Answered != c.answered || got.Known.Endpoints[1].Status != c.status || !got.Maintenance.Out["c"] {
-			t.Errorf("%s: stored list %v, answered %v, b is %s, out %v", name, got.Stored, got.Answered, got.Known.Endpoints[1].Status, got.Maintenance.Out)
+		if got.ListRestored != c.stored || got.Answered != c.answered || got.Known.Endpoints[1].Status != c.status || !got.Maintenance.Out["c"] {
+			t.Errorf("%s: stored list %v, answered %v, b is %s, out %v", name, got.ListRestored, got.Answered, got.Known.Endpoints[1].Status, got.Maintenance.Out)
 		}
 	}
 	if known.Endpoints[1].Status != "SERVING" {
 		t.Error("the configuration's list was modified")
 	}
 	for name, c := range map[string]struct {
-		change   func(*Want)
+		change   func(*RestoreOptions)
 		wantWith error
 	}{
-		"another router":    {func(w *Want) { w.Router = "n1" }, ErrRouter},
-		"another address":   {func(w *Want) { w.Listen = "127.0.0.1:81" }, ErrRouter},
-		"a clock gone back": {func(w *Want) { w.Now = s.Saved.Add(-time.Hour) }, ErrClock},
+		"another router":    {func(w *RestoreOptions) { w.Router = "n1" }, ErrRouter},
+		"another address":   {func(w *RestoreOptions) { w.Listen = "127.0.0.1:81" }, ErrRouter},
+		"a clock gone back": {func(w *RestoreOptions) { w.Now = s.Saved.Add(-time.Hour) }, ErrFuture},
 	} {
-		if got, err := Take(s, wantWith(c.change)); !errors.Is(err, c.wantWith) || len(got.Maintenance.Out) > 0 {
+		if got, err := Restore(s, wantWith(c.change)); !errors.Is(err, c.wantWith) || len(got.Maintenance.Out) > 0 {
 			t.Errorf("%s: %v, out %v", name, err, got.Maintenance.Out)
 		}
 	}
@@ -124,16 +124,16 @@
 // time, and can always proceed by time alone.
 func explore(m Machine, handle func(*Machine, time.Duration, Event) Phase, now time.Duration, depth int) string {
 	phase := m.phase
-	if m.phase != Nothing && !m.listReceived && !m.Known {
+	if m.phase != NotReady && !m.listReceived && !m.ListKnown {
 		return "serves without a list"
 	}
-	if m.phase != Nothing && m.Behind && m.servingSince < catchUpTimeout {
+	if m.phase != NotReady && m.CatchUp && m.servingSince < catchUpTimeout {
 		return "serves while others may know of orders"
 	}
-	if m.phase == Full && !m.listReceived && now-m.servingSince < noDiscoveryPeriod {
+	if m.phase == FullService && !m.listReceived && now-m.servingSince < noDiscoveryPeriod {
 		return "full without a list of discovery"
 	}
-	if m.phase != Full && (m.phase != Nothing || m.Known || m.listReceived) { // without a list only discovery can provide one
+	if m.phase != FullService && (m.phase != NotReady || m.ListKnown || m.listReceived) { // without a list only discovery can provide one
 		timeOnly, at := m, now
 		for range 3 {
 			wait, ok := timeOnly.Wait(at)
@@ -143,14 +143,14 @@
 			at += wait
 			handle(&timeOnly, at, Tick)
 		}
-		if timeOnly.phase != Full {
+		if timeOnly.phase != FullService {
 			return "no way out of " + m.phase.String() + " by time alone"
 		}
 	}
 	if depth == 0 {
 		return ""
 	}
-	for _, e := range []Event{Tick, Told, Answered, Failed, Caught} {
+	for _, e := range []Event{Tick, ListReceived, RequestServed, RequestFailed, CaughtUp} {
 		for _, d := range []time.Duration{0, listTimeout, settlePeriod - 1, noDiscoveryPeriod} {
 			next := m
 			if p := handle(&next, now+d, e); p < phase {
@@ -171,33 +171,33 @@
 	handle := (*Machine).Handle
 	for _, known := range []bool{false, true} {
 		for _, behind := range []bool{false, true} {
-			if fault := explore(Machine{Known: known, Behind: behind}, handle, 0, 5); fault != "" {
+			if fault := explore(Machine{ListKnown: known, CatchUp: behind}, handle, 0, 5); fault != "" {
 				t.Errorf("known %v, behind %v: %s", known, behind, fault)
 			}
 		}
 	}
 	for what, broken := range map[string]func(*Machine, time.Duration, Event) Phase{
 		"full by answers alone": func(m *Machine, now time.Duration, e Event) Phase {
-			if m.Handle(now, e); m.phase == Some && m.consecutiveAnswers > 0 {
-				m.phase = Full
+			if m.Handle(now, e); m.phase == Serving && m.consecutiveAnswers > 0 {
+				m.phase = FullService
 			}
 			return m.phase
 		},
 		"does not wait for facts": func(m *Machine, now time.Duration, e Event) Phase {
-			if e == Told && m.phase == Nothing {
-				m.listReceived, m.phase, m.servingSince = true, Some, now
+			if e == ListReceived && m.phase == NotReady {
+				m.listReceived, m.phase, m.servingSince = true, Serving, now
 				return m.phase
 			}
 			return m.Handle(now, e)
 		},
 		"waits forever": func(m *Machine, now time.Duration, e Event) Phase {
-			if !m.listReceived && e != Told {
+			if !m.listReceived && e != ListReceived {
 				return m.phase
 			}
 			return m.Handle(now, e)
 		},
 	} {
-		if explore(Machine{Known: true, Behind: true}, broken, 0, 4) == "" {
+		if explore(Machine{ListKnown: true, CatchUp: true}, broken, 0, 4) == "" {
 			t.Errorf("%s: the search finds no violation", what)
 		}
 	}
@@ -223,7 +223,7 @@
 		t.Fatal(err)
 	}
 	after := NewStore(dir, "127.0.0.1:80")
-	if got, ok, faults := after.Load(); !ok || got.Answered != 1 || len(faults) != 1 || !errors.Is(faults[0], ErrTorn) {
+	if got, ok, faults := after.Load(); !ok || got.Answered != 1 || len(faults) != 1 || !errors.Is(faults[0], ErrTruncated) {
 		t.Errorf("after a truncated file: %v %v %v", got.Answered, ok, faults)
 	}
 	if err := after.Save(state); err != nil {
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -47,8 +47,8 @@
 // was read.
 func (s *Shared) ForgetAfter() time.Duration { return durationOr(s.Forget, defaultForgetAfter) }
 
-// Sharing returns the [shared] section; nil if it is off.
-func (o *Operator) Sharing() *Shared {
+// SharedSection returns the [shared] section; nil if it is off.
+func (o *Operator) SharedSection() *Shared {
 	if o == nil {
 		return nil
 	}
@@ -78,10 +78,10 @@
 	defaultMaxListAge   = 24 * time.Hour
 )
 
-// Period returns the interval between two saves and MaxListAge the maximum age of a stored list. The texts were
+// SaveInterval returns the interval between two saves and MaxListAge the maximum age of a stored list. The texts were
 // validated when the file was read.
-func (s *State) Period() time.Duration     { return durationOr(s.Every, defaultSaveInterval) }
-func (s *State) MaxListAge() time.Duration { return durationOr(s.List, defaultMaxListAge) }
+func (s *State) SaveInterval() time.Duration { return durationOr(s.Every, defaultSaveInterval) }
+func (s *State) MaxListAge() time.Duration   { return durationOr(s.List, defaultMaxListAge) }
 
 // durationOr parses a duration and returns the default if the text is empty or invalid.
 func durationOr(text string, defaultValue time.Duration) time.Duration {
@@ -91,8 +91,8 @@
 	return defaultValue
 }
 
-// Stored returns the [state] section; nil if it is off.
-func (o *Operator) Stored() *State {
+// StateSection returns the [state] section; nil if it is off.
+func (o *Operator) StateSection() *State {
 	if o == nil {
 		return nil
 	}
@@ -190,15 +190,15 @@
 	if o.Sites == nil {
 		return sites.Config{}, nil
 	}
-	c := sites.Config{Prefer: o.Sites.Prefer, Steps: o.Sites.Steps, Home: set.Zone, Share: 1 / float64(max(set.Routers, 1))}
+	c := sites.Config{Prefer: o.Sites.Prefer, Steps: o.Sites.Steps, Home: set.Zone, RouterShare: 1 / float64(max(set.Routers, 1))}
 	for i, class := range set.Classes {
-		if i == 0 || class.Aim < c.Aim {
-			c.Aim = class.Aim
+		if i == 0 || class.Target < c.LatencyTarget {
+			c.LatencyTarget = class.Target
 		}
 	}
 	if o.Sites.Spill != nil { // a pointer tells 0 from a missing key
-		if c.Spill = *o.Sites.Spill; !(c.Spill > 0) {
-			return c, fmt.Errorf("spill: %v is not greater than 0", c.Spill)
+		if c.GuestShare = *o.Sites.Spill; !(c.GuestShare > 0) {
+			return c, fmt.Errorf("spill: %v is not greater than 0", c.GuestShare)
 		}
 	}
 	if o.Sites.Steps != nil && len(o.Sites.Steps) == 0 {
@@ -206,12 +206,12 @@
 	}
 	if o.Sites.Hold != "" {
 		var err error
-		if c.Hold, err = time.ParseDuration(o.Sites.Hold); err != nil {
+		if c.StepDuration, err = time.ParseDuration(o.Sites.Hold); err != nil {
 			return c, fmt.Errorf("hold: %q is not a duration such as 800ms or 4s", o.Sites.Hold)
 		}
-		if c.Hold <= 0 {
-			return c, fmt.Errorf("hold: %v is not greater than 0", c.Hold)
+		if c.StepDuration <= 0 {
+			return c, fmt.Errorf("hold: %v is not greater than 0", c.StepDuration)
 		}
 	}
-	return c, c.Check()
+	return c, c.Validate()
 }
--- a/internal/settings/reload_test.go
+++ b/internal/settings/reload_test.go
@@ -30,7 +30,7 @@
 		{`{"name":"n","settings":{"Limits":{"SendCap":3,"Deep":{"x":1}},"Classes":[{"Name":"a","Deadline":1},{"Name":"b"}],"Flavors":[]}}`,
 			"settings.Classes[1].Deadline"},
 	} {
-		if got := Missing(parseObject(t, was), parseObject(t, c.now), "known"); got != c.want {
+		if got := MissingKey(parseObject(t, was), parseObject(t, c.now), "known"); got != c.want {
 			t.Errorf("%s: %q, want %q", c.now, got, c.want)
 		}
 	}
@@ -48,7 +48,7 @@
 	}
 	was := read(`{"FleetSize":3,"MyNumber":1,"Zone":"z","Limits":{"SendCap":4,"PeerMessages":true},"Classes":[{"Name":"a"}]}`)
 	now := read(`{"FleetSize":5,"MyNumber":2,"Zone":"y","Limits":{"SendCap":2,"PeerMessages":false},"Classes":[{"Name":"b"}]}`)
-	got, wait := was.Retuned(now)
+	got, wait := was.MergeReloadable(now)
 	if !reflect.DeepEqual(wait, []string{"MyNumber", "Zone", "Limits.PeerMessages"}) {
 		t.Errorf("%q need a restart", wait)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -70,13 +70,13 @@
 // Settings converts the profile to the settings of the balancing decisions.
 func (p *Profile) Settings() balance.Settings {
 	s := balance.Settings{
-		Routers: p.FleetSize, Number: p.MyNumber, PeerMessages: p.Limits.PeerMessages, Zone: p.Zone, OverShareWorth: p.OverShareWorth,
-		Aside: p.FamilyInfo.Mode == "aside", AskForList: p.MembershipMode == "on_request",
-		AskWithin:   time.Duration(p.Contract.AskWithin),
-		MaxAttempts: p.Limits.SendCap, MayCancel: p.Limits.MayCancel, Parallel: p.Limits.ParallelTries,
+		Routers: p.FleetSize, Index: p.MyNumber, PeerMessages: p.Limits.PeerMessages, Zone: p.Zone, OverSharePriority: p.OverShareWorth,
+		CacheAside: p.FamilyInfo.Mode == "aside", SubscribeToList: p.MembershipMode == "on_request",
+		SubscribeTimeout: time.Duration(p.Contract.AskWithin),
+		MaxAttempts:      p.Limits.SendCap, MayCancel: p.Limits.MayCancel, ParallelAttempts: p.Limits.ParallelTries,
 		MaxRetryAfter:  time.Duration(p.Limits.MaxRetryAfter),
-		ConnectTimeout: time.Duration(p.Limits.ConnectTimeout), Streams: p.Limits.StreamsPerConn,
-		ColdFrom: p.Contract.ColdFrom, Ramp: time.Duration(p.Contract.RampTime),
+		ConnectTimeout: time.Duration(p.Limits.ConnectTimeout), StreamsPerConn: p.Limits.StreamsPerConn,
+		ColdStartShare: p.Contract.ColdFrom, RampTime: time.Duration(p.Contract.RampTime),
 		OverloadFactor: p.Contract.OverloadFactor, OverloadFor: time.Duration(p.Contract.OverloadFor),
 	}
 	if k := p.FamilyInfo.OriginKind; k != nil && *k >= 0 && *k < len(p.Flavors) {
@@ -87,9 +87,9 @@
 	}
 	for _, c := range p.Classes {
 		s.Classes = append(s.Classes, balance.Class{
-			Name: c.Name, Aim: time.Duration(c.Objective), Deadline: time.Duration(c.Deadline), Worth: c.Worth,
+			Name: c.Name, Target: time.Duration(c.Objective), Deadline: time.Duration(c.Deadline), Priority: c.Worth,
 			LateShare: c.LateShare, Effect: effects[c.Effect], Group: groups[c.DedupScope],
-			Memory: time.Duration(c.MemorySpan),
+			RepeatWindow: time.Duration(c.MemorySpan),
 		})
 	}
 	for _, t := range p.Tenants {
@@ -159,9 +159,9 @@
 	return nil
 }
 
-// Retuned returns the new settings that a running router can apply, and the names of the changed keys that need a
+// MergeReloadable returns the new settings that a running router can apply, and the names of the changed keys that need a
 // restart: the router's place in the fleet and what its sockets depend on. Those keys keep their old values.
-func (p *Profile) Retuned(updated *Profile) (next *Profile, pendingRestart []string) {
+func (p *Profile) MergeReloadable(updated *Profile) (next *Profile, pendingRestart []string) {
 	merged := *updated
 	for _, key := range []struct {
 		name    string
@@ -184,9 +184,9 @@
 	return &merged, pendingRestart
 }
 
-// Missing returns the dotted name of the first key that an object had and its successor lacks, or an empty string.
+// MissingKey returns the dotted name of the first key that an object had and its successor lacks, or an empty string.
 // Each element of a list must have the keys that all its elements had before. The dotted names in skip may be absent.
-func Missing(was, now any, skip ...string) string {
+func MissingKey(was, now any, skip ...string) string {
 	var walk func(path string, was, now any) string
 	walk = func(path string, was, now any) string {
 		switch was := was.(type) {
@@ -239,9 +239,9 @@
 	return common
 }
 
-// Unread returns the sorted, dotted names of the keys of a settings object that Profile has no field for: keys of the
+// UnknownKeys returns the sorted, dotted names of the keys of a settings object that Profile has no field for: keys of the
 // platform's own, or misspelt ones. Case is ignored, as it is when settings are parsed.
-func Unread(settings map[string]any) []string {
+func UnknownKeys(settings map[string]any) []string {
 	var names []string
 	var walk func(path string, value any, t reflect.Type)
 	walk = func(path string, value any, t reflect.Type) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,13 +24,13 @@
 		t.Fatal(err)
 	}
 	want := balance.Settings{
-		Classes: []balance.Class{{Name: "add", Aim: 1200 * time.Millisecond, Deadline: 5 * time.Second, Worth: 3, LateShare: 0.5,
-			Effect: balance.Keyed, Group: balance.GroupZone, Memory: 10 * time.Second}},
+		Classes: []balance.Class{{Name: "add", Target: 1200 * time.Millisecond, Deadline: 5 * time.Second, Priority: 3, LateShare: 0.5,
+			Effect: balance.Keyed, Group: balance.GroupZone, RepeatWindow: 10 * time.Second}},
 		Tenants: []balance.Tenant{{Name: "t", AllowancePerS: 58}},
-		Routers: 3, Number: 1, PeerMessages: true, Zone: "z", OverShareWorth: 0.2, Aside: true, OriginKind: "origin",
-		AskForList: true, AskWithin: 10 * time.Second, MaxAttempts: 4, MayCancel: true, Parallel: true,
-		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 250 * time.Millisecond, Streams: 100,
-		ColdFrom: 0.15, Ramp: 24 * time.Second, OverloadFactor: 2.5, OverloadFor: 3 * time.Second,
+		Routers: 3, Index: 1, PeerMessages: true, Zone: "z", OverSharePriority: 0.2, CacheAside: true, OriginKind: "origin",
+		SubscribeToList: true, SubscribeTimeout: 10 * time.Second, MaxAttempts: 4, MayCancel: true, ParallelAttempts: true,
+		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 250 * time.Millisecond, StreamsPerConn: 100,
+		ColdStartShare: 0.15, RampTime: 24 * time.Second, OverloadFactor: 2.5, OverloadFor: 3 * time.Second,
 	}
 	if got := p.Settings(); !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
