--- a/internal/shared/shared.go
+++ b/internal/shared/shared.go
@@ -12,18 +12,18 @@
 	"cedarmast/internal/facts"
 )
 
-// Facts is one router's replica of the shared facts, from New to the end of its process. Its methods are safe for concurrent use.
-type Facts struct {
+// Replica is one router's replica of the shared facts, from New to the end of its process. Its methods are safe for concurrent use.
+type Replica struct {
 	sendDatagram func(to int, data []byte) // does not block
 	counters     *exchange.Counters
 	started      time.Time
-	incarnation  facts.Life
+	incarnation  facts.Incarnation
 	inbox        chan datagram
 	notify       chan struct{}
 
 	mu     sync.Mutex
-	gossip *facts.Spreader
-	expiry facts.Forgetter
+	gossip *facts.Gossiper
+	expiry facts.Expirer
 }
 
 // datagram is a received datagram with the index of the sending router.
@@ -35,7 +35,7 @@
 // Options configures a router's replica.
 type Options struct {
 	Routers, Number int                       // number of routers, and the index of this one, from 0
-	Life            facts.Life                // drawn at random for each process
+	Life            facts.Incarnation         // drawn at random for each process
 	Forget          time.Duration             // how long a server must be off the list before its facts are removed
 	Tell            func(to int, data []byte) // sends a datagram to the router with index to; must not block
 	Counts          *exchange.Counters
@@ -48,50 +48,50 @@
 )
 
 // New returns the replica of a starting process. Call Run to start replication.
-func New(o Options) *Facts {
-	f := &Facts{sendDatagram: o.Tell, counters: o.Counts, started: time.Now(), incarnation: o.Life,
+func New(o Options) *Replica {
+	f := &Replica{sendDatagram: o.Tell, counters: o.Counts, started: time.Now(), incarnation: o.Life,
 		inbox: make(chan datagram, inboxSize), notify: make(chan struct{}, 1),
-		gossip: facts.NewSpreader(facts.NewStore(o.Life, maxFacts), o.Routers, o.Number, uint64(o.Life)),
-		expiry: facts.Forgetter{After: o.Forget}}
+		gossip: facts.NewGossiper(facts.NewStore(o.Life, maxFacts), o.Routers, o.Number, uint64(o.Life)),
+		expiry: facts.Expirer{After: o.Forget}}
 	if o.Routers < 2 {
-		f.gossip.Alone()
+		f.gossip.MarkSynced()
 	}
 	return f
 }
 
-func (f *Facts) now() time.Duration { return time.Since(f.started) }
+func (f *Replica) now() time.Duration { return time.Since(f.started) }
 
 // Load merges a snapshot that was taken age ago.
-func (f *Facts) Load(data []byte, age time.Duration) error {
+func (f *Replica) Load(data []byte, age time.Duration) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.gossip.Load(f.now()-max(age, 0), data)
 }
 
 // Snapshot encodes all facts for Load.
-func (f *Facts) Snapshot() []byte {
+func (f *Replica) Snapshot() []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.gossip.Snapshot(f.now())
 }
 
-// Heard queues a datagram from another router. It never blocks: a datagram that finds the queue full is dropped.
-func (f *Facts) Heard(from int, data []byte) {
+// Receive queues a datagram from another router. It never blocks: a datagram that finds the queue full is dropped.
+func (f *Replica) Receive(from int, data []byte) {
 	select {
 	case f.inbox <- datagram{from, data}:
 	default:
-		f.counters.FactsDropped.Add(1)
+		f.counters.FactDatagramsDropped.Add(1)
 	}
 }
 
 // Set writes a value that supersedes all copies known to this router, and sends it to several peers before it returns. It returns false if
 // the store is full or does not accept the name.
-func (f *Facts) Set(n facts.Name, value int64) bool {
+func (f *Replica) Set(n facts.Name, value int64) bool {
 	f.mu.Lock()
 	ok := f.gossip.Set(f.now(), n, value)
 	var out []facts.Message
 	if ok {
-		out = f.gossip.Burst(f.now(), n)
+		out = f.gossip.Announce(f.now(), n)
 	}
 	f.updateCounters()
 	f.mu.Unlock()
@@ -101,7 +101,7 @@
 
 // Value returns the value that wins by the rule of the fact's kind and the age of the newest copy with that value. It returns false if the
 // fact does not exist.
-func (f *Facts) Value(n facts.Name) (value int64, age time.Duration, ok bool) {
+func (f *Replica) Value(n facts.Name) (value int64, age time.Duration, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	fact, _ := f.gossip.Get(n)
@@ -118,36 +118,36 @@
 }
 
 // Names returns the names of all facts, sorted.
-func (f *Facts) Names() []facts.Name {
+func (f *Replica) Names() []facts.Name {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.gossip.Names()
 }
 
-// News returns a channel that receives a value when peers have changed facts or this router has become synced. Changed returns the
+// Notify returns a channel that receives a value when peers have changed facts or this router has become synced. Changed returns the
 // changes.
-func (f *Facts) News() <-chan struct{} { return f.notify }
+func (f *Replica) Notify() <-chan struct{} { return f.notify }
 
-// Changed returns the names of the facts that peers have changed since the last call, and whether this router is synced. If it is, this
+// TakeChanges returns the names of the facts that peers have changed since the last call, and whether this router is synced. If it is, this
 // and earlier calls have returned every fact that it was missing.
-func (f *Facts) Changed() (names []facts.Name, inStep bool) {
+func (f *Replica) TakeChanges() (names []facts.Name, inStep bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.gossip.Changed(), f.gossip.InStep()
+	return f.gossip.TakeChanges(), f.gossip.Synced()
 }
 
-// Listed applies the discovery list, a set of server names. It removes the facts about servers that have been off the list for
+// ApplyList applies the discovery list, a set of server names. It removes the facts about servers that have been off the list for
 // Options.Forget, and returns their names.
-func (f *Facts) Listed(names map[string]bool) (dropped []facts.Name) {
+func (f *Replica) ApplyList(names map[string]bool) (dropped []facts.Name) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	dropped = f.expiry.Listed(f.now(), f.gossip.Store, names)
+	dropped = f.expiry.ApplyList(f.now(), f.gossip.Store, names)
 	f.updateCounters()
 	return dropped
 }
 
 // Run processes received datagrams and sends periodic ones until the context is done.
-func (f *Facts) Run(ctx context.Context) {
+func (f *Replica) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	started := time.Now()
@@ -162,18 +162,18 @@
 			return
 		}
 		f.mu.Lock()
-		wasSynced := f.gossip.InStep()
+		wasSynced := f.gossip.Synced()
 		if received != nil {
-			f.counters.FactsHeard.Add(1)
+			f.counters.FactDatagramsReceived.Add(1)
 			out = f.gossip.Handle(f.now(), received.from, received.data)
 		} else {
 			if time.Since(started) >= syncTimeout {
-				f.gossip.Alone()
+				f.gossip.MarkSynced()
 			}
 			out = f.gossip.Tick(f.now())
-			timer.Reset(f.gossip.Due())
+			timer.Reset(f.gossip.NextTick())
 		}
-		changed := f.gossip.InStep() != wasSynced || f.gossip.Told()
+		changed := f.gossip.Synced() != wasSynced || f.gossip.HasChanges()
 		f.updateCounters()
 		f.mu.Unlock()
 		f.send(out)
@@ -186,18 +186,18 @@
 	}
 }
 
-func (f *Facts) send(out []facts.Message) {
+func (f *Replica) send(out []facts.Message) {
 	for _, m := range out {
 		f.sendDatagram(m.To, m.Text)
 	}
-	f.counters.FactsTold.Add(int64(len(out)))
+	f.counters.FactDatagramsSent.Add(int64(len(out)))
 }
 
-func (f *Facts) updateCounters() {
+func (f *Replica) updateCounters() {
 	f.counters.FactsHeld.Store(int64(f.gossip.Len()))
-	f.counters.FactsLearned.Store(f.gossip.Learned())
-	if f.gossip.InStep() {
-		f.counters.FactsInStep.Store(1)
+	f.counters.FactsLearned.Store(f.gossip.LearnedTotal())
+	if f.gossip.Synced() {
+		f.counters.FactsInSync.Store(1)
 	}
 }
 
@@ -227,17 +227,17 @@
 }
 
 // Report returns all copies of all facts.
-func (f *Facts) Report(router string) Report {
+func (f *Replica) Report(router string) Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := Report{Router: router, Life: formatIncarnation(f.incarnation), Digest: fmt.Sprintf("%016x", f.gossip.Sum()),
-		InStep: f.gossip.InStep(), Facts: []Fact{}}
+	r := Report{Router: router, Life: formatIncarnation(f.incarnation), Digest: fmt.Sprintf("%016x", f.gossip.Digest()),
+		InStep: f.gossip.Synced(), Facts: []Fact{}}
 	for _, n := range f.gossip.Names() {
 		fact, _ := f.gossip.Get(n)
 		value, _ := fact.Value()
-		entry := Fact{Kind: n.Kind.String(), Subject: n.Subject, Says: n.Kind.Says(value)}
+		entry := Fact{Kind: n.Kind.String(), Subject: n.Subject, Says: n.Kind.FormatValue(value)}
 		for _, c := range fact.Copies {
-			entry.Copies = append(entry.Copies, Copy{n.Kind.Says(c.Value), formatIncarnation(c.Dot.Life), c.Dot.Count,
+			entry.Copies = append(entry.Copies, Copy{n.Kind.FormatValue(c.Value), formatIncarnation(c.Dot.Life), c.Dot.Count,
 				int64(max(f.now()-c.Since, 0) / time.Second)})
 		}
 		r.Facts = append(r.Facts, entry)
@@ -245,4 +245,4 @@
 	return r
 }
 
-func formatIncarnation(l facts.Life) string { return fmt.Sprintf("%08x", uint32(l)) }
+func formatIncarnation(l facts.Incarnation) string { return fmt.Sprintf("%08x", uint32(l)) }
--- a/internal/simwire/codec.go
+++ b/internal/simwire/codec.go
@@ -53,9 +53,9 @@
 	modes = map[string]balance.ListKind{"Partial": balance.Partial, "Complete": balance.Complete,
 		"Persisted": balance.Persisted, "Error": balance.Failed}
 	serverStates = map[string]balance.State{"U": balance.Up, "L": balance.Draining, "D": balance.Gone}
-	results      = map[string]balance.Result{"delivered": balance.OK, "app_error": balance.Errored, "shed": balance.Full,
+	results      = map[string]balance.Result{"delivered": balance.OK, "app_error": balance.Errored, "shed": balance.Rejected,
 		"expired": balance.TimedOut, "dial_failed": balance.NoConnect, "dropped": balance.Reset,
-		"revoked": balance.Cancelled, "unused": balance.Moot, "empty": balance.Miss}
+		"revoked": balance.Cancelled, "unused": balance.NeverSent, "empty": balance.Miss}
 )
 
 // noteFetching is the detail code of a miss while the server waits for another request's fetch of the key.
@@ -101,7 +101,7 @@
 	case "Bell":
 		return balance.Timer{Token: l.Reference}, nil
 	case "Message":
-		return balance.Heard{Content: l.Content}, nil
+		return balance.PeerMessage{Content: l.Content}, nil
 	case "ProbeDone":
 		return nil, nil
 	}
@@ -138,7 +138,7 @@
 	case balance.SetTimer:
 		span := int64(a.After)
 		o.Name, o.Span, o.Ref = "Arm", &span, &a.Token
-	case balance.Tell:
+	case balance.SendPeerMessage:
 		o.Name, o.Addressee, o.Content = "WritePeer", &a.To, a.Content
 	case balance.CloseIdle:
 		o.Name, o.Server = "ShutIdle", string(a.Server)
--- a/internal/sites/sites.go
+++ b/internal/sites/sites.go
@@ -17,13 +17,13 @@
 
 // Config configures the use of sites. The zero value is not usable; Fill sets defaults.
 type Config struct {
-	Prefer []string      // sites by preference, the router's own first; empty: Home, then by connect time
-	Home   string        // the router's own site if Prefer is empty; if both are empty, the nearest site
-	Spill  float64       // share of each cache's limit that requests of other sites may use, above 0, at most 1
-	Steps  []float64     // shares of its keys that a returning site serves, one after the other; ascending, below 1
-	Hold   time.Duration // minimum time on a step
-	Aim    time.Duration // shortest latency target of any class, the time scale on which sites are evaluated
-	Share  float64       // this router's estimated share of all requests, for the initial fetch limit
+	Prefer        []string      // sites by preference, the router's own first; empty: Home, then by connect time
+	Home          string        // the router's own site if Prefer is empty; if both are empty, the nearest site
+	GuestShare    float64       // share of each cache's limit that requests of other sites may use, above 0, at most 1
+	Steps         []float64     // shares of its keys that a returning site serves, one after the other; ascending, below 1
+	StepDuration  time.Duration // minimum time on a step
+	LatencyTarget time.Duration // shortest latency target of any class, the time scale on which sites are evaluated
+	RouterShare   float64       // this router's estimated share of all requests, for the initial fetch limit
 }
 
 // Defaults for Config. Steps double, so that each step adds as many cold keys as all steps before it together.
@@ -33,33 +33,33 @@
 	defaultHoldTargets = 4 // latency targets that a step is held: enough for a fetch and the answers that show its effect
 )
 
-// Fill returns c with defaults for fields that are not set.
-func (c Config) Fill() Config {
-	if c.Spill == 0 {
-		c.Spill = defaultSpill
+// WithDefaults returns c with defaults for fields that are not set.
+func (c Config) WithDefaults() Config {
+	if c.GuestShare == 0 {
+		c.GuestShare = defaultSpill
 	}
 	if len(c.Steps) == 0 {
 		c.Steps = defaultSteps
 	}
-	if c.Aim <= 0 {
-		c.Aim = time.Second
+	if c.LatencyTarget <= 0 {
+		c.LatencyTarget = time.Second
 	}
-	if c.Hold == 0 {
-		c.Hold = time.Duration(defaultHoldTargets) * c.Aim
+	if c.StepDuration == 0 {
+		c.StepDuration = time.Duration(defaultHoldTargets) * c.LatencyTarget
 	}
-	if !(c.Share > 0) {
-		c.Share = 1
+	if !(c.RouterShare > 0) {
+		c.RouterShare = 1
 	}
 	return c
 }
 
-// Check returns an error that names the first invalid key, spelled as in the operators' file.
-func (c Config) Check() error {
-	if c.Spill < 0 || c.Spill > 1 || math.IsNaN(c.Spill) {
-		return fmt.Errorf("spill: %v is not within 0 and 1", c.Spill)
+// Validate returns an error that names the first invalid key, spelled as in the operators' file.
+func (c Config) Validate() error {
+	if c.GuestShare < 0 || c.GuestShare > 1 || math.IsNaN(c.GuestShare) {
+		return fmt.Errorf("spill: %v is not within 0 and 1", c.GuestShare)
 	}
-	if c.Hold < 0 {
-		return fmt.Errorf("hold: %v is under 0", c.Hold)
+	if c.StepDuration < 0 {
+		return fmt.Errorf("hold: %v is under 0", c.StepDuration)
 	}
 	for i, name := range c.Prefer {
 		if name == "" {
@@ -92,7 +92,7 @@
 
 // The states of a site. docs/design/sites.md has the table of transitions.
 const (
-	Home      State = iota // healthy: it serves all its keys
+	Healthy   State = iota // healthy: it serves all its keys
 	Failing                // half of the attempts there get no answer: it keeps failingShare of its keys
 	Lost                   // no answer for a latency target, or none of its caches is listed: it gets single trial requests
 	Returning              // a trial was answered: it serves a growing share of its keys
@@ -155,17 +155,17 @@
 
 // New returns the tiers of one router. The configuration must have passed Check.
 func New(c Config) *Tiers {
-	c = c.Fill()
+	c = c.WithDefaults()
 	return &Tiers{config: c, sites: map[string]*site{},
-		fetchLimit: max(initialFetchLimit*c.Share, minFetchLimit), fetchTime: c.Aim / 8,
+		fetchLimit: max(initialFetchLimit*c.RouterShare, minFetchLimit), fetchTime: c.LatencyTarget / 8,
 		knownKeys: [2]map[uint64]struct{}{{}, {}}}
 }
 
 var _ balance.Tiers = (*Tiers)(nil)
 
-// Listed sets the number of caches that the discovery list shows as up, by site. A site with none is lost at once; a site
+// SetUp sets the number of caches that the discovery list shows as up, by site. A site with none is lost at once; a site
 // that is listed again gets a trial at once, whatever start times the list has for its caches.
-func (t *Tiers) Listed(now balance.Time, up map[string]int) {
+func (t *Tiers) SetUp(now balance.Time, up map[string]int) {
 	for _, name := range slices.Sorted(maps.Keys(up)) {
 		if t.sites[name] == nil {
 			t.sites[name] = &site{name: name, holdFactor: 1, stateSince: now, lastAnswer: now}
@@ -215,10 +215,10 @@
 // Order returns the sites that may serve a request, in order of preference. The home site comes first if it currently owns the
 // key, then each other site that owns it, with a guest's limit. A lost site that is due for a trial comes before all others.
 // While no site is healthy, sites that are not lost keep all keys; if all are lost, every site with listed caches is used.
-func (t *Tiers) Order(now balance.Time, v balance.Visit) []balance.Tier {
+func (t *Tiers) Order(now balance.Time, v balance.RequestInfo) []balance.Tier {
 	t.tiers = t.tiers[:0]
 	if len(t.order) == 0 {
-		return append(t.tiers, balance.Tier{Part: 1}) // no cache is listed: the balancer chooses from all caches and finds none
+		return append(t.tiers, balance.Tier{LimitShare: 1}) // no cache is listed: the balancer chooses from all caches and finds none
 	}
 	if v.Safe {
 		t.safeRequests++
@@ -229,18 +229,18 @@
 	}
 	home, healthySites := t.order[0], 0
 	for _, s := range t.order {
-		if s.state == Home {
+		if s.state == Healthy {
 			healthySites++
 		}
-		if s != home && s.state == Lost && !v.Again && t.ownsKey(now, s, v, 1) { // a trial, without which its return would go unnoticed
+		if s != home && s.state == Lost && !v.Retry && t.ownsKey(now, s, v, 1) { // a trial, without which its return would go unnoticed
 			t.addGuestTier(s, v)
 		}
 	}
 	// A retry must not wait for a home site that is failing to answer, nor use up a trial.
-	ownedAtHome := !(v.Again && home.failRate > healthyThreshold) && t.ownsKey(now, home, v, healthySites)
+	ownedAtHome := !(v.Retry && home.failRate > healthyThreshold) && t.ownsKey(now, home, v, healthySites)
 	homeMayFetch := home.state != Returning || t.mayFetch(home, v)
 	if ownedAtHome && homeMayFetch {
-		t.tiers = append(t.tiers, balance.Tier{Zone: home.name, Part: 1})
+		t.tiers = append(t.tiers, balance.Tier{Zone: home.name, LimitShare: 1})
 	}
 	for _, s := range t.order[1:] {
 		if s.state != Lost && t.ownsKey(now, s, v, healthySites) {
@@ -248,12 +248,12 @@
 		}
 	}
 	if !ownedAtHome && homeMayFetch && home.state != Lost { // last resort, instead of rejecting what no other site has capacity for
-		t.tiers = append(t.tiers, balance.Tier{Zone: home.name, Part: 1})
+		t.tiers = append(t.tiers, balance.Tier{Zone: home.name, LimitShare: 1})
 	}
 	if len(t.tiers) == 0 { // all sites are lost: use every listed one, and leave the choice to the rules for single caches
 		for _, s := range t.order {
 			if s.upCaches > 0 {
-				t.tiers = append(t.tiers, balance.Tier{Zone: s.name, Part: 1})
+				t.tiers = append(t.tiers, balance.Tier{Zone: s.name, LimitShare: 1})
 			}
 		}
 	}
@@ -261,21 +261,21 @@
 }
 
 // addGuestTier adds a site that is not the request's home, with a share of its limit, or 0 if the fetch limit is reached.
-func (t *Tiers) addGuestTier(s *site, v balance.Visit) {
-	share := t.config.Spill
+func (t *Tiers) addGuestTier(s *site, v balance.RequestInfo) {
+	share := t.config.GuestShare
 	if share >= 1 {
 		share = math.Nextafter(1, 0) // a share of 1 means a home request
 	}
 	if !t.mayFetch(s, v) {
 		share = 0
 	}
-	t.tiers = append(t.tiers, balance.Tier{Zone: s.name, Part: share})
+	t.tiers = append(t.tiers, balance.Tier{Zone: s.name, LimitShare: share})
 }
 
 // ownsKey reports whether a site currently serves a request's key. The set of keys is the same at every router, and keys that
 // have returned to a site stay there as its share grows.
-func (t *Tiers) ownsKey(now balance.Time, s *site, v balance.Visit, healthySites int) bool {
-	if s.state == Home || healthySites == 0 && s.state != Lost { // without a healthy site, those that are not lost keep all keys
+func (t *Tiers) ownsKey(now balance.Time, s *site, v balance.RequestInfo, healthySites int) bool {
+	if s.state == Healthy || healthySites == 0 && s.state != Lost { // without a healthy site, those that are not lost keep all keys
 		return true
 	}
 	share := failingShare
@@ -288,7 +288,7 @@
 		return true
 	case Returning:
 		t.advanceStep(now, s)
-		if s.state == Home {
+		if s.state == Healthy {
 			return true
 		}
 		share = t.config.Steps[s.step]
@@ -298,7 +298,7 @@
 
 // advanceStep moves a returning site to its next step after it has been healthy on the current one for the hold time.
 func (t *Tiers) advanceStep(now balance.Time, s *site) {
-	if now.Sub(s.stateSince) < time.Duration(float64(t.config.Hold)*s.holdFactor) || s.failRate > healthyThreshold ||
+	if now.Sub(s.stateSince) < time.Duration(float64(t.config.StepDuration)*s.holdFactor) || s.failRate > healthyThreshold ||
 		s.lastAnswer < s.stateSince {
 		return
 	}
@@ -306,34 +306,34 @@
 		s.stateSince = now
 		return
 	}
-	t.setState(now, s, Home)
+	t.setState(now, s, Healthy)
 }
 
 // setState changes a site's state. A site that is lost while returning resumes one step lower, unless it was lost for long.
 func (t *Tiers) setState(now balance.Time, s *site, to State) {
-	settled := now.Sub(s.stateSince) > maxHoldFactor*t.config.Hold
+	settled := now.Sub(s.stateSince) > maxHoldFactor*t.config.StepDuration
 	switch {
 	case to == Lost:
 		s.resumeStep = 0
 		if s.state == Returning {
 			s.resumeStep = max(s.step-1, 0)
 		}
-		s.backoff = t.config.Aim
+		s.backoff = t.config.LatencyTarget
 		s.nextTrial, s.epoch = now.Add(s.backoff), s.epoch+1
 	case to == Returning:
 		if s.step, s.failRate = s.resumeStep, 0; settled {
 			s.step, s.holdFactor = 0, 1
 		}
 	}
-	if s.state == Home && settled { // healthy for long: earlier relapses no longer count
+	if s.state == Healthy && settled { // healthy for long: earlier relapses no longer count
 		s.holdFactor = 1
 	}
 	s.state, s.stateSince = to, now
 }
 
-// Begun counts an attempt and reports whether its site may have to fetch the key from the origin: the request is a guest or the
+// AttemptBegun counts an attempt and reports whether its site may have to fetch the key from the origin: the request is a guest or the
 // site is returning, and the site is not known to have answered for the key recently.
-func (t *Tiers) Begun(now balance.Time, zone string, key uint64, read, guest bool) bool {
+func (t *Tiers) AttemptBegun(now balance.Time, zone string, key uint64, read, guest bool) bool {
 	s := t.sites[zone]
 	if s == nil {
 		return false
@@ -346,15 +346,15 @@
 	return fetches
 }
 
-// Ended records the result of an attempt. Any answer, even an error, shows that the site is reachable: a slow or overloaded site
+// AttemptEnded records the result of an attempt. Any answer, even an error, shows that the site is reachable: a slow or overloaded site
 // is not lost.
-func (t *Tiers) Ended(now balance.Time, e balance.Stay) {
+func (t *Tiers) AttemptEnded(now balance.Time, e balance.AttemptResult) {
 	s := t.sites[e.Zone]
 	if s == nil {
 		return
 	}
 	s.inFlight--
-	if e.News {
+	if e.MayFetch {
 		t.adjustFetchLimit(now, e)
 	}
 	if e.Connect > 0 {
@@ -362,22 +362,22 @@
 	}
 	answered := true
 	switch e.Result {
-	case balance.OK, balance.Miss, balance.Errored, balance.Full, balance.Spoilt:
+	case balance.OK, balance.Miss, balance.Errored, balance.Rejected, balance.Malformed:
 		s.lastAnswer = now
-		if e.Result == balance.OK && e.News {
+		if e.Result == balance.OK && e.MayFetch {
 			t.remember(s, e.Key)
 		}
 	case balance.TimedOut, balance.NoConnect, balance.Reset, balance.Unknown:
 		answered = false
 	case balance.Cancelled:
-		if answered = false; e.Took < t.config.Aim/2 { // cancelled early because another attempt was answered
+		if answered = false; e.Took < t.config.LatencyTarget/2 { // cancelled early because another attempt was answered
 			return
 		}
 	default: // the request was not sent
 		return
 	}
 	// A returning site must also keep up with its load: if it rejects requests or is slow, it goes back a step.
-	good := answered && (s.state != Returning || e.Result != balance.Full && e.Took < t.config.Aim/2)
+	good := answered && (s.state != Returning || e.Result != balance.Rejected && e.Took < t.config.LatencyTarget/2)
 	s.failRate -= s.failRate / failRateWindow
 	if !good {
 		s.failRate += 1 / failRateWindow
@@ -387,16 +387,16 @@
 
 // updateState applies the state transitions after an attempt.
 func (t *Tiers) updateState(now balance.Time, s *site, answered bool) {
-	noAnswers := now.Sub(s.lastAnswer) > t.config.Aim
+	noAnswers := now.Sub(s.lastAnswer) > t.config.LatencyTarget
 	switch s.state {
-	case Home:
+	case Healthy:
 		if s.failRate > failingThreshold {
 			t.setState(now, s, Failing)
 		}
 	case Failing:
 		switch {
 		case s.failRate < healthyThreshold:
-			t.setState(now, s, Home)
+			t.setState(now, s, Healthy)
 		case s.failRate > lostThreshold && noAnswers:
 			t.setState(now, s, Lost)
 		}
@@ -404,7 +404,7 @@
 		if answered && s.upCaches > 0 {
 			t.setState(now, s, Returning)
 		} else {
-			s.backoff = min(2*s.backoff, maxTrialBackoffTargets*t.config.Aim)
+			s.backoff = min(2*s.backoff, maxTrialBackoffTargets*t.config.LatencyTarget)
 			s.nextTrial = now.Add(s.backoff)
 		}
 	case Returning:
@@ -452,7 +452,7 @@
 		return nil
 	}
 	for _, s := range t.order[1:] {
-		if s.connectTime == 0 && s.measurements < maxMeasurements && s.state == Home {
+		if s.connectTime == 0 && s.measurements < maxMeasurements && s.state == Healthy {
 			return s
 		}
 	}
@@ -462,11 +462,11 @@
 // mayFetch reports whether a site may get a request whose key it may have to fetch from the origin: if fewer fetches than the
 // fetch limit are in flight. With a limit below one, a fetch is admitted at random with that probability if none
 // is in flight.
-func (t *Tiers) mayFetch(s *site, v balance.Visit) bool {
+func (t *Tiers) mayFetch(s *site, v balance.RequestInfo) bool {
 	if !v.Read || t.knows(s, v.Key) {
 		return true
 	}
-	limit := t.fetchLimit * min(1, 0.5+v.Worth) // requests of low priority leave part of the limit to others
+	limit := t.fetchLimit * min(1, 0.5+v.RelativePriority) // requests of low priority leave part of the limit to others
 	if limit >= 1 {
 		return float64(t.fetchesInFlight+1) <= limit
 	}
@@ -478,15 +478,15 @@
 // while fetches take less than half a latency target and use up half of it. It falls, at most once per mean fetch time, after
 // a late or failed fetch if the mean of the last ones is late as well: a single fetch may be late because of work queued behind
 // it. All routers see the same origin, so all reduce their limits together.
-func (t *Tiers) adjustFetchLimit(now balance.Time, e balance.Stay) {
+func (t *Tiers) adjustFetchLimit(now balance.Time, e balance.AttemptResult) {
 	t.fetchesInFlight--
 	took := e.Took
 	switch e.Result {
 	case balance.OK, balance.Miss:
 	case balance.Errored, balance.TimedOut:
-		took = max(took, t.config.Aim)
+		took = max(took, t.config.LatencyTarget)
 	case balance.Cancelled:
-		if took < t.config.Aim/2 {
+		if took < t.config.LatencyTarget/2 {
 			return
 		}
 	default: // it caused no fetch
@@ -494,12 +494,12 @@
 	}
 	t.fetchTime += (took - t.fetchTime) / fetchTimeWindow
 	switch {
-	case took < t.config.Aim/2 && float64(2*t.fetchesInFlight+2) < t.fetchLimit: // the limit is not used up
-	case took < t.config.Aim/2 && t.lastDecrease == 0: // no decrease yet: rise fast until the first one
+	case took < t.config.LatencyTarget/2 && float64(2*t.fetchesInFlight+2) < t.fetchLimit: // the limit is not used up
+	case took < t.config.LatencyTarget/2 && t.lastDecrease == 0: // no decrease yet: rise fast until the first one
 		t.fetchLimit += 0.25
-	case took < t.config.Aim/2:
+	case took < t.config.LatencyTarget/2:
 		t.fetchLimit += 0.25 / max(t.fetchLimit, 1)
-	case t.fetchTime > t.config.Aim/2 && now.Sub(t.lastDecrease) > t.fetchTime:
+	case t.fetchTime > t.config.LatencyTarget/2 && now.Sub(t.lastDecrease) > t.fetchTime:
 		t.fetchLimit, t.lastDecrease = max(t.fetchLimit*fetchLimitDecrease, minFetchLimit), now
 	}
 }
@@ -534,12 +534,12 @@
 // View returns the state of each site, in order of preference, and the fetch limit.
 func (t *Tiers) View() (all []balance.SiteView, limit float64) {
 	for _, s := range t.order {
-		share := map[State]float64{Home: 1, Failing: failingShare}[s.state]
+		share := map[State]float64{Healthy: 1, Failing: failingShare}[s.state]
 		if s.state == Returning {
 			share = t.config.Steps[s.step]
 		}
-		all = append(all, balance.SiteView{Zone: s.name, State: s.state.String(), Part: share,
-			Up: s.upCaches, Absent: s.failRate, Connect: s.connectTime})
+		all = append(all, balance.SiteView{Zone: s.name, State: s.state.String(), KeyShare: share,
+			Up: s.upCaches, FailShare: s.failRate, Connect: s.connectTime})
 	}
 	return all, t.fetchLimit
 }
--- a/internal/sites/sites_test.go
+++ b/internal/sites/sites_test.go
@@ -19,8 +19,8 @@
 }
 
 func newTestTiers(t *testing.T, c Config) *testTiers {
-	c.Aim = latencyTarget
-	if err := c.Check(); err != nil {
+	c.LatencyTarget = latencyTarget
+	if err := c.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	r := &testTiers{Tiers: New(c), t: t, now: 1e15}
@@ -35,7 +35,7 @@
 			up[zone] = n
 		}
 	}
-	r.Listed(r.now, up)
+	r.SetUp(r.now, up)
 }
 
 // request makes n requests with evenly spread keys, each to the first site that Order offers, and returns their number by site.
@@ -44,14 +44,14 @@
 	for range n {
 		r.now = r.now.Add(every)
 		r.key++
-		v := balance.Visit{Key: r.key * 0x9e3779b97f4a7c15 >> 7, Read: true, Safe: true, Worth: 1}
+		v := balance.RequestInfo{Key: r.key * 0x9e3779b97f4a7c15 >> 7, Read: true, Safe: true, RelativePriority: 1}
 		zone := "none"
 		for _, tier := range r.Order(r.now, v) {
-			if tier.Part > 0 {
+			if tier.LimitShare > 0 {
 				zone = tier.Zone
-				news := r.Begun(r.now, zone, v.Key, true, tier.Part < 1)
+				news := r.AttemptBegun(r.now, zone, v.Key, true, tier.LimitShare < 1)
 				result, took := answer(zone)
-				r.Ended(r.now, balance.Stay{Zone: zone, Key: v.Key, Took: took, Result: result, News: news, Connect: connectTimes[zone]})
+				r.AttemptEnded(r.now, balance.AttemptResult{Zone: zone, Key: v.Key, Took: took, Result: result, MayFetch: news, Connect: connectTimes[zone]})
 				break
 			}
 		}
@@ -117,7 +117,7 @@
 		t.Errorf("%d requests in 20 latency targets went to a lost site", to["south"])
 	}
 	last, begun := 0, balance.Time(0)
-	for r.sites["south"].state != Home {
+	for r.sites["south"].state != Healthy {
 		to := r.request(100, latencyTarget/50, healthyAnswer)["south"]
 		if r.sites["south"].state == Returning && begun == 0 {
 			begun = r.now
@@ -144,7 +144,7 @@
 	for r.sites["south"].step == 2 { // it answers but rejects requests
 		r.request(1, latencyTarget/50, func(zone string) (balance.Result, time.Duration) {
 			if zone == "south" {
-				return balance.Full, 0
+				return balance.Rejected, 0
 			}
 			return healthyAnswer(zone)
 		})
@@ -163,17 +163,17 @@
 			changes, state = changes+1, s
 		}
 	}
-	if home := r.sites["south"].state == Home; home || changes > 40 || r.sites["south"].holdFactor != maxHoldFactor {
+	if home := r.sites["south"].state == Healthy; home || changes > 40 || r.sites["south"].holdFactor != maxHoldFactor {
 		t.Errorf("healthy %v after flapping, %d state changes, hold factor %v", home, changes, r.sites["south"].holdFactor)
 	}
 }
 
 // A site that is only slow, full, or returns errors is reachable. If it counted as lost, its load would move to the other sites.
 func TestSlowIsNotLost(t *testing.T) {
-	for _, result := range []balance.Result{balance.OK, balance.Full, balance.Errored, balance.Spoilt} {
+	for _, result := range []balance.Result{balance.OK, balance.Rejected, balance.Errored, balance.Malformed} {
 		r := newTestTiers(t, Config{Home: "south"})
 		r.request(200, latencyTarget/50, func(string) (balance.Result, time.Duration) { return result, 2 * latencyTarget })
-		r.wantState("south", Home)
+		r.wantState("south", Healthy)
 	}
 }
 
@@ -203,14 +203,14 @@
 // Keys that a site has to fetch, for guests and while it returns cold, share one fetch limit, which late fetches lower whoever else
 // loads the origin. Keys that the site has answered for are not limited.
 func TestFetchesAreBounded(t *testing.T) {
-	r := newTestTiers(t, Config{Home: "south", Share: 0.1})
+	r := newTestTiers(t, Config{Home: "south", RouterShare: 0.1})
 	r.request(150, latencyTarget/50, unreachable("south"))
 	before := r.fetchLimit
 	var fetching []uint64
 	for key := range uint64(200) { // none of the fetches ends
-		v := balance.Visit{Key: 1<<40 + key<<20, Read: true, Worth: 1}
-		if all := r.Order(r.now, v); len(all) > 0 && all[0].Part > 0 {
-			if r.Begun(r.now, all[0].Zone, v.Key, true, true) {
+		v := balance.RequestInfo{Key: 1<<40 + key<<20, Read: true, RelativePriority: 1}
+		if all := r.Order(r.now, v); len(all) > 0 && all[0].LimitShare > 0 {
+			if r.AttemptBegun(r.now, all[0].Zone, v.Key, true, true) {
 				fetching = append(fetching, v.Key)
 			}
 		}
@@ -221,15 +221,15 @@
 	for range 20 {
 		for _, key := range fetching {
 			r.now = r.now.Add(latencyTarget)
-			r.Ended(r.now, balance.Stay{Zone: "north", Key: key, Took: latencyTarget, Result: balance.Errored, News: true})
-			r.Begun(r.now, "north", key, true, true)
+			r.AttemptEnded(r.now, balance.AttemptResult{Zone: "north", Key: key, Took: latencyTarget, Result: balance.Errored, MayFetch: true})
+			r.AttemptBegun(r.now, "north", key, true, true)
 		}
 	}
 	if r.fetchLimit > before/2 {
 		t.Errorf("fetch limit %.1f after failed fetches, %.1f before", r.fetchLimit, before)
 	}
 	r.remember(r.sites["north"], 77)
-	if all := r.Order(r.now, balance.Visit{Key: 77, Read: true}); all[0].Part == 0 {
+	if all := r.Order(r.now, balance.RequestInfo{Key: 77, Read: true}); all[0].LimitShare == 0 {
 		t.Error("a known key is rejected")
 	}
 	if len(r.knownKeys[0])+len(r.knownKeys[1]) > 2*maxKnownKeys {
@@ -238,9 +238,9 @@
 }
 
 // firstTier returns the first site that Order offers for a request, with its share.
-func (r *testTiers) firstTier(v balance.Visit) string {
+func (r *testTiers) firstTier(v balance.RequestInfo) string {
 	tiers := r.Order(r.now, v)
-	return fmt.Sprintf("%s %.1f", tiers[0].Zone, tiers[0].Part)
+	return fmt.Sprintf("%s %.1f", tiers[0].Zone, tiers[0].LimitShare)
 }
 
 // Regression: a request that must not be repeated was used as a trial of a lost site, a retry waited a second time for a site that did
@@ -249,11 +249,11 @@
 	r := newTestTiers(t, Config{Home: "south"})
 	r.request(8, latencyTarget/50, unreachable("south"))
 	r.wantState("south", Failing)
-	v := balance.Visit{Key: 1, Read: true, Worth: 1}
+	v := balance.RequestInfo{Key: 1, Read: true, RelativePriority: 1}
 	if got := r.firstTier(v); got != "south 1.0" {
 		t.Errorf("a key in the quarter that a failing site keeps goes to %s", got)
 	}
-	v.Again = true
+	v.Retry = true
 	if got := r.firstTier(v); got != "north 0.5" {
 		t.Errorf("a retry after no answer at home goes to %s", got)
 	}
@@ -264,21 +264,21 @@
 	r.request(100, latencyTarget/50, unreachable("south"))
 	r.wantState("south", Lost)
 	r.now = r.now.Add(5 * latencyTarget)
-	if got := r.firstTier(balance.Visit{Key: 5, Read: true, Worth: 1}); got != "north 0.5" {
+	if got := r.firstTier(balance.RequestInfo{Key: 5, Read: true, RelativePriority: 1}); got != "north 0.5" {
 		t.Errorf("an unsafe request goes to %s, which is lost", got)
 	}
-	if got := r.firstTier(balance.Visit{Key: 5, Read: true, Safe: true, Worth: 1}); got != "south 1.0" {
+	if got := r.firstTier(balance.RequestInfo{Key: 5, Read: true, Safe: true, RelativePriority: 1}); got != "south 1.0" {
 		t.Errorf("the trial goes to %s", got)
 	}
 	r.setUpCaches(3, 0, 3)
 	r.setUpCaches(3, 3, 3)
-	if got := r.firstTier(balance.Visit{Key: 5, Safe: true, Worth: 1}); got != "south 1.0" {
+	if got := r.firstTier(balance.RequestInfo{Key: 5, Safe: true, RelativePriority: 1}); got != "south 1.0" {
 		t.Errorf("a site that is listed again is not tried at once: %s", got)
 	}
 	for _, s := range r.sites { // while no site is healthy, those that are reachable keep all keys
 		s.state = Failing
 	}
-	if got := r.firstTier(balance.Visit{Key: 0xffff, Worth: 1}); got != "south 1.0" {
+	if got := r.firstTier(balance.RequestInfo{Key: 0xffff, RelativePriority: 1}); got != "south 1.0" {
 		t.Errorf("with all sites failing a key goes to %s", got)
 	}
 }
@@ -293,7 +293,7 @@
 		r.request(10, latencyTarget/50, healthyAnswer)
 	}
 	for key := range uint64(1 << 16) {
-		v := balance.Visit{Key: key, Worth: 1}
+		v := balance.RequestInfo{Key: key, RelativePriority: 1}
 		if owned := r.ownsKey(r.now, south, v, 1); owned != (key < 1<<14) {
 			t.Fatalf("key %x is owned: %v, with a share of a quarter", key, owned)
 		}
@@ -315,13 +315,13 @@
 		t.Errorf("step %d without an answer", south.step)
 	}
 	r.fetchesInFlight, r.fetchLimit = 0, 2
-	r.Begun(r.now, "north", 100, true, true)
-	high, owned := balance.Visit{Key: 101, Read: true, Worth: 1}, balance.Visit{Key: 102, Read: true, Worth: 0.1}
+	r.AttemptBegun(r.now, "north", 100, true, true)
+	high, owned := balance.RequestInfo{Key: 101, Read: true, RelativePriority: 1}, balance.RequestInfo{Key: 102, Read: true, RelativePriority: 0.1}
 	if north := r.sites["north"]; !r.mayFetch(north, high) || r.mayFetch(north, owned) {
 		t.Error("a fetch of low priority is admitted, or one of high priority is not")
 	}
 	r.remember(r.sites["north"], 100)
-	if r.Begun(r.now, "north", 100, true, true) {
+	if r.AttemptBegun(r.now, "north", 100, true, true) {
 		t.Error("a known key counts as a fetch")
 	}
 	for key := range uint64(3 * maxKnownKeys) {
@@ -334,7 +334,7 @@
 	for range 3 { // single late fetches among fast ones
 		r.fetchTime = latencyTarget / 10
 		r.fetchesInFlight++
-		r.adjustFetchLimit(r.now.Add(9*latencyTarget), balance.Stay{Took: latencyTarget, Result: balance.OK, News: true})
+		r.adjustFetchLimit(r.now.Add(9*latencyTarget), balance.AttemptResult{Took: latencyTarget, Result: balance.OK, MayFetch: true})
 	}
 	if r.fetchLimit < before {
 		t.Error("a single late fetch lowers the limit")
@@ -346,7 +346,7 @@
 func TestServerChangesZone(t *testing.T) {
 	tiers := New(Config{})
 	b := balance.New(balance.Settings{Tiers: func() balance.Tiers { return tiers },
-		Classes: []balance.Class{{Name: "read", Aim: latencyTarget, Worth: 1}}}, 1)
+		Classes: []balance.Class{{Name: "read", Target: latencyTarget, Priority: 1}}}, 1)
 	list := func(zone string) balance.List {
 		return balance.List{Kind: balance.Complete, Entries: []balance.Entry{{Server: "a", Zone: zone, Weight: 1}}}
 	}
@@ -366,7 +366,7 @@
 		for _, mode := range []string{"off", "home", "lost"} {
 			b.Run(fmt.Sprint(caches, "/", mode), func(b *testing.B) {
 				set := balance.Settings{Routers: 3, Zone: "z0", MaxAttempts: 3,
-					Classes: []balance.Class{{Name: "read", Aim: latencyTarget, Worth: 1, Effect: balance.Safe}}}
+					Classes: []balance.Class{{Name: "read", Target: latencyTarget, Priority: 1, Effect: balance.Safe}}}
 				if mode != "off" {
 					set.Tiers = func() balance.Tiers { return New(Config{Home: "z0"}) }
 				}
--- a/internal/socket/reuseport.go
+++ b/internal/socket/reuseport.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Shared listens with SO_REUSEPORT: another process of the same user that sets it as well may listen on the same address, so that a
+// ReusePort listens with SO_REUSEPORT: another process of the same user that sets it as well may listen on the same address, so that a
 // router's new process can take over from the old one.
-var Shared = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+var ReusePort = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	var err error
 	if e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
 		return e
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -12,7 +12,7 @@
 // The states of a connection.
 const (
 	Unknown State = iota // not a socket
-	Quiet                // nothing to read
+	Idle                 // nothing to read
 	Unread               // unread bytes
 	Closed               // closed by the peer, or an error
 )
@@ -33,7 +33,7 @@
 		n, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == syscall.EAGAIN || err == syscall.EINTR:
-			state = Quiet
+			state = Idle
 		case err == nil && n > 0:
 			state = Unread
 		}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -18,9 +18,9 @@
 // Request is a request that a server received, with its whole body.
 type Request struct {
 	*http.Request
-	Text []byte // the request body
-	Conn net.Conn
-	N    int // ordinal of the request on its connection, from 1
+	BodyBytes []byte // the request body
+	Conn      net.Conn
+	Ordinal   int // ordinal of the request on its connection, from 1
 }
 
 // Answer writes a response with a body and optional extra header lines, each without its line end. It reports whether the write succeeded.
@@ -110,8 +110,8 @@
 	}
 }
 
-// Open returns the number of open connections.
-func (s *Server) Open() int {
+// OpenConns returns the number of open connections.
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -174,8 +174,8 @@
 	return d
 }
 
-// Change adds or replaces an endpoint, or removes it if its status is DELETED, and notifies watchers.
-func (d *Discovery) Change(e Endpoint) {
+// Update adds or replaces an endpoint, or removes it if its status is DELETED, and notifies watchers.
+func (d *Discovery) Update(e Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.index++
@@ -187,8 +187,8 @@
 	d.changed = make(chan struct{})
 }
 
-// Break makes discovery respond with the given HTTP status from now on, or not respond at all if it is -1; 0 restores normal responses.
-func (d *Discovery) Break(status int) {
+// SetStatus makes discovery respond with the given HTTP status from now on, or not respond at all if it is -1; 0 restores normal responses.
+func (d *Discovery) SetStatus(status int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent, d.status = status < 0, max(status, 0)
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -37,7 +37,7 @@
 // rejectRequest answers a request that violates the protocol and closes the connection. It always returns false.
 func (c *clientConn) rejectRequest(err error) bool {
 	// The log is sampled: a flood of bad requests must not fill it.
-	if n := c.frontend.Counts.BadRequests.Add(1); n%badRequestLogInterval == 1 {
+	if n := c.frontend.Counters.BadRequests.Add(1); n%badRequestLogInterval == 1 {
 		c.frontend.Log.Warn("bad request", "err", err, "client", c.RemoteAddr(), "so_far", n)
 	}
 	if !c.setState(stateRejected) {
@@ -90,7 +90,7 @@
 	case req.URL.Path == "/health/ready":
 		return c.write(http.StatusServiceUnavailable, plain, []byte("not ready\n"), last)
 	case req.URL.Path == "/stats":
-		return c.write(http.StatusOK, http.Header{"Content-Type": {"application/json"}}, c.frontend.Counts.JSON(), last)
+		return c.write(http.StatusOK, http.Header{"Content-Type": {"application/json"}}, c.frontend.Counters.JSON(), last)
 	}
 	return c.write(http.StatusNotFound, plain, []byte("not found\n"), last)
 }
--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -10,9 +10,9 @@
 	"syscall"
 )
 
-// ReadCall reads one operator's request, with the same strict checks as a client's request. The body is read and
+// ReadAdminRequest reads one operator's request, with the same strict checks as a client's request. The body is read and
 // discarded.
-func ReadCall(r *bufio.Reader) (*http.Request, error) {
+func ReadAdminRequest(r *bufio.Reader) (*http.Request, error) {
 	head, err := awaitHead(r, maxEmptyLines)
 	if err != nil {
 		return nil, err
@@ -39,8 +39,8 @@
 	return req, nil
 }
 
-// IsBad reports whether err is a protocol violation, rather than the end of the connection or a timeout.
-func IsBad(err error) bool {
+// IsProtocolError reports whether err is a protocol violation, rather than the end of the connection or a timeout.
+func IsProtocolError(err error) bool {
 	return err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, net.ErrClosed) &&
 		!errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -15,23 +15,23 @@
 	"cedarmast/internal/socket"
 )
 
-// Taker handles requests; exchange.Loop implements it.
-type Taker interface {
+// RequestHandler handles requests; exchange.Loop implements it.
+type RequestHandler interface {
 	// Submit starts an exchange and sets its deadline.
 	Submit(x *exchange.Exchange)
-	// Depart reports that the client of an exchange no longer waits for the answer.
-	Depart(x *exchange.Exchange)
+	// ClientDisconnected reports that the client of an exchange no longer waits for the answer.
+	ClientDisconnected(x *exchange.Exchange)
 }
 
-// Clients accepts and serves client connections. Use NewClients to create one.
-type Clients struct {
-	Taker  Taker
-	Counts *exchange.Counters
-	Log    *slog.Logger
-	Most   int                     // open connections; over it, idle ones are closed, then the requests of new ones refused
-	Knows  func(class string) bool // reports whether a service class is configured; nil: any class is accepted
-	Long   *exchange.Budget        // memory for request bodies over maxBody, in bytes; nil: these are refused
-	Ready  atomic.Bool             // what /health/ready reports
+// Frontend accepts and serves client connections. Use NewClients to create one.
+type Frontend struct {
+	Handler    RequestHandler
+	Counters   *exchange.Counters
+	Log        *slog.Logger
+	MaxConns   int                     // open connections; over it, idle ones are closed, then the requests of new ones refused
+	KnownClass func(class string) bool // reports whether a service class is configured; nil: any class is accepted
+	BodyBudget *exchange.Budget        // memory for request bodies over maxBody, in bytes; nil: these are refused
+	Ready      atomic.Bool             // what /health/ready reports
 
 	mu          sync.Mutex
 	conns       map[*clientConn]struct{}
@@ -70,14 +70,14 @@
 	rejectDivisor           = 8                       // connections over Most kept open to refuse their requests: this fraction of it
 )
 
-// NewClients returns a Clients that allows maxConns open connections. It does not report ready yet.
-func NewClients(handler Taker, counts *exchange.Counters, log *slog.Logger, maxConns int) *Clients {
-	return &Clients{Taker: handler, Counts: counts, Log: log, Most: maxConns, conns: map[*clientConn]struct{}{},
+// NewFrontend returns a Clients that allows maxConns open connections. It does not report ready yet.
+func NewFrontend(handler RequestHandler, counts *exchange.Counters, log *slog.Logger, maxConns int) *Frontend {
+	return &Frontend{Handler: handler, Counters: counts, Log: log, MaxConns: maxConns, conns: map[*clientConn]struct{}{},
 		inFlightIDs: map[string]bool{}, drainSlots: make(chan struct{}, maxDrains), shutdown: make(chan struct{})}
 }
 
 // Serve accepts connections until the listener is closed.
-func (s *Clients) Serve(l net.Listener) {
+func (s *Frontend) Serve(l net.Listener) {
 	backoff := time.Millisecond
 	for {
 		c, err := l.Accept()
@@ -85,55 +85,55 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			s.Log.Warn("accepting failed", "err", err, "open", s.Counts.ClientsOpen.Load())
+			s.Log.Warn("accepting failed", "err", err, "open", s.Counters.ClientsOpen.Load())
 			s.evictIdle() // accept may have failed for lack of file descriptors
 			time.Sleep(backoff)
 			backoff = min(2*backoff, 50*time.Millisecond)
 			continue
 		}
 		backoff = time.Millisecond
-		s.Counts.ClientsAccepted.Add(1)
+		s.Counters.ClientsAccepted.Add(1)
 		s.admit(c)
 	}
 }
 
 // admit starts serving a connection. Over the limit the connection that has been idle longest is closed; if none is idle,
 // the request of the new one is refused as soon as it has arrived, since the kernel has accepted the connection already.
-func (s *Clients) admit(c net.Conn) {
+func (s *Frontend) admit(c net.Conn) {
 	input := &timedReader{Conn: c}
 	conn := &clientConn{Conn: c, frontend: s, input: input, reader: bufio.NewReaderSize(input, maxHead),
 		firstBytes: make(chan firstByte), resume: make(chan struct{}), done: make(chan struct{}),
 		stateSince: time.Now(), acceptedAt: time.Now()}
 	s.mu.Lock()
 	s.conns[conn] = struct{}{}
-	open, maxConns := len(s.conns), s.Most
+	open, maxConns := len(s.conns), s.MaxConns
 	s.mu.Unlock()
-	s.Counts.ClientsOpen.Store(int64(open))
+	s.Counters.ClientsOpen.Store(int64(open))
 	if open > maxConns && !s.evictIdle() {
 		conn.reject = true
-		s.Counts.ClientsTurnedAway.Add(1)
+		s.Counters.ClientsRejected.Add(1)
 	}
 	s.wg.Add(1)
 	go conn.serve()
 	// Wait while too many are over the limit; connections whose request is refused close quickly.
-	for s.Counts.ClientsOpen.Load() > int64(maxConns+max(maxConns/rejectDivisor, 2)) {
+	for s.Counters.ClientsOpen.Load() > int64(maxConns+max(maxConns/rejectDivisor, 2)) {
 		s.evictIdle()
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // removeConn unregisters a connection whose serve method returns.
-func (s *Clients) removeConn(c *clientConn) {
+func (s *Frontend) removeConn(c *clientConn) {
 	s.mu.Lock()
 	delete(s.conns, c)
-	s.Counts.ClientsOpen.Store(int64(len(s.conns)))
+	s.Counters.ClientsOpen.Store(int64(len(s.conns)))
 	s.mu.Unlock()
 	s.wg.Done()
 }
 
 // closeExcessIdle closes idle connections over a fraction of the limit. A client may hold only a limited number of
 // connections itself; clients that send one request and stay connected would keep others from getting a connection.
-func (s *Clients) closeExcessIdle() {
+func (s *Frontend) closeExcessIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var idleConns []*clientConn
@@ -142,7 +142,7 @@
 			idleConns = append(idleConns, c)
 		}
 	}
-	excess := len(idleConns) - max(s.Most/idleDivisor, 1)
+	excess := len(idleConns) - max(s.MaxConns/idleDivisor, 1)
 	if excess <= 0 {
 		return
 	}
@@ -161,7 +161,7 @@
 }
 
 // reserveID registers the id of a request in flight. It returns false if another request in flight has the same id.
-func (s *Clients) reserveID(id string) bool {
+func (s *Frontend) reserveID(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.inFlightIDs[id] {
@@ -172,7 +172,7 @@
 }
 
 // releaseID unregisters the id of a request that is no longer in flight.
-func (s *Clients) releaseID(id string) {
+func (s *Frontend) releaseID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.inFlightIDs, id)
@@ -182,7 +182,7 @@
 // first, then those that have sent nothing, then those that are slow to send a request, then idle ones, and last those
 // that have been idle for a short time, the longest in their state first. A connection with unread input is kept: it is
 // the router that is slow then.
-func (s *Clients) evictIdle() bool {
+func (s *Frontend) evictIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var candidates []*clientConn
@@ -201,21 +201,21 @@
 	return false
 }
 
-// SetMost changes the connection limit. Connections over a lower limit are closed when they are idle and new ones arrive.
-func (s *Clients) SetMost(maxConns int) {
+// SetMaxConns changes the connection limit. Connections over a lower limit are closed when they are idle and new ones arrive.
+func (s *Frontend) SetMaxConns(maxConns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Most = maxConns
+	s.MaxConns = maxConns
 }
 
-// Serving reports whether the router is ready for clients and not shutting down.
-func (s *Clients) Serving() bool { return s.Ready.Load() && !s.closing.Load() }
+// IsServing reports whether the router is ready for clients and not shutting down.
+func (s *Frontend) IsServing() bool { return s.Ready.Load() && !s.closing.Load() }
 
-// Finish makes every further answer close its connection.
-func (s *Clients) Finish() { s.closing.Store(true) }
+// StopKeepAlive makes every further answer close its connection.
+func (s *Frontend) StopKeepAlive() { s.closing.Store(true) }
 
 // CloseIdle closes the connections without a request in flight; the others are closed after their answers.
-func (s *Clients) CloseIdle() {
+func (s *Frontend) CloseIdle() {
 	s.closing.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -232,4 +232,4 @@
 }
 
 // Wait waits until all connections are closed.
-func (s *Clients) Wait() { s.wg.Wait() }
+func (s *Frontend) Wait() { s.wg.Wait() }
--- a/internal/wire/client_test.go
+++ b/internal/wire/client_test.go
@@ -34,19 +34,19 @@
 }
 
 func (t *fakeLoop) Submit(x *exchange.Exchange) {
-	x.Due = time.Now().Add(t.timeout)
+	x.Deadline = time.Now().Add(t.timeout)
 	t.submitted <- x
 }
-func (t *fakeLoop) Depart(x *exchange.Exchange) { t.departed <- x }
+func (t *fakeLoop) ClientDisconnected(x *exchange.Exchange) { t.departed <- x }
 
 // testFrontend is a Clients that serves a local listener, with a fakeLoop behind it unless the test has its own Taker.
 type testFrontend struct {
-	*Clients
+	*Frontend
 	*fakeLoop
 	address string
 }
 
-func newTestFrontend(t *testing.T, maxConns int, handler Taker) *testFrontend {
+func newTestFrontend(t *testing.T, maxConns int, handler RequestHandler) *testFrontend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,7 +56,7 @@
 	if handler == nil {
 		handler = loop
 	}
-	s := &testFrontend{NewClients(handler, &exchange.Counters{}, slog.New(slog.DiscardHandler), maxConns), loop, l.Addr().String()}
+	s := &testFrontend{NewFrontend(handler, &exchange.Counters{}, slog.New(slog.DiscardHandler), maxConns), loop, l.Addr().String()}
 	s.Ready.Store(true)
 	done := make(chan struct{})
 	go func() { s.Serve(l); close(done) }()
@@ -147,7 +147,7 @@
 	}
 	x := <-s.submitted
 	if x.Class != "tally-add" || x.Tenant != "acme" || !x.Write || x.Key != hashKey("k%201") || !x.HasKey ||
-		x.TimeLeft != 250*time.Millisecond || string(x.Body) != "value" || x.Target != "/tally-add/k%201?x=1" ||
+		x.Timeout != 250*time.Millisecond || string(x.Body) != "value" || x.Target != "/tally-add/k%201?x=1" ||
 		x.Header.Get("Idempotency-Key") != "9" || x.Header.Get(headerTimeLeft) != "" {
 		t.Errorf("read as %+v", x.Request)
 	}
@@ -202,7 +202,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newTestFrontend(t, 10, nil)
-			s.Knows = func(class string) bool { return class == "w" }
+			s.KnownClass = func(class string) bool { return class == "w" }
 			c := s.dial(t)
 			c.send(t, bad.text)
 			if resp, _ := c.receive(t); resp.StatusCode != bad.status || !resp.Close {
@@ -211,7 +211,7 @@
 			if _, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
 				t.Errorf("not closed: %v", err)
 			}
-			if len(s.submitted) != 0 || s.Counts.BadRequests.Load() != 1 {
+			if len(s.submitted) != 0 || s.Counters.BadRequests.Load() != 1 {
 				t.Error("it was submitted as a request")
 			}
 		})
@@ -270,7 +270,7 @@
 	if resp, _ := second.receive(t); resp.StatusCode != 409 || !resp.Close {
 		t.Errorf("the second: %d", resp.StatusCode)
 	}
-	inFlight.Settle(exchange.Answer{Kind: exchange.Served, Body: []byte("v")})
+	inFlight.SetAnswer(exchange.Answer{Kind: exchange.Served, Body: []byte("v")})
 	if resp, body := first.receive(t); resp.StatusCode != 200 || body != "v" {
 		t.Errorf("the first: %d %q", resp.StatusCode, body)
 	}
@@ -281,7 +281,7 @@
 	})
 	third := s.dial(t)
 	third.send(t, getRequestWithID("x"))
-	(<-s.submitted).Settle(exchange.Answer{Kind: exchange.Served})
+	(<-s.submitted).SetAnswer(exchange.Answer{Kind: exchange.Served})
 	if resp, _ := third.receive(t); resp.StatusCode != 200 {
 		t.Errorf("afterwards: %d", resp.StatusCode)
 	}
@@ -301,7 +301,7 @@
 	case <-time.After(time.Second):
 		t.Fatal("the disconnect was not noticed")
 	}
-	standin.Eventually(t, "the connection is closed", func() bool { return s.Counts.ClientsOpen.Load() == 0 })
+	standin.Eventually(t, "the connection is closed", func() bool { return s.Counters.ClientsOpen.Load() == 0 })
 }
 
 // Input before the answer ends the exchange: the body length was wrong, or the client pipelines requests. The router does
@@ -330,7 +330,7 @@
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	<-s.departed
-	if s.Counts.Overdue.Load() != 1 {
+	if s.Counters.Overdue.Load() != 1 {
 		t.Error("not counted")
 	}
 }
@@ -345,15 +345,15 @@
 	}
 	c = s.dial(t)
 	c.send(t, "GET /health/live HTTP/1.1\r\nHost: b\r\n\r\n")
-	if resp, _ := c.receive(t); resp.StatusCode != 200 || s.Counts.Panics.Load() != 1 {
-		t.Errorf("then: status %d, %d panics", resp.StatusCode, s.Counts.Panics.Load())
+	if resp, _ := c.receive(t); resp.StatusCode != 200 || s.Counters.Panics.Load() != 1 {
+		t.Errorf("then: status %d, %d panics", resp.StatusCode, s.Counters.Panics.Load())
 	}
 }
 
 type panickingHandler struct{}
 
-func (panickingHandler) Submit(*exchange.Exchange) { panic("boom") }
-func (panickingHandler) Depart(*exchange.Exchange) {}
+func (panickingHandler) Submit(*exchange.Exchange)             { panic("boom") }
+func (panickingHandler) ClientDisconnected(*exchange.Exchange) {}
 
 // Over the limit idle connections are closed, the oldest first. If a request would be refused otherwise, connections that
 // have been idle for a short time are closed too, first those with one request so far. If all are busy, the request on the
@@ -400,7 +400,7 @@
 	if resp, _ := last.receive(t); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || !resp.Close {
 		t.Errorf("over the limit: %d %v", resp.StatusCode, resp.Header)
 	}
-	if s.Counts.ClientsTurnedAway.Load() != 1 {
+	if s.Counters.ClientsRejected.Load() != 1 {
 		t.Error("not counted")
 	}
 }
@@ -422,7 +422,7 @@
 	}
 	time.Sleep(hardMinIdle)
 	sendRequest(active)
-	standin.Eventually(t, "the excess idle connections are closed", func() bool { return s.Counts.ClientsOpen.Load() <= 12/idleDivisor+1 })
+	standin.Eventually(t, "the excess idle connections are closed", func() bool { return s.Counters.ClientsOpen.Load() <= 12/idleDivisor+1 })
 	sendRequest(active)
 }
 
@@ -475,7 +475,7 @@
 		t.Fatal(err)
 	}
 	defer near.Close()
-	s := NewClients(nil, &exchange.Counters{}, slog.New(slog.DiscardHandler), 1)
+	s := NewFrontend(nil, &exchange.Counters{}, slog.New(slog.DiscardHandler), 1)
 	// No goroutine reads from this connection.
 	c := &clientConn{Conn: near, frontend: s, input: &timedReader{}, state: stateReading, stateSince: time.Now().Add(-time.Minute)}
 	s.conns[c] = struct{}{}
@@ -509,7 +509,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewClients(&cannedAnswers{answers: []exchange.Answer{{Kind: exchange.Served, Body: []byte("v")}}}, &exchange.Counters{},
+	s := NewFrontend(&cannedAnswers{answers: []exchange.Answer{{Kind: exchange.Served, Body: []byte("v")}}}, &exchange.Counters{},
 		slog.New(slog.DiscardHandler), 1)
 	c := &clientConn{Conn: near, frontend: s, input: &timedReader{}, reader: bufio.NewReaderSize(near, maxHead),
 		firstBytes: make(chan firstByte), resume: make(chan struct{}), done: make(chan struct{}), state: stateIdle, answered: true,
@@ -613,11 +613,11 @@
 type cannedAnswers struct{ answers []exchange.Answer }
 
 func (f *cannedAnswers) Submit(x *exchange.Exchange) {
-	x.Due = time.Now().Add(time.Second)
-	x.Settle(f.answers[0])
+	x.Deadline = time.Now().Add(time.Second)
+	x.SetAnswer(f.answers[0])
 	f.answers = f.answers[1:]
 }
-func (*cannedAnswers) Depart(*exchange.Exchange) {}
+func (*cannedAnswers) ClientDisconnected(*exchange.Exchange) {}
 
 func TestShutdownClosesConnectionsAfterAnswers(t *testing.T) {
 	r := newTestRouter(t, standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, "v") }).Address)
@@ -627,7 +627,7 @@
 		c.send(t, newGetRequest())
 		c.receive(t)
 	}
-	s.Finish()
+	s.StopKeepAlive()
 	active.send(t, newGetRequest())
 	if resp, body := active.receive(t); resp.StatusCode != 200 || body != "v" || !resp.Close {
 		t.Errorf("after Finish: %d %q, close %v", resp.StatusCode, body, resp.Close)
@@ -644,7 +644,7 @@
 	before := runtime.NumGoroutine()
 	t.Run("work", func(t *testing.T) {
 		backend := standin.NewServer(t, func(r *standin.Request) bool {
-			switch r.N % 3 {
+			switch r.Ordinal % 3 {
 			case 0:
 				return false
 			case 1:
@@ -679,7 +679,7 @@
 			})
 		}
 		wg.Wait()
-		standin.Eventually(t, "all client connections are closed", func() bool { return s.Counts.ClientsOpen.Load() == 0 })
+		standin.Eventually(t, "all client connections are closed", func() bool { return s.Counters.ClientsOpen.Load() == 0 })
 	})
 	standin.Eventually(t, "all goroutines have ended", func() bool { return runtime.NumGoroutine() <= before })
 }
@@ -688,8 +688,8 @@
 // counts from the last byte. Bodies over the budget or the size limit are refused, and the budget is returned each time.
 func TestLongRequests(t *testing.T) {
 	s := newTestFrontend(t, 10, nil)
-	s.Long = exchange.NewBudget(600 << 10)
-	budgetFull := func() bool { return s.Long.Left() == 600<<10 }
+	s.BodyBudget = exchange.NewBudget(600 << 10)
+	budgetFull := func() bool { return s.BodyBudget.Available() == 600<<10 }
 	put := func(id, framing string) string {
 		return "PUT /once/k HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left: 900m\r\n" + framing + "\r\n\r\n"
 	}
@@ -716,13 +716,13 @@
 		if budgetFull() {
 			t.Error("the current body takes nothing of the budget")
 		}
-		x.Settle(exchange.Answer{Kind: exchange.Served, Body: []byte("v")})
+		x.SetAnswer(exchange.Answer{Kind: exchange.Served, Body: []byte("v")})
 		if resp, _ := c.receive(t); resp.StatusCode != 200 {
 			t.Errorf("%s: %d", framing, resp.StatusCode)
 		}
 		standin.Eventually(t, "the budget is returned", budgetFull)
 	}
-	other, _ := s.Long.Take(200 << 10) // part of the budget is in use
+	other, _ := s.BodyBudget.Acquire(200 << 10) // part of the budget is in use
 	defer other()
 	for _, c := range []struct {
 		length, status int
@@ -733,14 +733,14 @@
 		if resp, _ := conn.receive(t); resp.StatusCode != c.status || (resp.Header.Get("Retry-After") != "") != (c.status == 503) {
 			t.Errorf("%d bytes: %d", c.length, resp.StatusCode)
 		}
-		standin.Eventually(t, "its part of the budget is returned", func() bool { return s.Long.Left() == 400<<10 })
+		standin.Eventually(t, "its part of the budget is returned", func() bool { return s.BodyBudget.Available() == 400<<10 })
 	}
 }
 
 // A body that stalls is rejected after the timeout; one sent steadily above the minimum rate is not.
 func TestSlowBodies(t *testing.T) {
 	s := newTestFrontend(t, 10, nil)
-	s.Long = exchange.NewBudget(1 << 20)
+	s.BodyBudget = exchange.NewBudget(1 << 20)
 	head := "PUT /once/k HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: %s\r\nX-Time-Left: 900m\r\nContent-Length: %d\r\n\r\n"
 	slow, stalled := s.dial(t), s.dial(t)
 	stalled.send(t, fmt.Sprintf(head, "still", 4000))
--- a/internal/wire/clientconn.go
+++ b/internal/wire/clientconn.go
@@ -39,7 +39,7 @@
 // byte or the client's close while serve does not read.
 type clientConn struct {
 	net.Conn
-	frontend   *Clients
+	frontend   *Frontend
 	input      *timedReader
 	reader     *bufio.Reader
 	firstBytes chan firstByte
@@ -147,7 +147,7 @@
 	defer close(c.done)
 	defer func() {
 		if p := recover(); p != nil {
-			c.frontend.Counts.Panics.Add(1)
+			c.frontend.Counters.Panics.Add(1)
 			c.frontend.Log.Error("connection panicked", "panic", fmt.Sprint(p))
 			if !c.writing { // the request must still be answered
 				c.write(http.StatusBadGateway, nil, nil, true)
@@ -265,12 +265,12 @@
 		return c.rejectRequest(badRequestf(http.StatusConflict, "%s: a request with this id is in hand", headerID))
 	}
 	defer c.frontend.releaseID(request.ID)
-	c.frontend.Counts.Requests.Add(1)
+	c.frontend.Counters.Requests.Add(1)
 	if c.reject && c.frontend.evictIdle() { // an idle connection can be closed after all
 		c.reject = false
 	}
 	if c.reject {
-		c.frontend.Counts.Refused.Add(1)
+		c.frontend.Counters.Refused.Add(1)
 		return c.write(http.StatusServiceUnavailable, retryAfter(rejectRetryAfter), nil, true)
 	}
 	return c.awaitAnswer(exchange.New(request), last)
@@ -283,34 +283,34 @@
 	defer func() {
 		if p := recover(); p != nil {
 			if submitted {
-				c.frontend.Taker.Depart(x)
+				c.frontend.Handler.ClientDisconnected(x)
 			}
 			panic(p)
 		}
 	}()
-	c.frontend.Taker.Submit(x)
+	c.frontend.Handler.Submit(x)
 	submitted = true
-	overdue := time.NewTimer(time.Until(x.Due) + overdueSlack)
+	overdue := time.NewTimer(time.Until(x.Deadline) + overdueSlack)
 	defer overdue.Stop()
 	c.resumeWatch()
 	for {
 		select {
 		case answer := <-x.Answer():
-			defer answer.Let()
+			defer answer.Release()
 			return c.writeAnswer(answer, last)
 		case next := <-c.firstBytes:
 			if next.err != nil {
-				c.frontend.Taker.Depart(x)
+				c.frontend.Handler.ClientDisconnected(x)
 				return false
 			}
 			// More input arrived before the answer: either the body length was wrong, and the request that was read is
 			// not what the client meant, or the client pipelines requests. Neither is supported, and none is served.
 			c.watching = false
-			c.frontend.Taker.Depart(x)
+			c.frontend.Handler.ClientDisconnected(x)
 			return c.rejectRequest(errPipelined)
 		case <-overdue.C: // the loop did not answer in time
-			c.frontend.Counts.Overdue.Add(1)
-			c.frontend.Taker.Depart(x)
+			c.frontend.Counters.Overdue.Add(1)
+			c.frontend.Handler.ClientDisconnected(x)
 			c.write(http.StatusGatewayTimeout, nil, nil, true)
 			return false
 		}
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -18,21 +18,21 @@
 // Discovery watches the server list at the discovery service. While the service does not answer or its answers are
 // malformed, the known list stays in use and the call is retried with backoff.
 type Discovery struct {
-	Address string
-	Index   int64                    // of the list that is known already; Unknown if there is none
-	Told    func()                   // called after each list passed to Listed; may be nil
-	Listed  func(list exchange.List) // receives each list, and a list of kind Failed for each failed call
-	Clock   exchange.Clock
-	Counts  *exchange.Counters
-	Log     *slog.Logger
+	Address     string
+	Index       int64                          // of the list that is known already; Unknown if there is none
+	OnDelivered func()                         // called after each list passed to Listed; may be nil
+	OnList      func(list exchange.ServerList) // receives each list, and a list of kind Failed for each failed call
+	Clock       exchange.Clock
+	Counters    *exchange.Counters
+	Log         *slog.Logger
 
 	conn     net.Conn
 	reader   *bufio.Reader
 	retryNow chan struct{} // ends a backoff pause early
 }
 
-// Unknown is the index while no list is known. Any other number, 0 included, may be the index of a list.
-const Unknown = -1
+// UnknownIndex is the index while no list is known. Any other number, 0 included, may be the index of a list.
+const UnknownIndex = -1
 
 const (
 	watchWait             = 2 * time.Second       // long-poll wait; a dead connection shows only when a wait has passed
@@ -51,8 +51,8 @@
 	return &Discovery{Address: address, retryNow: make(chan struct{}, 1)}
 }
 
-// Subscribe makes the next call at once if it is waiting for a backoff to end.
-func (d *Discovery) Subscribe() {
+// RetryNow makes the next call at once if it is waiting for a backoff to end.
+func (d *Discovery) RetryNow() {
 	select {
 	case d.retryNow <- struct{}{}:
 	default:
@@ -74,28 +74,28 @@
 				d.Log.Info("discovery answers again", "index", list.Index)
 			}
 			wait, backoff, failing = watchWait, minBackoff, false
-			d.Counts.ListAnswers.Add(1)
+			d.Counters.ListAnswers.Add(1)
 			changed := d.deliverList(list)
-			if d.Told != nil {
-				d.Told()
+			if d.OnDelivered != nil {
+				d.OnDelivered()
 			}
 			if !changed && time.Since(started) < minBackoff {
 				sleepContext(ctx, minBackoff) // the service does not honour the long-poll wait: avoid a busy loop
 			}
 			continue
 		}
-		d.Counts.ListFailures.Add(1)
+		d.Counters.ListFailures.Add(1)
 		if !failing {
 			d.Log.Warn("discovery failed; keeping the current list", "err", err)
 		}
 		failing = true
-		d.Listed(exchange.List{List: balance.List{Kind: balance.Failed}})
+		d.OnList(exchange.ServerList{List: balance.List{Kind: balance.Failed}})
 		select {
 		case <-d.retryNow:
 		default:
 		}
 		pause := backoff/2 + rand.N(backoff/2)
-		if backoff = min(2*backoff, maxBackoff); d.Index == Unknown {
+		if backoff = min(2*backoff, maxBackoff); d.Index == UnknownIndex {
 			backoff = min(backoff, maxBackoffWithoutList)
 		}
 		select {
@@ -132,7 +132,7 @@
 		}
 	}
 	d.Index = list.Index
-	d.Listed(list.List(kind, d.Clock))
+	d.OnList(list.ServerList(kind, d.Clock))
 	return changed
 }
 
@@ -156,7 +156,7 @@
 		d.conn, d.reader = c, bufio.NewReaderSize(c, maxHead)
 	}
 	target, timeout := "/registry/instances", fullListTimeout
-	if d.Index != Unknown {
+	if d.Index != UnknownIndex {
 		timeout = wait + watchSlack
 		target += fmt.Sprintf("?index=%d&wait=%d", d.Index, wait.Milliseconds())
 	}
@@ -181,7 +181,7 @@
 		return nil, fmt.Errorf("reading the server list: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		d.Index = Unknown // the service may not know this version: fetch the full list next
+		d.Index = UnknownIndex // the service may not know this version: fetch the full list next
 		return nil, fmt.Errorf("requesting the server list: status %d", resp.StatusCode)
 	}
 	if len(body) > maxListBytes {
--- a/internal/wire/discovery_test.go
+++ b/internal/wire/discovery_test.go
@@ -17,15 +17,15 @@
 	"cedarmast/internal/standin"
 )
 
-func startWatch(t *testing.T, address string, index int64) (lists chan exchange.List, first chan struct{}) {
+func startWatch(t *testing.T, address string, index int64) (lists chan exchange.ServerList, first chan struct{}) {
 	t.Helper()
-	lists, first = make(chan exchange.List, 1000), make(chan struct{})
+	lists, first = make(chan exchange.ServerList, 1000), make(chan struct{})
 	d := NewDiscovery(address)
-	d.Index, d.Clock, d.Counts, d.Log = index, exchange.NewClock(), &exchange.Counters{}, slog.New(slog.DiscardHandler)
-	d.Listed = func(l exchange.List) { lists <- l }
+	d.Index, d.Clock, d.Counters, d.Log = index, exchange.NewClock(), &exchange.Counters{}, slog.New(slog.DiscardHandler)
+	d.OnList = func(l exchange.ServerList) { lists <- l }
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	d.Told = sync.OnceFunc(func() { close(first) })
+	d.OnDelivered = sync.OnceFunc(func() { close(first) })
 	go func() { d.Run(ctx); close(done) }()
 	t.Cleanup(func() {
 		stop()
@@ -38,14 +38,14 @@
 	return lists, first
 }
 
-func nextList(t *testing.T, lists chan exchange.List) exchange.List {
+func nextList(t *testing.T, lists chan exchange.ServerList) exchange.ServerList {
 	t.Helper()
 	select {
 	case l := <-lists:
 		return l
 	case <-time.After(5 * time.Second):
 		t.Fatal("no list was delivered")
-		return exchange.List{}
+		return exchange.ServerList{}
 	}
 }
 
@@ -54,7 +54,7 @@
 
 func TestWholeListThenChanges(t *testing.T) {
 	d := standin.NewDiscovery(t, 41, serverA)
-	lists, first := startWatch(t, d.Address, Unknown)
+	lists, first := startWatch(t, d.Address, UnknownIndex)
 	l := nextList(t, lists)
 	want := balance.Entry{Server: "a", Kind: "box", Zone: "z", Cell: 3, Weight: 2, Started: balance.Time(5 * time.Second)}
 	if l.Kind != balance.Complete || l.Version != 41 || len(l.Entries) != 1 || l.Entries[0] != want || l.Addresses["a"] != "127.0.0.1:9" {
@@ -63,7 +63,7 @@
 	<-first
 	drained := serverA
 	drained.Status = "DRAINING"
-	d.Change(drained)
+	d.Update(drained)
 	if l = nextList(t, lists); l.Kind != balance.Partial || len(l.Entries) != 1 || l.Entries[0].State != balance.Draining {
 		t.Errorf("got %+v", l)
 	}
@@ -105,11 +105,11 @@
 	}
 	drained := serverA
 	drained.Status = "DRAINING"
-	d.Change(drained)
+	d.Update(drained)
 	if l := nextList(t, lists); l.Kind != balance.Partial || len(l.Entries) != 1 {
 		t.Errorf("got %+v", l)
 	}
-	d.Break(500)
+	d.SetStatus(500)
 	if l := nextList(t, lists); l.Kind != balance.Failed {
 		t.Errorf("got %+v", l)
 	}
@@ -117,7 +117,7 @@
 	if n := len(lists); n > 6 {
 		t.Errorf("%d failures in 0.3 s: no backoff", n)
 	}
-	d.Break(0)
+	d.SetStatus(0)
 	for l := nextList(t, lists); l.Kind != balance.Complete; l = nextList(t, lists) { // a full list after the version was refused
 		if l.Kind != balance.Failed {
 			t.Fatalf("got %+v", l)
@@ -130,7 +130,7 @@
 		"no name": `{"endpoints":[{"status":"SERVING"}]}`, "no address": `{"endpoints":[{"name":"a","status":"SERVING"}]}`} {
 		t.Run(name, func(t *testing.T) {
 			s := standin.NewServer(t, func(r *standin.Request) bool { return r.Answer(200, body) })
-			lists, _ := startWatch(t, s.Address, Unknown)
+			lists, _ := startWatch(t, s.Address, UnknownIndex)
 			if l := nextList(t, lists); l.Kind != balance.Failed {
 				t.Errorf("got %+v", l)
 			}
@@ -144,7 +144,7 @@
 	lists, first := startWatch(t, d.Address, 1)
 	<-first
 	for range 5 {
-		d.Change(serverA)
+		d.Update(serverA)
 		nextList(t, lists)
 	}
 	if n := d.Accepted(); n != 1 {
@@ -161,7 +161,7 @@
 		if first.CompareAndSwap(true, false) {
 			return r.Answer(200, `{"index":1,"snapshot":false,"endpoints":[]}`)
 		}
-		if r.N > 1 { // no more answers on the connection of the first call
+		if r.Ordinal > 1 { // no more answers on the connection of the first call
 			io.Copy(io.Discard, r.Conn)
 			return false
 		}
@@ -203,18 +203,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Counts, p.Heard = &exchange.Counters{}, func(int, []byte) {}
+		p.Counters, p.OnMessage = &exchange.Counters{}, func(int, []byte) {}
 		if i == 1 {
-			p.Heard = func(_ int, text []byte) { heard <- string(text) }
+			p.OnMessage = func(_ int, text []byte) { heard <- string(text) }
 		}
 		done := make(chan struct{})
 		go func() { p.Run(); close(done) }()
 		t.Cleanup(func() { p.Close(); <-done })
 		all = append(all, p)
 	}
-	all[0].Tell(1, []byte("hello"))
-	all[0].Tell(1, make([]byte, maxDatagram+1)) // too long: dropped, since it would invalidate more than it reports
-	all[0].Tell(9, []byte("nobody"))
+	all[0].SendMessage(1, []byte("hello"))
+	all[0].SendMessage(1, make([]byte, maxDatagram+1)) // too long: dropped, since it would invalidate more than it reports
+	all[0].SendMessage(9, []byte("nobody"))
 	select {
 	case text := <-heard:
 		if text != "hello" {
@@ -223,7 +223,7 @@
 	case <-time.After(3 * time.Second):
 		t.Fatal("no message was received")
 	}
-	if n := all[0].Counts.PeersDropped.Load(); n != 2 {
+	if n := all[0].Counters.PeerMessagesDropped.Load(); n != 2 {
 		t.Errorf("%d dropped", n)
 	}
 	stranger, err := net.Dial("udp", addresses[1])
@@ -232,7 +232,7 @@
 	}
 	defer stranger.Close()
 	stranger.Write([]byte("who?"))
-	standin.Eventually(t, "the datagram from an unknown address is dropped", func() bool { return all[1].Counts.PeersDropped.Load() == 1 })
+	standin.Eventually(t, "the datagram from an unknown address is dropped", func() bool { return all[1].Counters.PeerMessagesDropped.Load() == 1 })
 	if len(heard) != 0 {
 		t.Error("a message from an unknown address was received")
 	}
--- a/internal/wire/failure.go
+++ b/internal/wire/failure.go
@@ -49,15 +49,15 @@
 func (f *Failure) Result() balance.Result {
 	unwritten := f.Stage < Written
 	switch {
-	case unwritten && (errors.Is(f.Cause, exchange.ErrWithdrawn) || errors.Is(f.Cause, exchange.ErrNoRoom) ||
+	case unwritten && (errors.Is(f.Cause, exchange.ErrAttemptCancelled) || errors.Is(f.Cause, exchange.ErrPoolExhausted) ||
 		errors.Is(f.Cause, errDeadlinePassed)):
-		return balance.Moot // not caused by the server
+		return balance.NeverSent // not caused by the server
 	case unwritten:
 		return balance.NoConnect
-	case errors.Is(f.Cause, exchange.ErrWithdrawn):
+	case errors.Is(f.Cause, exchange.ErrAttemptCancelled):
 		return balance.Cancelled
 	case errors.Is(f.Cause, errMalformed), errors.Is(f.Cause, ErrBodyTooLarge), errors.Is(f.Cause, ErrHeadTooLarge):
-		return balance.Spoilt
+		return balance.Malformed
 	case errors.Is(f.Cause, os.ErrDeadlineExceeded), errors.Is(f.Cause, context.DeadlineExceeded),
 		errors.Is(f.Cause, errDeadlinePassed):
 		return balance.TimedOut
--- a/internal/wire/failure_test.go
+++ b/internal/wire/failure_test.go
@@ -22,27 +22,27 @@
 	}{
 		{Dialling, syscall.ECONNREFUSED, balance.NoConnect},
 		{Dialling, os.ErrDeadlineExceeded, balance.NoConnect},
-		{Dialling, exchange.ErrWithdrawn, balance.Moot},
-		{Dialling, exchange.ErrNoRoom, balance.Moot},
-		{Dialling, errDeadlinePassed, balance.Moot},
+		{Dialling, exchange.ErrAttemptCancelled, balance.NeverSent},
+		{Dialling, exchange.ErrPoolExhausted, balance.NeverSent},
+		{Dialling, errDeadlinePassed, balance.NeverSent},
 		{Writing, syscall.EPIPE, balance.NoConnect},
 		{Writing, context.DeadlineExceeded, balance.NoConnect},
-		{Writing, exchange.ErrWithdrawn, balance.Moot},
+		{Writing, exchange.ErrAttemptCancelled, balance.NeverSent},
 		{Written, io.EOF, balance.Reset},
 		{Written, syscall.ECONNRESET, balance.Reset},
 		{Written, context.DeadlineExceeded, balance.TimedOut},
-		{Written, exchange.ErrWithdrawn, balance.Cancelled},
-		{Written, exchange.ErrNoRoom, balance.Reset}, // can't occur at this stage: the result that excludes least
+		{Written, exchange.ErrAttemptCancelled, balance.Cancelled},
+		{Written, exchange.ErrPoolExhausted, balance.Reset}, // can't occur at this stage: the result that excludes least
 		{Reading, io.ErrUnexpectedEOF, balance.Reset},
-		{Reading, fmt.Errorf("%w: %w", errMalformed, io.EOF), balance.Spoilt},
-		{Reading, ErrBodyTooLarge, balance.Spoilt},
-		{Reading, exchange.ErrWithdrawn, balance.Cancelled},
+		{Reading, fmt.Errorf("%w: %w", errMalformed, io.EOF), balance.Malformed},
+		{Reading, ErrBodyTooLarge, balance.Malformed},
+		{Reading, exchange.ErrAttemptCancelled, balance.Cancelled},
 	} {
 		f := &Failure{c.stage, c.cause}
 		if got := f.Result(); got != c.want {
 			t.Errorf("%v: result %d, want %d", f, got, c.want)
 		}
-		if neverRan := f.Result().NeverRan(); neverRan != (c.stage < Written) {
+		if neverRan := f.Result().HadNoEffect(); neverRan != (c.stage < Written) {
 			t.Errorf("%v: never ran: %v", f, neverRan)
 		}
 		if !errors.Is(f, c.cause) {
--- a/internal/wire/invariants_test.go
+++ b/internal/wire/invariants_test.go
@@ -145,9 +145,9 @@
 			}
 		}
 	}
-	if r.Counts.Overdue.Load() > 0 || r.Counts.Panics.Load() > 0 || r.Counts.Served.Load() < clients*each/4 {
-		t.Errorf("%s", r.Counts.JSON())
+	if r.Counters.Overdue.Load() > 0 || r.Counters.Panics.Load() > 0 || r.Counters.Served.Load() < clients*each/4 {
+		t.Errorf("%s", r.Counters.JSON())
 	}
-	t.Logf("%d served, %d refused, %d failed, %d gone", r.Counts.Served.Load(), r.Counts.Refused.Load(),
-		r.Counts.Failed.Load(), r.Counts.ClientsGone.Load())
+	t.Logf("%d served, %d refused, %d failed, %d gone", r.Counters.Served.Load(), r.Counters.Refused.Load(),
+		r.Counters.Failed.Load(), r.Counters.ClientsDisconnected.Load())
 }
--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -39,11 +39,11 @@
 	if err := json.Unmarshal(text, &e); err != nil {
 		return nil, fmt.Errorf("malformed list: %w", err)
 	}
-	return &e, e.Check()
+	return &e, e.Validate()
 }
 
-// Check returns an error for the first invalid endpoint: no name, an unknown status, or no address unless DELETED.
-func (e *Endpoints) Check() error {
+// Validate returns an error for the first invalid endpoint: no name, an unknown status, or no address unless DELETED.
+func (e *Endpoints) Validate() error {
 	for i, ep := range e.Endpoints {
 		switch _, known := stateByStatus[ep.Status]; {
 		case ep.Name == "":
@@ -57,21 +57,21 @@
 	return nil
 }
 
-// List converts the list to the form that the exchange loop takes.
-func (e *Endpoints) List(kind balance.ListKind, clock exchange.Clock) exchange.List {
-	list := exchange.List{List: balance.List{Kind: kind, Version: e.Index},
+// ServerList converts the list to the form that the exchange loop takes.
+func (e *Endpoints) ServerList(kind balance.ListKind, clock exchange.Clock) exchange.ServerList {
+	list := exchange.ServerList{List: balance.List{Kind: kind, Version: e.Index},
 		Addresses: make(map[balance.ServerID]string, len(e.Endpoints))}
 	for _, ep := range e.Endpoints {
 		id := balance.ServerID(ep.Name)
 		list.Addresses[id] = ep.Address
 		list.Entries = append(list.Entries, balance.Entry{Server: id, Kind: ep.Type, Zone: ep.Zone, Cell: ep.Group,
-			Weight: ep.Weight, Started: clock.Unix(ep.SinceMS), State: stateByStatus[ep.Status]})
+			Weight: ep.Weight, Started: clock.FromUnixMilli(ep.SinceMS), State: stateByStatus[ep.Status]})
 	}
 	return list
 }
 
-// EndpointsOf converts a complete list to the discovery service's form, sorted by name.
-func EndpointsOf(l exchange.List) *Endpoints {
+// NewEndpoints converts a complete list to the discovery service's form, sorted by name.
+func NewEndpoints(l exchange.ServerList) *Endpoints {
 	e := &Endpoints{Index: l.Version, Snapshot: true, Endpoints: []endpoint{}}
 	for _, entry := range l.Entries {
 		ep := endpoint{Name: string(entry.Server), Address: l.Addresses[entry.Server], Zone: entry.Zone, Type: entry.Kind,
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -110,7 +110,7 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		frontend := &Clients{}
+		frontend := &Frontend{}
 		c := &clientConn{frontend: frontend, Conn: discardConn{}, input: &timedReader{},
 			reader: bufio.NewReaderSize(bytes.NewReader(text), maxHead)}
 		req, request, err := c.readRequest(time.Now())
@@ -120,8 +120,8 @@
 		if len(request.Body) > maxBody {
 			t.Fatalf("a body of %d bytes", len(request.Body))
 		}
-		if request.TimeLeft <= 0 || request.TimeLeft > time.Hour || request.ID == "" {
-			t.Fatalf("time left %v, id %q", request.TimeLeft, request.ID)
+		if request.Timeout <= 0 || request.Timeout > time.Hour || request.ID == "" {
+			t.Fatalf("time left %v, id %q", request.Timeout, request.ID)
 		}
 		head := serializeHead(request)
 		if frame, err := checkHead(head, singleRequestHeaders); err != nil || frame.chunked ||
@@ -135,7 +135,7 @@
 		if err != nil {
 			t.Fatalf("%q is written out as %q: %v", text, out, err)
 		}
-		reread.TimeLeft = request.TimeLeft
+		reread.Timeout = request.Timeout
 		if request.Target != reread.Target || request.Method != reread.Method || request.Key != reread.Key ||
 			request.Class != reread.Class || request.Tenant != reread.Tenant || !bytes.Equal(request.Body, reread.Body) {
 			t.Fatalf("%+v became %+v", request, reread)
@@ -166,6 +166,6 @@
 
 func serializeHead(request exchange.Request) []byte {
 	x := exchange.New(request)
-	x.Due = request.Arrived.Add(time.Second)
+	x.Deadline = request.Arrived.Add(time.Second)
 	return requestHead(x, request.Arrived)
 }
--- a/internal/wire/peers.go
+++ b/internal/wire/peers.go
@@ -16,8 +16,8 @@
 
 // Peers sends and receives UDP messages between routers. Messages may be lost.
 type Peers struct {
-	Heard  func(from int, content []byte) // called for each message received; from is the peer's number
-	Counts *exchange.Counters
+	OnMessage func(from int, content []byte) // called for each message received; from is the peer's number
+	Counters  *exchange.Counters
 
 	conn    *net.UDPConn
 	peers   []netip.AddrPort       // by number
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	conn, err := socket.Shared.ListenPacket(context.Background(), "udp", listenAddr.String())
+	conn, err := socket.ReusePort.ListenPacket(context.Background(), "udp", listenAddr.String())
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
@@ -69,11 +69,11 @@
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		number, known := p.numbers[from]
 		if err != nil || n > maxDatagram || !known {
-			p.Counts.PeersDropped.Add(1)
+			p.Counters.PeerMessagesDropped.Add(1)
 			continue
 		}
-		p.Counts.PeersHeard.Add(1)
-		p.Heard(number, append([]byte(nil), buf[:n]...))
+		p.Counters.PeerMessagesReceived.Add(1)
+		p.OnMessage(number, append([]byte(nil), buf[:n]...))
 	}
 }
 
@@ -83,26 +83,26 @@
 		select {
 		case d := <-p.queue:
 			if _, err := p.conn.WriteToUDPAddrPort(d.content, d.to); err != nil {
-				p.Counts.PeersDropped.Add(1)
+				p.Counters.PeerMessagesDropped.Add(1)
 				continue
 			}
-			p.Counts.PeersTold.Add(1)
+			p.Counters.PeerMessagesSent.Add(1)
 		case <-p.done:
 			return
 		}
 	}
 }
 
-// Tell queues a message to the peer with number to. It is dropped if it is too long, the peer is unknown or the queue is full.
-func (p *Peers) Tell(to int, content []byte) {
+// SendMessage queues a message to the peer with number to. It is dropped if it is too long, the peer is unknown or the queue is full.
+func (p *Peers) SendMessage(to int, content []byte) {
 	if to < 0 || to >= len(p.peers) || len(content) > maxDatagram {
-		p.Counts.PeersDropped.Add(1)
+		p.Counters.PeerMessagesDropped.Add(1)
 		return
 	}
 	select {
 	case p.queue <- datagram{p.peers[to], content}:
 	default:
-		p.Counts.PeersDropped.Add(1)
+		p.Counters.PeerMessagesDropped.Add(1)
 	}
 }
 
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -72,7 +72,7 @@
 		}
 		return req, request, nil
 	}
-	if request, err = parseRequest(req, arrived, c.frontend.Knows); err != nil {
+	if request, err = parseRequest(req, arrived, c.frontend.KnownClass); err != nil {
 		return nil, request, err
 	}
 	if req.Header.Get("Expect") == "100-continue" && (frame.chunked || frame.length > 0) {
@@ -115,7 +115,7 @@
 				if int64(len(content)) >= c.frontend.maxRequestBody() {
 					return nil, ErrBodyTooLarge
 				}
-				release, ok := c.frontend.Long.Take(int64(newCap - cap(content)))
+				release, ok := c.frontend.BodyBudget.Acquire(int64(newCap - cap(content)))
 				if !ok {
 					return nil, errBudgetExhausted
 				}
@@ -137,11 +137,11 @@
 
 // maxRequestBody returns the size limit of a request body in bytes: maxBufferedBody or the budget for long bodies if that is
 // smaller, and at least maxBody.
-func (s *Clients) maxRequestBody() int64 {
-	if s.Long == nil {
+func (s *Frontend) maxRequestBody() int64 {
+	if s.BodyBudget == nil {
 		return maxBody
 	}
-	return max(min(maxBufferedBody, s.Long.Most()), maxBody)
+	return max(min(maxBufferedBody, s.BodyBudget.Size()), maxBody)
 }
 
 // releaseBody returns the memory of the current request body to the budget.
@@ -192,7 +192,7 @@
 	if err != nil {
 		return request, badRequest{http.StatusBadRequest, err.Error()}
 	}
-	request.TimeLeft = timeLeft
+	request.Timeout = timeLeft
 	if key != "" {
 		request.Key, request.HasKey = hashKey(key), true
 	}
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -16,12 +16,12 @@
 	"cedarmast/internal/socket"
 )
 
-// Servers sends attempts to cache servers, each in its own goroutine. It never retries by itself.
-type Servers struct {
+// AttemptSender sends attempts to cache servers, each in its own goroutine. It never retries by itself.
+type AttemptSender struct {
 	Pool           *exchange.Pool
-	Counts         *exchange.Counters
+	Counters       *exchange.Counters
 	ConnectTimeout time.Duration
-	Careful        func(class string) bool // reports whether a class's requests must not run twice; nil: none
+	NonIdempotent  func(class string) bool // reports whether a class's requests must not run twice; nil: none
 
 	// Dial opens a connection to a server; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
@@ -30,22 +30,22 @@
 }
 
 // SetConnectTimeout changes the timeout for opening a connection. It may be called while attempts run.
-func (s *Servers) SetConnectTimeout(d time.Duration) { s.connectTimeoutOverride.Store(int64(d)) }
+func (s *AttemptSender) SetConnectTimeout(d time.Duration) { s.connectTimeoutOverride.Store(int64(d)) }
 
 // connectTimeout returns the current timeout for opening a connection.
-func (s *Servers) connectTimeout() time.Duration {
+func (s *AttemptSender) connectTimeout() time.Duration {
 	return cmp.Or(time.Duration(s.connectTimeoutOverride.Load()), s.ConnectTimeout)
 }
 
 // Send starts an attempt in a new goroutine.
-func (s *Servers) Send(a *exchange.Attempt) { go s.runAttempt(a) }
+func (s *AttemptSender) Send(a *exchange.Attempt) { go s.runAttempt(a) }
 
 // runAttempt carries out an attempt and reports its result. A panic ends this attempt only, with a result that does not
 // exclude that the server processed it.
-func (s *Servers) runAttempt(a *exchange.Attempt) {
+func (s *AttemptSender) runAttempt(a *exchange.Attempt) {
 	defer func() {
 		if p := recover(); p != nil {
-			a.End(exchange.Reply{Result: balance.Unknown, Err: fmt.Errorf("panic: %v", p)})
+			a.Finish(exchange.AttemptResult{Result: balance.Unknown, Err: fmt.Errorf("panic: %v", p)})
 		}
 	}()
 	resp, err := s.attempt(a)
@@ -54,20 +54,20 @@
 		errors.As(err, &failure)
 		result := failure.Result()
 		if result == balance.TimedOut || result == balance.Cancelled {
-			s.Pool.Silent(a.Server, a.Sent())
+			s.Pool.CloseIfSilent(a.Server, a.SentAt())
 		}
-		a.End(exchange.Reply{Result: result, Err: err})
+		a.Finish(exchange.AttemptResult{Result: result, Err: err})
 		return
 	}
-	a.End(replyFor(resp))
+	a.Finish(replyFor(resp))
 }
 
 // replyFor returns the attempt result for a server's response. Only a response with status 200 is forwarded.
-func replyFor(resp response) exchange.Reply {
+func replyFor(resp response) exchange.AttemptResult {
 	switch {
 	case resp.status == http.StatusOK:
-		result := exchange.Reply{Result: balance.OK, Header: resp.header, Body: resp.body,
-			Fetching: resp.header.Get(headerLookup) == "pending"}
+		result := exchange.AttemptResult{Result: balance.OK, Header: resp.header, Body: resp.body,
+			FetchPending: resp.header.Get(headerLookup) == "pending"}
 		if resp.pipe != nil {
 			result.Rest, result.Length = resp.pipe, resp.length
 		}
@@ -77,13 +77,13 @@
 	switch {
 	case resp.header.Get(headerUnprocessed) == "1" &&
 		(resp.status == http.StatusServiceUnavailable || resp.status == http.StatusGatewayTimeout):
-		return exchange.Reply{Result: balance.Full, Err: fmt.Errorf("rejected unprocessed with status %d", resp.status)}
+		return exchange.AttemptResult{Result: balance.Rejected, Err: fmt.Errorf("rejected unprocessed with status %d", resp.status)}
 	}
-	return exchange.Reply{Result: balance.Errored, Err: fmt.Errorf("status %d", resp.status)}
+	return exchange.AttemptResult{Result: balance.Errored, Err: fmt.Errorf("status %d", resp.status)}
 }
 
 // attempt writes the request and waits for the response. Its error is a *Failure.
-func (s *Servers) attempt(a *exchange.Attempt) (response, error) {
+func (s *AttemptSender) attempt(a *exchange.Attempt) (response, error) {
 	conn, err := s.connect(a)
 	if err != nil {
 		return response{}, &Failure{Dialling, err}
@@ -106,14 +106,14 @@
 		select {
 		case resp := <-conn.responses:
 			if resp.err == nil && resp.status != http.StatusOK && a.Context.Err() == nil {
-				s.Pool.Heard(a.Server, time.Now())
+				s.Pool.RecordResponse(a.Server, time.Now())
 				return resp, nil
 			}
 			resp.release()
 		default:
 		}
 		if a.Context.Err() == nil {
-			s.Pool.Used(idleTime, false)
+			s.Pool.RecordReuse(idleTime, false)
 		}
 		return response{}, &Failure{Writing, s.failureCause(a, err)}
 	}
@@ -140,12 +140,12 @@
 			stage = Reading
 		}
 		if stage == Written && a.Context.Err() == nil && time.Since(started) < s.connectTimeout()/4 {
-			s.Pool.Used(idleTime, false) // reset at once: the idle connection had probably been closed by the server
+			s.Pool.RecordReuse(idleTime, false) // reset at once: the idle connection had probably been closed by the server
 		}
 		return response{}, &Failure{stage, s.failureCause(a, resp.err)}
 	}
-	s.Pool.Heard(a.Server, time.Now())
-	s.Pool.Used(idleTime, true)
+	s.Pool.RecordResponse(a.Server, time.Now())
+	s.Pool.RecordReuse(idleTime, true)
 	if resp.pipe != nil {
 		if !notCancelled { // the attempt was cancelled as streaming started
 			conn.Close()
@@ -173,14 +173,14 @@
 var errEndedEarly = errors.New("connection ended before the request was complete")
 
 // mustNotRepeat reports whether the attempt's request must not run twice.
-func (s *Servers) mustNotRepeat(a *exchange.Attempt) bool {
-	return s.Careful != nil && s.Careful(a.Class)
+func (s *AttemptSender) mustNotRepeat(a *exchange.Attempt) bool {
+	return s.NonIdempotent != nil && s.NonIdempotent(a.Class)
 }
 
 // write writes the request; an error means that its last byte was certainly not written. A server starts processing with
 // the last byte. For a request that must not run twice, that byte is sent lastByteDelay later, so that a connection that
 // the server had closed, or that is reset at once, is noticed while the attempt has certainly not run.
-func (s *Servers) write(a *exchange.Attempt, c *serverConn, head []byte) error {
+func (s *AttemptSender) write(a *exchange.Attempt, c *serverConn, head []byte) error {
 	body := a.Body
 	if !s.mustNotRepeat(a) {
 		return writeAll(c.Conn, head, body)
@@ -220,7 +220,7 @@
 
 // failureCause returns why an attempt failed: the cause of its context if that has ended, since that closes the connection
 // and makes other operations fail; otherwise err.
-func (s *Servers) failureCause(a *exchange.Attempt, err error) error {
+func (s *AttemptSender) failureCause(a *exchange.Attempt, err error) error {
 	if a.Context.Err() != nil {
 		return context.Cause(a.Context)
 	}
@@ -228,7 +228,7 @@
 }
 
 // connect returns an idle connection from the pool, or opens a new one.
-func (s *Servers) connect(a *exchange.Attempt) (*serverConn, error) {
+func (s *AttemptSender) connect(a *exchange.Attempt) (*serverConn, error) {
 	for {
 		pooled, err := s.Pool.Get(a.Context, a.Server, a.Address, s.mustNotRepeat(a), s.connectTimeout())
 		if err != nil {
@@ -246,7 +246,7 @@
 		}
 		idle.Close() // nothing has been written yet: try another one
 	}
-	s.Counts.Dials.Add(1)
+	s.Counters.Dials.Add(1)
 	dial := s.Dial
 	if dial == nil {
 		dial = s.dialTCP
@@ -259,7 +259,7 @@
 	}()
 	started := time.Now()
 	c, err := dial(a.Context, a.Address)
-	a.Connect = time.Since(started)
+	a.ConnectTime = time.Since(started)
 	if err != nil {
 		c = nil
 		if a.Context.Err() != nil {
@@ -272,15 +272,15 @@
 
 // cancelCause returns the cause if an attempt's context ended before there was a connection, which is not the server's
 // fault.
-func (s *Servers) cancelCause(a *exchange.Attempt) error {
-	if cause := context.Cause(a.Context); errors.Is(cause, exchange.ErrWithdrawn) {
+func (s *AttemptSender) cancelCause(a *exchange.Attempt) error {
+	if cause := context.Cause(a.Context); errors.Is(cause, exchange.ErrAttemptCancelled) {
 		return cause
 	}
 	return errDeadlinePassed
 }
 
 // dialTCP opens a TCP connection without keep-alive probes.
-func (s *Servers) dialTCP(ctx context.Context, address string) (net.Conn, error) {
+func (s *AttemptSender) dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: s.connectTimeout(), KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", address)
 }
@@ -291,7 +291,7 @@
 	head := make([]byte, 0, 512)
 	head = append(append(append(append(head, x.Method...), ' '), x.Target...), " HTTP/1.1\r\n"...)
 	head = appendHeader(head, x.Header)
-	head = appendLine(head, headerTimeLeft, formatTimeLeft(x.Due.Sub(now)))
+	head = appendLine(head, headerTimeLeft, formatTimeLeft(x.Deadline.Sub(now)))
 	if len(x.Body) > 0 || x.Method != http.MethodGet {
 		head = fmt.Appendf(head, "Content-Length: %d\r\n", len(x.Body))
 	}
--- a/internal/wire/server_test.go
+++ b/internal/wire/server_test.go
@@ -23,13 +23,13 @@
 // testRouter is an exchange loop whose attempts are sent to servers over TCP.
 type testRouter struct {
 	*exchange.Loop
-	servers *Servers
+	servers *AttemptSender
 }
 
 var testSettings = balance.Settings{
 	Classes: []balance.Class{
-		{Name: "read", Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: balance.Safe},
-		{Name: "once", Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1},
+		{Name: "read", Target: 400 * time.Millisecond, Deadline: time.Second, Priority: 1, Effect: balance.Safe},
+		{Name: "once", Target: 400 * time.Millisecond, Deadline: time.Second, Priority: 1},
 	},
 	Routers: 1, MaxAttempts: 4, MayCancel: true, MaxRetryAfter: time.Second, OverloadFor: time.Second,
 }
@@ -37,27 +37,27 @@
 func newTestRouter(t *testing.T, addresses ...string) *testRouter {
 	t.Helper()
 	l := exchange.NewLoop()
-	l.Clock, l.Counts, l.Log, l.Settings = exchange.NewClock(), &exchange.Counters{}, slog.New(slog.DiscardHandler), testSettings
-	l.Pool = exchange.NewPool(10, time.Second, l.Counts)
-	s := &Servers{Pool: l.Pool, Counts: l.Counts, ConnectTimeout: 100 * time.Millisecond}
+	l.Clock, l.Counters, l.Log, l.Settings = exchange.NewClock(), &exchange.Counters{}, slog.New(slog.DiscardHandler), testSettings
+	l.Pool = exchange.NewPool(10, time.Second, l.Counters)
+	s := &AttemptSender{Pool: l.Pool, Counters: l.Counters, ConnectTimeout: 100 * time.Millisecond}
 	l.Sender = s
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done; l.Pool.Close() })
-	list := exchange.List{List: balance.List{Kind: balance.Complete}, Addresses: map[balance.ServerID]string{}}
+	list := exchange.ServerList{List: balance.List{Kind: balance.Complete}, Addresses: map[balance.ServerID]string{}}
 	for i, address := range addresses {
 		id := balance.ServerID(fmt.Sprint("s", i))
 		list.Entries = append(list.Entries, balance.Entry{Server: id, Weight: 1})
 		list.Addresses[id] = address
 	}
-	l.Listed(list)
+	l.UpdateServers(list)
 	return &testRouter{l, s}
 }
 
 func putRequest(body string) exchange.Request {
 	return exchange.Request{Class: "once", Write: true, Key: 7, HasKey: true, Arrived: time.Now(),
-		TimeLeft: 300 * time.Millisecond, Method: "PUT", Target: "/once/k?a=%20b",
+		Timeout: 300 * time.Millisecond, Method: "PUT", Target: "/once/k?a=%20b",
 		Header: http.Header{"X-Correlation-Id": {"id1"}, "Idempotency-Key": {"key1"}, "Host": {"backend.local"}},
 		Body:   []byte(body)}
 }
@@ -76,7 +76,9 @@
 	}
 }
 
-func (r *testRouter) resultCount(result balance.Result) int64 { return r.Counts.Results[result].Load() }
+func (r *testRouter) resultCount(result balance.Result) int64 {
+	return r.Counters.Results[result].Load()
+}
 
 func TestRequestForwardedUnchanged(t *testing.T) {
 	got := make(chan *standin.Request, 1)
@@ -87,9 +89,9 @@
 		t.Errorf("answer %+v", a)
 	}
 	received := <-got
-	if received.Method != "PUT" || received.RequestURI != "/once/k?a=%20b" || string(received.Text) != "value" ||
+	if received.Method != "PUT" || received.RequestURI != "/once/k?a=%20b" || string(received.BodyBytes) != "value" ||
 		received.Header.Get(headerID) != "id1" || received.Header.Get("Idempotency-Key") != "key1" || received.Host != "backend.local" {
-		t.Errorf("got %+v %q", received.Request, received.Text)
+		t.Errorf("got %+v %q", received.Request, received.BodyBytes)
 	}
 	left, err := parseTimeLeft(received.Header.Get(headerTimeLeft))
 	if err != nil || left <= 200*time.Millisecond || left > 300*time.Millisecond {
@@ -114,22 +116,22 @@
 			return r.Answer(200, "v")
 		}, balance.OK},
 		{"error", func(r *standin.Request) bool { return r.Answer(500, "") }, balance.Errored},
-		{"turned away", func(r *standin.Request) bool { return r.Answer(503, "", "X-Unprocessed: 1") }, balance.Full},
-		{"turned away late", func(r *standin.Request) bool { return r.Answer(504, "", "X-Unprocessed: 1") }, balance.Full},
+		{"turned away", func(r *standin.Request) bool { return r.Answer(503, "", "X-Unprocessed: 1") }, balance.Rejected},
+		{"turned away late", func(r *standin.Request) bool { return r.Answer(504, "", "X-Unprocessed: 1") }, balance.Rejected},
 		{"503 that may have run", func(r *standin.Request) bool { return r.Answer(503, "") }, balance.Errored},
 		{"429 that may have run", func(r *standin.Request) bool { return r.Answer(429, "") }, balance.Errored},
 		{"unprocessed 500 proves nothing", func(r *standin.Request) bool {
 			return r.Answer(500, "", "X-Unprocessed: 1")
 		}, balance.Errored},
-		{"no HTTP", func(r *standin.Request) bool { io.WriteString(r.Conn, "what?\r\n\r\n"); return false }, balance.Spoilt},
+		{"no HTTP", func(r *standin.Request) bool { io.WriteString(r.Conn, "what?\r\n\r\n"); return false }, balance.Malformed},
 		{"endless head", func(r *standin.Request) bool {
 			io.WriteString(r.Conn, "HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 2*maxHead))
 			return false
-		}, balance.Spoilt},
+		}, balance.Malformed},
 		{"body over the bound", func(r *standin.Request) bool {
 			fmt.Fprintf(r.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxStreamedBody+1)
 			return true
-		}, balance.Spoilt},
+		}, balance.Malformed},
 		{"closed without an answer", func(*standin.Request) bool { return false }, balance.Reset},
 		{"closed inside the head", func(r *standin.Request) bool {
 			io.WriteString(r.Conn, "HTTP/1.1 200 OK\r\nContent-")
@@ -148,7 +150,7 @@
 			io.WriteString(r.Conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nv")
 			time.Sleep(400 * time.Millisecond)
 			return false
-		}, balance.Spoilt},
+		}, balance.Malformed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := standin.NewServer(t, c.answer)
@@ -158,13 +160,13 @@
 			switch {
 			case c.result == balance.OK && (a.Kind != exchange.Served || string(a.Body) != "v"):
 				t.Errorf("answer %+v", a)
-			case c.result == balance.Full && a.Kind != exchange.Refused:
+			case c.result == balance.Rejected && a.Kind != exchange.Refused:
 				t.Errorf("never ran, yet %+v", a)
-			case c.result != balance.OK && c.result != balance.Full && a.Kind != exchange.Failed:
+			case c.result != balance.OK && c.result != balance.Rejected && a.Kind != exchange.Failed:
 				t.Errorf("may have run, yet %+v", a)
 			}
-			if r.resultCount(c.result) != 1 || r.Counts.Attempts.Load() != 1 || s.Requests() != 1 {
-				t.Errorf("%d such results of %d attempts, %d requests", r.resultCount(c.result), r.Counts.Attempts.Load(), s.Requests())
+			if r.resultCount(c.result) != 1 || r.Counters.Attempts.Load() != 1 || s.Requests() != 1 {
+				t.Errorf("%d such results of %d attempts, %d requests", r.resultCount(c.result), r.Counters.Attempts.Load(), s.Requests())
 			}
 			if took := time.Since(started); took > 350*time.Millisecond {
 				t.Errorf("answered after %v", took)
@@ -216,11 +218,11 @@
 			if c.good && (a.Kind != exchange.Served || string(a.Body) != "v") || !c.good && a.Kind != exchange.Failed {
 				t.Errorf("answer %+v", a)
 			}
-			if n := r.resultCount(balance.Spoilt); c.good != (n == 0) || r.Counts.Attempts.Load() != 1 {
-				t.Errorf("%d malformed of %d attempts", n, r.Counts.Attempts.Load())
+			if n := r.resultCount(balance.Malformed); c.good != (n == 0) || r.Counters.Attempts.Load() != 1 {
+				t.Errorf("%d malformed of %d attempts", n, r.Counters.Attempts.Load())
 			}
 			if !c.good || strings.Contains(name, "behind") {
-				standin.Eventually(t, "the connection is closed", func() bool { return r.Counts.ServerConnections.Load() == 0 })
+				standin.Eventually(t, "the connection is closed", func() bool { return r.Counters.ServerConnections.Load() == 0 })
 			}
 			if c.good {
 				return
@@ -230,7 +232,7 @@
 			for key := range uint64(4) { // so that each of the two servers is tried first
 				q := putRequest("")
 				q.Class, q.Write, q.Method, q.Target, q.Key = "read", false, "GET", "/read/k", key
-				q.TimeLeft = 900 * time.Millisecond
+				q.Timeout = 900 * time.Millisecond
 				if a := r.roundTrip(t, q); a.Kind != exchange.Served || string(a.Body) != "v" {
 					t.Errorf("a read: %+v", a)
 				}
@@ -266,7 +268,7 @@
 		{"due while dialling", func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
-		}, balance.Moot, exchange.Refused},
+		}, balance.NeverSent, exchange.Refused},
 		{"closed unread", pipe(func(c net.Conn) { c.Close() }), balance.NoConnect, exchange.Refused},
 		{"closed inside the head", pipe(func(c net.Conn) { c.Read(make([]byte, 10)); c.Close() }), balance.NoConnect,
 			exchange.Refused},
@@ -290,7 +292,7 @@
 			io.WriteString(c, "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 			time.Sleep(10 * time.Millisecond)
 			c.Close()
-		}), balance.Full, exchange.Refused},
+		}), balance.Rejected, exchange.Refused},
 		{"panic", func(context.Context, string) (net.Conn, error) { panic("boom") }, balance.Unknown, exchange.Failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -300,9 +302,9 @@
 				t.Errorf("answer %+v", a)
 			}
 			if r.resultCount(c.result) != 1 {
-				t.Errorf("not one %v: %s", c.result, r.Counts.JSON())
+				t.Errorf("not one %v: %s", c.result, r.Counters.JSON())
 			}
-			standin.Eventually(t, "the connection is closed", func() bool { return r.Counts.ServerConnections.Load() == 0 })
+			standin.Eventually(t, "the connection is closed", func() bool { return r.Counters.ServerConnections.Load() == 0 })
 		})
 	}
 }
@@ -333,7 +335,7 @@
 		t.Errorf("answer %+v", a)
 	}
 	if took := time.Since(started); took < 90*time.Millisecond || took > 250*time.Millisecond || r.resultCount(balance.NoConnect) != 1 {
-		t.Errorf("after %v: %s", took, r.Counts.JSON())
+		t.Errorf("after %v: %s", took, r.Counters.JSON())
 	}
 }
 
@@ -357,7 +359,7 @@
 			t.Fatalf("answer %+v", a)
 		}
 		s.CloseConns()
-		standin.Eventually(t, "the server has closed its connections", func() bool { return s.Open() == 0 })
+		standin.Eventually(t, "the server has closed its connections", func() bool { return s.OpenConns() == 0 })
 	}
 	if r.resultCount(balance.Reset) != 0 {
 		t.Error("a closed connection was written to")
@@ -409,7 +411,7 @@
 				if a := r.roundTrip(t, putRequest("value")); a.Kind == exchange.Served && string(a.Body) != "v" {
 					t.Fatalf("got %q", a.Body)
 				}
-				standin.Eventually(t, "the connection is closed", func() bool { return r.Counts.IdleConnections.Load() == 0 })
+				standin.Eventually(t, "the connection is closed", func() bool { return r.Counters.IdleConnections.Load() == 0 })
 			}
 		})
 	}
@@ -482,7 +484,7 @@
 		}
 	}()
 	r := newTestRouter(t, l.Addr().String())
-	r.servers.Careful = func(class string) bool { return class == "once" }
+	r.servers.NonIdempotent = func(class string) bool { return class == "once" }
 	q := putRequest("")
 	if a := r.roundTrip(t, q); a.Kind != exchange.Refused {
 		t.Errorf("it never ran, yet the answer is %+v", a)
@@ -597,7 +599,7 @@
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil {
 				t.Errorf("%d bytes were accepted as a complete answer", n)
 			}
-			standin.Eventually(t, "the connection is closed", func() bool { return r.Counts.ServerConnections.Load() == 0 })
+			standin.Eventually(t, "the connection is closed", func() bool { return r.Counters.ServerConnections.Load() == 0 })
 		})
 	}
 }
@@ -632,7 +634,7 @@
 		t.Errorf("%d bytes, %v", n, err)
 	}
 	conn.Close()
-	standin.Eventually(t, "the connection to the server is closed", func() bool { return r.Counts.ServerConnections.Load() == 0 })
+	standin.Eventually(t, "the connection to the server is closed", func() bool { return r.Counters.ServerConnections.Load() == 0 })
 }
 
 // A long response stalls before the first byte of its body: nothing has been forwarded yet, and another server is tried.
@@ -670,8 +672,8 @@
 // and may be a late copy of an earlier one.
 func TestResponseBeforeLastByteDropped(t *testing.T) {
 	pool := exchange.NewPool(1, time.Second, &exchange.Counters{})
-	s := &Servers{Pool: pool, Counts: pool.Counts, ConnectTimeout: time.Second,
-		Careful: func(string) bool { return true },
+	s := &AttemptSender{Pool: pool, Counters: pool.Counters, ConnectTimeout: time.Second,
+		NonIdempotent: func(string) bool { return true },
 		Dial: func(context.Context, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			go func() {
@@ -683,7 +685,7 @@
 		}}
 	r := newTestRouter(t)
 	r.Loop.Sender = s
-	r.Listed(exchange.List{List: balance.List{Kind: balance.Complete, Entries: []balance.Entry{{Server: "s0", Weight: 1}}},
+	r.UpdateServers(exchange.ServerList{List: balance.List{Kind: balance.Complete, Entries: []balance.Entry{{Server: "s0", Weight: 1}}},
 		Addresses: map[balance.ServerID]string{"s0": "x"}})
 	if a := r.roundTrip(t, putRequest("value")); a.Kind != exchange.Refused {
 		t.Errorf("answer %+v", a)
@@ -700,11 +702,11 @@
 	})
 	r := newTestRouter(t, s.Address)
 	q := putRequest("value")
-	q.TimeLeft = 5 * time.Second
+	q.Timeout = 5 * time.Second
 	x := exchange.New(q)
 	r.Submit(x)
 	standin.Eventually(t, "the request is there", func() bool { return s.Requests() == 1 })
-	r.Depart(x)
+	r.ClientDisconnected(x)
 	select {
 	case <-closed:
 	case <-time.After(time.Second):
@@ -738,10 +740,10 @@
 	}
 	<-done
 	<-done
-	standin.Eventually(t, "two are idle", func() bool { return r.Counts.IdleConnections.Load() == 2 })
+	standin.Eventually(t, "two are idle", func() bool { return r.Counters.IdleConnections.Load() == 2 })
 	silent.Store(true)
 	r.roundTrip(t, putRequest("value"))
-	if n := r.Counts.IdleConnections.Load(); n != 0 {
+	if n := r.Counters.IdleConnections.Load(); n != 0 {
 		t.Errorf("%d idle connections are kept", n)
 	}
 }
