--- a/internal/cdn/departure/departure.go
+++ b/internal/cdn/cancellation/cancellation.go
@@ -1,9 +1,9 @@
-// Package departure tracks callers that disconnect or cancel before they have their response, and the attempts that are made for
+// Package cancellation tracks callers that disconnect or cancel before they have their response, and the attempts that are made for
 // them. A caller is whoever waits for work: a client, a call from a neighbour process, or all waiters of one coalesced fetch.
 //
 // Invariant: once a caller is cancelled, no attempt is sent for it any more, and attempts in flight end: within EndWithin if they are
 // aborted, by the request's own deadline if they are finished. Every violation is counted; see Violations.
-package departure
+package cancellation
 
 import (
 	"context"
--- a/internal/cdn/departure/departure_test.go
+++ b/internal/cdn/cancellation/cancellation_test.go
@@ -1,4 +1,4 @@
-package departure
+package cancellation
 
 import (
 	"context"
--- a/internal/cdn/configstore/service.go
+++ b/internal/cdn/configstore/service.go
@@ -5,9 +5,9 @@
 	"errors"
 	"time"
 
+	"cedarmast/internal/cdn/cancellation"
 	"cedarmast/internal/cdn/clusterstate"
 	"cedarmast/internal/cdn/consensus"
-	"cedarmast/internal/cdn/departure"
 	"cedarmast/internal/cdn/peerrpc"
 	"cedarmast/internal/cdn/usage"
 )
@@ -54,7 +54,7 @@
 	if ticket == 0 {
 		return ctx, done
 	}
-	caller := s.callers.Open(ctx, departure.Peer, name)
+	caller := s.callers.Open(ctx, cancellation.Peer, name)
 	return ctx, func() { caller.Close(); done() }
 }
 
--- a/internal/cdn/configstore/store.go
+++ b/internal/cdn/configstore/store.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"cedarmast/internal/cdn/bootconfig"
+	"cedarmast/internal/cdn/cancellation"
 	"cedarmast/internal/cdn/consensus"
-	"cedarmast/internal/cdn/departure"
 	"cedarmast/internal/cdn/metrics"
 	"cedarmast/internal/cdn/peerrpc"
 	"cedarmast/internal/cdn/raftlog"
@@ -46,7 +46,7 @@
 	machine  *Machine // owned by the loop goroutine
 	view     *View
 	clock    *truetime.Clock
-	callers  *departure.Tracker // registries and other config stores whose calls can be cancelled
+	callers  *cancellation.Tracker // registries and other config stores whose calls can be cancelled
 
 	acknowledgements *acknowledgements
 
@@ -80,7 +80,7 @@
 	}
 	s := &Store{settings: settings, log: log, peers: peerrpc.NewPeers(), inbox: make(chan []consensus.Message, 256),
 		proposals: make(chan loopRequest[Reply], 1024), barriers: make(chan loopRequest[Barrier], 256), quit: make(chan struct{}),
-		done: make(chan struct{}), sendQueues: map[string]chan consensus.Message{}, callers: departure.NewTracker(),
+		done: make(chan struct{}), sendQueues: map[string]chan consensus.Message{}, callers: cancellation.NewTracker(),
 		clock: truetime.New(time.Now(), true), acknowledgements: newAcknowledgements(log)}
 	s.callers.LogViolations(log)
 	s.peers.DialPatience = dialTimeout
--- a/internal/cdn/edge/cachetier.go
+++ b/internal/cdn/edge/cachetier.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"cedarmast/balance"
+	"cedarmast/internal/cdn/cancellation"
 	"cedarmast/internal/cdn/clusterstate"
-	"cedarmast/internal/cdn/departure"
 	"cedarmast/internal/cdn/objectcache"
 	"cedarmast/internal/cdn/peerrpc"
 	"cedarmast/internal/cdn/peersampling"
@@ -29,7 +29,7 @@
 	rosterBase  uint64 // the State.RosterBase that the interval table was built from
 	rosterSteps int    // number of roster steps applied
 
-	callers sync.Map // *exchange.Exchange to the *departure.Caller that it is sent for
+	callers sync.Map // *exchange.Exchange to the *cancellation.Caller that it is sent for
 
 	roster map[string]clusterstate.Router // routers after those steps
 	listed map[string]clusterstate.Router // the routers in the balancer's list: lenders, or shields
@@ -149,7 +149,7 @@
 }
 
 // do submits a fetch on behalf of a caller and waits for the answer.
-func (t *cacheTier) do(x *exchange.Exchange, caller *departure.Caller) exchange.Answer {
+func (t *cacheTier) do(x *exchange.Exchange, caller *cancellation.Caller) exchange.Answer {
 	t.callers.Store(x, caller)
 	defer t.callers.Delete(x)
 	return submitAndWait(t.loop, x, caller)
@@ -163,12 +163,12 @@
 			a.Finish(exchange.AttemptResult{Result: balance.NeverSent})
 			return
 		}
-		a.Finish(t.runAttempt(a, caller.(*departure.Caller)))
+		a.Finish(t.runAttempt(a, caller.(*cancellation.Caller)))
 	}()
 }
 
 // runAttempt makes one attempt and returns its result for the balancer.
-func (t *cacheTier) runAttempt(a *exchange.Attempt, caller *departure.Caller) exchange.AttemptResult {
+func (t *cacheTier) runAttempt(a *exchange.Attempt, caller *cancellation.Caller) exchange.AttemptResult {
 	q := Fetch{}
 	if err := decodeFetch(a.Exchange, &q); err != nil {
 		return exchange.AttemptResult{Result: balance.NeverSent, Err: err}
@@ -177,10 +177,10 @@
 	q.Home = t.toShield
 	ctx, release := upstream.AttemptContext(a.Context, caller)
 	defer release()
-	if !caller.BeginAttempt(departure.Abort, a.Deadline) {
-		return exchange.AttemptResult{Result: balance.NeverSent, Err: departure.ErrCallerCancelled}
+	if !caller.BeginAttempt(cancellation.Abort, a.Deadline) {
+		return exchange.AttemptResult{Result: balance.NeverSent, Err: cancellation.ErrCallerCancelled}
 	}
-	defer caller.EndAttempt(departure.Abort)
+	defer caller.EndAttempt(cancellation.Abort)
 	var got Fetched
 	var err error
 	if string(a.Server) == t.edge.config.Node {
@@ -282,7 +282,7 @@
 	}()
 	ctx, done := p.session.Begin(q.Ticket, time.Duration(q.LeftMS)*time.Millisecond)
 	defer done()
-	caller := p.edge.callers.Open(ctx, departure.Peer, q.Route)
+	caller := p.edge.callers.Open(ctx, cancellation.Peer, q.Route)
 	defer caller.Close()
 	p.edge.inboundCalls.begin()
 	defer p.edge.inboundCalls.done()
--- a/internal/cdn/edge/edge.go
+++ b/internal/cdn/edge/edge.go
@@ -17,8 +17,8 @@
 
 	"cedarmast/balance"
 	"cedarmast/internal/cdn/bootconfig"
+	"cedarmast/internal/cdn/cancellation"
 	"cedarmast/internal/cdn/clusterstate"
-	"cedarmast/internal/cdn/departure"
 	"cedarmast/internal/cdn/metrics"
 	"cedarmast/internal/cdn/objectcache"
 	"cedarmast/internal/cdn/peerrpc"
@@ -62,10 +62,10 @@
 	bodyBudget  *exchange.Budget // bytes of long request bodies that may be buffered at once
 	clock       exchange.Clock
 	counters    exchange.Counters
-	serverLists atomic.Int64       // number of server lists that were sent to load balancers
-	callers     *departure.Tracker // clients and peers that wait for a response, and those that have left
-	outbound    *link              // bandwidth to clients and other routers
-	inbound     *link              // bandwidth from other routers
+	serverLists atomic.Int64          // number of server lists that were sent to load balancers
+	callers     *cancellation.Tracker // clients and peers that wait for a response, and those that have left
+	outbound    *link                 // bandwidth to clients and other routers
+	inbound     *link                 // bandwidth from other routers
 	sender      *upstream.Sender
 	zoneCaches  *cacheTier // to a key's cache router, own zone first
 	shields     *cacheTier // to a key's shield
@@ -268,7 +268,7 @@
 // init creates what depends only on the settings.
 func (e *Edge) init() {
 	e.outbound, e.inbound = newLink(e.config.LinkMbps), newLink(e.config.LinkMbps)
-	e.callers = departure.NewTracker()
+	e.callers = cancellation.NewTracker()
 	e.callers.LogViolations(e.log)
 	if e.log == nil {
 		e.log = hclog.NewNullLogger()
--- a/internal/cdn/edge/fetches.go
+++ b/internal/cdn/edge/fetches.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"cedarmast/internal/cdn/departure"
+	"cedarmast/internal/cdn/cancellation"
 	"cedarmast/internal/cdn/objectcache"
 )
 
@@ -11,7 +11,7 @@
 type fetch struct {
 	done   chan struct{}
 	result Fetched
-	caller *departure.Caller // stands for all waiters together
+	caller *cancellation.Caller // stands for all waiters together
 
 	clientKey string // key of the request that started it: servers see that key's tenant
 
--- a/internal/cdn/edge/metrics.go
+++ b/internal/cdn/edge/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// collectors returns the process's Prometheus metrics, including those of package departure.
+// collectors returns the process's Prometheus metrics, including those of package cancellation.
 func (e *Edge) collectors() []prometheus.Collector {
 	gauge := func(name, help string, read func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "cedarmast_" + name, Help: help}, read)
--- a/internal/cdn/edge/objects.go
+++ b/internal/cdn/edge/objects.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
+	"cedarmast/internal/cdn/cancellation"
 	"cedarmast/internal/cdn/clusterstate"
-	"cedarmast/internal/cdn/departure"
 	"cedarmast/internal/cdn/objectcache"
 	"cedarmast/internal/cdn/upstream"
 	"cedarmast/internal/exchange"
@@ -162,7 +162,7 @@
 		e.fetches.mu.Unlock()
 		return w
 	}
-	w := &fetch{done: make(chan struct{}), clientKey: q.ClientKey, caller: e.callers.Open(e.lifetime, departure.CoalescedWaiters, q.Route)}
+	w := &fetch{done: make(chan struct{}), clientKey: q.ClientKey, caller: e.callers.Open(e.lifetime, cancellation.CoalescedWaiters, q.Route)}
 	w.join(waits)
 	e.fetches.inFlight[key] = w
 	e.fetches.mu.Unlock()
@@ -183,7 +183,7 @@
 }
 
 // fetchObject gets an object from its shield or from the servers, or has the old copy revalidated, and caches a cacheable response.
-func (e *Edge) fetchObject(caller *departure.Caller, plan *plan, svc *service, q Fetch, old *objectcache.Entry, timeout time.Duration) Fetched {
+func (e *Edge) fetchObject(caller *cancellation.Caller, plan *plan, svc *service, q Fetch, old *objectcache.Entry, timeout time.Duration) Fetched {
 	route := plan.routes[q.Route]
 	if route == nil {
 		route = &clusterstate.Route{Timeout: timeout}
@@ -247,7 +247,7 @@
 
 // fetchFromShield asks the key's shield. The result is false if there is no shield but this router, or it does not answer: the caller then
 // asks the servers itself.
-func (e *Edge) fetchFromShield(caller *departure.Caller, tier *cacheTier, q Fetch, old *objectcache.Entry, route *clusterstate.Route, timeout time.Duration) (Fetched, bool) {
+func (e *Edge) fetchFromShield(caller *cancellation.Caller, tier *cacheTier, q Fetch, old *objectcache.Entry, route *clusterstate.Route, timeout time.Duration) (Fetched, bool) {
 	q.Index, q.AgeMS, q.ETag = e.replica.Index(), 0, ""
 	if old != nil {
 		q.ETag, q.AgeMS = old.ETag, max(int64(route.Shelf/4/time.Millisecond), 1)
@@ -322,8 +322,8 @@
 }
 
 // submitAndWait submits an exchange and waits for its answer. If the caller leaves, the load balancer is notified and the answer is Failed.
-// If an attempt must be finished all the same, its answer is awaited; no further attempt is sent (departure.Caller.Begin).
-func submitAndWait(l *exchange.Loop, x *exchange.Exchange, caller *departure.Caller) exchange.Answer {
+// If an attempt must be finished all the same, its answer is awaited; no further attempt is sent (cancellation.Caller.Begin).
+func submitAndWait(l *exchange.Loop, x *exchange.Exchange, caller *cancellation.Caller) exchange.Answer {
 	if caller.Cancelled() {
 		return exchange.Answer{Kind: exchange.Failed}
 	}
--- a/internal/cdn/edge/serve.go
+++ b/internal/cdn/edge/serve.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"cedarmast/internal/cdn/cancellation"
 	"cedarmast/internal/cdn/clusterstate"
-	"cedarmast/internal/cdn/departure"
 	"cedarmast/internal/cdn/objectcache"
 	"cedarmast/internal/cdn/upstream"
 	"cedarmast/internal/exchange"
@@ -42,7 +42,7 @@
 	timeLeft  time.Duration
 	route     *clusterstate.Route
 	plan      *plan
-	caller    *departure.Caller // the client, while work is done for it
+	caller    *cancellation.Caller // the client, while work is done for it
 
 	clientKey string               // kept for any route: one that needs no key now may need one before the request is sent
 	tenant    *clusterstate.Tenant // the holder of clientKey according to plan; nil if the route requires no key
@@ -87,7 +87,7 @@
 
 // trackCaller registers the request's client as a caller until the returned function is called.
 func (e *Edge) trackCaller(q *request) (done func()) {
-	q.caller = e.callers.Open(q.Context(), departure.Client, q.route.Name)
+	q.caller = e.callers.Open(q.Context(), cancellation.Client, q.route.Name)
 	onDisconnect(q.Request, q.caller.Cancel)
 	return func() {
 		disconnected := q.caller.Cancelled()
--- a/internal/cdn/registry/heartbeats_test.go
+++ b/internal/cdn/registry/heartbeats_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"cedarmast/internal/cdn/cancellation"
 	"cedarmast/internal/cdn/clusterstate"
-	"cedarmast/internal/cdn/departure"
 	"cedarmast/internal/cdn/peerrpc"
 	"cedarmast/internal/cdn/statesync"
 
@@ -22,7 +22,7 @@
 // of the same server has already arrived: that one may have failed. Here no config store answers. An older heartbeat
 // without news is acknowledged.
 func TestClosingIsAcknowledgedOnlyWhenCommitted(t *testing.T) {
-	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(), callers: departure.NewTracker()}
+	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(), callers: cancellation.NewTracker()}
 	reg.store = reg.peers.At("127.0.0.1:1")
 	cases := []struct {
 		state  string
@@ -56,7 +56,7 @@
 // current through other machines: the duty holder would never hear of the servers and would remove them. Once the store
 // is back, it receives the report and heartbeats are acknowledged again.
 func TestNoAcknowledgementWithoutConfigStore(t *testing.T) {
-	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(), callers: departure.NewTracker()}
+	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(), callers: cancellation.NewTracker()}
 	reg.replica.Set.Limits.Contact = time.Hour
 	reg.replica.Log = reg.log
 	reg.replica.Took = func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
--- a/internal/cdn/registry/registry.go
+++ b/internal/cdn/registry/registry.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"cedarmast/internal/cdn/bootconfig"
+	"cedarmast/internal/cdn/cancellation"
 	"cedarmast/internal/cdn/clusterstate"
 	"cedarmast/internal/cdn/configstore"
-	"cedarmast/internal/cdn/departure"
 	"cedarmast/internal/cdn/halfclose"
 	"cedarmast/internal/cdn/httproute"
 	"cedarmast/internal/cdn/metrics"
@@ -51,7 +51,7 @@
 	peers    *peerrpc.Peers
 	store    *peerrpc.Peer // the config store on this machine
 	replica  *statesync.Replica
-	callers  *departure.Tracker // calls in progress by servers and operators
+	callers  *cancellation.Tracker // calls in progress by servers and operators
 
 	mu               sync.Mutex
 	heartbeats       *Heartbeats
@@ -64,7 +64,7 @@
 		return Error.New("network.listen_on.control_dock: missing: the registry needs an address for its HTTP API")
 	}
 	reg := &Registry{settings: settings, log: log, peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(),
-		callers: departure.NewTracker()}
+		callers: cancellation.NewTracker()}
 	reg.callers.LogViolations(log)
 	localStore := settings.InternalAddress(settings.IP, bootconfig.ConfigStorePort)
 	reg.store = reg.peers.At(localStore)
@@ -111,7 +111,7 @@
 // trackCallers records each call while it is in progress, and whether its caller disconnects before the response.
 func (reg *Registry) trackCallers(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		caller := reg.callers.Open(r.Context(), departure.Client, callLabel(r))
+		caller := reg.callers.Open(r.Context(), cancellation.Client, callLabel(r))
 		defer caller.Close()
 		next.ServeHTTP(rw, r)
 	})
--- a/internal/cdn/soak/soak.go
+++ b/internal/cdn/soak/soak.go
@@ -2,7 +2,7 @@
 // clients abandon their requests, servers take seconds or drop responses, processes are killed, paused and restarted gracefully,
 // and the configuration changes meanwhile. A seed determines all random choices, so that a failure can be replayed by its seed, as
 // far as real time allows. The package checks from outside that work for a client that has left is cancelled, and by their metrics
-// that no process counted a violation of the invariant of package departure.
+// that no process counted a violation of the invariant of package cancellation.
 package soak
 
 import (
--- a/internal/cdn/soak/soak_test.go
+++ b/internal/cdn/soak/soak_test.go
@@ -20,7 +20,7 @@
 	os.Exit(m.Run())
 }
 
-// A short soak run with real processes under overlapping faults: no rule of package departure is violated, no work continues for
+// A short soak run with real processes under overlapping faults: no rule of package cancellation is violated, no work continues for
 // clients that have left, and no server runs what a client's key does not allow. `localnet soak` runs many seeds.
 func TestShortDay(t *testing.T) {
 	shape := localnet.Shape{Core: 3, Edges: 3, Stores: 2, Zones: 2, Dir: t.TempDir(), Program: programs.CommandLine}
--- a/internal/cdn/upstream/cancellation_test.go
+++ b/internal/cdn/upstream/cancellation_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cedarmast/balance"
-	"cedarmast/internal/cdn/departure"
+	"cedarmast/internal/cdn/cancellation"
 	"cedarmast/internal/exchange"
 
 	"gotest.tools/v3/assert"
@@ -54,7 +54,7 @@
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%+v %s", c.kind, c.moment), func(t *testing.T) {
-			tracker := departure.NewTracker()
+			tracker := cancellation.NewTracker()
 			callerCtx, cancelCaller := context.WithCancel(t.Context())
 			defer cancelCaller()
 			attemptCtx, cancelAttempt := context.WithCancelCause(t.Context())
@@ -74,7 +74,7 @@
 				return ""
 			})
 			s := NewSender(8, &exchange.Counters{})
-			o := &OriginRequest{ID: "try-1", OnceOnly: c.kind.once, Cacheable: c.kind.keep, RequireStamp: true, Caller: tracker.Open(callerCtx, departure.Client, "r")}
+			o := &OriginRequest{ID: "try-1", OnceOnly: c.kind.once, Cacheable: c.kind.keep, RequireStamp: true, Caller: tracker.Open(callerCtx, cancellation.Client, "r")}
 			if c.moment == before {
 				cancelCaller()
 			}
@@ -97,7 +97,7 @@
 	_, err := s.Pool.Get(t.Context(), "i-1", "127.0.0.1:1", false, time.Second) // the only slot
 	assert.NilError(t, err)
 	callerCtx, cancelCaller := context.WithCancel(t.Context())
-	caller := departure.NewTracker().Open(callerCtx, departure.Client, "r")
+	caller := cancellation.NewTracker().Open(callerCtx, cancellation.Client, "r")
 	result := make(chan exchange.AttemptResult, 1)
 	go func() {
 		result <- attemptAt(t.Context(), s, &OriginRequest{ID: "try-1", Caller: caller}, "127.0.0.1:1")
--- a/internal/cdn/upstream/conn.go
+++ b/internal/cdn/upstream/conn.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"cedarmast/internal/cdn/departure"
+	"cedarmast/internal/cdn/cancellation"
 	"cedarmast/internal/exchange"
 	"cedarmast/internal/socket"
 )
@@ -97,7 +97,7 @@
 	if err := o.recheckPermit(tenant); err != nil {
 		return notSent, fmt.Errorf("%w: %w", errNotSent, err)
 	}
-	if o.policy() == departure.Finish && !stopWatch() || !o.beginAttempt(tenant, a.Deadline) {
+	if o.policy() == cancellation.Finish && !stopWatch() || !o.beginAttempt(tenant, a.Deadline) {
 		return notSent, errNotSent
 	}
 	_, err := c.Conn.Write(pending)
--- a/internal/cdn/upstream/upstream.go
+++ b/internal/cdn/upstream/upstream.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"cedarmast/balance"
-	"cedarmast/internal/cdn/departure"
+	"cedarmast/internal/cdn/cancellation"
 	"cedarmast/internal/exchange"
 
 	"github.com/zeebo/errs"
@@ -126,7 +126,7 @@
 	ctx, release := AttemptContext(a.Context, o.Caller)
 	defer release()
 	if o.Caller.Cancelled() {
-		return notSentReply(a, departure.ErrCallerCancelled)
+		return notSentReply(a, cancellation.ErrCallerCancelled)
 	}
 	tenant, err := o.checkPermit()
 	if err != nil {
@@ -159,7 +159,7 @@
 	if err == nil {
 		resp, reusable, err = c.readResponse(a, o.ID)
 	}
-	stillOpen := stopWatch() || o.policy() == departure.Finish // the connection was not closed by a cancellation
+	stillOpen := stopWatch() || o.policy() == cancellation.Finish // the connection was not closed by a cancellation
 	if err != nil {
 		c.Close()
 		return s.failureReply(ctx, a, progress, start, idleTime, err)
@@ -181,7 +181,7 @@
 
 // AttemptContext returns a context that ends at the attempt's deadline, or when the attempt or its caller is cancelled, and carries the cause.
 // The returned function releases it.
-func AttemptContext(attempt context.Context, caller *departure.Caller) (context.Context, func()) {
+func AttemptContext(attempt context.Context, caller *cancellation.Caller) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(attempt)
 	callerCtx := caller.Context()
 	stop := context.AfterFunc(callerCtx, func() { cancel(context.Cause(callerCtx)) })
