--- a/internal/cdn/bootconfig/bootconfig.go
+++ b/internal/cdn/bootconfig/bootconfig.go
@@ -38,7 +38,7 @@
 	MemoryMB, FileHandles                           int
 	Serves                                          []string
 	Cores, LinkMbps                                 float64 // CPU cores that the process may use; bandwidth of the machine's link in Mbit/s
-	ClientAddress, ReadinessAddress, ControlAddress string  // listen addresses for clients, readiness probes and the control API; empty: not served
+	ClientAddress, ReadinessAddress, ControlAddress string  // listen addresses: clients, readiness probes, control API; empty: not served
 	FirstSparePort                                  int     // first spare port of each machine
 	Seeds                                           []string
 	CurrentSeeds                                    *Seeds        // the seeds that the file names at present; nil: Seeds
@@ -67,8 +67,8 @@
 
 // Limits holds the limits and time bounds that the operators set.
 type Limits struct {
-	// Contact is how long a machine may be without a confirmed state before it counts as out of touch. Grace is the time that a
-	// process has to shut down. Edition is the time after which every router in touch must know an acknowledged configuration.
+	// Contact is how long a machine may be without a confirmed state before it counts as disconnected. Grace is the time that a
+	// process has to shut down. Edition is the time after which every connected router must know an acknowledged configuration.
 	// StaleSlack is how long after its expiry an object may still be served.
 	Contact, Drain, Grace, Edition, Purge, StaleSlack time.Duration
 	// RevokeTimeout is the longest time that machines run requests with a key after its removal is acknowledged; 0: no bound.
@@ -315,7 +315,8 @@
 	return host
 }
 
-// InternalAddress returns the address at which the network's processes reach the config store (ConfigStorePort) or edge (EdgePort) of a machine.
+// InternalAddress returns the address at which the network's processes reach the config store (port ConfigStorePort) or the edge (port
+// EdgePort) of the machine with that IP.
 func (s Settings) InternalAddress(ip string, port int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.FirstSparePort+port))
 }
--- a/internal/cdn/cancellation/cancellation.go
+++ b/internal/cdn/cancellation/cancellation.go
@@ -1,8 +1,8 @@
 // Package cancellation tracks callers that disconnect or cancel before they have their response, and the attempts that are made for
-// them. A caller is whoever waits for work: a client, a call from a neighbour process, or all waiters of one coalesced fetch.
+// them. A caller is whoever waits for work: a client, a call from a peer process, or all waiters of one coalesced fetch.
 //
-// Invariant: once a caller is cancelled, no attempt is sent for it any more, and attempts in flight end: within EndWithin if they are
-// aborted, by the request's own deadline if they are finished. Every violation is counted; see Violations.
+// Invariant: once a caller is cancelled, no attempt is sent for it any more, and attempts in flight end: within MaxCancelDelay if they
+// are aborted, by the request's own deadline if they are finished. Every violation is counted; see Violations.
 package cancellation
 
 import (
@@ -128,9 +128,9 @@
 	return c.finishing > 0
 }
 
-// BeginAttempt reports whether an attempt may be sent now, and counts it as in flight if so. It may not if the caller was cancelled or closed.
-// A cancellation either precedes the call, and nothing is sent, or follows it and finds the attempt in flight. The end of every attempt
-// that may be sent must be reported.
+// BeginAttempt reports whether an attempt may be sent now, and counts it as in flight if so. It may not if the caller was cancelled or
+// closed. A cancellation either precedes the call, and nothing is sent, or follows it and finds the attempt in flight. The end of every
+// attempt that may be sent must be reported with EndAttempt.
 func (c *Caller) BeginAttempt(policy CancelPolicy, deadline time.Time) bool {
 	if c == nil {
 		return true
@@ -160,7 +160,7 @@
 	}
 }
 
-// EndAttempt records that an attempt in flight has ended.
+// EndAttempt records that an attempt in flight has ended. The policy must be the one that was passed to BeginAttempt.
 func (c *Caller) EndAttempt(policy CancelPolicy) {
 	if c == nil {
 		return
@@ -202,7 +202,8 @@
 	c.stats.cancelToLastEnd.observe(now.Sub(c.cancelledAt))
 	if overrun := now.Sub(c.endDeadline(now)); overrun > 0 {
 		c.stats.endedLate.Add(1)
-		c.tracker.report(Violation{Kind: c.stats.kind, Route: c.stats.route, SinceCancel: now.Sub(c.cancelledAt), Overrun: overrun, Finishing: c.hadFinishing})
+		c.tracker.report(Violation{Kind: c.stats.kind, Route: c.stats.route, SinceCancel: now.Sub(c.cancelledAt), Overrun: overrun,
+			Finishing: c.hadFinishing})
 	}
 	c.tracker.untrack(c)
 }
--- a/internal/cdn/cancellation/cancellation_test.go
+++ b/internal/cdn/cancellation/cancellation_test.go
@@ -135,7 +135,8 @@
 	for n := range 4 {
 		tracker.stalls.tick(late.Add(time.Duration(n+1) * tickInterval))
 	}
-	assert.Equal(t, tracker.OverdueCount(late.Add(2*tickInterval)), 0, "the whole time between two ticks counts: the stall may have started right after the first")
+	assert.Equal(t, tracker.OverdueCount(late.Add(2*tickInterval)), 0,
+		"the whole time between two ticks counts: the stall may have started right after the first")
 	assert.Equal(t, tracker.OverdueCount(late.Add(4*tickInterval)), 1, "the process runs again, but the attempt does not end")
 }
 
--- a/internal/cdn/cancellation/tracker.go
+++ b/internal/cdn/cancellation/tracker.go
@@ -49,12 +49,13 @@
 	var logged atomic.Int64
 	t.OnViolation = func(b Violation) {
 		if logged.Add(1) <= maxLogged {
-			log.Warn("attempt outlived its cancelled caller", "caller", b.Kind, "route", b.Route, "begun", b.SentAfterCancel, "after", b.SinceCancel, "late", b.Overrun, "finished", b.Finishing)
+			log.Warn("attempt outlived its cancelled caller", "caller", b.Kind, "route", b.Route,
+				"begun", b.SentAfterCancel, "after", b.SinceCancel, "late", b.Overrun, "finished", b.Finishing)
 		}
 	}
 }
 
-// report passes a violation to OnBreach.
+// report passes a violation to OnViolation.
 func (t *Tracker) report(b Violation) {
 	if t.OnViolation != nil {
 		t.OnViolation(b)
@@ -76,7 +77,7 @@
 	cancelToLastEnd             histogram
 }
 
-// NewTracker returns a ledger without callers.
+// NewTracker returns a tracker without callers.
 func NewTracker() *Tracker {
 	t := &Tracker{byKey: map[statsKey]*callerStats{}, cancelled: map[*Caller]struct{}{}}
 	t.runDetector = t.detectStalls
@@ -236,7 +237,8 @@
 		{newDesc("work_ended_late_total", "Callers that left and for whom something was under way past its bound."), prometheus.CounterValue,
 			func(f *callerStats) *atomic.Int64 { return &f.endedLate }},
 	}
-	overdueDesc = prometheus.NewDesc("cedarmast_work_overdue", "Callers that have left and for whom something is under way past its bound.", nil, nil)
+	overdueDesc = prometheus.NewDesc("cedarmast_work_overdue",
+		"Callers that have left and for whom something is under way past its bound.", nil, nil)
 	lastEndDesc = newDesc("leave_to_last_end_seconds", "Time from a caller's leave to the end of the last attempt for it.")
 )
 
--- a/internal/cdn/edge/cachetier.go
+++ b/internal/cdn/edge/cachetier.go
@@ -32,7 +32,7 @@
 	callers sync.Map // *exchange.Exchange to the *cancellation.Caller that it is sent for
 
 	roster map[string]clusterstate.Router // routers after those steps
-	listed map[string]clusterstate.Router // the routers in the balancer's list: lenders, or shields
+	listed map[string]clusterstate.Router // the routers in the balancer's list: peer sources, or shields
 }
 
 const (
@@ -92,7 +92,8 @@
 	list.Kind, list.Version = balance.Partial, version
 	for _, node := range slices.Sorted(maps.Keys(t.listed)) {
 		if _, ok := want[node]; !ok {
-			list.Entries = append(list.Entries, balance.Entry{Server: balance.ServerID(node), Zone: t.listed[node].Zone, Weight: 1, State: balance.Gone})
+			list.Entries = append(list.Entries, balance.Entry{Server: balance.ServerID(node), Zone: t.listed[node].Zone, Weight: 1,
+				State: balance.Gone})
 		}
 	}
 	for _, node := range slices.Sorted(maps.Keys(want)) {
@@ -123,8 +124,8 @@
 	Index     uint64         // the caller's state index: the callee must have reached it
 	Own       bool           // sent by a router to itself: not a client's demand for the object, which was counted already
 	Home      bool           // the callee is asked as the key's shield: on a miss it asks the servers
-	AgeMS     int64          // maximum age of a cached copy; 0: any that may be served
-	ETag      string         // of the caller's copy: if it still matches, the body is left out
+	AgeMS     int64          // maximum age of a cache entry; 0: any that may be served
+	ETag      string         // of the caller's cache entry: if it still matches, the body is left out
 	Ticket    peerrpc.CallID // identifies the call, so that it can be cancelled
 	Most      int            // maximum bytes of the body in the response, the rest is fetched with Piece; 0: all
 }
@@ -136,15 +137,15 @@
 	Body   []byte
 	Total  int    // bytes of the whole body if Body is only its beginning; 0: Body is complete
 	Whole  bool   // a complete object, of which ranges may be served; else another response of a server
-	Same   bool   // the caller's copy still matches: there is no body
+	Same   bool   // the caller's cache entry still matches: there is no body
 	AgeMS  int64  // with Whole: time since a server was asked
 	Index  uint64 // with Whole: state index at that time
 	Denied Denial // why the object was not fetched with the caller's client key
 	Refuse int64  // milliseconds after which to retry if the object was not fetched; 0: it was
 }
 
-// asker returns the client request that the fetch is made for.
-func (q Fetch) asker() objectcache.Requester {
+// requester returns the client request that the fetch is made for.
+func (q Fetch) requester() objectcache.Requester {
 	return objectcache.Requester{ID: q.ID, ClientKey: q.ClientKey}
 }
 
@@ -190,7 +191,7 @@
 		got, err = t.edge.fetchFromPeer(ctx, t.edge.peers.At(a.Address), q)
 	}
 	switch cause := upstream.CancelCause(ctx); {
-	case cause != nil: // withdrawn by this router: not the cache router's fault
+	case cause != nil: // cancelled by this router: not the cache router's fault
 		return exchange.AttemptResult{Result: balance.Cancelled, Err: cause}
 	case errors.Is(err, peerrpc.ErrNotConnected):
 		return exchange.AttemptResult{Result: balance.NoConnect, Err: err}
@@ -256,8 +257,9 @@
 
 // decodeFetched reads a response that encodeHeader encoded, and removes its fields from the header.
 func decodeFetched(h http.Header, body []byte) Fetched {
-	g := Fetched{Status: int(atoi(firstValue(h, upstream.StatusKey))), Body: body, Whole: firstValue(h, headerWhole) != "", Refuse: atoi(firstValue(h, headerRetryAfter)),
-		Same: firstValue(h, headerSame) != "", AgeMS: atoi(firstValue(h, headerAge)), Index: uint64(atoi(firstValue(h, headerIndex))),
+	g := Fetched{Status: int(atoi(firstValue(h, upstream.StatusKey))), Body: body, Whole: firstValue(h, headerWhole) != "",
+		Refuse: atoi(firstValue(h, headerRetryAfter)),
+		Same:   firstValue(h, headerSame) != "", AgeMS: atoi(firstValue(h, headerAge)), Index: uint64(atoi(firstValue(h, headerIndex))),
 		Denied: Denial(atoi(firstValue(h, headerDenied)))}
 	for _, name := range [...]string{upstream.StatusKey, headerWhole, headerRetryAfter, headerSame, headerAge, headerIndex, headerDenied} {
 		delete(h, name)
--- a/internal/cdn/edge/capacity_test.go
+++ b/internal/cdn/edge/capacity_test.go
@@ -16,12 +16,13 @@
 	for _, routers := range []int{105, 210, 420} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
 			for b.Loop() {
-				l := balance.New(balance.Settings{Classes: []balance.Class{{Name: copyClass, Target: tierTarget, Deadline: tierDeadline, Priority: 1}}, Routers: 1,
-					RampTime: time.Second, OverloadFor: time.Second, ColdStartShare: 1}, 1)
+				l := balance.New(balance.Settings{Classes: []balance.Class{{Name: copyClass, Target: tierTarget, Deadline: tierDeadline, Priority: 1}},
+					Routers: 1, RampTime: time.Second, OverloadFor: time.Second, ColdStartShare: 1}, 1)
 				for batch := range 10 { // config stores enrol new routers in batches, and then a few one by one
 					news := balance.List{Kind: balance.Partial, Version: int64(batch)}
 					for i := batch; i < routers; i += 10 {
-						news.Entries = append(news.Entries, balance.Entry{Server: balance.ServerID(fmt.Sprint("edge-", i)), Zone: fmt.Sprint(i % 31), Weight: 1})
+						news.Entries = append(news.Entries, balance.Entry{Server: balance.ServerID(fmt.Sprint("edge-", i)),
+							Zone: fmt.Sprint(i % 31), Weight: 1})
 					}
 					l.Handle(1, []balance.Event{news})
 				}
--- a/internal/cdn/edge/configure_bench_test.go
+++ b/internal/cdn/edge/configure_bench_test.go
@@ -25,13 +25,15 @@
 		if i == 0 {
 			timeout = firstTimeoutMS
 		}
-		fmt.Fprintf(&text, `{"parcel_kind":"routes","label":{"name":"r-%d"},"manifest":{"domain":"host%d.example","path_prefix":"/p%d/","mail_class":"%s","timeout":"%dms",`+
-			`"target":"%dms","precedence":2,"carrier":"s-%d","tries":2,"shelf":"20s"}},`, i, i%7, i, kinds[i%3], timeout, 120+10*(i%3), i%2)
+		fmt.Fprintf(&text, `{"parcel_kind":"routes","label":{"name":"r-%d"},"manifest":{"domain":"host%d.example","path_prefix":"/p%d/",`+
+			`"mail_class":"%s","timeout":"%dms","target":"%dms","precedence":2,"carrier":"s-%d","tries":2,"shelf":"20s"}},`,
+			i, i%7, i, kinds[i%3], timeout, 120+10*(i%3), i%2)
 	}
 	for i := range tenants {
 		text.WriteString(tenantJSON(fmt.Sprint("t-", i), i%3, fmt.Sprint("k-", i), fmt.Sprint("l-", i)))
 	}
-	text.WriteString(`{"parcel_kind":"carriers","label":{"name":"s-0"},"manifest":{"line_cap":130,"rate_per_s":380}},{"parcel_kind":"carriers","label":{"name":"s-1"},"manifest":{"line_cap":130}}]}`)
+	text.WriteString(`{"parcel_kind":"carriers","label":{"name":"s-0"},"manifest":{"line_cap":130,"rate_per_s":380}},` +
+		`{"parcel_kind":"carriers","label":{"name":"s-1"},"manifest":{"line_cap":130}}]}`)
 	m, err := clusterstate.ParseManifest([]byte(text.String()))
 	assert.NilError(b, err)
 	return m
@@ -52,7 +54,8 @@
 			s.Body = clusterstate.CompressedText("{}")
 			for i := range 40 {
 				id := fmt.Sprint("i-", i)
-				s.Servers[id] = clusterstate.Server{ID: id, Service: fmt.Sprint("s-", i%2), Address: "127.0.0.1:9", Slots: 4, State: clusterstate.ServerOpen}
+				s.Servers[id] = clusterstate.Server{ID: id, Service: fmt.Sprint("s-", i%2), Address: "127.0.0.1:9",
+					Slots: 4, State: clusterstate.ServerOpen}
 			}
 			versions := [2]*clusterstate.Manifest{manyRoutes(b, size.routes, size.tenants, 1500), manyRoutes(b, size.routes, size.tenants, 1501)}
 			version := clusterstate.Version(1)
--- a/internal/cdn/edge/disconnect_test.go
+++ b/internal/cdn/edge/disconnect_test.go
@@ -34,7 +34,8 @@
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	o := &slowOrigin{address: l.Addr().String(), received: make(chan string, 64), cancelled: make(chan string, 64), status: make(chan int), reset: make(chan struct{}), closed: make(chan struct{})}
+	o := &slowOrigin{address: l.Addr().String(), received: make(chan string, 64), cancelled: make(chan string, 64),
+		status: make(chan int), reset: make(chan struct{}), closed: make(chan struct{})}
 	server := &http.Server{Handler: o}
 	go server.Serve(l)
 	t.Cleanup(func() { close(o.closed); server.Close() })
@@ -61,7 +62,8 @@
 func newSlowEdge(t *testing.T, o *slowOrigin) (e *Edge, address string, apply func(clusterstate.Command)) {
 	t.Helper()
 	e, apply = newTestEdge(t, &origin{address: o.address}, threeRoutesJSON)
-	apply(clusterstate.Command{Server: &clusterstate.Server{ID: "i-2", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.ServerOpen, Beat: 1}})
+	apply(clusterstate.Command{Server: &clusterstate.Server{ID: "i-2", Service: "shop", Address: o.address, Zone: "a", Slots: 8,
+		State: clusterstate.ServerOpen, Beat: 1}})
 	done := make(chan struct{})
 	e.enqueue(func() { close(done) })
 	<-done
@@ -74,7 +76,8 @@
 	c, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	t.Cleanup(func() { c.Close() })
-	_, err = fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: a.example\r\nTry-Id: %s\r\nTime-Left: 2000\r\nContent-Length: 0\r\n\r\n", method, target, strings.ReplaceAll(target, "/", "-"))
+	_, err = fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: a.example\r\nTry-Id: %s\r\nTime-Left: 2000\r\nContent-Length: 0\r\n\r\n",
+		method, target, strings.ReplaceAll(target, "/", "-"))
 	assert.NilError(t, err)
 	return c
 }
@@ -189,7 +192,8 @@
 // withoutCaching returns the command that puts a configuration whose routes cache nothing.
 func withoutCaching() clusterstate.Command {
 	routes := strings.ReplaceAll(threeRoutesJSON, `"shelf":"20s"`, `"shelf":"0ms"`)
-	return clusterstate.Command{Put: []byte(`{"edition":"r2","based_on":"r1","parcels":[` + routes + `{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{}}]}`)}
+	return clusterstate.Command{Put: []byte(`{"edition":"r2","based_on":"r1","parcels":[` + routes +
+		`{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{}}]}`)}
 }
 
 // A shared fetch continues while one of its waiters is left. On a route without caching it is cancelled when the last one leaves. A fetch
@@ -227,7 +231,11 @@
 			three.Close()
 			if !caching {
 				assert.Equal(t, receive(t, o.cancelled, cancelTimeout, "the cancellation of a fetch without waiters"), "/s/2")
-				eventually(t, "the fetch is removed", func() bool { e.fetches.mu.Lock(); defer e.fetches.mu.Unlock(); return len(e.fetches.inFlight) == 0 })
+				eventually(t, "the fetch is removed", func() bool {
+					e.fetches.mu.Lock()
+					defer e.fetches.mu.Unlock()
+					return len(e.fetches.inFlight) == 0
+				})
 				assert.Equal(t, e.callers.Violations(), int64(0))
 				return
 			}
@@ -288,7 +296,8 @@
 	c.Close()
 	receive(t, o.cancelled, cancelTimeout, "the cancellation at the server, two processes away")
 	eventually(t, "the cache router has seen the disconnect", func() bool { return peer.callers.CancelledCount() > 0 })
-	assert.Equal(t, e.counters.Results[balance.Reset].Load()+e.counters.Results[balance.NoConnect].Load(), int64(0), "the disconnect was counted as a failure of the cache router")
+	assert.Equal(t, e.counters.Results[balance.Reset].Load()+e.counters.Results[balance.NoConnect].Load(), int64(0),
+		"the disconnect was counted as a failure of the cache router")
 	assert.Equal(t, e.callers.Violations()+peer.callers.Violations(), int64(0))
 }
 
@@ -307,8 +316,8 @@
 	assert.Assert(t, time.Since(started) < 600*time.Millisecond)
 }
 
-// A copy without demand is not refreshed for ever: a router that is its own shield must not count its own refresh as a request for the
-// copy.
+// A cache entry without demand is not refreshed for ever: a router that is its own shield must not count its own refresh as a request for
+// the entry.
 func TestRefreshStopsWithoutDemand(t *testing.T) {
 	o := newOrigin(t)
 	e, apply := newTestEdge(t, o, strings.ReplaceAll(threeRoutesJSON, `"shelf":"20s"`, `"shelf":"40ms"`))
@@ -316,7 +325,7 @@
 	apply(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "me", Zone: "a", Address: "127.0.0.1:1"}}}) // a shield that can be asked
 	url := listen(t, e)
 	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "").status, 200)
-	ticker, deadline := time.NewTicker(5*time.Millisecond), time.After(600*time.Millisecond) // fifteen times the copy's shelf life
+	ticker, deadline := time.NewTicker(5*time.Millisecond), time.After(600*time.Millisecond) // fifteen times the entry's TTL
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/cdn/edge/edge.go
+++ b/internal/cdn/edge/edge.go
@@ -1,5 +1,5 @@
 // Package edge is the proxy process (router). It accepts client requests, finds their route in the replicated configuration and forwards
-// them to servers; requests for cacheable (shelved) objects go through the cache router that the balancer's interval table names. Package
+// them to servers; requests for cacheable objects go through the cache router that the balancer's interval table names. Package
 // balance chooses servers and cache routers; package exchange runs it, as in the existing router.
 package edge
 
@@ -42,7 +42,7 @@
 	bodyMemoryDivisor     = 5                       // so may the buffered bodies of long requests
 	notReadyPeriod        = 2600 * time.Millisecond // after SIGTERM, until the platform has polled the readiness endpoint twice
 	maxShutdownMargin     = 700 * time.Millisecond  // upper bound of the part of grace that is kept back
-	shutdownMarginDivisor = 8                       // grace divided by this is kept back: requests in flight have more than five sixths of grace
+	shutdownMarginDivisor = 8                       // grace divided by this is kept back: requests in flight have over five sixths of grace
 	reservedFDs           = 400                     // file handles that are not for server connections
 	maxViewPeers          = 10                      // neighbours in the partial view
 	peerSamplingInterval  = 3 * time.Second
@@ -63,7 +63,7 @@
 	clock       exchange.Clock
 	counters    exchange.Counters
 	serverLists atomic.Int64          // number of server lists that were sent to load balancers
-	callers     *cancellation.Tracker // clients and peers that wait for a response, and those that have left
+	callers     *cancellation.Tracker // clients and peers that wait for a response, and cancelled ones whose attempts have not ended
 	outbound    *link                 // bandwidth to clients and other routers
 	inbound     *link                 // bandwidth from other routers
 	sender      *upstream.Sender
@@ -112,7 +112,8 @@
 	ownAddress := config.InternalAddress(config.IP, bootconfig.EdgePort)
 	e.peerView = peersampling.New(ownAddress, maxViewPeers, mrand.Uint64())
 	e.replica.Set, e.replica.Peers, e.replica.Log = config, e.peers, log.Named("statesync")
-	e.replica.Router = clusterstate.Router{Node: config.Node, Zone: config.Zone, Address: ownAddress, Weight: machineWeight(config), Inner: !clients}
+	e.replica.Router = clusterstate.Router{Node: config.Node, Zone: config.Zone, Address: ownAddress,
+		Weight: machineWeight(config), Inner: !clients}
 	e.replica.Took, e.replica.Neighbours = e.applyChange, e.peerView.Addresses
 	if e.wallClock != nil {
 		e.replica.Heard = func(_ string, wall, _, answered time.Time) { e.wallClock.SetReading(coreClockSource, wall, answered) }
@@ -156,7 +157,7 @@
 	} else {
 		e.inboundCalls.waitIdle(shutdownDeadline(started, config.Limits.Grace))
 	}
-	log.Info("shutdown complete", "after", time.Since(started).Round(time.Millisecond))
+	log.Info("shut down cleanly", "after", time.Since(started).Round(time.Millisecond))
 	return nil
 }
 
@@ -190,7 +191,8 @@
 // serve starts accepting clients and readiness probes.
 func (f *clientFrontend) serve() {
 	f.listener = newClientListener(f.clients)
-	f.server = &http.Server{Handler: http.HandlerFunc(f.edge.serve), ConnState: f.listener.state, ConnContext: withConnection, ReadHeaderTimeout: maxHeaderTimeout, IdleTimeout: maxIdleTimeout,
+	f.server = &http.Server{Handler: http.HandlerFunc(f.edge.serve), ConnState: f.listener.state, ConnContext: withConnection,
+		ReadHeaderTimeout: maxHeaderTimeout, IdleTimeout: maxIdleTimeout,
 		MaxHeaderBytes: 64 << 10, ErrorLog: f.edge.log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})}
 	go f.server.Serve(f.listener)
 	f.edge.tasks.Go(func() { f.listener.enforceLimits(f.edge.lifetime, f.edge.clientLimits) })
@@ -245,7 +247,7 @@
 	}
 }
 
-// runMaintenance refreshes cached copies and, less often, reweighs servers and closes idle connections, until the context ends.
+// runMaintenance refreshes cache entries and, less often, reweighs servers and closes idle connections, until the context ends.
 func (e *Edge) runMaintenance(ctx context.Context) {
 	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
@@ -320,13 +322,14 @@
 // newLoop returns a load balancer loop with this process's clock and counters.
 func (e *Edge) newLoop(settings balance.Settings, sender exchange.Sender, pool *exchange.Pool) *exchange.Loop {
 	l := exchange.NewLoop()
-	l.Clock, l.Counters, l.Log, l.Pool, l.Sender, l.PeerSender = e.clock, &e.counters, e.balanceLog, pool, sender, noTeller{}
+	l.Clock, l.Counters, l.Log, l.Pool, l.Sender, l.PeerSender = e.clock, &e.counters, e.balanceLog, pool, sender, noPeerSender{}
 	l.Settings, l.Seed = settings, mrand.Uint64()
 	return l
 }
 
-// noTeller implements the balancer's peer messages by dropping them: routers learn of one another from the replicated state.
-type noTeller struct{}
+// noPeerSender is an exchange.PeerSender that drops the balancer's messages to peers: routers learn of one another from the replicated
+// state.
+type noPeerSender struct{}
 
 // SendMessage drops the message.
-func (noTeller) SendMessage(int, []byte) {}
+func (noPeerSender) SendMessage(int, []byte) {}
--- a/internal/cdn/edge/fleet_bench_test.go
+++ b/internal/cdn/edge/fleet_bench_test.go
@@ -20,7 +20,8 @@
 			return clusterstate.Command{Purge: &clusterstate.Purge{Tag: fmt.Sprint("t-", i%40)}}
 		},
 		"rate cut": func(i int) clusterstate.Command {
-			return clusterstate.Command{Cut: &clusterstate.RateDivision{Service: "s-0", Parts: map[string]float64{"n-290": 0.5, fmt.Sprint("n-", i%9): 0.5}}}
+			return clusterstate.Command{Cut: &clusterstate.RateDivision{Service: "s-0",
+				Parts: map[string]float64{"n-290": 0.5, fmt.Sprint("n-", i%9): 0.5}}}
 		},
 		"cache router moves": func(i int) clusterstate.Command {
 			return clusterstate.Command{Enrol: []clusterstate.Router{{Node: "n-7", Zone: "z-1", Address: fmt.Sprint("10.9.0.1:", i), Weight: 6.8}}}
--- a/internal/cdn/edge/fleet_test.go
+++ b/internal/cdn/edge/fleet_test.go
@@ -28,13 +28,15 @@
 	t.Helper()
 	life, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
-	e := &Edge{log: hclog.NewNullLogger(), replica: statesync.New(), changes: make(chan func(), 4096), lifetime: life, cache: objectcache.New(64 << 20)}
+	e := &Edge{log: hclog.NewNullLogger(), replica: statesync.New(), changes: make(chan func(), 4096),
+		lifetime: life, cache: objectcache.New(64 << 20)}
 	e.config.MemoryMB, e.config.FileHandles, e.config.Node, e.config.Zone = 184, 4100, "n-0", "z-0"
 	e.init()
 	s := clusterstate.New()
 	s.Index, s.Version, s.Body = 1, 2, clusterstate.CompressedText("{}")
 	for i := range fleetProxies + fleetCaches {
-		r := clusterstate.Router{Node: fmt.Sprint("n-", i), Zone: fmt.Sprint("z-", i%6), Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Weight: 6.8}
+		r := clusterstate.Router{Node: fmt.Sprint("n-", i), Zone: fmt.Sprint("z-", i%6),
+			Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Weight: 6.8}
 		if i >= fleetProxies {
 			r.Weight, r.Inner = 640, true
 		}
@@ -62,7 +64,8 @@
 	if i < 2 {
 		service = "s-0"
 	}
-	return clusterstate.Server{ID: fmt.Sprint("i-", i), Service: service, Address: fmt.Sprintf("10.1.0.%d:9", i), Zone: fmt.Sprint("z-", i%6), Slots: 2, State: clusterstate.ServerOpen}
+	return clusterstate.Server{ID: fmt.Sprint("i-", i), Service: service, Address: fmt.Sprintf("10.1.0.%d:9", i), Zone: fmt.Sprint("z-", i%6),
+		Slots: 2, State: clusterstate.ServerOpen}
 }
 
 // flush runs all deferred changes and returns once the load balancers have them.
--- a/internal/cdn/edge/keychange_test.go
+++ b/internal/cdn/edge/keychange_test.go
@@ -36,7 +36,8 @@
 	assert.NilError(t, err)
 	resp, err := http.ReadResponse(r, nil)
 	assert.NilError(t, err)
-	assert.Assert(t, resp.StatusCode == 200 || resp.StatusCode == 503, "status %d for a request that both configurations allow", resp.StatusCode)
+	assert.Assert(t, resp.StatusCode == 200 || resp.StatusCode == 503,
+		"status %d for a request that both configurations allow", resp.StatusCode)
 }
 
 // Tenants come into force while a request on a route that needs no key is being received: its server must see neither the key nor the
@@ -47,7 +48,8 @@
 	c, err := net.Dial("tcp", strings.TrimPrefix(listen(t, e), "http://"))
 	assert.NilError(t, err)
 	defer c.Close()
-	fmt.Fprint(c, "POST /u/1 HTTP/1.1\r\nHost: a.example\r\nTry-Id: slow\r\nKey: k-1\r\nSender: ink\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n")
+	fmt.Fprint(c, "POST /u/1 HTTP/1.1\r\nHost: a.example\r\nTry-Id: slow\r\nKey: k-1\r\nSender: ink\r\n"+
+		"Expect: 100-continue\r\nContent-Length: 5\r\n\r\n")
 	r := bufio.NewReader(c)
 	_, err = r.ReadString('\n')
 	assert.NilError(t, err)
@@ -93,7 +95,8 @@
 	for _, method := range []string{"GET", "HEAD", "POST"} {
 		o := newOrigin(t)
 		e, _ := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-		e.get(t, http.DefaultClient, listen(t, e), method, "/s/1", "", "Key", "k-1", "Sender", "ink", "Range", "bytes=0-1", "Connection", "Sender")
+		e.get(t, http.DefaultClient, listen(t, e), method, "/s/1", "",
+			"Key", "k-1", "Sender", "ink", "Range", "bytes=0-1", "Connection", "Sender")
 		for _, i := range o.identities() {
 			assert.Assert(t, i.tenant == "wax" && i.clientKey == "", "%s %+v", method, i)
 		}
@@ -134,7 +137,9 @@
 	for i := range 5 {
 		sv := fleetServer(2 + i)
 		sv.Beat, sv.State = 1, clusterstate.ServerClosing
-		e.replica.Apply(clusterstate.News{Changes: []clusterstate.Change{{Index: s.Index + 1 + uint64(i), Data: clusterstate.Command{Server: &sv}.Encode()}}, Index: s.Index + 1 + uint64(i)}, time.Now())
+		e.replica.Apply(clusterstate.News{
+			Changes: []clusterstate.Change{{Index: s.Index + 1 + uint64(i), Data: clusterstate.Command{Server: &sv}.Encode()}},
+			Index:   s.Index + 1 + uint64(i)}, time.Now())
 	}
 	assert.Equal(t, e.serverLists.Load(), sent)
 	eventually(t, "the list is sent", func() bool { return e.serverLists.Load() == sent+1 })
--- a/internal/cdn/edge/keys.go
+++ b/internal/cdn/edge/keys.go
@@ -25,7 +25,8 @@
 	keyUnproven        // the router can't prove whether a tenant holds it
 )
 
-// denialOf maps an order's error to a denial. Any other error maps to keyUnproven: it says only that the request has not run.
+// denialOf maps the reason why a request was not permitted to a denial. Any other error maps to keyUnproven: it
+// says only that the request has not run.
 func denialOf(err error) Denial {
 	switch {
 	case err == nil:
@@ -82,8 +83,8 @@
 	return errUnknownKey
 }
 
-// permitFunc returns the check that an order runs right before each attempt. It returns the tenant's name according to the plan in force at
-// that time, not at the request's arrival, or the reason why the request must not run.
+// permitFunc returns the Permit function of an upstream.OriginRequest, which is called right before each attempt. It returns the tenant's
+// name according to the plan in force at that time, not at the request's arrival, or the reason why the request must not run.
 func (e *Edge) permitFunc(route, clientKey string) func() (sender string, err error) {
 	return func() (string, error) {
 		if !e.plan.Load().requiresKey(route, clientKey) {
--- a/internal/cdn/edge/keys_test.go
+++ b/internal/cdn/edge/keys_test.go
@@ -17,7 +17,8 @@
 
 // tenantJSON returns a tenant's entry in a configuration.
 func tenantJSON(name string, priority int, keys ...string) string {
-	return fmt.Sprintf(`{"parcel_kind":"senders","label":{"name":%q},"manifest":{"stamps":["%s"],"precedence":%d}},`, name, strings.Join(keys, `","`), priority)
+	return fmt.Sprintf(`{"parcel_kind":"senders","label":{"name":%q},"manifest":{"stamps":["%s"],"precedence":%d}},`,
+		name, strings.Join(keys, `","`), priority)
 }
 
 var (
@@ -27,12 +28,14 @@
 
 // keyedConfig returns the command that puts a further version of the keyed routes with these tenants.
 func keyedConfig(version int, tenants string) clusterstate.Command {
-	return clusterstate.Command{Put: fmt.Appendf(nil, `{"edition":"r%d","based_on":"r%d","parcels":[%s{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{}}]}`, version, version-1, keyedRoutesJSON+tenants)}
+	return clusterstate.Command{Put: fmt.Appendf(nil, `{"edition":"r%d","based_on":"r%d","parcels":[%s`+
+		`{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{}}]}`, version, version-1, keyedRoutesJSON+tenants)}
 }
 
 // secondServer returns the command that adds a second server at the same address.
 func secondServer(o *origin) clusterstate.Command {
-	return clusterstate.Command{Server: &clusterstate.Server{ID: "i-2", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.ServerOpen, Beat: 1}}
+	return clusterstate.Command{Server: &clusterstate.Server{ID: "i-2", Service: "shop", Address: o.address, Zone: "a", Slots: 8,
+		State: clusterstate.ServerOpen, Beat: 1}}
 }
 
 // waitForChanges waits until the load balancers have all changes applied so far.
@@ -91,7 +94,7 @@
 	}
 }
 
-// A cached copy is served to clients of every tenant, and to nobody else. A router that does not know a key, and can't prove that it knows
+// A cache entry is served to clients of every tenant, and to nobody else. A router that does not know a key, and can't prove that it knows
 // the newest ones, answers 503 instead of 401.
 func TestCachedCopiesRequireKey(t *testing.T) {
 	o := newOrigin(t)
@@ -102,7 +105,7 @@
 	}
 	assert.Equal(t, status("k-1"), 200)
 	assert.Equal(t, status("k-2"), 200)
-	assert.Equal(t, status("k-4"), 401, "a cached copy is served without a valid key")
+	assert.Equal(t, status("k-4"), 401, "a cache entry is served without a valid key")
 	assert.Equal(t, len(o.seen()), 1)
 	e.config.Limits.Contact, e.replica.Set.Limits.Contact = 0, 0 // the proof is too old
 	assert.Equal(t, status("k-1"), 200)
@@ -245,11 +248,12 @@
 	}
 }
 
-// A refresh uses the id and the key of the last request for the copy, which belong together. After the key is removed there is no refresh.
+// A refresh uses the id and the key of the last request for the cache entry, which belong together. After the key is removed
+// there is no refresh.
 func TestRefreshUsesLastRequestersKey(t *testing.T) {
 	o := newOrigin(t)
 	e, apply := newTestEdge(t, o, keyedRoutesJSON+twoTenantsJSON)
-	url, refreshTime := listen(t, e), func() time.Time { return time.Now().Add(16 * time.Second) } // of a shelf life of 20 s
+	url, refreshTime := listen(t, e), func() time.Time { return time.Now().Add(16 * time.Second) } // of a TTL of 20 s
 	refreshed := func(n int) {
 		t.Helper()
 		e.refreshDue(refreshTime())
--- a/internal/cdn/edge/link_test.go
+++ b/internal/cdn/edge/link_test.go
@@ -95,7 +95,7 @@
 type fakePeer struct {
 	body          []byte
 	extraBytes    int // bytes added to the length that it reports
-	replacedAfter int // number of pieces after which the copy is replaced; 0: never
+	replacedAfter int // number of pieces after which the object is replaced; 0: never
 	pieces        int
 }
 
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// Piece returns part of the object, or an error once the copy is replaced.
+// Piece returns part of the object, or an error once the object is replaced.
 func (p *fakePeer) Piece(q *Piece, part *[]byte) error {
 	if p.pieces++; p.replacedAfter > 0 && p.pieces > p.replacedAfter {
 		return errCopyChanged
@@ -156,7 +156,7 @@
 	}
 }
 
-// A piece is served only from the copy that the Fetch was served from, and only within its length.
+// A piece is served only from the cache entry that the Fetch was served from, and only within its length.
 func TestPieceRequiresSameCopy(t *testing.T) {
 	e := &Edge{cache: objectcache.New(1 << 20)}
 	k, body := objectcache.Key{Host: "h", Path: "/a"}, []byte("0123456789")
--- a/internal/cdn/edge/metrics.go
+++ b/internal/cdn/edge/metrics.go
@@ -12,15 +12,18 @@
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "cedarmast_" + name, Help: help}, read)
 	}
 	counter := func(name, help string, of *atomic.Int64) prometheus.Collector {
-		return prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "cedarmast_" + name, Help: help}, func() float64 { return float64(of.Load()) })
+		return prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "cedarmast_" + name, Help: help},
+			func() float64 { return float64(of.Load()) })
 	}
 	return []prometheus.Collector{
 		e.callers,
 		gauge("server_connections_busy", "Connections to servers that an attempt uses or opens.", func() float64 {
 			return float64(e.counters.ServerConnections.Load() - e.counters.IdleConnections.Load())
 		}),
-		gauge("server_connections_idle", "Connections to servers that nobody uses.", func() float64 { return float64(e.counters.IdleConnections.Load()) }),
-		gauge("fetches_under_way", "Fetches of objects that somebody or the cache waits for.", func() float64 { return float64(e.fetches.count()) }),
+		gauge("server_connections_idle", "Connections to servers that nobody uses.",
+			func() float64 { return float64(e.counters.IdleConnections.Load()) }),
+		gauge("fetches_under_way", "Fetches of objects that somebody or the cache waits for.",
+			func() float64 { return float64(e.fetches.count()) }),
 		counter("requests_total", "Requests that clients have sent.", &e.counters.Requests),
 		counter("attempts_total", "Attempts that were decided on.", &e.counters.Attempts),
 		counter("dials_total", "Connections to servers that were opened.", &e.counters.Dials),
--- a/internal/cdn/edge/objects.go
+++ b/internal/cdn/edge/objects.go
@@ -13,31 +13,33 @@
 	"cedarmast/internal/exchange"
 )
 
-// This file serves cacheable (shelved) objects on a cache router: from its copy, or by one fetch for all requests that wait for the object.
+// This file serves cacheable objects on a cache router: from its own cache entry, or by one fetch for all requests that wait for the
+// object.
 
 const (
-	staleSlackFraction = 0.6                    // of Bounds.StaleSlack, that is used while the server is asked
+	staleSlackFraction = 0.6                    // of Limits.StaleSlack, that is used while the server is asked
 	maxFetchTime       = 8 * time.Second        // upper bound of a fetch's time
 	minFetchTime       = 50 * time.Millisecond  // and lower bound
 	refreshTimeout     = 2 * time.Second        // for a background refresh
 	defaultRetryAfter  = 120 * time.Millisecond // Retry-After if no better estimate is known
 	maxRateWait        = 250 * time.Millisecond // for a token of the rate limit, if one is due by then
-	refreshInterval    = 100 * time.Millisecond // between looks for copies that are about to expire
-	maxRefreshes       = 64                     // copies that are refreshed at each look
+	refreshInterval    = 100 * time.Millisecond // between looks for cache entries that are about to expire
+	maxRefreshes       = 64                     // cache entries that are refreshed at each look
 )
 
-// staleSlack returns how long past its shelf life a copy may still be served while the server is asked (stale-while-revalidate).
+// staleSlack returns how long past its TTL a cache entry may still be served while the server is asked (stale-while-revalidate).
 func (e *Edge) staleSlack() time.Duration {
 	return time.Duration(float64(e.config.Limits.StaleSlack) * staleSlackFraction)
 }
 
-// purgesKnown reports whether cached copies may be served: every purge acknowledged longer than contact ago is known. A router that was
-// disconnected for longer, and got no proof from a neighbour, may lack purges. Callers check it before they look up a copy; see proof.go.
+// purgesKnown reports whether cache entries may be served: every purge acknowledged longer than contact ago is known. A router that was
+// disconnected for longer, and got no proof from a neighbour, may lack purges. Callers check it before they look up an entry; see proof.go.
 func (e *Edge) purgesKnown() bool {
 	return time.Since(e.replica.Proof()) < e.config.Limits.Contact
 }
 
-// refreshDue starts background refreshes of copies that are in demand and about to expire, while the service's rate limit has spare tokens.
+// refreshDue starts background refreshes of cache entries that are in demand and about to expire, while the service's rate limit has spare
+// tokens.
 func (e *Edge) refreshDue(now time.Time) {
 	p := e.plan.Load()
 	if p == nil || !e.purgesKnown() {
@@ -55,31 +57,32 @@
 		if _, err := e.permitFunc(route.Name, due.Requester.ClientKey)(); err != nil {
 			continue
 		}
-		e.startFetch(Fetch{Key: due.Key, Target: due.Key.Target(), Route: route.Name, ID: due.Requester.ID, ClientKey: due.Requester.ClientKey}, due.Entry, refreshTimeout, false)
+		e.startFetch(Fetch{Key: due.Key, Target: due.Key.Target(), Route: route.Name, ID: due.Requester.ID,
+			ClientKey: due.Requester.ClientKey}, due.Entry, refreshTimeout, false)
 	}
 }
 
-// lookup returns this router's copy and its grade. It counts as a request for the object only if wanted is set.
-func (e *Edge) lookup(k objectcache.Key, asker objectcache.Requester, wanted bool) (*objectcache.Entry, objectcache.Freshness) {
-	// Checked before the lookup: news that brings a purge must not also prove a copy that was looked up before the purge.
+// lookup returns this router's cache entry and its freshness. It counts as a request for the object only if wanted is set.
+func (e *Edge) lookup(k objectcache.Key, requester objectcache.Requester, wanted bool) (*objectcache.Entry, objectcache.Freshness) {
+	// Checked before the lookup: news that brings a purge must not also prove an entry that was looked up before the purge.
 	purgesKnown := e.purgesKnown()
-	cached, grade := e.cache.Peek(k, time.Now(), e.staleSlack())
+	entry, freshness := e.cache.Peek(k, time.Now(), e.staleSlack())
 	if wanted {
-		cached, grade = e.cache.Get(k, time.Now(), e.staleSlack(), asker)
+		entry, freshness = e.cache.Get(k, time.Now(), e.staleSlack(), requester)
 	}
-	if grade != objectcache.Miss && !purgesKnown {
-		grade = objectcache.Stale
+	if freshness != objectcache.Miss && !purgesKnown {
+		freshness = objectcache.Stale
 	}
-	return cached, grade
+	return entry, freshness
 }
 
-// getObject returns an object: the cached copy, or a server's response.
+// getObject returns an object: the cache entry, or a server's response.
 func (e *Edge) getObject(ctx context.Context, q Fetch) Fetched {
-	cached, grade := e.lookup(q.Key, q.asker(), !q.Own)
-	if q.AgeMS > 0 && grade != objectcache.Miss && time.Since(cached.ValidatedAt) > time.Duration(q.AgeMS)*time.Millisecond {
-		grade = objectcache.Stale // the caller's copy is as recent
+	cached, freshness := e.lookup(q.Key, q.requester(), !q.Own)
+	if q.AgeMS > 0 && freshness != objectcache.Miss && time.Since(cached.ValidatedAt) > time.Duration(q.AgeMS)*time.Millisecond {
+		freshness = objectcache.Stale // the caller's entry is as recent
 	}
-	switch grade {
+	switch freshness {
 	case objectcache.Fresh:
 		return e.cachedResponse(q, cached)
 	case objectcache.RefreshDue:
@@ -129,13 +132,13 @@
 	}
 }
 
-// fetchedFrom returns a cached copy as a response.
+// fetchedFrom returns a cache entry as a response.
 func fetchedFrom(x *objectcache.Entry) Fetched {
 	return Fetched{Status: http.StatusOK, Header: x.Header, Body: x.Body, Whole: true, Index: x.LogIndex,
 		AgeMS: time.Since(x.ValidatedAt).Milliseconds() + 1}
 }
 
-// cachedResponse returns a cached copy as the response to q, without the body if the caller has the same copy.
+// cachedResponse returns a cache entry as the response to q, without the body if the caller's entry has the same ETag.
 func (e *Edge) cachedResponse(q Fetch, x *objectcache.Entry) Fetched {
 	got := fetchedFrom(x)
 	if q.ETag != "" && q.ETag == x.ETag {
@@ -182,13 +185,15 @@
 	return w
 }
 
-// fetchObject gets an object from its shield or from the servers, or has the old copy revalidated, and caches a cacheable response.
-func (e *Edge) fetchObject(caller *cancellation.Caller, plan *plan, svc *service, q Fetch, old *objectcache.Entry, timeout time.Duration) Fetched {
+// fetchObject gets an object from its shield or from the servers, or has the old cache entry revalidated, and caches a cacheable response.
+func (e *Edge) fetchObject(caller *cancellation.Caller, plan *plan, svc *service, q Fetch, old *objectcache.Entry,
+	timeout time.Duration) Fetched {
 	route := plan.routes[q.Route]
 	if route == nil {
 		route = &clusterstate.Route{Timeout: timeout}
 	}
-	if inZone := svc.hasLocalServers.Load() && svc.speeds.hasLongBodies(route.Name); !q.Home { // a long body from the own zone's servers stays in the zone
+	// A long body from the own zone's servers stays in the zone.
+	if inZone := svc.hasLocalServers.Load() && svc.speeds.hasLongBodies(route.Name); !q.Home {
 		tier := e.shields
 		if inZone {
 			tier = e.zoneShields
@@ -217,15 +222,16 @@
 	if old != nil && old.ETag != "" {
 		header["If-None-Match"] = []string{old.ETag}
 	}
-	order := &upstream.OriginRequest{ID: q.ID, RequireStamp: true, Cacheable: route.Shelf > 0, Caller: caller, Permit: permit}
+	originRequest := &upstream.OriginRequest{ID: q.ID, RequireStamp: true, Cacheable: route.Shelf > 0, Caller: caller, Permit: permit}
 	index, started := e.replica.Index(), time.Now()
-	answer := e.sendToService(svc, route.Name, order, exchange.Request{Class: plan.className(route, tenant), Arrived: started, Timeout: min(timeout, route.Timeout),
-		Method: http.MethodGet, Target: q.Target, Header: header})
+	answer := e.sendToService(svc, route.Name, originRequest, exchange.Request{Class: plan.className(route, tenant), Arrived: started,
+		Timeout: min(timeout, route.Timeout), Method: http.MethodGet, Target: q.Target, Header: header})
 	if answer.Kind != exchange.Served {
-		if last := order.LastFailure(); last != nil {
-			return Fetched{Status: int(atoi(firstValue(last.Header, upstream.StatusKey))), Header: withoutHeader(last.Header, upstream.StatusKey), Body: last.Body}
+		if last := originRequest.LastFailure(); last != nil {
+			return Fetched{Status: int(atoi(firstValue(last.Header, upstream.StatusKey))),
+				Header: withoutHeader(last.Header, upstream.StatusKey), Body: last.Body}
 		}
-		if err := order.DenyReason(); err != nil {
+		if err := originRequest.DenyReason(); err != nil {
 			return deniedFetch(err)
 		}
 		return Fetched{Refuse: max(answer.RetryAfter, defaultRetryAfter).Milliseconds()}
@@ -235,7 +241,7 @@
 	switch {
 	case status == http.StatusNotModified && old != nil:
 		x := old.Revalidated(started, index, route.Shelf)
-		x.FetchedFor = q.asker()
+		x.FetchedFor = q.requester()
 		e.cache.Put(q.Key, x)
 		return fetchedFrom(x)
 	case status == http.StatusOK && firstValue(respHeader, upstream.HeaderStamp) != "":
@@ -247,7 +253,8 @@
 
 // fetchFromShield asks the key's shield. The result is false if there is no shield but this router, or it does not answer: the caller then
 // asks the servers itself.
-func (e *Edge) fetchFromShield(caller *cancellation.Caller, tier *cacheTier, q Fetch, old *objectcache.Entry, route *clusterstate.Route, timeout time.Duration) (Fetched, bool) {
+func (e *Edge) fetchFromShield(caller *cancellation.Caller, tier *cacheTier, q Fetch, old *objectcache.Entry,
+	route *clusterstate.Route, timeout time.Duration) (Fetched, bool) {
 	q.Index, q.AgeMS, q.ETag = e.replica.Index(), 0, ""
 	if old != nil {
 		q.ETag, q.AgeMS = old.ETag, max(int64(route.Shelf/4/time.Millisecond), 1)
@@ -272,7 +279,7 @@
 			return Fetched{}, false
 		}
 		renewed := old.Revalidated(askedAt, got.Index, route.Shelf)
-		renewed.FetchedFor = q.asker()
+		renewed.FetchedFor = q.requester()
 		e.cache.Put(q.Key, renewed)
 		return fetchedFrom(renewed), true
 	}
@@ -280,7 +287,7 @@
 	return got, true
 }
 
-// storeFromPeer caches an object that the key's cache router has returned, unless this router owns the key. While the copy is fresh it
+// storeFromPeer caches an object that the key's cache router has returned, unless this router owns the key. While the entry is fresh it
 // saves the call; afterwards it saves the transfer of the body while the object is unchanged.
 func (e *Edge) storeFromPeer(k objectcache.Key, route *clusterstate.Route, got Fetched, old *objectcache.Entry, started time.Time) Fetched {
 	x := &objectcache.Entry{Header: got.Header, Body: got.Body, ETag: firstValue(got.Header, "Etag"),
@@ -292,15 +299,18 @@
 		x = old.Revalidated(old.ValidatedAt, old.LogIndex, old.TTL)
 	}
 	x.FromOwner, x.TTL, x.LogIndex, x.ValidatedAt = true, route.Shelf, got.Index, started.Add(-time.Duration(got.AgeMS)*time.Millisecond)
-	if current, grade := e.cache.Get(k, started, 0, objectcache.Requester{}); route.Shelf > 0 && (grade == objectcache.Miss || current.FromOwner) {
+	if current, freshness := e.cache.Get(k, started, 0, objectcache.Requester{}); route.Shelf > 0 &&
+		(freshness == objectcache.Miss || current.FromOwner) {
 		e.cache.Put(k, x)
 	}
 	return fetchedFrom(x)
 }
 
-// storeObject caches an object if its route allows that, and returns it as a copy.
-func (e *Edge) storeObject(q Fetch, route *clusterstate.Route, header http.Header, body []byte, askedAt time.Time, index uint64) *objectcache.Entry {
-	x := &objectcache.Entry{Header: header, Body: body, ETag: firstValue(header, "Etag"), TTL: route.Shelf, ValidatedAt: askedAt, LogIndex: index, FetchedFor: q.asker(),
+// storeObject caches an object if its route allows that, and returns its cache entry in either case.
+func (e *Edge) storeObject(q Fetch, route *clusterstate.Route, header http.Header, body []byte, askedAt time.Time,
+	index uint64) *objectcache.Entry {
+	x := &objectcache.Entry{Header: header, Body: body, ETag: firstValue(header, "Etag"), TTL: route.Shelf,
+		ValidatedAt: askedAt, LogIndex: index, FetchedFor: q.requester(),
 		Labels: strings.Fields(strings.Join(header[upstream.HeaderLabels], " "))}
 	if route.Shelf > 0 {
 		e.cache.Put(q.Key, x)
@@ -309,20 +319,21 @@
 }
 
 // sendToService submits a request to a service's load balancer and waits for the answer.
-func (e *Edge) sendToService(svc *service, route string, order *upstream.OriginRequest, r exchange.Request) exchange.Answer {
+func (e *Edge) sendToService(svc *service, route string, originRequest *upstream.OriginRequest, r exchange.Request) exchange.Answer {
 	x := exchange.New(r)
-	e.sender.Register(x, order)
+	e.sender.Register(x, originRequest)
 	defer e.sender.Unregister(x)
-	answer := submitAndWait(svc.loopFor(route), x, order.Caller)
-	svc.limiter.charge(order.SentCount() - 1) // one token was taken; retries after failed attempts count as well
+	answer := submitAndWait(svc.loopFor(route), x, originRequest.Caller)
+	svc.limiter.charge(originRequest.SentCount() - 1) // one token was taken; retries after failed attempts count as well
 	if answer.Kind == exchange.Served {
-		svc.speeds.record(route, order.Server(), order.Latency(), len(answer.Body))
+		svc.speeds.record(route, originRequest.Server(), originRequest.Latency(), len(answer.Body))
 	}
 	return answer
 }
 
-// submitAndWait submits an exchange and waits for its answer. If the caller leaves, the load balancer is notified and the answer is Failed.
-// If an attempt must be finished all the same, its answer is awaited; no further attempt is sent (cancellation.Caller.Begin).
+// submitAndWait submits an exchange and waits for its answer. If the caller is cancelled, the load balancer is notified and the answer is
+// Failed. If an attempt must be finished all the same, its answer is awaited; no further attempt is sent
+// (cancellation.Caller.BeginAttempt).
 func submitAndWait(l *exchange.Loop, x *exchange.Exchange, caller *cancellation.Caller) exchange.Answer {
 	if caller.Cancelled() {
 		return exchange.Answer{Kind: exchange.Failed}
--- a/internal/cdn/edge/pieces.go
+++ b/internal/cdn/edge/pieces.go
@@ -26,10 +26,10 @@
 
 var errCopyChanged = errors.New("the cached copy has changed")
 
-// cachedBody returns the body of the cached copy if its ETag and length still match, else nil.
+// cachedBody returns the body of the cache entry if its ETag and length still match, else nil.
 func (e *Edge) cachedBody(k objectcache.Key, etag string, total int) []byte {
-	x, grade := e.cache.Get(k, time.Now(), e.staleSlack(), objectcache.Requester{})
-	if grade == objectcache.Miss || etag == "" || x.ETag != etag || len(x.Body) != total {
+	x, freshness := e.cache.Get(k, time.Now(), e.staleSlack(), objectcache.Requester{})
+	if freshness == objectcache.Miss || etag == "" || x.ETag != etag || len(x.Body) != total {
 		return nil
 	}
 	return x.Body
--- a/internal/cdn/edge/plan.go
+++ b/internal/cdn/edge/plan.go
@@ -103,7 +103,8 @@
 			return
 		}
 	}
-	p := &plan{Manifest: m, routeTable: clusterstate.NewRouteTable(m), tenantTable: newTenantTable(m), services: map[string]*service{}, classes: classNames{}, routes: make(map[string]*clusterstate.Route, len(m.Routes))}
+	p := &plan{Manifest: m, routeTable: clusterstate.NewRouteTable(m), tenantTable: newTenantTable(m),
+		services: map[string]*service{}, classes: classNames{}, routes: make(map[string]*clusterstate.Route, len(m.Routes))}
 	for i := range m.Routes {
 		p.routes[m.Routes[i].Name] = &m.Routes[i]
 		for _, t := range p.tenantPerPriority(&m.Routes[i]) {
--- a/internal/cdn/edge/plan_test.go
+++ b/internal/cdn/edge/plan_test.go
@@ -21,9 +21,12 @@
 	e := &Edge{config: bootconfig.Settings{Zone: "a"}}
 	s := clusterstate.New()
 	p := &plan{Manifest: &clusterstate.Manifest{Routes: []clusterstate.Route{
-		{Name: "board", Kind: clusterstate.KindCacheable, Target: 120 * time.Millisecond, Timeout: 1500 * time.Millisecond, Priority: 2, Tries: 3, Split: []clusterstate.ServiceShare{{Service: "vault", Weight: 1}}},
-		{Name: "claim", Kind: clusterstate.KindOnceOnly, Target: 500 * time.Millisecond, Timeout: 2 * time.Second, Priority: 1, Tries: 2, Split: []clusterstate.ServiceShare{{Service: "vault", Weight: 1}}},
-		{Name: "other", Kind: clusterstate.KindResendable, Timeout: time.Second, Tries: 1, Split: []clusterstate.ServiceShare{{Service: "desk", Weight: 1}, {Service: "vault", Weight: 0}}},
+		{Name: "board", Kind: clusterstate.KindCacheable, Target: 120 * time.Millisecond, Timeout: 1500 * time.Millisecond,
+			Priority: 2, Tries: 3, Split: []clusterstate.ServiceShare{{Service: "vault", Weight: 1}}},
+		{Name: "claim", Kind: clusterstate.KindOnceOnly, Target: 500 * time.Millisecond, Timeout: 2 * time.Second,
+			Priority: 1, Tries: 2, Split: []clusterstate.ServiceShare{{Service: "vault", Weight: 1}}},
+		{Name: "other", Kind: clusterstate.KindResendable, Timeout: time.Second, Tries: 1,
+			Split: []clusterstate.ServiceShare{{Service: "desk", Weight: 1}, {Service: "vault", Weight: 0}}},
 	}}}
 	set := e.loopSettings(s, p, "vault")
 	assert.Equal(t, len(set.Classes), 2)
@@ -90,7 +93,7 @@
 }
 
 // When a rate limit is used up, low ranks leave a part of the burst to the service's highest rank and get all the rest. A service whose
-// routes have equal ranks has no low ones. Without this, boards took the tokens that tiles, of twice the worth, needed.
+// routes have equal ranks has no low ones. Without this, boards took the tokens that tiles, of twice the priority, needed.
 func TestRateLimiterRanks(t *testing.T) {
 	m := &clusterstate.Manifest{Routes: []clusterstate.Route{
 		{Name: "board", Priority: 2, Split: []clusterstate.ServiceShare{{Service: "vault", Weight: 1}}},
@@ -147,10 +150,10 @@
 	assert.Assert(t, total > 0.999 && total < 1.001 && asking == 20, "%v %d", total, asking)
 }
 
-// Among routers with slow links the few strong machines are the shields and the lenders, because an object that goes through a router with
-// a slow link is sent twice over that link. When they are gone the others do both, and in a fleet whose machines differ by less all
-// routers lend. All shares add up to one in each case.
-func TestShieldsAndLenders(t *testing.T) {
+// Among routers with slow links the few strong machines are the shields and the peer sources, because an object that goes through a
+// router with a slow link is sent twice over that link. When they are gone the others are both, and in a fleet whose machines differ by
+// less all routers are peer sources. All shares add up to one in each case.
+func TestShieldsAndPeerSources(t *testing.T) {
 	roster := func(edge, store float64, edges, stores int) map[string]clusterstate.Router {
 		all := map[string]clusterstate.Router{}
 		for i := range edges {
@@ -162,9 +165,9 @@
 		return all
 	}
 	cases := []struct {
-		name            string
-		routers         map[string]clusterstate.Router
-		shields, lender int
+		name             string
+		routers          map[string]clusterstate.Router
+		shields, sources int
 	}{
 		{"slow links and stores", roster(12, 640, 82, 4), 4, 4},
 		{"slow links and one store", roster(12, 640, 82, 1), 1, 1},
@@ -177,7 +180,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Equal(t, len(clusterstate.Shields(c.routers)), c.shields)
-			assert.Equal(t, len(clusterstate.PeerSources(c.routers)), c.lender)
+			assert.Equal(t, len(clusterstate.PeerSources(c.routers)), c.sources)
 			total, s := 0.0, clusterstate.New()
 			s.Routers = c.routers
 			for node := range c.routers {
@@ -270,7 +273,8 @@
 	var got Fetch
 	assert.NilError(t, decodeFetch(exchange.New(exchange.Request{Header: encodeFetch(q)}), &got))
 	assert.DeepEqual(t, got, q)
-	for _, a := range []Fetched{{Status: 200, Whole: true, AgeMS: 3, Index: 9}, {Status: 200, Whole: true, Same: true, AgeMS: 1}, {Refuse: 120}, {Status: 404}, deniedFetch(errUnknownKey), deniedFetch(errNotProven)} {
+	for _, a := range []Fetched{{Status: 200, Whole: true, AgeMS: 3, Index: 9}, {Status: 200, Whole: true, Same: true, AgeMS: 1},
+		{Refuse: 120}, {Status: 404}, deniedFetch(errUnknownKey), deniedFetch(errNotProven)} {
 		back := decodeFetched(a.encodeHeader(), nil)
 		back.Header = nil
 		assert.DeepEqual(t, back, a)
--- a/internal/cdn/edge/proof.go
+++ b/internal/cdn/edge/proof.go
@@ -11,10 +11,12 @@
 // the proof covers. In the other order the plan might be older than the proof. All times are of the monotonic clock.
 
 const (
-	revokeMarginDivisor  = 20                     // a proof expires earlier by revoke divided by this, for clock drift and the way to a server
-	minRevokeMargin      = 100 * time.Millisecond // lower bound of that margin
-	contactDivisor       = 2                      // a router is current while its proof is younger than contact divided by this
-	editionMarginDivisor = 20                     // and younger than edition_time less edition_time divided by this: it may say that a key does not exist
+	revokeMarginDivisor = 20                     // a proof expires earlier by revoke divided by this, for clock drift and the way to a server
+	minRevokeMargin     = 100 * time.Millisecond // lower bound of that margin
+	contactDivisor      = 2                      // a router is current while its proof is younger than contact divided by this
+	// A router is current, and may say that a key does not exist, only if its proof is also younger than edition_time less edition_time
+	// divided by this.
+	editionMarginDivisor = 20
 )
 
 // errNotProven is the error of a keyed request that is refused because this router can't prove that it knows all removed keys.
--- a/internal/cdn/edge/proof_test.go
+++ b/internal/cdn/edge/proof_test.go
@@ -53,7 +53,7 @@
 	assert.ErrorIs(t, e.checkProof(now), errNotProven, "proof of an empty replica")
 }
 
-// Cached copies are served while all purges older than contact are known. A router is current while its proof is younger than half of that.
+// Cache entries are served while all purges older than contact are known. A router is current while its proof is younger than half of that.
 func TestCachedCopiesRequireProof(t *testing.T) {
 	bounds := bootconfig.Limits{Contact: time.Hour}
 	for _, c := range []struct {
--- a/internal/cdn/edge/ratelimit.go
+++ b/internal/cdn/edge/ratelimit.go
@@ -11,7 +11,7 @@
 )
 
 // rateLimiter is a token bucket for this router's share of the rate at which all routers together may send requests to a service's servers
-// (clusterstate.State.Share). Its burst is small, so that the sum over all routers stays under the ceiling in every window.
+// (clusterstate.State.RateShare). Its burst is small, so that the sum over all routers stays under the ceiling in every window.
 type rateLimiter struct {
 	mu         sync.Mutex
 	perSecond  float64 // refill rate; 0 means unlimited
@@ -89,7 +89,8 @@
 				continue
 			}
 			callCtx, cancel := context.WithTimeout(ctx, demandInterval)
-			if _, err := peerrpc.Call[clusterstate.Needs, bool](callCtx, e.peers.At(e.config.InternalAddress(holder, bootconfig.ConfigStorePort)), "ConfigStore.Need", &needs); err != nil {
+			if _, err := peerrpc.Call[clusterstate.Needs, bool](callCtx, e.peers.At(e.config.InternalAddress(holder, bootconfig.ConfigStorePort)),
+				"ConfigStore.Need", &needs); err != nil {
 				e.log.Debug("cannot report demand", "err", err)
 			}
 			cancel()
--- a/internal/cdn/edge/serve.go
+++ b/internal/cdn/edge/serve.go
@@ -55,7 +55,8 @@
 func (e *Edge) serve(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	e.counters.Requests.Add(1)
-	q := &request{Request: r, w: w, outbound: e.outbound, id: r.Header.Get(upstream.HeaderRequestID), arrived: arrived, timeLeft: defaultTimeLeft, plan: e.plan.Load(), closeConn: e.closeConns.Load()}
+	q := &request{Request: r, w: w, outbound: e.outbound, id: r.Header.Get(upstream.HeaderRequestID), arrived: arrived,
+		timeLeft: defaultTimeLeft, plan: e.plan.Load(), closeConn: e.closeConns.Load()}
 	if ms := atoi(r.Header.Get(upstream.HeaderTimeLeft)); ms > 0 {
 		q.timeLeft = time.Duration(min(ms, int64(time.Hour/time.Millisecond))) * time.Millisecond
 	}
@@ -155,13 +156,15 @@
 		delete(header, upstream.HeaderTenant)
 	}
 	header["Host"] = []string{q.Host}
-	order := &upstream.OriginRequest{ID: q.id, OnceOnly: q.route.Kind == clusterstate.KindOnceOnly, Caller: q.caller, Permit: permit, UsageCounter: e.usageAccount(q.tenant)}
-	answer := e.sendToService(svc, q.route.Name, order, exchange.Request{ID: q.id, Class: q.plan.className(q.route, q.tenant), Arrived: q.arrived, Timeout: q.timeLeft,
+	originRequest := &upstream.OriginRequest{ID: q.id, OnceOnly: q.route.Kind == clusterstate.KindOnceOnly, Caller: q.caller,
+		Permit: permit, UsageCounter: e.usageCounter(q.tenant)}
+	answer := e.sendToService(svc, q.route.Name, originRequest, exchange.Request{ID: q.id, Class: q.plan.className(q.route, q.tenant),
+		Arrived: q.arrived, Timeout: q.timeLeft,
 		Write: q.route.Kind == clusterstate.KindOnceOnly, Method: q.Method, Target: requestTarget(q.Request), Header: header, Body: body})
-	denied := order.DenyReason()
-	switch failure := order.LastFailure(); {
+	denied := originRequest.DenyReason()
+	switch failure := originRequest.LastFailure(); {
 	case q.caller.Cancelled(): // the client has disconnected
-	case denied != nil && order.NeverRan():
+	case denied != nil && originRequest.NeverRan():
 		q.deny(denialOf(denied))
 	case answer.Kind == exchange.Served:
 		q.writeResponse(int(atoi(firstValue(answer.Header, upstream.StatusKey))), answer.Header, answer.Body)
@@ -169,7 +172,7 @@
 		q.writeResponse(int(atoi(firstValue(failure.Header, upstream.StatusKey))), failure.Header, failure.Body)
 	case answer.Kind == exchange.Refused:
 		q.refuse(max(answer.RetryAfter, 20*time.Millisecond))
-	case order.OnceOnly && !order.MayHaveRun(): // nothing was sent, so it has not run
+	case originRequest.OnceOnly && !originRequest.MayHaveRun(): // nothing was sent, so it has not run
 		q.refuse(defaultRetryAfter)
 	case answer.TimedOut:
 		q.respond(http.StatusGatewayTimeout, nil, nil)
@@ -189,8 +192,8 @@
 // work, so its client is not tracked.
 func (e *Edge) serveObject(q *request, k objectcache.Key) {
 	q.onAnswer = e.answerCounter(q.tenant)
-	cached, grade := e.lookup(k, objectcache.Requester{ID: q.id, ClientKey: q.clientKey}, true)
-	if grade == objectcache.Fresh {
+	cached, freshness := e.lookup(k, objectcache.Requester{ID: q.id, ClientKey: q.clientKey}, true)
+	if freshness == objectcache.Fresh {
 		q.deliver(fetchedFrom(cached))
 		return
 	}
--- a/internal/cdn/edge/serve_test.go
+++ b/internal/cdn/edge/serve_test.go
@@ -110,9 +110,11 @@
 // newTestEdge returns a router without core machines, and a function by which the test applies commands to its state.
 func newTestEdge(t testing.TB, o *origin, routes string) (*Edge, func(c clusterstate.Command)) {
 	t.Helper()
-	e := &Edge{config: bootconfig.Settings{Node: "me", Zone: "a", MemoryMB: 64, FileHandles: 1024, Limits: bootconfig.Limits{Contact: time.Hour, StaleSlack: 2 * time.Second,
-		CeilingWindow: 5 * time.Second, CeilingExcess: 1.1}},
-		log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), replica: statesync.New(), cache: objectcache.New(8 << 20), clock: exchange.NewClock(),
+	e := &Edge{config: bootconfig.Settings{Node: "me", Zone: "a", MemoryMB: 64, FileHandles: 1024,
+		Limits: bootconfig.Limits{Contact: time.Hour, StaleSlack: 2 * time.Second,
+			CeilingWindow: 5 * time.Second, CeilingExcess: 1.1}},
+		log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), replica: statesync.New(), cache: objectcache.New(8 << 20),
+		clock:   exchange.NewClock(),
 		changes: make(chan func(), 64), lifetime: t.Context()}
 	e.init()
 	e.replica.Set, e.replica.Log = e.config, e.log
@@ -128,9 +130,11 @@
 		assert.Equal(t, out.Status, clusterstate.StatusOK, out.Text)
 		e.applyChange(s, c, index, false)
 	}
-	apply(clusterstate.Command{Put: []byte(`{"edition":"r1","based_on":0,"parcels":[` + routes + `{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{}}]}`)})
+	apply(clusterstate.Command{Put: []byte(`{"edition":"r1","based_on":0,"parcels":[` + routes +
+		`{"parcel_kind":"carriers","label":{"name":"shop"},"manifest":{}}]}`)})
 	apply(clusterstate.Command{Enrol: []clusterstate.Router{{Node: "me", Zone: "a"}}})
-	apply(clusterstate.Command{Server: &clusterstate.Server{ID: "i-1", Service: "shop", Address: o.address, Zone: "a", Slots: 8, State: clusterstate.ServerOpen, Beat: 1}})
+	apply(clusterstate.Command{Server: &clusterstate.Server{ID: "i-1", Service: "shop", Address: o.address, Zone: "a", Slots: 8,
+		State: clusterstate.ServerOpen, Beat: 1}})
 	done := make(chan struct{})
 	e.enqueue(func() { close(done) })
 	<-done
@@ -139,8 +143,8 @@
 
 // routeJSON returns a route's entry in a configuration.
 func routeJSON(name, kind, prefix string) string {
-	return fmt.Sprintf(`{"parcel_kind":"routes","label":{"name":%q},"manifest":{"domain":"a.example","path_prefix":%q,"mail_class":%q,"timeout":"2000ms",`+
-		`"target":"500ms","carrier":"shop","tries":2,"shelf":"20s"}},`, name, prefix, kind)
+	return fmt.Sprintf(`{"parcel_kind":"routes","label":{"name":%q},"manifest":{"domain":"a.example","path_prefix":%q,"mail_class":%q,`+
+		`"timeout":"2000ms","target":"500ms","carrier":"shop","tries":2,"shelf":"20s"}},`, name, prefix, kind)
 }
 
 var threeRoutesJSON = routeJSON("s", "shelved", "/s/") + routeJSON("r", "resendable", "/r/") + routeJSON("o", "once_only", "/o/")
@@ -258,8 +262,8 @@
 	assert.Equal(t, e.get(t, http.DefaultClient, url, "GET", "/s/1", "").body, "version 3")
 }
 
-// A router whose replica is older than the operators' limit revalidates a copy before it serves it, because it may have missed a purge. It
-// sends the copy's ETag, so that an unchanged body is not transferred again.
+// A router whose replica is older than the operators' limit revalidates a cache entry before it serves it, because it may have missed a
+// purge. It sends the entry's ETag, so that an unchanged body is not transferred again.
 func TestOldReplicaRevalidatesCopies(t *testing.T) {
 	o := newOrigin(t)
 	e, _ := newTestEdge(t, o, threeRoutesJSON)
--- a/internal/cdn/edge/servers.go
+++ b/internal/cdn/edge/servers.go
@@ -59,7 +59,8 @@
 			if server.Service != svcName {
 				continue
 			}
-			entry := balance.Entry{Server: balance.ServerID(id), Zone: server.Zone, Weight: float64(max(server.Slots, 1)) * svc.speeds.weightFactor(id), Started: e.warmupStart(server)}
+			entry := balance.Entry{Server: balance.ServerID(id), Zone: server.Zone,
+				Weight: float64(max(server.Slots, 1)) * svc.speeds.weightFactor(id), Started: e.warmupStart(server)}
 			hasLocal = hasLocal || server.Zone == e.config.Zone
 			if server.State != clusterstate.ServerOpen {
 				entry.State = balance.Draining
--- a/internal/cdn/edge/statelog.go
+++ b/internal/cdn/edge/statelog.go
@@ -39,7 +39,8 @@
 	}
 	for name, svc := range p.services {
 		limiter := svc.limiter.view()
-		e.log.Info("service state", "service", name, "share_per_s", limiter.perSecond, "tokens", limiter.tokens, "burst", limiter.burst, "need_per_s", limiter.demand)
+		e.log.Info("service state", "service", name, "share_per_s", limiter.perSecond, "tokens", limiter.tokens,
+			"burst", limiter.burst, "need_per_s", limiter.demand)
 		for _, l := range svc.loops() {
 			l.LogView(slog.LevelInfo)
 		}
--- a/internal/cdn/edge/usage.go
+++ b/internal/cdn/edge/usage.go
@@ -35,8 +35,8 @@
 // trueTime returns the wall clock time, corrected for this machine's clock error.
 func (e *Edge) trueTime() time.Time { return e.wallClock.Now(time.Now()) }
 
-// usageAccount returns the account by which a tenant's request to servers is counted; nil if usage is not reported.
-func (e *Edge) usageAccount(tenant *clusterstate.Tenant) upstream.UsageCounter {
+// usageCounter returns a counter for one request of a tenant and its attempts; nil if usage is not reported.
+func (e *Edge) usageCounter(tenant *clusterstate.Tenant) upstream.UsageCounter {
 	if e.meter == nil || tenant == nil {
 		return nil
 	}
@@ -110,7 +110,8 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	_, err := peerrpc.Call[usage.Report, bool](callCtx, e.peers.At(e.config.InternalAddress(holder, bootconfig.ConfigStorePort)), "ConfigStore.Usage", report)
+	_, err := peerrpc.Call[usage.Report, bool](callCtx, e.peers.At(e.config.InternalAddress(holder, bootconfig.ConfigStorePort)),
+		"ConfigStore.Usage", report)
 	return err
 }
 
--- a/internal/cdn/httproute/httproute.go
+++ b/internal/cdn/httproute/httproute.go
@@ -10,14 +10,15 @@
 // Handler handles a request; param is the path segment that matched the braces, empty if there are none.
 type Handler func(w http.ResponseWriter, r *http.Request, param string)
 
-// Mux is a node of the routing tree, and the http.Handler of the tree below it. Routes must be added before it serves requests.
+// Mux is an http.Handler that calls the handler of the route that matches a request. It is a tree with a node per path segment, and each
+// node is itself a Mux. Routes must be added before it serves requests.
 type Mux struct {
 	children map[string]*Mux
 	wildcard *Mux
 	handlers map[string]Handler
 }
 
-// Handle adds a route for a method and a path such as /servers/{id}, and returns the tree.
+// Handle adds a route for a method and a path such as /servers/{id}, and returns the Mux.
 func (m *Mux) Handle(method, path string, h Handler) *Mux {
 	node := m
 	for segment := range strings.SplitSeq(strings.Trim(path, "/"), "/") {
--- a/internal/cdn/objectcache/objectcache.go
+++ b/internal/cdn/objectcache/objectcache.go
@@ -60,7 +60,8 @@
 
 // Revalidated returns the entry as revalidated by a server: with a new time, log index and time to live.
 func (e *Entry) Revalidated(at time.Time, index uint64, ttl time.Duration) *Entry {
-	return &Entry{Header: e.Header, Body: e.Body, ETag: e.ETag, Labels: e.Labels, TTL: ttl, ValidatedAt: at, LogIndex: index, FromOwner: e.FromOwner, FetchedFor: e.FetchedFor}
+	return &Entry{Header: e.Header, Body: e.Body, ETag: e.ETag, Labels: e.Labels, TTL: ttl, ValidatedAt: at, LogIndex: index,
+		FromOwner: e.FromOwner, FetchedFor: e.FetchedFor}
 }
 
 // refreshesPerUse is how many times an entry is refreshed after it was last requested. Two cover an object that is requested once in
--- a/internal/cdn/objectcache/objectcache_test.go
+++ b/internal/cdn/objectcache/objectcache_test.go
@@ -20,7 +20,8 @@
 func TestFreshness(t *testing.T) {
 	c := New(1 << 20)
 	c.Put(key, object(1, t0))
-	for after, want := range map[time.Duration]Freshness{0: Fresh, 14 * time.Second: Fresh, 15 * time.Second: RefreshDue, 21 * time.Second: RefreshDue, 22 * time.Second: Stale} {
+	for after, want := range map[time.Duration]Freshness{0: Fresh, 14 * time.Second: Fresh, 15 * time.Second: RefreshDue,
+		21 * time.Second: RefreshDue, 22 * time.Second: Stale} {
 		_, got := c.Get(key, t0.Add(after), 1500*time.Millisecond, Requester{})
 		assert.Equal(t, got, want, after.String())
 	}
@@ -111,7 +112,8 @@
 	fetched := object(1, now)
 	fetched.FetchedFor = Requester{"try-3", "key-3"}
 	c.Put(Key{Path: "new"}, fetched)
-	assert.Equal(t, c.DueForRefresh(now.Add(15*time.Second), 9)[0].Requester, Requester{ClientKey: "key-3"}, "only the request that it was fetched for has asked for it")
+	assert.Equal(t, c.DueForRefresh(now.Add(15*time.Second), 9)[0].Requester, Requester{ClientKey: "key-3"},
+		"only the request that it was fetched for has asked for it")
 	older := object(1, t0)
 	assert.Assert(t, !c.Put(key, older), "an older response that arrives late replaces nothing")
 }
--- a/internal/cdn/peersampling/peersampling.go
+++ b/internal/cdn/peersampling/peersampling.go
@@ -31,7 +31,7 @@
 	return &View{self: self, maxEntries: maxEntries, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// AddAddresses adds addresses from another source, for example at the start, while the view is not full.
+// AddAddresses adds router addresses from another source, for example at the start, while the view is not full.
 func (v *View) AddAddresses(addresses ...string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -62,8 +62,9 @@
 	return addresses
 }
 
-// StartExchange starts an exchange. It ages all entries and removes the oldest one, whose address is returned as the target: if the target does
-// not answer, it is gone from the view. The offer, which includes this router, is to be sent to it. The target is empty if the view is.
+// StartExchange starts an exchange. It ages all entries and removes the oldest one, whose address is returned as the target: if the target
+// does not answer, it is gone from the view. The offer, which includes this router, is to be sent to it. The target is empty if the
+// view is.
 func (v *View) StartExchange(index uint64) (target string, offer []Neighbour) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/cdn/upstream/cancellation_test.go
+++ b/internal/cdn/upstream/cancellation_test.go
@@ -74,7 +74,8 @@
 				return ""
 			})
 			s := NewSender(8, &exchange.Counters{})
-			o := &OriginRequest{ID: "try-1", OnceOnly: c.kind.once, Cacheable: c.kind.keep, RequireStamp: true, Caller: tracker.Open(callerCtx, cancellation.Client, "r")}
+			o := &OriginRequest{ID: "try-1", OnceOnly: c.kind.once, Cacheable: c.kind.keep, RequireStamp: true,
+				Caller: tracker.Open(callerCtx, cancellation.Client, "r")}
 			if c.moment == before {
 				cancelCaller()
 			}
--- a/internal/cdn/upstream/upstream.go
+++ b/internal/cdn/upstream/upstream.go
@@ -34,7 +34,8 @@
 	tcpUserTimeout    = 18 // TCP_USER_TIMEOUT of Linux
 )
 
-// IdleTimeout is how long an idle connection is kept, unless connections to the server are scarce. Servers close idle connections after 10 s.
+// IdleTimeout is how long an idle connection is kept, unless connections to the server are scarce. Servers close idle connections
+// after 10 s.
 const IdleTimeout = 8 * time.Second
 
 // Sender sends attempts to servers. It implements exchange.Sender.
@@ -52,7 +53,7 @@
 		requests: map[*exchange.Exchange]*OriginRequest{}}
 }
 
-// Register registers what the exchange's attempts share. It must be called before the exchange is submitted.
+// Register registers what the attempts of an exchange share, for Send. It must be called before the exchange is submitted.
 func (s *Sender) Register(x *exchange.Exchange, o *OriginRequest) {
 	s.mu.Lock()
 	s.requests[x] = o
@@ -179,8 +180,8 @@
 	return s.classifyResponse(a, o, resp)
 }
 
-// AttemptContext returns a context that ends at the attempt's deadline, or when the attempt or its caller is cancelled, and carries the cause.
-// The returned function releases it.
+// AttemptContext returns a context that ends at the attempt's deadline, or when the attempt or its caller is cancelled, and carries the
+// cause. The returned function releases it.
 func AttemptContext(attempt context.Context, caller *cancellation.Caller) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(attempt)
 	callerCtx := caller.Context()
@@ -205,7 +206,8 @@
 
 // failureReply classifies an attempt that got no response and whose connection is closed. A cancellation by the caller says nothing
 // about the server, nor about how long connections may be idle, so neither is recorded as failed then.
-func (s *Sender) failureReply(ctx context.Context, a *exchange.Attempt, progress sendProgress, start time.Time, idleTime time.Duration, err error) exchange.AttemptResult {
+func (s *Sender) failureReply(ctx context.Context, a *exchange.Attempt, progress sendProgress, start time.Time,
+	idleTime time.Duration, err error) exchange.AttemptResult {
 	cause := CancelCause(ctx)
 	switch {
 	case errors.Is(err, errNotSent), cause != nil && progress < maybeSent:
@@ -247,8 +249,10 @@
 	case resp.status == http.StatusMisdirectedRequest:
 		return exchange.AttemptResult{Result: balance.NoConnect, Err: Error.New("%s: its address now belongs to another server", a.Server)}
 	case notRun:
-		return exchange.AttemptResult{Result: balance.Rejected, Err: Error.New("%s rejected the request unprocessed with status %d", a.Server, resp.status)}
-	case resp.status >= 200 && resp.status < 300 && (o.RequireStamp && resp.header.Get(HeaderStamp) == "" || resp.header.Get("Content-Encoding") != ""):
+		return exchange.AttemptResult{Result: balance.Rejected,
+			Err: Error.New("%s rejected the request unprocessed with status %d", a.Server, resp.status)}
+	case resp.status >= 200 && resp.status < 300 &&
+		(o.RequireStamp && resp.header.Get(HeaderStamp) == "" || resp.header.Get("Content-Encoding") != ""):
 		return exchange.AttemptResult{Result: balance.Malformed, Err: Error.New("%s: success response without a valid stamp", a.Server)}
 	case resp.status >= 500:
 		o.mu.Lock()
--- a/internal/cdn/upstream/upstream_test.go
+++ b/internal/cdn/upstream/upstream_test.go
@@ -107,7 +107,8 @@
 
 func settingsFor(effect balance.Effect) balance.Settings {
 	return balance.Settings{Classes: []balance.Class{{Name: "c", Target: time.Second, Deadline: requestTimeout, Priority: 1, Effect: effect}},
-		Routers: 1, OverSharePriority: 1, MaxAttempts: 2, ParallelAttempts: true, RampTime: time.Second, ColdStartShare: 1, OverloadFactor: 2, OverloadFor: time.Second, MaxRetryAfter: time.Second}
+		Routers: 1, OverSharePriority: 1, MaxAttempts: 2, ParallelAttempts: true, RampTime: time.Second, ColdStartShare: 1,
+		OverloadFactor: 2, OverloadFor: time.Second, MaxRetryAfter: time.Second}
 }
 
 func newLoop(t *testing.T, address string, effect balance.Effect) (*Sender, *exchange.Loop) {
--- a/internal/cdn/upstream/usage_test.go
+++ b/internal/cdn/upstream/usage_test.go
@@ -9,11 +9,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// countingAccount is an Account that counts the calls.
-type countingAccount struct{ started, notRun int }
+// countingUsageCounter is a UsageCounter that counts the calls of its methods.
+type countingUsageCounter struct{ started, notRun int }
 
-func (c *countingAccount) CountAttempt(string) { c.started++ }
-func (c *countingAccount) UncountAttempt()     { c.notRun++ }
+func (c *countingUsageCounter) CountAttempt(string) { c.started++ }
+func (c *countingUsageCounter) UncountAttempt()     { c.notRun++ }
 
 // An attempt that the server reports as not run, by its header or with status 421, is taken out of the tenant's usage again.
 func TestNotRunAttemptIsUncounted(t *testing.T) {
@@ -25,10 +25,10 @@
 		address := fakeServer(t, func(_ int, r *http.Request, _ string) string {
 			return rawResponse(c.status, r.Header.Get(HeaderRequestID), c.head, "x")
 		})
-		account := &countingAccount{}
+		account := &countingUsageCounter{}
 		o := &OriginRequest{ID: "try-1", UsageCounter: account, Permit: func() (string, error) { return "wax", nil }}
 		attemptWith(t.Context(), NewSender(8, &exchange.Counters{}), o, address, http.Header{"Host": {"a"}})
-		assert.Equal(t, *account, countingAccount{1, c.not}, "%d", c.status)
+		assert.Equal(t, *account, countingUsageCounter{1, c.not}, "%d", c.status)
 		assert.Equal(t, o.NeverRan(), c.not == 1, "%d", c.status)
 	}
 }
