--- a/cmd/localnet/main.go
+++ b/cmd/localnet/main.go
@@ -41,8 +41,9 @@
 				&cli.StringFlag{Name: "keep", Usage: "directory that keeps the logs of runs with violations"},
 				&cli.BoolFlag{Name: "tell", Usage: "print the events of each run"}, &cli.BoolFlag{Name: "logs", Usage: "print the processes' logs"}},
 			Action: func(ctx context.Context, c *cli.Command) error {
-				plan := soak.Plan{Duration: c.Duration("day"), LogDir: c.String("keep"), Shape: localnet.Shape{Core: c.Int("core"), Edges: c.Int("edges"), Stores: c.Int("stores"), Zones: 2,
-					Subnet: byte(c.Int("at")), Revoke: c.Duration("revoke"), Contact: c.Duration("revoke")}}
+				plan := soak.Plan{Duration: c.Duration("day"), LogDir: c.String("keep"),
+					Shape: localnet.Shape{Core: c.Int("core"), Edges: c.Int("edges"), Stores: c.Int("stores"), Zones: 2,
+						Subnet: byte(c.Int("at")), Revoke: c.Duration("revoke"), Contact: c.Duration("revoke")}}
 				if c.Bool("tell") {
 					plan.Out = os.Stdout
 				}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -24,7 +24,7 @@
 // Server answers operators' calls, one per connection. Set its fields before Serve.
 type Server struct {
 	Healthy  func() bool                         // reports whether this process can serve
-	Maintain func(server string, out bool) error // takes a cache server out of service or puts it back; ErrUnknown if none has the id
+	Maintain func(server string, out bool) error // takes a cache server out of service or puts it back; ErrUnknownServer if none has the id
 	Facts    func() ([]byte, error)              // the state that routers share, as this router holds it; nil: sharing is off
 	Log      *slog.Logger
 
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// Many more idle or incomplete connections than MostCalls don't keep other callers from a response.
+// Many more idle or incomplete connections than MaxConns don't keep other callers from a response.
 func TestSilentCallersAreEvicted(t *testing.T) {
 	var healthy atomic.Bool
 	healthy.Store(true)
--- a/internal/cdn/localnet/localnet.go
+++ b/internal/cdn/localnet/localnet.go
@@ -31,11 +31,11 @@
 	Stores      int // cache routers without clients, whose links are far wider than the 12 Mbit/s of the edges; 0: all links are alike
 	Zones       int // machines are assigned to zones round-robin
 	Dir         string
-	Subnet      byte // the network uses 127.0.Net.x, so that several fit on one machine; 0: the first free subnet
+	Subnet      byte // the network uses 127.0.Subnet.x, so that several fit on one machine; 0: the first free subnet
 	// Program returns the command line of a program; it is run with CEDARMAST_CONFIG set.
 	Program      func(name string) []string
 	Out          io.Writer // receives all processes' logs; nil: none
-	Metrics      bool      // processes export their metrics; see Figures
+	Metrics      bool      // processes export their metrics; see ReadMetrics
 	UsageReports bool      // the tenants' usage is reported to a stand-in platform
 	// Time limits that are written to the settings; 0: left out, so that the default applies.
 	Revoke, Contact time.Duration
@@ -78,7 +78,7 @@
 type Network struct {
 	Shape
 	Machines    []*Machine
-	Platform    *Platform // nil without Shape.Reports
+	Platform    *Platform // nil without Shape.UsageReports
 	subnetClaim io.Closer // reserves its addresses
 	client      http.Client
 	started     time.Time
@@ -96,7 +96,8 @@
 	shape.Subnet = subnet
 	n := &Network{Shape: shape, subnetClaim: claim, client: http.Client{Timeout: 3 * time.Second}, started: time.Now()}
 	for i := range shape.Core + shape.Edges + shape.Stores {
-		m := &Machine{IP: fmt.Sprintf("127.0.%d.%d", shape.Subnet, i+1), Zone: fmt.Sprint("zone-", i%max(shape.Zones, 1)+1), Core: i < shape.Core, Store: i >= shape.Core+shape.Edges,
+		m := &Machine{IP: fmt.Sprintf("127.0.%d.%d", shape.Subnet, i+1), Zone: fmt.Sprint("zone-", i%max(shape.Zones, 1)+1),
+			Core: i < shape.Core, Store: i >= shape.Core+shape.Edges,
 			firstStart: true, processes: map[string]*process{}}
 		m.Name = fmt.Sprint("edge-", i-shape.Core+1)
 		if m.Core {
--- a/internal/cdn/localnet/platform.go
+++ b/internal/cdn/localnet/platform.go
@@ -32,7 +32,7 @@
 	Busy                              // answers 429
 	Failing                           // answers 500
 	Resetting                         // takes the call, then closes the connection without an answer
-	Silent                            // takes the call, then closes the connection without an answer at the next call of Behave
+	Silent                            // takes the call, then closes the connection without an answer at the next call of SetBehavior
 )
 
 // UsageReport is one usage report as received.
@@ -52,7 +52,7 @@
 	mu              sync.Mutex
 	behavior        PlatformBehavior
 	delay           time.Duration
-	behaviorChanged chan struct{} // closed and replaced at every call of Behave
+	behaviorChanged chan struct{} // closed and replaced at every call of SetBehavior
 	windowCounts    map[int64]map[string]int64
 	holders         map[uint64]string // by fence
 	highestFence    uint64            // the highest seen
@@ -161,7 +161,7 @@
 	w.WriteHeader(status)
 }
 
-// Accept checks a call, records its counts and violations, and returns the status for its answer.
+// Accept checks a usage report, records its counts and violations, and returns the status for its answer.
 func (p *Platform) Accept(call UsageReport, now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/cdn/soak/service.go
+++ b/internal/cdn/soak/service.go
@@ -68,7 +68,8 @@
 	start := time.Now()
 	for n := 0; result.served < probeCount && probeCtx.Err() == nil; n++ {
 		started := time.Now()
-		status, err := s.net.RequestWithKey(m, "shop.example", fmt.Sprintf("/again/probe-%s-%d", m.Name, n), fmt.Sprintf("probe-%s-%d-%d", m.Name, s.Seed, n), key)
+		status, err := s.net.RequestWithKey(m, "shop.example", fmt.Sprintf("/again/probe-%s-%d", m.Name, n),
+			fmt.Sprintf("probe-%s-%d-%d", m.Name, s.Seed, n), key)
 		result.slowest = max(result.slowest, time.Since(started))
 		switch {
 		case err == nil && status == 200:
--- a/internal/cdn/soak/soak.go
+++ b/internal/cdn/soak/soak.go
@@ -46,7 +46,7 @@
 	Duration time.Duration // how long clients send requests and faults are injected
 	Shape    localnet.Shape
 	Out      io.Writer // receives the log of events; nil: none
-	LogDir   string    // for Sweep: the directory that keeps the logs of runs with violations; empty: none are kept
+	LogDir   string    // for RunSeeds: the directory that keeps the logs of runs with violations; empty: none are kept
 }
 
 // Report is the result of a soak run.
@@ -61,7 +61,9 @@
 }
 
 func (r Report) String() string {
-	return fmt.Sprintf("%d requests, %d of them over keep-alive connections, %d abandoned by their clients, %d runs at servers, %d faults, %d violations reported", r.Requests, r.KeepAlive, r.Abandoned, r.Runs, r.Faults, len(r.Violations))
+	return fmt.Sprintf(
+		"%d requests, %d of them over keep-alive connections, %d abandoned by their clients, %d runs at servers, %d faults, %d violations reported",
+		r.Requests, r.KeepAlive, r.Abandoned, r.Runs, r.Faults, len(r.Violations))
 }
 
 // soakRun is the state of one soak run.
@@ -77,7 +79,7 @@
 	outMu      sync.Mutex // guards Out
 }
 
-// Run executes one soak run of length p.Day and its checks. An error means that it could not be executed; violations are in the report.
+// Run executes one soak run of length p.Duration and its checks. An error means that it could not be executed; violations are in the report.
 func Run(ctx context.Context, p Plan) (Report, error) {
 	p.Shape.Metrics = true
 	if p.Shape.Revoke == 0 {
--- a/internal/cdn/soak/soak_test.go
+++ b/internal/cdn/soak/soak_test.go
@@ -31,5 +31,6 @@
 		t.Error(breach)
 	}
 	assert.Assert(t, r.Acknowledgements.settled[math.Inf(1)]+r.Acknowledgements.unsettled[math.Inf(1)] > 0, "no acknowledgement was measured")
-	assert.Assert(t, r.Abandoned > (r.Requests-r.KeepAlive-r.Keyless-r.Refused)/4 && r.Runs > r.Requests/4 && r.KeepAlive > r.Requests/10, "too little was played")
+	assert.Assert(t, r.Abandoned > (r.Requests-r.KeepAlive-r.Keyless-r.Refused)/4 && r.Runs > r.Requests/4 && r.KeepAlive > r.Requests/10,
+		"too little was played")
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -59,7 +59,8 @@
 		t.Errorf("the new list took %v", took)
 	}
 	first.SetStatus(500) // ends a watch request that might still be waiting
-	standin.Eventually(t, "the connections to the old discovery and its server are closed", func() bool { return first.OpenConns() == 0 && a.OpenConns() == 0 })
+	standin.Eventually(t, "the connections to the old discovery and its server are closed",
+		func() bool { return first.OpenConns() == 0 && a.OpenConns() == 0 })
 	if targets := second.Targets(); targets[0] != "/registry/instances" {
 		t.Errorf("asked for %q first", targets[0])
 	}
--- a/internal/daemon/shared.go
+++ b/internal/daemon/shared.go
@@ -45,8 +45,9 @@
 		r.log.Warn("sharing is off: there are no messages between routers")
 		return
 	}
-	r.facts = shared.New(shared.Options{Routers: len(c.Peers), Number: c.Settings.MyNumber, Life: facts.Incarnation(rand.Uint32()), Forget: sharedConfig.ForgetAfter(),
-		Tell: r.peers.SendMessage, Counts: r.counts})
+	r.facts = shared.New(shared.Options{Routers: len(c.Peers), Number: c.Settings.MyNumber, Life: facts.Incarnation(rand.Uint32()),
+		Forget: sharedConfig.ForgetAfter(),
+		Tell:   r.peers.SendMessage, Counts: r.counts})
 	r.caughtUp = make(chan struct{})
 	for _, s := range snapshots {
 		if err := r.facts.Load(s.text, s.age); err != nil {
--- a/internal/daemon/stored.go
+++ b/internal/daemon/stored.go
@@ -32,8 +32,8 @@
 	if stateConfig == nil {
 		return c.Known
 	}
-	r.persistence = persistence{store: recovery.NewStore(stateConfig.Dir, c.Listen), saveInterval: stateConfig.SaveInterval(), saveRequests: make(chan chan error),
-		identity: recovery.State{Router: c.Name, Listen: c.Listen}}
+	r.persistence = persistence{store: recovery.NewStore(stateConfig.Dir, c.Listen), saveInterval: stateConfig.SaveInterval(),
+		saveRequests: make(chan chan error), identity: recovery.State{Router: c.Name, Listen: c.Listen}}
 	state, ok, faults := r.store.Load()
 	for _, err := range faults {
 		r.log.Warn("a stored state is unreadable", "err", err)
@@ -50,8 +50,8 @@
 		return c.Known
 	}
 	loop.Maintenance, loop.Settings.PriorAnswerRate = restored.Maintenance, restored.Answered
-	r.log.Info("stored state taken up", "age", restored.Age.Round(time.Millisecond), "list", restored.ListRestored, "servers", len(restored.Known.Endpoints),
-		"servers_out", len(restored.Maintenance.Out), "answered", restored.Answered, "left", restored.Skipped)
+	r.log.Info("stored state taken up", "age", restored.Age.Round(time.Millisecond), "list", restored.ListRestored,
+		"servers", len(restored.Known.Endpoints), "servers_out", len(restored.Maintenance.Out), "answered", restored.Answered, "left", restored.Skipped)
 	return restored.Known
 }
 
--- a/internal/facts/expiry.go
+++ b/internal/facts/expiry.go
@@ -14,8 +14,8 @@
 	unlistedSince map[string]time.Duration // since when, for servers whose facts are stored or were removed
 }
 
-// ApplyList applies the discovery list as of now, a set of server names, and returns the names of the facts that were removed. An empty list
-// is ignored: a router that has received no list yet has an empty one.
+// ApplyList applies the discovery list as of now, a set of server names: it removes the facts about servers that have been off the list for
+// After, and returns their names. An empty list is ignored: a router that has received no list yet has an empty one.
 func (f *Expirer) ApplyList(now time.Duration, s *Store, listed map[string]bool) (dropped []Name) {
 	if len(listed) == 0 {
 		return nil
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -20,7 +20,7 @@
 
 // The kinds of facts, each with the rule that decides between concurrent copies.
 const (
-	AdminState Kind = 1 // an operator's order for a cache server, Back or Out; Out wins, because it preserves a drain
+	AdminState Kind = 1 // an operator's order for a cache server, InService or Drained; Drained wins, because it preserves a drain
 	StartTime  Kind = 2 // start time of a cache server in Unix milliseconds; the latest wins: a server that may be cold is treated as cold
 )
 
@@ -48,7 +48,7 @@
 	return strconv.FormatInt(value, 10)
 }
 
-// Values of an Order.
+// Values of an AdminState fact.
 const (
 	InService int64 = 0 // the server is in service
 	Drained   int64 = 1 // the server is drained
@@ -57,17 +57,17 @@
 // Name identifies a fact.
 type Name struct {
 	Kind    Kind
-	Subject string // the server's name, at most MostSubject bytes
+	Subject string // the server's name, at most MaxSubjectBytes bytes
 }
 
-// Limits on a fact's size, so that any single fact fits into one datagram. MostSubject is in bytes.
+// Limits on a fact's size, so that any single fact fits into one datagram.
 const (
 	MaxSubjectBytes = 48
 	maxIncarnations = 6 // incarnations that are remembered as writers of one fact
 )
 
-// Incarnation identifies an incarnation of a router: the writer of facts from a start without stored state until that state is lost. It is drawn
-// at random, so that a router that has lost its state can't issue the same Dot for two writes.
+// Incarnation identifies an incarnation of a router: the writer of facts from a start without stored state until that state is lost. It is
+// drawn at random, so that a router that has lost its state can't issue the same Dot for two writes.
 type Incarnation uint32
 
 // Dot identifies one write of a fact: the writer's incarnation and its count of writes to this fact, from 1.
@@ -220,7 +220,7 @@
 }
 
 // Write sets a fact to a value that supersedes all copies seen by this router. It returns false if the store is full or does not accept the
-// name. A value that all copies already have is not written again, except for the order Out: it must win over an order Back that this
+// name. A value that all copies already have is not written again, except for Drained: it must win over an InService that this
 // router has not received yet.
 func (s *Store) Write(now time.Duration, n Name, value int64) bool {
 	previous, known := s.facts[n]
--- a/internal/facts/facts_test.go
+++ b/internal/facts/facts_test.go
@@ -150,7 +150,7 @@
 func (w modelState) step(action, a, b int, reuseIncarnation bool) (modelState, string, bool) {
 	w.writes = slices.Clone(w.writes)
 	switch action {
-	case 0, 1: // writes Back or Out
+	case 0, 1: // writes InService or Drained
 		if len(w.writes) == 2 {
 			return w, "", false
 		}
--- a/internal/facts/gossip.go
+++ b/internal/facts/gossip.go
@@ -11,7 +11,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Period is the interval between calls of a Spreader's Tick. HurryPeriod is the interval until the router is synced, since clients wait for that.
+// TickInterval is the interval between calls of a Gossiper's Tick. CatchUpInterval is the interval until the router is synced, since clients
+// wait for that.
 const (
 	TickInterval    = 200 * time.Millisecond
 	CatchUpInterval = 50 * time.Millisecond
@@ -66,27 +67,27 @@
 	repliesSent       int          // datagrams since the last tick
 	learnedSinceTick  int          // facts changed by peers since the last tick
 	synced            bool
-	changed           map[Name]bool // facts changed by peers since the last call of Changed
+	changed           map[Name]bool // facts changed by peers since the last call of TakeChanges
 	learnedTotal      int64         // changes of facts by peers since the start
 }
 
-// NewGossiper returns the spreader of the router with index self, from 0, among routerCount routers.
+// NewGossiper returns the gossiper of the router with index self, from 0, among routerCount routers.
 func NewGossiper(s *Store, routerCount, self int, seed uint64) *Gossiper {
 	return &Gossiper{Store: s, routerCount: routerCount, self: self,
 		rng: rand.New(rand.NewPCG(seed, uint64(self))), pendingNews: map[Name]int{}, changed: map[Name]bool{}}
 }
 
-// Synced reports whether this router's facts have been equal to those of a peer that was itself synced, or Alone has been called. It
+// Synced reports whether this router's facts have been equal to those of a peer that was itself synced, or MarkSynced has been called. It
 // stays true from then on.
 func (s *Gossiper) Synced() bool { return s.synced }
 
 // LearnedTotal returns how many times a peer's message has changed a fact since the start.
 func (s *Gossiper) LearnedTotal() int64 { return s.learnedTotal }
 
-// HasChanges reports whether Changed would return any names.
+// HasChanges reports whether TakeChanges would return any names.
 func (s *Gossiper) HasChanges() bool { return len(s.changed) > 0 }
 
-// TakeChanges returns the names of the facts that peers have changed since the last call, sorted.
+// TakeChanges returns the names of the facts that peers have changed since the last call, sorted, and clears them.
 func (s *Gossiper) TakeChanges() []Name {
 	names := slices.SortedFunc(maps.Keys(s.changed), byName)
 	clear(s.changed)
@@ -126,7 +127,7 @@
 	return to
 }
 
-// Tick starts a new period and returns its datagrams: news, and digests to random peers. The caller calls it every Due.
+// Tick starts a new period and returns its datagrams: news, and digests to random peers. The caller calls it again after NextTick.
 func (s *Gossiper) Tick(now time.Duration) (out []Message) {
 	if s.repliesSent = 0; s.routerCount < 2 {
 		return nil
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -159,7 +159,7 @@
 	return newPeer(c, r), l, m.State, nil
 }
 
-// AcceptHandshake reads the handshake of a successor. The caller must follow it with Refuse or Give.
+// AcceptHandshake reads the handshake of a successor. The caller must follow it with Refuse or SendState.
 func AcceptHandshake(c *net.UnixConn) (*Peer, error) {
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	r := bufio.NewReader(c)
--- a/internal/kit/ledger/ledger.go
+++ b/internal/kit/ledger/ledger.go
@@ -140,10 +140,10 @@
 }
 
 // TrySent records that a client sends a try to a router.
-func (l *Ledger) TrySent(n int, id string, router int, at Time, patience time.Duration) {
+func (l *Ledger) TrySent(n int, id string, router int, at Time, timeout time.Duration) {
 	l.Counts.Tries++
 	l.requests[n].tries++
-	l.tries[id] = &tryRecord{request: n, router: router, startedAt: at, timeout: patience, bodies: map[string]bool{}}
+	l.tries[id] = &tryRecord{request: n, router: router, startedAt: at, timeout: timeout, bodies: map[string]bool{}}
 }
 
 // NodeReceived records that the last byte of a try has reached a node. Ran is false if the node rejects it unread. The send is stale if
@@ -296,7 +296,7 @@
 	l.answers[outcome]++
 	a := &l.requests[t.request]
 	c := &l.scenario.Classes[a.Class]
-	late := at > t.startedAt+t.timeout+timingSlack && outcome != NotConnected // with Unheard no router took the try, so none can be late
+	late := at > t.startedAt+t.timeout+timingSlack && outcome != NotConnected // with NotConnected no router took the try, so none can be late
 	switch {
 	case outcome == Served && !t.bodies[body]:
 		l.Counts.WrongBodies++
--- a/internal/kit/ledger/ledger_test.go
+++ b/internal/kit/ledger/ledger_test.go
@@ -18,7 +18,8 @@
 		{Name: "tally", Wanted: scenario.Duration(time.Second), Deadline: scenario.Duration(3 * time.Second), Worth: 3, Effect: "keyed", Memory: scenario.Duration(2 * time.Second)},
 		{Name: "submit", Wanted: scenario.Duration(time.Second), Deadline: scenario.Duration(3 * time.Second), Worth: 3, Effect: "unsafe"}}
 	s.Tenants = []scenario.Tenant{{Name: "a", Share: 1}}
-	return New(&s, []Request{{At: 0, Class: 0, Worth: 1, WithinShare: true}, {At: time.Second, Class: 1, Worth: 3, WithinShare: true}, {At: 2 * time.Second, Class: 2, Worth: 3, WithinShare: true}})
+	return New(&s, []Request{{At: 0, Class: 0, Worth: 1, WithinShare: true}, {At: time.Second, Class: 1, Worth: 3, WithinShare: true},
+		{At: 2 * time.Second, Class: 2, Worth: 3, WithinShare: true}})
 }
 
 // breachCounts returns the number of breaches by rule: lost, effects, drains, cold falls, held back.
@@ -50,10 +51,22 @@
 			l.BodyMade("a", "v", false)
 			l.TryEnded("a", Served, "v", 100*ms)
 		}, [5]int{1}},
-		"no answer":                              {func(l *Ledger) { try(l, 0, "a", 0); l.TryEnded("a", NoAnswer, "", 1050*ms) }, [5]int{1}},
-		"no answer, for its router was killed":   {func(l *Ledger) { try(l, 0, "a", 0); l.RouterEnded(0, true); l.TryEnded("a", Truncated, "", 1050*ms) }, [5]int{}},
-		"no answer at an end in order":           {func(l *Ledger) { try(l, 0, "a", 0); l.RouterEnded(0, false); l.TryEnded("a", Truncated, "", 1050*ms) }, [5]int{1}},
-		"late":                                   {func(l *Ledger) { try(l, 0, "a", 0); l.BodyMade("a", "v", true); l.TryEnded("a", Served, "v", 1100*ms) }, [5]int{1}},
+		"no answer": {func(l *Ledger) { try(l, 0, "a", 0); l.TryEnded("a", NoAnswer, "", 1050*ms) }, [5]int{1}},
+		"no answer, for its router was killed": {func(l *Ledger) {
+			try(l, 0, "a", 0)
+			l.RouterEnded(0, true)
+			l.TryEnded("a", Truncated, "", 1050*ms)
+		}, [5]int{}},
+		"no answer at an end in order": {func(l *Ledger) {
+			try(l, 0, "a", 0)
+			l.RouterEnded(0, false)
+			l.TryEnded("a", Truncated, "", 1050*ms)
+		}, [5]int{1}},
+		"late": {func(l *Ledger) {
+			try(l, 0, "a", 0)
+			l.BodyMade("a", "v", true)
+			l.TryEnded("a", Served, "v", 1100*ms)
+		}, [5]int{1}},
 		"nobody took it, and that is known late": {func(l *Ledger) { try(l, 0, "a", 0); l.TryEnded("a", NotConnected, "", 1100*ms) }, [5]int{}},
 		"answered twice": {func(l *Ledger) {
 			try(l, 0, "a", 0)
@@ -97,23 +110,36 @@
 		}, [5]int{0, 1}},
 		"two effects":         {func(l *Ledger) { l.Effect(2, "submit", "unsafe"); l.Effect(2, "submit", "unsafe") }, [5]int{0, 1}},
 		"a request of nobody": {func(l *Ledger) { l.UnknownSend("zz", "n") }, [5]int{0, 1}},
-		"a send in the grace": {func(l *Ledger) { l.NodeStateTold(0, "n", false, 0); l.NodeReceived("a", 0, "n", 2*time.Second, true) }, [5]int{}},
-		"a send after it":     {func(l *Ledger) { l.NodeStateTold(0, "n", false, 0); l.NodeReceived("a", 0, "n", 2100*ms, true) }, [5]int{0, 0, 1}},
+		"a send in the grace": {func(l *Ledger) {
+			l.NodeStateTold(0, "n", false, 0)
+			l.NodeReceived("a", 0, "n", 2*time.Second, true)
+		}, [5]int{}},
+		"a send after it": {func(l *Ledger) {
+			l.NodeStateTold(0, "n", false, 0)
+			l.NodeReceived("a", 0, "n", 2100*ms, true)
+		}, [5]int{0, 0, 1}},
 		"told again that it drains": {func(l *Ledger) {
 			l.NodeStateTold(0, "n", false, 0)
 			l.NodeStateTold(0, "n", false, time.Second)
 			l.NodeReceived("a", 0, "n", 2100*ms, true)
 		}, [5]int{0, 0, 1}},
-		"a send by another router": {func(l *Ledger) { l.NodeStateTold(0, "n", false, 0); l.NodeReceived("a", 1, "n", 3*time.Second, true) }, [5]int{}},
+		"a send by another router": {func(l *Ledger) {
+			l.NodeStateTold(0, "n", false, 0)
+			l.NodeReceived("a", 1, "n", 3*time.Second, true)
+		}, [5]int{}},
 		"a send after it is back": {func(l *Ledger) {
 			l.NodeStateTold(0, "n", false, 0)
 			l.NodeStateTold(0, "n", true, time.Second)
 			l.NodeReceived("a", 0, "n", 3*time.Second, true)
 		}, [5]int{}},
-		"a cold fall":                      {func(l *Ledger) { l.ColdFall("n", 0) }, [5]int{0, 0, 0, 1}},
-		"given up at once":                 {func(l *Ledger) { try(l, 0, "a", 0); l.TryEnded("a", Refused, "", 400*ms) }, [5]int{}},
-		"held back":                        {func(l *Ledger) { try(l, 0, "a", 0); l.TryEnded("a", Refused, "", 700*ms) }, [5]int{0, 0, 0, 0, 1}},
-		"connections that did not come up": {func(l *Ledger) { l.Silence(true, 0); try(l, 0, "a", 0); l.TryEnded("a", Refused, "", 700*ms) }, [5]int{}},
+		"a cold fall":      {func(l *Ledger) { l.ColdFall("n", 0) }, [5]int{0, 0, 0, 1}},
+		"given up at once": {func(l *Ledger) { try(l, 0, "a", 0); l.TryEnded("a", Refused, "", 400*ms) }, [5]int{}},
+		"held back":        {func(l *Ledger) { try(l, 0, "a", 0); l.TryEnded("a", Refused, "", 700*ms) }, [5]int{0, 0, 0, 0, 1}},
+		"connections that did not come up": {func(l *Ledger) {
+			l.Silence(true, 0)
+			try(l, 0, "a", 0)
+			l.TryEnded("a", Refused, "", 700*ms)
+		}, [5]int{}},
 		"a send was still out": {func(l *Ledger) {
 			try(l, 0, "a", 0)
 			l.NodeReceived("a", 0, "n", 0, true)
--- a/internal/kit/ledger/recovery.go
+++ b/internal/kit/ledger/recovery.go
@@ -24,7 +24,7 @@
 	PeakFetches   float64  `json:"peak_fetches"`
 	FetchesOfCan  float64  `json:"peak_fetches_of_can"` // relative to the database's capacity for one second
 	PeakColdSends float64  `json:"peak_cold_sends"`
-	StaleSends    int      `json:"stale_sends"`    // see Ledger.Sent
+	StaleSends    int      `json:"stale_sends"`    // see Ledger.NodeReceived
 	StaleRefusals int      `json:"stale_refusals"` // see Ledger.staleRefusal
 }
 
--- a/internal/kit/ledger/report.go
+++ b/internal/kit/ledger/report.go
@@ -112,8 +112,8 @@
 // Report computes the result. Requests after the last full second of the run count in the score too.
 func (l *Ledger) Report() *Report {
 	r := &Report{Scenario: l.scenario.Name, LengthS: l.scenario.Length.D().Seconds(), Tries: l.Counts.Tries,
-		Lost: l.Counts.Lost, Double: l.Counts.DoubleEffects, Drain: l.Counts.DrainBreaches, ColdFalls: l.Counts.ColdFalls, Held: l.Counts.HeldBack,
-		Refused: l.answers[Refused], Failed: l.answers[Failed], Unheard: l.answers[NotConnected],
+		Lost: l.Counts.Lost, Double: l.Counts.DoubleEffects, Drain: l.Counts.DrainBreaches, ColdFalls: l.Counts.ColdFalls,
+		Held: l.Counts.HeldBack, Refused: l.answers[Refused], Failed: l.answers[Failed], Unheard: l.answers[NotConnected],
 		Sends: l.Counts.Sends, Crossed: l.Counts.SiteCrossings, Connections: l.Counts.Connections, DatabaseFell: l.Counts.DatabaseFalls,
 		Classes: map[string]ClassReport{}, Tenants: map[string]float64{}, Breaches: l.breaches, Missed: []string{}}
 	if r.Breaches == nil {
--- a/internal/kit/model/node.go
+++ b/internal/kit/model/node.go
@@ -144,7 +144,8 @@
 	if j.NewConnection {
 		j.work += n.Model.ConnWork.D()
 	}
-	if !rejectedByFault && n.Warmth() < 1 && n.overload.add(w.Now(), j.work.Seconds(), float64(n.Model.Cores)*n.speed(), w.scenario.Rules.Fall, w.scenario.Rules.FallFor.D()) {
+	if !rejectedByFault && n.Warmth() < 1 &&
+		n.overload.add(w.Now(), j.work.Seconds(), float64(n.Model.Cores)*n.speed(), w.scenario.Rules.Fall, w.scenario.Rules.FallFor.D()) {
 		n.collapse()
 		return
 	}
--- a/internal/kit/model/requests.go
+++ b/internal/kit/model/requests.go
@@ -65,7 +65,8 @@
 		if at >= length {
 			return all
 		}
-		a := &Request{Index: len(all), At: Time(at * 1e9), Class: pickWeighted(class, classes), Tenant: pickWeighted(tenant, tenants), Site: pickWeighted(site, sites),
+		a := &Request{Index: len(all), At: Time(at * 1e9), Class: pickWeighted(class, classes),
+			Tenant: pickWeighted(tenant, tenants), Site: pickWeighted(site, sites),
 			Key: keys.draw(at), seed: other.Uint64(), honoursRetryAfter: other.Float64() < s.Clients.Honour}
 		hotDraw, hotIndex := hotKeys.Float64(), hotKeys.Float64()
 		for i, t := range s.Troubles {
--- a/internal/kit/model/world.go
+++ b/internal/kit/model/world.go
@@ -59,7 +59,7 @@
 	initialEntries   []Entry      // the node list of the beginning of the run
 }
 
-// New sets up a run of a scenario under a seed. Nothing happens before Begin.
+// New sets up a run of a scenario under a seed. Nothing happens before Start.
 func New(s *scenario.Scenario, seed uint64, host Host) *World {
 	w := &World{scenario: s, seed: seed, host: host, tries: map[string]*Try{}, effects: map[string]Time{}, stallCounts: map[int]int{}}
 	w.now = -s.WarmUp.D()
@@ -211,7 +211,7 @@
 	w.host.Send(t)
 }
 
-// answerSlack is how long beyond its patience a client on a socket waits for an answer that is in transit.
+// answerSlack is how long beyond its timeout a client on a socket waits for an answer that is in transit.
 const answerSlack = 50 * time.Millisecond
 
 // chooseRouter draws a router for a try: one in rotation at the client's site, else one in rotation at any site, else any router.
--- a/internal/kit/spread/spread.go
+++ b/internal/kit/spread/spread.go
@@ -20,7 +20,7 @@
 	Seed    uint64
 }
 
-// Result is the result of a measurement. A duration of Patience means that the condition was not reached.
+// Result is the result of a measurement. A duration of Timeout means that the condition was not reached.
 type Result struct {
 	Order   time.Duration // until one router's order has reached all routers
 	Heal    time.Duration // until convergence after a partition into halves that were given conflicting orders for forty servers
@@ -50,9 +50,9 @@
 	f := newFleet(o)
 	for i := range o.Facts {
 		n := facts.Name{Kind: facts.StartTime, Subject: fmt.Sprint("server-", i)}
-		f.spreaders[0].Write(f.now, n, int64(i))
-		fact, _ := f.spreaders[0].Get(n)
-		for _, s := range f.spreaders[1:] {
+		f.gossipers[0].Write(f.now, n, int64(i))
+		fact, _ := f.gossipers[0].Get(n)
+		for _, s := range f.gossipers[1:] {
 			s.Apply(n, fact)
 		}
 	}
@@ -61,20 +61,20 @@
 	f.run(5*time.Second, nil)
 	r.Quiet = f.bytesSent[0] / 5
 
-	f.spreaders[0].Set(f.now, orderName(0), facts.Drained)
+	f.gossipers[0].Set(f.now, orderName(0), facts.Drained)
 	r.Order = f.run(Timeout, f.converged)
 
 	half, last := o.Routers/2, o.Routers-1
 	f.blocked = func(from, to int) bool { return (from < half) != (to < half) }
 	for i := range conflictingServers {
-		f.spreaders[0].Set(f.now, orderName(i), int64(i%2))
-		f.spreaders[last].Set(f.now, orderName(i), int64(i/2%2))
+		f.gossipers[0].Set(f.now, orderName(i), int64(i%2))
+		f.gossipers[last].Set(f.now, orderName(i), int64(i/2%2))
 	}
 	f.run(partitionTime, nil)
 	f.blocked = nil
 	r.Heal = f.run(Timeout, f.converged)
 	for i := range conflictingServers {
-		for _, s := range f.spreaders {
+		for _, s := range f.gossipers {
 			fact, _ := s.Get(orderName(i))
 			if v, ok := fact.Value(); !ok || v != max(int64(i%2), int64(i/2%2)) {
 				r.Wrong++
@@ -82,7 +82,7 @@
 		}
 	}
 
-	f.spreaders[last] = f.newRouter(last)
+	f.gossipers[last] = f.newRouter(last)
 	f.blocked = func(from, to int) bool {
 		return (from == last && to%muteGroupSize < 3) || (to == last && from%muteGroupSize < 3)
 	}
@@ -90,7 +90,7 @@
 		f.blocked = nil
 	}
 	r.CatchUp = f.run(Timeout, f.converged)
-	r.Knows = r.CatchUp + f.run(Timeout, f.spreaders[last].Synced)
+	r.Knows = r.CatchUp + f.run(Timeout, f.gossipers[last].Synced)
 	return r, nil
 }
 
@@ -102,7 +102,7 @@
 type fleet struct {
 	Options
 	now       time.Duration
-	spreaders []*facts.Gossiper
+	gossipers []*facts.Gossiper
 	blocked   func(from, to int) bool // nil: no link is blocked
 	rng       *rand.Rand
 	inTransit map[time.Duration][]datagram // by arrival time
@@ -119,8 +119,8 @@
 func newFleet(o Options) *fleet {
 	f := &fleet{Options: o, rng: rand.New(rand.NewPCG(o.Seed, 2)), bytesSent: make([]int, o.Routers), inTransit: map[time.Duration][]datagram{}}
 	for k := range o.Routers {
-		f.spreaders = append(f.spreaders, f.newRouter(k))
-		f.spreaders[k].MarkSynced() // it counts as in step, like a router that has been up for long
+		f.gossipers = append(f.gossipers, f.newRouter(k))
+		f.gossipers[k].MarkSynced() // it counts as synced, like a router that has been up for long
 	}
 	return f
 }
@@ -151,10 +151,10 @@
 	start := f.now
 	for ; f.now < start+span; f.now += time.Millisecond {
 		for _, l := range f.inTransit[f.now] {
-			f.send(l.to, f.spreaders[l.to].Handle(f.now, l.from, l.text))
+			f.send(l.to, f.gossipers[l.to].Handle(f.now, l.from, l.text))
 		}
 		delete(f.inTransit, f.now)
-		for k, s := range f.spreaders {
+		for k, s := range f.gossipers {
 			if int(f.now/time.Millisecond)%int(s.NextTick()/time.Millisecond) == k%int(s.NextTick()/time.Millisecond) {
 				f.send(k, s.Tick(f.now))
 			}
@@ -168,8 +168,8 @@
 
 // converged reports whether all routers hold the same facts.
 func (f *fleet) converged() bool {
-	for _, s := range f.spreaders[1:] {
-		if s.Len() != f.spreaders[0].Len() || s.Digest() != f.spreaders[0].Digest() {
+	for _, s := range f.gossipers[1:] {
+		if s.Len() != f.gossipers[0].Len() || s.Digest() != f.gossipers[0].Digest() {
 			return false
 		}
 	}
--- a/internal/kit/virtual/virtual.go
+++ b/internal/kit/virtual/virtual.go
@@ -303,7 +303,8 @@
 func (r *router) accept(t *model.Try) {
 	h := r.host
 	r.requestsStarted++
-	x := &pendingRequest{Try: t, seq: r.requestsStarted, id: balance.RequestID(strconv.FormatUint(r.requestsStarted, 36)), deadline: h.clock().Add(t.Timeout - answerMargin)}
+	x := &pendingRequest{Try: t, seq: r.requestsStarted, id: balance.RequestID(strconv.FormatUint(r.requestsStarted, 36)),
+		deadline: h.clock().Add(t.Timeout - answerMargin)}
 	r.requests[x.id] = x
 	c := &h.scenario.Classes[t.Class]
 	r.deliver(balance.Request{ID: x.id, Class: c.Name, Tenant: h.scenario.Tenants[t.Tenant].Name, Key: t.Key, HasKey: true, Write: c.Write, Due: x.deadline})
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -126,7 +126,7 @@
 	return config, nil
 }
 
-// converter applies a Shape to a configuration and collects notes.
+// converter converts one configuration for a Target and collects notes.
 type converter struct {
 	to    Target
 	notes []Note
--- a/internal/recovery/machine.go
+++ b/internal/recovery/machine.go
@@ -28,7 +28,7 @@
 )
 
 // Machine decides what a router may do after its start. Without any further event, time alone (Tick) always leads out
-// of Some, and out of Nothing if a list is known from before; Wait returns when. Handle must be called by one
+// of Serving, and out of NotReady if a list is known from before; Wait returns when. Handle must be called by one
 // goroutine at a time.
 type Machine struct {
 	ListKnown bool // a list is known from before the start
@@ -64,7 +64,8 @@
 		m.phase, m.servingSince, m.consecutiveAnswers = Serving, now, 0
 	}
 	serving := now - m.servingSince
-	if m.phase == Serving && (m.listReceived && (m.consecutiveAnswers >= minConsecutiveAnswers || serving >= settlePeriod) || serving >= noDiscoveryPeriod) {
+	if m.phase == Serving &&
+		(m.listReceived && (m.consecutiveAnswers >= minConsecutiveAnswers || serving >= settlePeriod) || serving >= noDiscoveryPeriod) {
 		m.phase = FullService
 	}
 	return m.phase
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -69,7 +69,7 @@
 	return append(append(head, '\n'), body...), nil
 }
 
-// Decode parses a state strictly. Its errors wrap the ones above; an invalid list is an ErrForm.
+// Decode parses a state strictly. Its errors wrap the ones above; an invalid list is an ErrFormat.
 func Decode(text []byte) (State, error) {
 	line, body, whole := bytes.Cut(text, []byte("\n"))
 	var h header
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// RestoreOptions is what the starting router expects of a stored state, from its configuration.
+// RestoreOptions holds what a starting router's configuration says, against which Restore checks a stored state.
 type RestoreOptions struct {
 	Now         time.Time
 	Router      string
@@ -128,7 +128,7 @@
 	MaxCountAge time.Duration   // maximum age of Answered: until then the caches are as warm as they were
 }
 
-// Restored is the part of a stored state that was restored, and the reasons for leaving out the rest.
+// Restored is the part of a stored state that was restored. Skipped holds the reasons for leaving out the rest.
 type Restored struct {
 	Known        *wire.Endpoints
 	ListRestored bool // Known is the stored list
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -74,7 +74,8 @@
 	known.Index, known.Endpoints = 6, append(known.Endpoints[:0:0], known.Endpoints...)
 	known.Endpoints[1].Status = "SERVING" // the configuration still lists the draining server as serving
 	wantWith := func(change func(*RestoreOptions)) RestoreOptions {
-		w := RestoreOptions{Now: s.Saved.Add(time.Minute), Router: "n0", Listen: "127.0.0.1:80", Discovery: "127.0.0.1:85", Known: &known, MaxListAge: time.Hour, MaxCountAge: 2 * time.Minute}
+		w := RestoreOptions{Now: s.Saved.Add(time.Minute), Router: "n0", Listen: "127.0.0.1:80", Discovery: "127.0.0.1:85",
+			Known: &known, MaxListAge: time.Hour, MaxCountAge: 2 * time.Minute}
 		if change != nil {
 			change(&w)
 		}
@@ -99,7 +100,8 @@
 			continue
 		}
 		if got.ListRestored != c.stored || got.Answered != c.answered || got.Known.Endpoints[1].Status != c.status || !got.Maintenance.Out["c"] {
-			t.Errorf("%s: stored list %v, answered %v, b is %s, out %v", name, got.ListRestored, got.Answered, got.Known.Endpoints[1].Status, got.Maintenance.Out)
+			t.Errorf("%s: stored list %v, answered %v, b is %s, out %v",
+				name, got.ListRestored, got.Answered, got.Known.Endpoints[1].Status, got.Maintenance.Out)
 		}
 	}
 	if known.Endpoints[1].Status != "SERVING" {
--- a/internal/shared/shared.go
+++ b/internal/shared/shared.go
@@ -124,13 +124,13 @@
 	return f.gossip.Names()
 }
 
-// Notify returns a channel that receives a value when peers have changed facts or this router has become synced. Changed returns the
-// changes.
+// Notify returns a channel that receives a value when peers have changed facts or this router has become synced. TakeChanges returns
+// the changes.
 func (f *Replica) Notify() <-chan struct{} { return f.notify }
 
 // TakeChanges returns the names of the facts that peers have changed since the last call, and whether this router is synced. If it is, this
 // and earlier calls have returned every fact that it was missing.
-func (f *Replica) TakeChanges() (names []facts.Name, inStep bool) {
+func (f *Replica) TakeChanges() (names []facts.Name, synced bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.gossip.TakeChanges(), f.gossip.Synced()
