--- a/internal/cdn/soak/soak.go
+++ b/internal/cdn/soak/soak.go
@@ -79,7 +79,8 @@
 	outMu      sync.Mutex // guards Out
 }
 
-// Run executes one soak run of length p.Duration and its checks. An error means that it could not be executed; violations are in the report.
+// Run executes one soak run of length p.Duration and its checks. An error means that it could not be executed; violations are in
+// the report.
 func Run(ctx context.Context, p Plan) (Report, error) {
 	p.Shape.Metrics = true
 	if p.Shape.Revoke == 0 {
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -34,11 +34,11 @@
 
 const callTimeout = 2 * time.Second // for a whole request, from dialing to the end of the response
 
-// processEnv is what the program uses of its process, except signals: environment, output streams and the decider.
+// processEnv is what the program uses of its process, except signals: environment, output streams and the balancer.
 type processEnv struct {
 	getenv         func(string) string
 	stdout, stderr io.Writer
-	newDecider     func(balance.Settings, uint64) exchange.Balancer // nil: the default decider
+	newDecider     func(balance.Settings, uint64) exchange.Balancer // nil: the default balancer
 }
 
 // Main runs a command line, given without the program's name, and returns the exit status: 2 for an invalid argument
@@ -80,8 +80,8 @@
 	return p.run()
 }
 
-// RunWithDecider runs a router as Main without arguments does, but with another decider than the default one. Rehearsals
-// use it to run a baseline.
+// RunWithDecider runs a router as Main without arguments does, but with another decider, the balancer that
+// newDecider returns, than the default one. Rehearsals use it to run a baseline.
 func RunWithDecider(newDecider func(balance.Settings, uint64) exchange.Balancer, getenv func(string) string, stderr io.Writer) int {
 	return processEnv{getenv: getenv, stdout: io.Discard, stderr: stderr, newDecider: newDecider}.run()
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -59,7 +59,7 @@
 	loadConfig func() (*Config, error) // reads the configuration file again
 	logLevel   *slog.LevelVar          // level of the logger, changed by a reload
 
-	newDecider func(balance.Settings, uint64) exchange.Balancer // nil: the default decider
+	newDecider func(balance.Settings, uint64) exchange.Balancer // nil: the default balancer
 	sharedDir  string                                           // directory shared by successive processes of one router; empty: none
 }
 
--- a/internal/facts/codec.go
+++ b/internal/facts/codec.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A message is one datagram of at most MaxDatagramBytes: a magic byte, a version, a message type and the body. Messages of another version are
-// ignored; their facts arrive through a peer that speaks this version, or not at all. A truncated message is rejected as a whole.
+// A message is one datagram of at most MaxDatagramBytes: a magic byte, a version, a message type and the body. Messages of another version
+// are ignored; their facts arrive through a peer that speaks this version, or not at all. A truncated message is rejected as a whole.
 
 // MaxDatagramBytes is the maximum length of a datagram in bytes.
 const MaxDatagramBytes = 256
--- a/internal/facts/gossip.go
+++ b/internal/facts/gossip.go
@@ -11,14 +11,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TickInterval is the interval between calls of a Gossiper's Tick. CatchUpInterval is the interval until the router is synced, since clients
-// wait for that.
+// TickInterval is the interval between calls of a Gossiper's Tick. CatchUpInterval is the interval until the router is synced, since
+// clients wait for that.
 const (
 	TickInterval    = 200 * time.Millisecond
 	CatchUpInterval = 50 * time.Millisecond
 )
 
-// Limits on what a router sends. With nothing new it sends one digest of 72 bytes a period, however many routers and facts there are.
+// Limits on what a router sends. With nothing new it sends one digest of 72 bytes per tick, however many routers and facts there are.
 const (
 	catchUpDigests        = 4  // digests per tick after news has arrived, when the router may lack more facts
 	maxNewsPerTick        = 4  // datagrams with news per tick
@@ -127,7 +127,7 @@
 	return to
 }
 
-// Tick starts a new period and returns its datagrams: news, and digests to random peers. The caller calls it again after NextTick.
+// Tick starts the next interval and returns its datagrams: news, and digests to random peers. The caller calls it again after NextTick.
 func (s *Gossiper) Tick(now time.Duration) (out []Message) {
 	if s.repliesSent = 0; s.routerCount < 2 {
 		return nil
--- a/internal/kit/ledger/ledger.go
+++ b/internal/kit/ledger/ledger.go
@@ -112,7 +112,7 @@
 	node   string
 }
 
-// Counts are plain totals.
+// Counts are the totals of a run.
 type Counts struct {
 	Tries, Lost, WrongBodies, DoubleEffects, DrainBreaches, ColdFalls, HeldBack, UnknownSends, DatabaseFalls int
 	Sends, Rejected, SiteCrossings, Connections                                                              int
