--- a/internal/daemon/shared.go
+++ b/internal/daemon/shared.go
@@ -46,8 +46,7 @@
 		return
 	}
 	r.facts = shared.New(shared.Options{Routers: len(c.Peers), Number: c.Settings.MyNumber, Life: facts.Incarnation(rand.Uint32()),
-		Forget: sharedConfig.ForgetAfter(),
-		Tell:   r.peers.SendMessage, Counts: r.counts})
+		Forget: sharedConfig.ForgetAfter(), Tell: r.peers.SendMessage, Counts: r.counts})
 	r.caughtUp = make(chan struct{})
 	for _, s := range snapshots {
 		if err := r.facts.Load(s.text, s.age); err != nil {
