--- a/internal/daemon/stored.go
+++ b/internal/daemon/stored.go
@@ -51,7 +51,8 @@
 	}
 	loop.Maintenance, loop.Settings.PriorAnswerRate = restored.Maintenance, restored.Answered
 	r.log.Info("stored state taken up", "age", restored.Age.Round(time.Millisecond), "list", restored.ListRestored,
-		"servers", len(restored.Known.Endpoints), "servers_out", len(restored.Maintenance.Out), "answered", restored.Answered, "left", restored.Skipped)
+		"servers", len(restored.Known.Endpoints), "servers_out", len(restored.Maintenance.Out),
+		"answered", restored.Answered, "left", restored.Skipped)
 	return restored.Known
 }
 
