--- a/balance/balance.go
+++ b/balance/balance.go
@@ -209,7 +209,8 @@
 	b.attemptEnded(r, a, took, o)
 	b.recordResult(s, took, o.Result)
 	refused := o.Result == NoConnect && b.isolated() && !s.isOrigin // full connection table: no load, no work
-	if took < r.class.Target/2 && o.Result != Cancelled && o.Result != NeverSent && o.Result != Malformed && !refused {
+	if took < r.class.Target/2 && o.Result != Cancelled && o.Result != NeverSent &&
+		o.Result != Malformed && !refused {
 		b.adjustGate(s, o.Result == OK || o.Result == Miss)
 	}
 	switch o.Result {
@@ -318,8 +319,7 @@
 	b.table.setWeights(weights)
 }
 
-// keepSubscribed repeats failed and unanswered calls for the list, with backoff and jitter: without a
-// subscription this router counts as informed of drains that it never heard of.
+// keepSubscribed retries list calls with backoff and jitter: unsubscribed, it counts as told of all drains.
 func (b *Balancer) keepSubscribed(kind ListKind) {
 	b.callID++ // cancels the timers of earlier calls
 	call, wait := b.callID, time.Duration(0)
--- a/balance/health.go
+++ b/balance/health.go
@@ -10,7 +10,7 @@
 func (b *Balancer) recordResult(s *server, took time.Duration, result Result) {
 	switch result {
 	case OK, Miss:
-		if s.ejectedUntil != 0 && b.now.Sub(s.lastGood) > b.cfg.RampTime/8 { // it may have restarted unseen: half warm
+		if s.ejectedUntil != 0 && b.now.Sub(s.lastGood) > b.cfg.RampTime/8 { // may have restarted unseen: half warm
 			s.assumedStart, s.tokens, s.lastRefill = b.now.Add(-b.cfg.RampTime/2), 0, b.now
 		}
 		s.lastHeard, s.lastGood, s.ejectedUntil, s.failures, s.backoff, s.refusals = b.now, b.now, 0, 0, 0, 0
@@ -46,7 +46,7 @@
 		s.lastHeard = b.now
 	case Cancelled, NeverSent:
 		return
-	case Malformed, Reset, NoConnect: // no sign of load, and any server may have some: only several in a row count
+	case Malformed, Reset, NoConnect: // no sign of load, and any server has a few: only several in a row count
 		if result == NoConnect && b.isolated() { // its connection table may be full while it serves others
 			s.refusals = min(s.refusals+1, 4)
 			s.avoidUntil = b.now.Add(2 * b.target << s.refusals)
