--- a/balance/api.go
+++ b/balance/api.go
@@ -44,10 +44,10 @@
 // Class is a kind of request and its service objectives.
 type Class struct {
 	Name         string
-	Target       time.Duration // latency target: an answer within it has the full worth
+	Target       time.Duration // latency target: an answer within it has the full priority
 	Deadline     time.Duration // how long a client waits, over all its tries
 	Priority     float64       // relative value of an answer
-	LateShare    float64       // share of Worth that an answer after Aim still has
+	LateShare    float64       // share of Priority that an answer after Target still has
 	Effect       Effect
 	Group        Group
 	RepeatWindow time.Duration // how long repeats are dropped, counted from the first attempt that may have run
@@ -67,7 +67,7 @@
 	Index             int  // index of this router among them, from 0
 	PeerMessages      bool // routers may send each other messages
 	Zone              string
-	OverSharePriority float64       // factor on the worth of requests over a tenant's share
+	OverSharePriority float64       // factor on the priority of requests over a tenant's share
 	CacheAside        bool          // cache-aside: caches answer a miss, and the router asks the origin itself
 	OriginKind        string        // Kind of the list entry that is the origin; empty if there is none
 	SubscribeToList   bool          // the list is only sent to subscribers
@@ -102,14 +102,15 @@
 // Tiers orders the sites in which a cache is selected for a request. It belongs to one Balancer, which is its only
 // caller; it does no I/O and has no clock of its own.
 type Tiers interface {
-	// SetUp reports the number of caches that are up in each zone.
+	// SetUp sets the number of caches that are up in each zone.
 	SetUp(now Time, up map[string]int)
 	// Order returns the tiers in which a cache is selected: a tier is used if those before it have no cache with capacity.
 	// The slice is valid until the next call.
 	Order(now Time, v RequestInfo) []Tier
-	// AttemptBegun and Ended report an attempt at a zone's cache; Begun returns whether the zone may have to fetch the key.
-	AttemptBegun(now Time, zone string, key uint64, read, guest bool) (news bool)
-	AttemptEnded(now Time, s AttemptResult)
+	// AttemptBegun and AttemptEnded report the start and the end of an attempt at a zone's cache. AttemptBegun returns
+	// whether the zone may have to fetch the key.
+	AttemptBegun(now Time, zone string, key uint64, read, guest bool) (mayFetch bool)
+	AttemptEnded(now Time, r AttemptResult)
 	// View returns the state of each site, in order, and how many fetches for other sites' keys may be in flight at once.
 	View() (sites []SiteView, fetches float64)
 }
@@ -147,7 +148,7 @@
 	Took     time.Duration
 	Connect  time.Duration // time to open its connection; 0 if not known or if one was open
 	Result   Result
-	MayFetch bool // as returned by Begun
+	MayFetch bool // as returned by AttemptBegun
 }
 
 // State is a server's state in the list.
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -84,7 +84,7 @@
 		return b.pickInZone(r, "")
 	}
 	limitShare := 1.0
-	for _, t := range b.tiers.Order(b.now, b.visit(r)) {
+	for _, t := range b.tiers.Order(b.now, b.requestInfo(r)) {
 		if s := b.pickInZone(r, t.Zone); s != nil && b.hasCapacity(r, s, t.LimitShare) {
 			r.limitShare = t.LimitShare
 			return s
@@ -126,7 +126,7 @@
 		s.Zone == ran.to.Zone && (group == GroupZone || group == GroupCell && s.Cell == ran.to.Cell))
 }
 
-// mayRepeat tells whether r may be sent again: if it may have run, only when safe or keyed within Memory.
+// mayRepeat tells whether r may be sent again: if it may have run, only if safe, or keyed in RepeatWindow.
 func (b *Balancer) mayRepeat(r *request) bool {
 	ran, left := r.firstRan(), b.cfg.MaxAttempts <= 0 || len(r.attempts) < b.cfg.MaxAttempts
 	return left && b.now < r.Due && (ran == nil || r.class.Effect == Safe ||
@@ -171,7 +171,7 @@
 	b.after(max(r.class.Target/2, 6*b.latency-s.backoff), func() { b.checkAttempt(r, n) })
 }
 
-// checkAttempt acts on a slow attempt: it sends a second copy where that is allowed, and otherwise cancels it
+// checkAttempt acts on a slow attempt: it sends a second one where that is allowed, and otherwise cancels it
 // if its server is silent or no work takes that long. Other slow work would be no faster elsewhere.
 func (b *Balancer) checkAttempt(r *request, n int) {
 	a := &r.attempts[n]
@@ -319,7 +319,7 @@
 	b.table.setWeights(weights)
 }
 
-// keepSubscribed retries list calls with backoff and jitter: unsubscribed, it counts as told of all drains.
+// keepSubscribed retries list calls with backoff and jitter: a router that missed a drain counts as informed.
 func (b *Balancer) keepSubscribed(kind ListKind) {
 	b.callID++ // cancels the timers of earlier calls
 	call, wait := b.callID, time.Duration(0)
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// Where no second copy is allowed, an attempt at a silent server is cancelled and made elsewhere. One at a server
+// Where no second attempt is allowed beside it, an attempt at a silent server is cancelled and made elsewhere. One at a server
 // that answers others is left alone, since slow work is no faster elsewhere.
 func TestStuckAttemptIsRetriedElsewhere(t *testing.T) {
 	for _, silent := range []bool{true, false} {
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// Class.Memory counts from the first attempt that may have run, not from one that proved to have had no effect.
-func TestMemoryCountsFromTheFirstThatMayHaveRun(t *testing.T) {
+// Class.RepeatWindow counts from the first attempt that may have run, not from one that proved to have had no effect.
+func TestRepeatWindowStartsAtFirstThatMayHaveRun(t *testing.T) {
 	g := newHarness(t, testSettings())
 	g.caches(4)
 	g.request("r", "add")
@@ -247,7 +247,7 @@
 	}
 }
 
-// With AskForList a failed or unanswered call for the list is repeated; an answered one is not.
+// With SubscribeToList a failed or unanswered call for the list is repeated; an answered one is not.
 func TestSubscriptionIsKeptAlive(t *testing.T) {
 	set := testSettings()
 	set.SubscribeToList, set.SubscribeTimeout = true, 10*time.Second
--- a/balance/state.go
+++ b/balance/state.go
@@ -20,7 +20,7 @@
 	servers               map[ServerID]*server
 	cachesByHash          map[uint32]*server // the caches by server.hash
 	caches                []*server          // that are up, sorted by id
-	origin                *server            // the origin in aside mode, if listed
+	origin                *server            // the origin for writes and cache-aside reads, if listed
 	requests              map[RequestID]*request
 	fetches               map[uint64]*request // by key: the read whose fetch from the origin is in flight
 	timers                map[int64]func()
@@ -45,7 +45,7 @@
 	meanPriority          float64 // smoothed priority of requests
 	removedClasses        []Class // removed by the last change of settings; requests that name one may still arrive
 	failedCalls           int     // consecutive failed calls for the list
-	givenUp               [whyCount]int
+	givenUp               [giveUpReasonCount]int
 	callID                int   // number of the last list event or failed call; timers of earlier ones do nothing
 	tiers                 Tiers // nil if requests are not confined to sites
 }
@@ -262,8 +262,8 @@
 	b.emit(SetTimer{After: max(d, 0), Token: b.lastToken})
 }
 
-// visit describes a request to the tiers.
-func (b *Balancer) visit(r *request) RequestInfo {
+// requestInfo returns the description of a request for the tiers.
+func (b *Balancer) requestInfo(r *request) RequestInfo {
 	return RequestInfo{Key: r.hash, Read: r.HasKey && !r.Write, Safe: r.class.Effect == Safe,
 		RelativePriority: r.priority / max(b.meanPriority, 1e-9), Retry: len(r.attempts) > 0}
 }
@@ -290,7 +290,8 @@
 	if o.Result == NoConnect && b.isolated() { // a full connection table does not mean that the site is gone
 		o.Result = NeverSent
 	}
-	b.tiers.AttemptEnded(b.now, AttemptResult{Zone: a.zone, Key: r.hash, Took: took, Connect: o.Connect, Result: o.Result, MayFetch: a.mayFetch})
+	b.tiers.AttemptEnded(b.now, AttemptResult{Zone: a.zone, Key: r.hash, Took: took, Connect: o.Connect, Result: o.Result,
+		MayFetch: a.mayFetch})
 }
 
 // release removes r from the state and returns the reads that wait for its fetch. After a successful fetch they may
--- a/balance/view.go
+++ b/balance/view.go
@@ -37,14 +37,15 @@
 const (
 	DeadlineNear     GiveUpReason = iota // its deadline is near or past
 	GateClosed                           // an admission gate rejected it
-	NoEligibleServer                     // no server is eligible: ejected, cold, tried already, not safe to repeat at (rule 2), or in a site without capacity
+	NoEligibleServer                     // each server is ejected, cold, tried, unsafe for a repeat (rule 2), or at a site without capacity
 	AtLimit                              // the selected server is at its limit
 	NoRetryAllowed                       // an attempt failed, and no further one was allowed
-	whyCount
+	giveUpReasonCount
 )
 
+// String returns the name of the reason in logs.
 func (w GiveUpReason) String() string {
-	return [whyCount]string{"no_time", "shut", "no_server", "crowded", "spent"}[w]
+	return [giveUpReasonCount]string{"no_time", "shut", "no_server", "crowded", "spent"}[w]
 }
 
 // Overall is the state of all caches together and the number of requests given up since the start.
@@ -56,10 +57,10 @@
 	Retries               float64       // further attempts that the retry budget allows
 	Ejected               int           // caches that are ejected or need a successful trial after it
 	Caches                int
-	GivenUp               [whyCount]int // indexed by Why
-	Sites                 []SiteView    // with tiers, in their order
-	AnswerRate            float64       // answers of caches per second and warm weight of 1
-	MaxFetches            float64       // with tiers: fetches that may be in flight at once for keys that a site may not hold
+	GivenUp               [giveUpReasonCount]int // indexed by GiveUpReason
+	Sites                 []SiteView             // with tiers, in their order
+	AnswerRate            float64                // answers of caches per second and warm weight of 1
+	MaxFetches            float64                // with tiers: fetches that may be in flight at once for keys that a site may not hold
 }
 
 // Overall returns the state of all caches together. It changes no decision.
--- a/internal/exchange/counters.go
+++ b/internal/exchange/counters.go
@@ -19,17 +19,17 @@
 	Dials, ServerConnections, IdleConnections                      atomic.Int64
 	ListAnswers, ListFailures                                      atomic.Int64
 	PeerMessagesSent, PeerMessagesReceived, PeerMessagesDropped    atomic.Int64
-	FactsHeld, FactsLearned, FactsInSync                           atomic.Int64 // state that routers share; FactsInStep is 1 when in sync, else 0
+	FactsHeld, FactsLearned, FactsInSync                           atomic.Int64 // state that routers share; FactsInSync is 1 or 0
 	FactDatagramsSent, FactDatagramsReceived, FactDatagramsDropped atomic.Int64 // datagrams
 	Panics                                                         atomic.Int64
 	Lag                                                            atomic.Int64 // nanoseconds; recent maximum lag of the event loop
 	InFlightMismatches                                             atomic.Int64 // mismatches of attempts in flight, balancer against loop
 	MaxLag                                                         atomic.Int64 // nanoseconds; maximum lag since the start
-	RecoveryPhase                                                  atomic.Int64 // recovery after a start: 0 no server list, 1 serving, 2 full service
+	RecoveryPhase                                                  atomic.Int64 // after a start: 0 no server list, 1 serving, 2 full service
 	TimeToFullService                                              atomic.Int64 // nanoseconds from the start to full service; 0 until then
 }
 
-// resultNames holds the name of each balance.Result in metrics and logs.
+// resultNames holds the name of each balance.Result in metrics and logs; some differ from the names of the constants.
 var resultNames = [balance.Malformed + 1]string{"unknown", "ok", "errored", "full", "timed_out", "no_connect", "reset",
 	"cancelled", "moot", "miss", "spoilt"}
 
@@ -65,11 +65,14 @@
 		{"connections", []CounterValue{value("dialled", &c.Dials), value("open", &c.ServerConnections),
 			value("idle", &c.IdleConnections)}},
 		{"discovery", []CounterValue{value("answers", &c.ListAnswers), value("failures", &c.ListFailures)}},
-		{"peers", []CounterValue{value("told", &c.PeerMessagesSent), value("heard", &c.PeerMessagesReceived), value("dropped", &c.PeerMessagesDropped)}},
+		{"peers", []CounterValue{value("told", &c.PeerMessagesSent), value("heard", &c.PeerMessagesReceived),
+			value("dropped", &c.PeerMessagesDropped)}},
 		{"facts", []CounterValue{value("held", &c.FactsHeld), value("learned", &c.FactsLearned), value("in_step", &c.FactsInSync),
 			value("told", &c.FactDatagramsSent), value("heard", &c.FactDatagramsReceived), value("dropped", &c.FactDatagramsDropped)}},
-		{"loop", []CounterValue{value("panics", &c.Panics), value("astray", &c.InFlightMismatches), micros("lag_us", &c.Lag), micros("lag_most_us", &c.MaxLag)}},
-		{"recovery", []CounterValue{value("phase", &c.RecoveryPhase), {"full_after_ms", time.Duration(c.TimeToFullService.Load()).Milliseconds()}}},
+		{"loop", []CounterValue{value("panics", &c.Panics), value("astray", &c.InFlightMismatches),
+			micros("lag_us", &c.Lag), micros("lag_most_us", &c.MaxLag)}},
+		{"recovery", []CounterValue{value("phase", &c.RecoveryPhase),
+			{"full_after_ms", time.Duration(c.TimeToFullService.Load()).Milliseconds()}}},
 	}
 }
 
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -104,7 +104,7 @@
 	Server      balance.ServerID
 	Address     string
 	Context     context.Context
-	ConnectTime time.Duration // time spent opening a connection for it; set by the Sender before End
+	ConnectTime time.Duration // time spent opening a connection for it; set by the Sender before Finish
 
 	number         int
 	sent           time.Time
--- a/internal/exchange/loop.go
+++ b/internal/exchange/loop.go
@@ -12,10 +12,10 @@
 	"cedarmast/balance"
 )
 
-// Sender executes attempts. Send must not block; the Sender calls the attempt's End when the attempt has ended.
+// Sender executes attempts. Send must not block; the Sender calls the attempt's Finish when the attempt has ended.
 type Sender interface{ Send(a *Attempt) }
 
-// PeerSender sends messages to other routers, without a guarantee of delivery. Tell must not block.
+// PeerSender sends messages to other routers, without a guarantee of delivery. SendMessage must not block.
 type PeerSender interface {
 	SendMessage(to int, content []byte)
 }
@@ -297,7 +297,8 @@
 	l.Counters.Attempts.Add(1)
 	switch {
 	case x.answered || ctx.Err() != nil:
-		l.goroutines.Go(func() { a.Finish(AttemptResult{Result: balance.NeverSent}) }) // asynchronous: the queue may be full, and only the loop drains it
+		// Asynchronous: the queue may be full, and only the loop drains it.
+		l.goroutines.Go(func() { a.Finish(AttemptResult{Result: balance.NeverSent}) })
 	case a.Address == "":
 		err := fmt.Errorf("no address of server %s", server)
 		l.goroutines.Go(func() { a.Finish(AttemptResult{Result: balance.NoConnect, Err: err}) })
--- a/internal/exchange/loop_test.go
+++ b/internal/exchange/loop_test.go
@@ -19,13 +19,13 @@
 
 func (s manualSender) Send(a *Attempt) { s.attempts <- a }
 
-// recordingTeller is a Teller that records the receivers of its messages.
-type recordingTeller struct {
+// recordingPeerSender is a PeerSender that records the receivers of its messages.
+type recordingPeerSender struct {
 	mu        sync.Mutex
 	receivers []int
 }
 
-func (p *recordingTeller) SendMessage(to int, _ []byte) {
+func (p *recordingPeerSender) SendMessage(to int, _ []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.receivers = append(p.receivers, to)
@@ -46,7 +46,7 @@
 	l := NewLoop()
 	s := manualSender{make(chan *Attempt, 100)}
 	l.Clock, l.Counters, l.Log, l.Settings = NewClock(), &Counters{}, slog.New(slog.DiscardHandler), testSettings
-	l.Pool, l.Sender, l.PeerSender = NewPool(10, time.Second, l.Counters), s, &recordingTeller{}
+	l.Pool, l.Sender, l.PeerSender = NewPool(10, time.Second, l.Counters), s, &recordingPeerSender{}
 	if change != nil {
 		change(l)
 	}
@@ -255,7 +255,7 @@
 	return nil
 }
 
-func TestExpireFailsAllRequests(t *testing.T) {
+func TestFailAllFailsAllRequests(t *testing.T) {
 	l, attempts := startLoop(t, nil)
 	x := request("once", time.Second)
 	l.Submit(x)
@@ -424,7 +424,7 @@
 
 // Messages from other routers reach the balancer, and the balancer's own messages are sent.
 func TestMessagesBetweenRouters(t *testing.T) {
-	peers := &recordingTeller{}
+	peers := &recordingPeerSender{}
 	l, attempts := startLoop(t, func(l *Loop) {
 		l.Settings.Routers, l.Settings.PeerMessages = 8, true // with many routers, each sees only a small part of the load and tells the others
 		l.PeerSender = peers
--- a/internal/exchange/maintenance.go
+++ b/internal/exchange/maintenance.go
@@ -63,7 +63,8 @@
 	return l.runCommand(maintenanceCommand{server: server, out: out})
 }
 
-// MirrorMaintenance applies a maintenance command that the other process of a replacement received. Unlike Maintain it accepts unknown servers.
+// MirrorMaintenance applies a maintenance command that the other process of a replacement received. Unlike SetMaintenance it accepts
+// unknown servers.
 func (l *Loop) MirrorMaintenance(server balance.ServerID, out bool) error {
 	return l.runCommand(maintenanceCommand{server: server, out: out, fromPeerProcess: true})
 }
@@ -95,20 +96,20 @@
 	Age    time.Duration
 }
 
-// ApplyPeerMaintenance applies maintenance commands that other routers received, and returns once the balancer has applied them. A server that was put
-// back counts as started, with a cold cache, at the time of that command, even if this router never knew that it was out.
+// ApplyPeerMaintenance applies maintenance commands that other routers received, and returns once the balancer has applied them. A server
+// that was put back counts as started, with a cold cache, at the time of that command, even if this router never knew that it was out.
 func (l *Loop) ApplyPeerMaintenance(commands []PeerMaintenance) error {
 	done := make(chan error, 1)
-	return l.postAndWait(adoptCommands{commands, done}, done)
+	return l.postAndWait(peerCommands{commands, done}, done)
 }
 
-// adoptCommands is the event that applies maintenance commands of other routers.
-type adoptCommands struct {
+// peerCommands is the event that applies maintenance commands of other routers.
+type peerCommands struct {
 	commands []PeerMaintenance
 	done     chan<- error // buffered, capacity 1
 }
 
-func (e adoptCommands) apply(l *Loop) balance.Event {
+func (e peerCommands) apply(l *Loop) balance.Event {
 	var err error
 	changes := balance.List{Kind: balance.Partial, Version: l.version}
 	for _, c := range e.commands {
--- a/internal/exchange/maintenance_test.go
+++ b/internal/exchange/maintenance_test.go
@@ -10,7 +10,7 @@
 	"cedarmast/balance"
 )
 
-// listRecorder is a Decider that records the server entries that it receives.
+// listRecorder is a Balancer that records the server entries that it receives.
 type listRecorder struct {
 	list map[balance.ServerID]balance.Entry
 }
@@ -34,7 +34,7 @@
 func newManualLoop() (*Loop, *listRecorder) {
 	l := NewLoop()
 	l.Clock, l.Counters, l.Log, l.Settings = NewClock(), &Counters{}, slog.New(slog.DiscardHandler), testSettings
-	l.Pool, l.PeerSender = NewPool(10, time.Second, l.Counters), &recordingTeller{}
+	l.Pool, l.PeerSender = NewPool(10, time.Second, l.Counters), &recordingPeerSender{}
 	h := &listRecorder{map[balance.ServerID]balance.Entry{}}
 	l.balancer = h
 	return l, h
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -25,7 +25,7 @@
 
 // Pool keeps idle connections to servers and limits the number of open ones. The connection that was used last is reused first.
 type Pool struct {
-	MaxOpen     int           // maximum number of open connections, idle ones included
+	MaxOpen     int           // maximum number of open connections, including idle ones
 	IdleTimeout time.Duration // idle timeout, after which a connection is not reused
 	Counters    *Counters
 
@@ -146,8 +146,8 @@
 	p.lastResponse[server] = now
 }
 
-// CloseIfSilent closes a server's idle connections if it has sent no response since the given time, and reports whether that is so. The server
-// may have vanished, which open connections would hide and a new connection attempt reveals.
+// CloseIfSilent closes a server's idle connections if it has sent no response since the given time, and reports whether that is so. The
+// server may have vanished, which open connections would hide and a new connection attempt reveals.
 func (p *Pool) CloseIfSilent(server balance.ServerID, since time.Time) bool {
 	p.mu.Lock()
 	silent := p.lastResponse[server].Before(since)
--- a/internal/exchange/pool_test.go
+++ b/internal/exchange/pool_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestPoolSweepLeaveAndClose(t *testing.T) {
+func TestPoolCloseExpiredIdleAndAll(t *testing.T) {
 	counts := &Counters{}
 	p := NewPool(10, time.Second, counts)
 	a, b, c := openConn(t, p), openConn(t, p), openConn(t, p)
--- a/internal/exchange/turnover_test.go
+++ b/internal/exchange/turnover_test.go
@@ -36,7 +36,7 @@
 	l := NewLoop()
 	l.Clock, l.Counters, l.Log, l.Settings = NewClock(), &Counters{}, slog.New(slog.DiscardHandler), testSettings
 	l.Pool = NewPool(50, time.Minute, l.Counters)
-	l.Sender, l.PeerSender = instantSender{l.Pool}, &recordingTeller{}
+	l.Sender, l.PeerSender = instantSender{l.Pool}, &recordingPeerSender{}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
--- a/internal/sites/sites.go
+++ b/internal/sites/sites.go
@@ -15,7 +15,7 @@
 	"cedarmast/balance"
 )
 
-// Config configures the use of sites. The zero value is not usable; Fill sets defaults.
+// Config configures the use of sites. The zero value is not usable; WithDefaults sets defaults.
 type Config struct {
 	Prefer        []string      // sites by preference, the router's own first; empty: Home, then by connect time
 	Home          string        // the router's own site if Prefer is empty; if both are empty, the nearest site
@@ -29,14 +29,14 @@
 // Defaults for Config. Steps double, so that each step adds as many cold keys as all steps before it together.
 var (
 	defaultSteps       = []float64{1.0 / 16, 1.0 / 8, 1.0 / 4, 1.0 / 2}
-	defaultSpill       = 0.5
-	defaultHoldTargets = 4 // latency targets that a step is held: enough for a fetch and the answers that show its effect
+	defaultGuestShare  = 0.5
+	defaultStepTargets = 4 // StepDuration in latency targets: enough for a fetch and the answers that show its effect
 )
 
 // WithDefaults returns c with defaults for fields that are not set.
 func (c Config) WithDefaults() Config {
 	if c.GuestShare == 0 {
-		c.GuestShare = defaultSpill
+		c.GuestShare = defaultGuestShare
 	}
 	if len(c.Steps) == 0 {
 		c.Steps = defaultSteps
@@ -45,7 +45,7 @@
 		c.LatencyTarget = time.Second
 	}
 	if c.StepDuration == 0 {
-		c.StepDuration = time.Duration(defaultHoldTargets) * c.LatencyTarget
+		c.StepDuration = time.Duration(defaultStepTargets) * c.LatencyTarget
 	}
 	if !(c.RouterShare > 0) {
 		c.RouterShare = 1
@@ -153,7 +153,7 @@
 	knownKeys       [2]map[uint64]struct{}
 }
 
-// New returns the tiers of one router. The configuration must have passed Check.
+// New returns the tiers of one router. The configuration must have passed Validate.
 func New(c Config) *Tiers {
 	c = c.WithDefaults()
 	return &Tiers{config: c, sites: map[string]*site{},
@@ -296,7 +296,7 @@
 	return float64(uint16(v.Key)) < share*(1<<16)
 }
 
-// advanceStep moves a returning site to its next step after it has been healthy on the current one for the hold time.
+// advanceStep moves a returning site to its next step after it has been healthy on the current one for the step duration.
 func (t *Tiers) advanceStep(now balance.Time, s *site) {
 	if now.Sub(s.stateSince) < time.Duration(float64(t.config.StepDuration)*s.holdFactor) || s.failRate > healthyThreshold ||
 		s.lastAnswer < s.stateSince {
@@ -331,8 +331,8 @@
 	s.state, s.stateSince = to, now
 }
 
-// AttemptBegun counts an attempt and reports whether its site may have to fetch the key from the origin: the request is a guest or the
-// site is returning, and the site is not known to have answered for the key recently.
+// AttemptBegun counts an attempt that starts and reports whether its site may have to fetch the key from the origin: the request is a
+// guest or the site is returning, and the site is not known to have answered for the key recently.
 func (t *Tiers) AttemptBegun(now balance.Time, zone string, key uint64, read, guest bool) bool {
 	s := t.sites[zone]
 	if s == nil {
--- a/internal/sites/sites_test.go
+++ b/internal/sites/sites_test.go
@@ -49,9 +49,10 @@
 		for _, tier := range r.Order(r.now, v) {
 			if tier.LimitShare > 0 {
 				zone = tier.Zone
-				news := r.AttemptBegun(r.now, zone, v.Key, true, tier.LimitShare < 1)
+				mayFetch := r.AttemptBegun(r.now, zone, v.Key, true, tier.LimitShare < 1)
 				result, took := answer(zone)
-				r.AttemptEnded(r.now, balance.AttemptResult{Zone: zone, Key: v.Key, Took: took, Result: result, MayFetch: news, Connect: connectTimes[zone]})
+				r.AttemptEnded(r.now, balance.AttemptResult{Zone: zone, Key: v.Key, Took: took, Result: result, MayFetch: mayFetch,
+					Connect: connectTimes[zone]})
 				break
 			}
 		}
@@ -107,7 +108,7 @@
 }
 
 // A site that does not answer is lost within two latency targets, gets only single trials, and returns in steps that are each held for
-// the hold time.
+// StepDuration.
 func TestLostAndBack(t *testing.T) {
 	r := newTestTiers(t, Config{Home: "south"})
 	r.request(100, latencyTarget/50, healthyAnswer)
@@ -129,7 +130,7 @@
 			t.Fatal("the site did not become healthy again")
 		}
 	}
-	if took := r.now.Sub(begun); took < time.Duration(defaultHoldTargets*len(defaultSteps)-2)*latencyTarget {
+	if took := r.now.Sub(begun); took < time.Duration(defaultStepTargets*len(defaultSteps)-2)*latencyTarget {
 		t.Errorf("the site was healthy again after only %v", took)
 	}
 }
@@ -316,7 +317,8 @@
 	}
 	r.fetchesInFlight, r.fetchLimit = 0, 2
 	r.AttemptBegun(r.now, "north", 100, true, true)
-	high, owned := balance.RequestInfo{Key: 101, Read: true, RelativePriority: 1}, balance.RequestInfo{Key: 102, Read: true, RelativePriority: 0.1}
+	high, owned := balance.RequestInfo{Key: 101, Read: true, RelativePriority: 1},
+		balance.RequestInfo{Key: 102, Read: true, RelativePriority: 0.1}
 	if north := r.sites["north"]; !r.mayFetch(north, high) || r.mayFetch(north, owned) {
 		t.Error("a fetch of low priority is admitted, or one of high priority is not")
 	}
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -23,7 +23,7 @@
 	ClientDisconnected(x *exchange.Exchange)
 }
 
-// Frontend accepts and serves client connections. Use NewClients to create one.
+// Frontend accepts and serves client connections. Use NewFrontend to create one.
 type Frontend struct {
 	Handler    RequestHandler
 	Counters   *exchange.Counters
@@ -66,11 +66,11 @@
 	maxDrainBytes           = 64 << 20                // bytes
 	maxDrains               = 4                       // at a time; other connections linger for lingerTimeout
 	rejectRetryAfter        = 100 * time.Millisecond  // Retry-After at the connection limit or with the body budget exhausted
-	idleDivisor             = 3                       // idle connections may be this fraction of Most
-	rejectDivisor           = 8                       // connections over Most kept open to refuse their requests: this fraction of it
+	idleDivisor             = 3                       // idle connections may be this fraction of MaxConns
+	rejectDivisor           = 8                       // connections over MaxConns kept open to refuse their requests: this fraction of it
 )
 
-// NewFrontend returns a Clients that allows maxConns open connections. It does not report ready yet.
+// NewFrontend returns a Frontend that allows maxConns open connections. It does not report ready yet.
 func NewFrontend(handler RequestHandler, counts *exchange.Counters, log *slog.Logger, maxConns int) *Frontend {
 	return &Frontend{Handler: handler, Counters: counts, Log: log, MaxConns: maxConns, conns: map[*clientConn]struct{}{},
 		inFlightIDs: map[string]bool{}, drainSlots: make(chan struct{}, maxDrains), shutdown: make(chan struct{})}
--- a/internal/wire/client_test.go
+++ b/internal/wire/client_test.go
@@ -27,19 +27,19 @@
 func (discardConn) Write(p []byte) (int, error)     { return len(p), nil }
 func (discardConn) SetReadDeadline(time.Time) error { return nil }
 
-// fakeLoop is a Taker that passes submitted exchanges and disconnected clients to the test.
+// fakeLoop is a RequestHandler that passes submitted exchanges and disconnected clients to the test.
 type fakeLoop struct {
-	submitted, departed chan *exchange.Exchange
-	timeout             time.Duration
+	submitted, disconnected chan *exchange.Exchange
+	timeout                 time.Duration
 }
 
 func (t *fakeLoop) Submit(x *exchange.Exchange) {
 	x.Deadline = time.Now().Add(t.timeout)
 	t.submitted <- x
 }
-func (t *fakeLoop) ClientDisconnected(x *exchange.Exchange) { t.departed <- x }
+func (t *fakeLoop) ClientDisconnected(x *exchange.Exchange) { t.disconnected <- x }
 
-// testFrontend is a Clients that serves a local listener, with a fakeLoop behind it unless the test has its own Taker.
+// testFrontend is a Frontend that serves a local listener, with a fakeLoop behind it unless the test has its own RequestHandler.
 type testFrontend struct {
 	*Frontend
 	*fakeLoop
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop := &fakeLoop{submitted: make(chan *exchange.Exchange, 100), departed: make(chan *exchange.Exchange, 100), timeout: time.Second}
+	loop := &fakeLoop{submitted: make(chan *exchange.Exchange, 100), disconnected: make(chan *exchange.Exchange, 100), timeout: time.Second}
 	if handler == nil {
 		handler = loop
 	}
@@ -294,9 +294,9 @@
 	x := <-s.submitted
 	c.Close()
 	select {
-	case gone := <-s.departed:
+	case gone := <-s.disconnected:
 		if gone != x {
-			t.Error("another one departed")
+			t.Error("the disconnect of another client was reported")
 		}
 	case <-time.After(time.Second):
 		t.Fatal("the disconnect was not noticed")
@@ -315,8 +315,8 @@
 	if resp, _ := c.receive(t); resp.StatusCode != 400 || !resp.Close {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	if gone := <-s.departed; gone != x {
-		t.Error("another one departed")
+	if gone := <-s.disconnected; gone != x {
+		t.Error("the disconnect of another client was reported")
 	}
 }
 
@@ -329,7 +329,7 @@
 	if resp, _ := c.receive(t); resp.StatusCode != 504 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	<-s.departed
+	<-s.disconnected
 	if s.Counters.Overdue.Load() != 1 {
 		t.Error("not counted")
 	}
@@ -609,7 +609,7 @@
 	}
 }
 
-// cannedAnswers is a Taker that answers each request with the next of its answers.
+// cannedAnswers is a RequestHandler that answers each request with the next of its answers.
 type cannedAnswers struct{ answers []exchange.Answer }
 
 func (f *cannedAnswers) Submit(x *exchange.Exchange) {
@@ -630,7 +630,7 @@
 	s.StopKeepAlive()
 	active.send(t, newGetRequest())
 	if resp, body := active.receive(t); resp.StatusCode != 200 || body != "v" || !resp.Close {
-		t.Errorf("after Finish: %d %q, close %v", resp.StatusCode, body, resp.Close)
+		t.Errorf("after StopKeepAlive: %d %q, close %v", resp.StatusCode, body, resp.Close)
 	}
 	s.CloseIdle()
 	if _, err := idle.r.ReadByte(); !errors.Is(err, io.EOF) {
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -19,8 +19,8 @@
 // malformed, the known list stays in use and the call is retried with backoff.
 type Discovery struct {
 	Address     string
-	Index       int64                          // of the list that is known already; Unknown if there is none
-	OnDelivered func()                         // called after each list passed to Listed; may be nil
+	Index       int64                          // of the list that is known already; UnknownIndex if there is none
+	OnDelivered func()                         // called after each list passed to OnList; may be nil
 	OnList      func(list exchange.ServerList) // receives each list, and a list of kind Failed for each failed call
 	Clock       exchange.Clock
 	Counters    *exchange.Counters
@@ -59,7 +59,7 @@
 	}
 }
 
-// Run watches the list until the context ends. Listed and Told are not called after that.
+// Run watches the list until the context ends. OnList and OnDelivered are not called after that.
 func (d *Discovery) Run(ctx context.Context) {
 	defer d.closeConn()
 	wait, backoff, failing := firstWatchWait, minBackoff, false
@@ -101,7 +101,7 @@
 		select {
 		case <-time.After(pause):
 		case <-d.retryNow:
-			time.Sleep(minBackoff / 2) // repeated calls of Subscribe must not cause a busy loop
+			time.Sleep(minBackoff / 2) // repeated calls of RetryNow must not cause a busy loop
 		case <-ctx.Done():
 		}
 	}
@@ -115,7 +115,7 @@
 	}
 }
 
-// deliverList passes a list to Listed and records its index for the next call. It reports whether the list had changed.
+// deliverList passes a list to OnList and records its index for the next call. It reports whether the list had changed.
 func (d *Discovery) deliverList(list *Endpoints) bool {
 	kind := balance.Partial
 	if list.Snapshot {
--- a/internal/wire/discovery_test.go
+++ b/internal/wire/discovery_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// While discovery fails, each failure is reported to Listed and calls back off; afterwards the watch continues from its version.
+// While discovery fails, each failure is reported to OnList and calls back off; afterwards the watch continues from its version.
 func TestBrokenDiscovery(t *testing.T) {
 	d := standin.NewDiscovery(t, 7, serverA)
 	lists, first := startWatch(t, d.Address, 7)
@@ -232,7 +232,8 @@
 	}
 	defer stranger.Close()
 	stranger.Write([]byte("who?"))
-	standin.Eventually(t, "the datagram from an unknown address is dropped", func() bool { return all[1].Counters.PeerMessagesDropped.Load() == 1 })
+	standin.Eventually(t, "the datagram from an unknown address is dropped",
+		func() bool { return all[1].Counters.PeerMessagesDropped.Load() == 1 })
 	if len(heard) != 0 {
 		t.Error("a message from an unknown address was received")
 	}
--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -33,7 +33,7 @@
 // stateByStatus maps the status of an endpoint to the balancer's state.
 var stateByStatus = map[string]balance.State{"SERVING": balance.Up, "DRAINING": balance.Draining, "DELETED": balance.Gone}
 
-// ParseEndpoints decodes and checks a list. With an error from Check it returns the list too.
+// ParseEndpoints decodes and checks a list. With an error from Validate it returns the list too.
 func ParseEndpoints(text []byte) (*Endpoints, error) {
 	var e Endpoints
 	if err := json.Unmarshal(text, &e); err != nil {
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -147,7 +147,8 @@
 func FuzzAnswerHead(f *testing.F) {
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv", "HTTP/1.1 100 \r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nv\r\n0\r\n\r\n", "HTTP/1.1 503 x\r\n\r\n", "x\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", "HTTP/1.1 200 OK\r\nX-Backend-Load: \x01\r\nContent-Length: 1\r\n\r\nv"} {
+		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
+		"HTTP/1.1 200 OK\r\nX-Backend-Load: \x01\r\nContent-Length: 1\r\n\r\nv"} {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -59,11 +59,11 @@
 		a.Finish(exchange.AttemptResult{Result: result, Err: err})
 		return
 	}
-	a.Finish(replyFor(resp))
+	a.Finish(attemptResultFor(resp))
 }
 
-// replyFor returns the attempt result for a server's response. Only a response with status 200 is forwarded.
-func replyFor(resp response) exchange.AttemptResult {
+// attemptResultFor returns the attempt result for a server's response. Only a response with status 200 is forwarded.
+func attemptResultFor(resp response) exchange.AttemptResult {
 	switch {
 	case resp.status == http.StatusOK:
 		result := exchange.AttemptResult{Result: balance.OK, Header: resp.header, Body: resp.body,
