--- a/balance/api.go
+++ b/balance/api.go
@@ -44,10 +44,10 @@
 // Class is a kind of request and its service objectives.
 type Class struct {
 	Name         string
-	Target       time.Duration // latency target: an answer within it has the full priority
+	Target       time.Duration // latency target: an answer within it has its full value
 	Deadline     time.Duration // how long a client waits, over all its tries
 	Priority     float64       // relative value of an answer
-	LateShare    float64       // share of Priority that an answer after Target still has
+	LateShare    float64       // share of its value that an answer after Target still has
 	Effect       Effect
 	Group        Group
 	RepeatWindow time.Duration // how long repeats are dropped, counted from the first attempt that may have run
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -319,7 +319,7 @@
 	b.table.setWeights(weights)
 }
 
-// keepSubscribed retries list calls with backoff and jitter: a router that missed a drain counts as informed.
+// keepSubscribed repeats failed and unanswered calls for the list, with backoff and jitter.
 func (b *Balancer) keepSubscribed(kind ListKind) {
 	b.callID++ // cancels the timers of earlier calls
 	call, wait := b.callID, time.Duration(0)
@@ -334,7 +334,7 @@
 	}
 	b.after(wait, func() {
 		if b.callID == call {
-			b.emit(Subscribe{})
+			b.emit(Subscribe{}) // without it this router counts as informed of drains that it never heard of
 			b.after(b.cfg.SubscribeTimeout/2, func() {
 				if b.callID == call {
 					b.keepSubscribed(Failed)
