--- a/balance/balance.go
+++ b/balance/balance.go
@@ -84,7 +84,7 @@
 		return b.pickInZone(r, "")
 	}
 	limitShare := 1.0
-	for _, t := range b.tiers.Order(b.now, b.visit(r)) {
+	for _, t := range b.tiers.Order(b.now, b.requestInfo(r)) {
 		if s := b.pickInZone(r, t.Zone); s != nil && b.hasCapacity(r, s, t.LimitShare) {
 			r.limitShare = t.LimitShare
 			return s
@@ -126,7 +126,7 @@
 		s.Zone == ran.to.Zone && (group == GroupZone || group == GroupCell && s.Cell == ran.to.Cell))
 }
 
-// mayRepeat tells whether r may be sent again: if it may have run, only when safe or keyed within Memory.
+// mayRepeat tells whether r may be sent again: if it may have run, only if safe, or keyed in RepeatWindow.
 func (b *Balancer) mayRepeat(r *request) bool {
 	ran, left := r.firstRan(), b.cfg.MaxAttempts <= 0 || len(r.attempts) < b.cfg.MaxAttempts
 	return left && b.now < r.Due && (ran == nil || r.class.Effect == Safe ||
@@ -171,7 +171,7 @@
 	b.after(max(r.class.Target/2, 6*b.latency-s.backoff), func() { b.checkAttempt(r, n) })
 }
 
-// checkAttempt acts on a slow attempt: it sends a second copy where that is allowed, and otherwise cancels it
+// checkAttempt acts on a slow attempt: it sends a second one where that is allowed, and otherwise cancels it
 // if its server is silent or no work takes that long. Other slow work would be no faster elsewhere.
 func (b *Balancer) checkAttempt(r *request, n int) {
 	a := &r.attempts[n]
@@ -209,7 +209,8 @@
 	b.attemptEnded(r, a, took, o)
 	b.recordResult(s, took, o.Result)
 	refused := o.Result == NoConnect && b.isolated() && !s.isOrigin // full connection table: no load, no work
-	if took < r.class.Target/2 && o.Result != Cancelled && o.Result != NeverSent && o.Result != Malformed && !refused {
+	if took < r.class.Target/2 && o.Result != Cancelled && o.Result != NeverSent &&
+		o.Result != Malformed && !refused {
 		b.adjustGate(s, o.Result == OK || o.Result == Miss)
 	}
 	switch o.Result {
@@ -318,8 +319,7 @@
 	b.table.setWeights(weights)
 }
 
-// keepSubscribed repeats failed and unanswered calls for the list, with backoff and jitter: without a
-// subscription this router counts as informed of drains that it never heard of.
+// keepSubscribed repeats failed and unanswered calls for the list, with backoff and jitter.
 func (b *Balancer) keepSubscribed(kind ListKind) {
 	b.callID++ // cancels the timers of earlier calls
 	call, wait := b.callID, time.Duration(0)
@@ -334,7 +334,7 @@
 	}
 	b.after(wait, func() {
 		if b.callID == call {
-			b.emit(Subscribe{})
+			b.emit(Subscribe{}) // without it this router counts as informed of drains that it never heard of
 			b.after(b.cfg.SubscribeTimeout/2, func() {
 				if b.callID == call {
 					b.keepSubscribed(Failed)
