--- a/internal/cdn/clusterstate/clusterstate.go
+++ b/internal/cdn/clusterstate/clusterstate.go
@@ -201,7 +201,7 @@
 	Text   string // the reason, if the command was refused
 
 	installed   *Manifest // the configuration that came into force, if one did
-	deltaFailed bool      // the delta does not apply to this copy, which therefore differs from the others
+	deltaFailed bool      // the delta does not apply to this replica, which therefore differs from the others
 }
 
 // Apply applies the command at an index of the log. It is deterministic: the same commands give the same state and outcomes everywhere.
@@ -221,7 +221,7 @@
 	case c.Epoch < s.Duty.Epoch && c.requiresDuty():
 		return Outcome{Status: StatusStale, Text: "the duty has gone to another machine"}
 	case c.Cut != nil:
-		return s.applyCut(c.Cut)
+		return s.applyRateDivision(c.Cut)
 	case c.FixUsage != nil:
 		return s.fixUsage(*c.FixUsage)
 	case c.UsageTaken > 0:
@@ -297,9 +297,9 @@
 }
 
 const (
-	minShields        = 16   // of more candidates a quarter are shields, but at least this many
-	shieldWeightRatio = 0.5  // of the largest weight: a router with at least this much may be a shield
-	lenderWeightRatio = 0.25 // of the largest weight: a router with at least this much lends copies to others
+	minShields            = 16   // of more candidates a quarter are shields, but at least this many
+	shieldWeightRatio     = 0.5  // of the largest weight: a router with at least this much may be a shield
+	peerSourceWeightRatio = 0.25 // of the largest weight: a router with at least this much serves cached responses to others
 )
 
 // routersByWeight returns the routers that have at least the given fraction of the largest weight, in no particular order.
@@ -316,11 +316,11 @@
 	return nodes
 }
 
-// PeerSources returns the cache routers that serve cached copies to other routers. Routers whose links are much slower than others' are left
-// out, because what passes through them crosses such a link twice.
+// PeerSources returns the cache routers that serve cached responses to other routers. Routers whose links are much slower than others'
+// are left out, because what passes through them crosses such a link twice.
 func PeerSources(routers map[string]Router) map[string]bool {
 	chosen := map[string]bool{}
-	for _, n := range routersByWeight(routers, lenderWeightRatio) {
+	for _, n := range routersByWeight(routers, peerSourceWeightRatio) {
 		chosen[n] = true
 	}
 	return chosen
@@ -381,7 +381,7 @@
 }
 
 // putDelta applies a configuration that is given as its difference from the one before it. If the delta is based on this very version and
-// yet does not yield its configuration, this copy differs from the others.
+// yet does not yield its configuration, this replica differs from the others.
 func (s *State) putDelta(d *Delta, r *reader) Outcome {
 	if out := s.checkVersion(d.Version, d.Base, d.Sum); out != nil {
 		return *out
--- a/internal/cdn/clusterstate/clusterstate_test.go
+++ b/internal/cdn/clusterstate/clusterstate_test.go
@@ -48,24 +48,36 @@
 		{"truncated body", second[:len(second)-7], StatusInvalid, "not readable whole"},
 		{"trailing data", append(append([]byte{}, second...), '}'), StatusInvalid, "not readable whole"},
 		{"unknown service", manifest(`"r12"`, `"r9"`, routeParcel("a", routeFields)), StatusInvalid, `route a: carrier: unknown service "shop"`},
-		{"two routes of one prefix", manifest(`"r12"`, `"r9"`, routeParcel("a", routeFields), routeParcel("b", routeFields), serviceParcel), StatusInvalid, "path_prefix: same place as a"},
-		{"no weight", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"carrier":"shop"`, `"split_among":[{"carrier":"shop","share":0}]`, 1)), serviceParcel), StatusInvalid, "shares add up to 0"},
-		{"no service at all", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"carrier":"shop",`, "", 1)), serviceParcel), StatusInvalid, "shares add up to 0"},
-		{"no timeout", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "0s", 1)), serviceParcel), StatusInvalid, "timeout: 0"},
-		{"timeout left out", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"timeout":"1500ms",`, "", 1)), serviceParcel), StatusInvalid, "timeout: 0"},
-		{"long timeout", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "601s", 1)), serviceParcel), StatusInvalid, "over ten minutes"},
-		{"a timeout that is not a duration", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "soon", 1)), serviceParcel), StatusInvalid, "timeout"},
-		{"unknown kind", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "shelved", "parcel", 1)), serviceParcel), StatusInvalid, "mail_class"},
+		{"two routes of one prefix", manifest(`"r12"`, `"r9"`, routeParcel("a", routeFields), routeParcel("b", routeFields), serviceParcel),
+			StatusInvalid, "path_prefix: same place as a"},
+		{"no weight", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"carrier":"shop"`,
+			`"split_among":[{"carrier":"shop","share":0}]`, 1)), serviceParcel), StatusInvalid, "shares add up to 0"},
+		{"no service at all", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"carrier":"shop",`, "", 1)),
+			serviceParcel), StatusInvalid, "shares add up to 0"},
+		{"no timeout", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "0s", 1)), serviceParcel),
+			StatusInvalid, "timeout: 0"},
+		{"timeout left out", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, `"timeout":"1500ms",`, "", 1)),
+			serviceParcel), StatusInvalid, "timeout: 0"},
+		{"long timeout", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "601s", 1)), serviceParcel),
+			StatusInvalid, "over ten minutes"},
+		{"a timeout that is not a duration", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "1500ms", "soon", 1)),
+			serviceParcel), StatusInvalid, "timeout"},
+		{"unknown kind", manifest(`"r12"`, `"r9"`, routeParcel("a", strings.Replace(routeFields, "shelved", "parcel", 1)), serviceParcel),
+			StatusInvalid, "mail_class"},
 		{"an edition that is not above", manifest(`"r9"`, `"r9"`, serviceParcel), StatusInvalid, "not above r9"},
 		{"not a version", manifest(`"twelve"`, `"r9"`, serviceParcel), StatusInvalid, "no version"},
-		{"a key of two tenants", manifest(`"r12"`, `"r9"`, senderParcel("wax", "k-1", "k-2"), senderParcel("ink", "k-3", "k-1")), StatusInvalid, "sender ink: stamps: a key of wax"},
+		{"a key of two tenants", manifest(`"r12"`, `"r9"`, senderParcel("wax", "k-1", "k-2"), senderParcel("ink", "k-3", "k-1")), StatusInvalid,
+			"sender ink: stamps: a key of wax"},
 		{"an empty key", manifest(`"r12"`, `"r9"`, senderParcel("wax", "k-1", "")), StatusInvalid, "sender wax: stamps: an empty key"},
 		{"a tenant without a name", manifest(`"r12"`, `"r9"`, senderParcel("", "k-1")), StatusInvalid, "name"},
 		{"a tenant whose name contains a line break", manifest(`"r12"`, `"r9"`, senderParcel("wax\r\nx: y", "k-1")), StatusInvalid, "name"},
-		{"keys that are not a list", manifest(`"r12"`, `"r9"`, strings.Replace(senderParcel("wax", "k-1"), `["k-1"]`, `"k-1"`, 1)), StatusInvalid, "stamps"},
-		{"a key twice at one tenant", manifest(`"r11"`, `"r9"`, senderParcel("wax", "k-1", "k-1"), senderParcel("ink", "k-2"), senderParcel("new")), StatusOK, ""},
+		{"keys that are not a list", manifest(`"r12"`, `"r9"`, strings.Replace(senderParcel("wax", "k-1"), `["k-1"]`, `"k-1"`, 1)),
+			StatusInvalid, "stamps"},
+		{"a key twice at one tenant", manifest(`"r11"`, `"r9"`, senderParcel("wax", "k-1", "k-1"), senderParcel("ink", "k-2"),
+			senderParcel("new")), StatusOK, ""},
 		{"ten minutes are allowed, as are parcels of an unknown kind", manifest(`"r12"`, `"r11"`,
-			routeParcel("a", strings.Replace(routeFields, "1500ms", "600s", 1)), serviceParcel, `{"parcel_kind":"stamps","label":{},"manifest":{"x":1}}`), StatusOK, ""},
+			routeParcel("a", strings.Replace(routeFields, "1500ms", "600s", 1)), serviceParcel,
+			`{"parcel_kind":"stamps","label":{},"manifest":{"x":1}}`), StatusOK, ""},
 	}
 	s := New()
 	for i, c := range cases {
@@ -114,7 +126,7 @@
 	assert.Equal(t, len(s.Servers), 0)
 }
 
-// A copy that asks for changes from any index ends with the same state, by changes or by a copy of the whole. The roster stays bounded.
+// A replica that asks for changes from any index ends with the same state, by changes or by a copy of the whole. The roster stays bounded.
 func TestHistoryCatchUp(t *testing.T) {
 	h := NewHistory(New())
 	var copies []*History
@@ -145,7 +157,8 @@
 }
 
 func TestLongestPrefix(t *testing.T) {
-	table := NewRouteTable(&Manifest{Routes: []Route{{Name: "all", Host: "a", Prefix: "/"}, {Name: "x", Host: "a", Prefix: "/x/"}, {Name: "xy", Host: "a", Prefix: "/x/y/"},
+	table := NewRouteTable(&Manifest{Routes: []Route{{Name: "all", Host: "a", Prefix: "/"}, {Name: "x", Host: "a", Prefix: "/x/"},
+		{Name: "xy", Host: "a", Prefix: "/x/y/"},
 		{Name: "b", Host: "b", Prefix: "/x/"}}})
 	for at, want := range map[string]string{"a /x/y/z": "xy", "a /x/y": "x", "a /x/": "x", "a /xy": "all", "A /x/1": "x", "b /x/1": "b", "b /y": "", "c /": "", "a *": ""} {
 		host, path, _ := strings.Cut(at, " ")
--- a/internal/cdn/clusterstate/delta_test.go
+++ b/internal/cdn/clusterstate/delta_test.go
@@ -23,8 +23,8 @@
 	return manifest(edition, base, parcels...)
 }
 
-// The size of an update to a large configuration depends on what has changed, and a copy that applies it holds the same body. A delta that
-// does not fit a copy's body is refused and changes nothing.
+// The size of an update to a large configuration depends on what has changed, and a replica that applies it holds the same body. A delta
+// that does not fit a replica's body is refused and changes nothing.
 func TestDeltas(t *testing.T) {
 	core, edge := NewHistory(New()), NewHistory(New())
 	bodies := [][]byte{
--- a/internal/cdn/clusterstate/manifest.go
+++ b/internal/cdn/clusterstate/manifest.go
@@ -364,8 +364,8 @@
 	return nil
 }
 
-// PickService returns the service for a number from 0 to 1, drawn at random or from a hash: each service gets a part of the interval in proportion
-// to its share.
+// PickService returns the service for a number from 0 to 1, drawn at random or from a hash: each service gets a part of the interval in
+// proportion to its weight.
 func (r *Route) PickService(point float64) string {
 	total := 0.0
 	for _, s := range r.Split {
--- a/internal/cdn/clusterstate/news.go
+++ b/internal/cdn/clusterstate/news.go
@@ -39,8 +39,8 @@
 	WallMS int64  // the true time of the reply as the sender knows it, in milliseconds since the start of 1970; 0: unknown
 }
 
-// SetProof states that a process that holds Index holds all that had been acknowledged by provenAt, in the reply to a request that arrived at
-// the moment arrived. Both are readings of the sender's monotonic clock. Of two proofs the newer one is kept. The age is rounded up to
+// SetProof states that a process that holds Index holds all that had been acknowledged by provenAt, in the reply to a request that arrived
+// at the moment arrived. Both are readings of the sender's monotonic clock. Of two proofs the newer one is kept. The age is rounded up to
 // milliseconds.
 func (n *News) SetProof(provenAt, arrived time.Time) {
 	age := arrived.Sub(provenAt)
@@ -80,7 +80,7 @@
 func NewHistory(s *State) *History { return &History{State: s} }
 
 // Apply applies a change to the state and records it. A change that was applied before has no effect. It fails if the change can't be
-// decoded, or if it is a delta that does not apply to this copy; the state is then unchanged.
+// decoded, or if it is a delta that does not apply to this replica; the state is then unchanged.
 func (h *History) Apply(index uint64, data []byte) (Command, Outcome, error) {
 	if index <= h.State.Index {
 		return Command{}, Outcome{}, nil
@@ -114,8 +114,8 @@
 	return c, out, nil
 }
 
-// ConfigCommand returns the command that puts a configuration: a delta if it is based on the configuration in force and a delta is worth it,
-// else the whole body. An invalid configuration is an error.
+// ConfigCommand returns the command that puts a configuration: a delta if it is based on the configuration in force and a delta is worth
+// it, else the whole body. An invalid configuration is an error.
 func (h *History) ConfigCommand(body []byte) (Command, error) {
 	m, digest, err := h.reader.read(body)
 	if err != nil {
--- a/internal/cdn/clusterstate/share.go
+++ b/internal/cdn/clusterstate/share.go
@@ -2,22 +2,23 @@
 
 import "math"
 
-// RateDivision divides a service's rate among the cache routers by demand, apart from the fraction that all have without it. The holder of the duty
-// decides it from the routers' demand. It is in the log, so that in every version of the state the parts add up to at most the whole.
+// RateDivision divides a service's rate among the cache routers by demand, apart from the fraction that all have without it. The holder of
+// the duty decides it from the routers' demand. It is in the log, so that in every version of the state the parts add up to at most the
+// whole.
 type RateDivision struct {
 	Service string             `json:"service"`
 	Parts   map[string]float64 `json:"parts"` // by node; they add up to 1
 }
 
 const (
-	evenFraction      = 0.3  // fraction of a service's rate that is divided without regard to demand, for routers with demand not known yet
-	nonShieldFraction = 0.15 // fraction of that for routers that are not shields
-	recutThreshold    = 0.1  // of the whole; if every part would change by less, the division stays as it is
-	minTotalNeed      = 2.0  // requests per second of all routers together, below which the division stays as it is
+	evenFraction        = 0.3  // fraction of a service's rate that is divided without regard to demand, for routers with demand not known yet
+	nonShieldFraction   = 0.15 // fraction of that for routers that are not shields
+	redivisionThreshold = 0.1  // of the whole; if every part would change by less, the division stays as it is
+	minTotalNeed        = 2.0  // requests per second of all routers together, below which the division stays as it is
 )
 
-// EvenShare returns the fraction of a service's rate that a router has while no demand is known. Shields have almost all of it. If not every
-// router is a shield, the others keep a little for when no shield answers them.
+// EvenShare returns the fraction of a service's rate that a router has while no demand is known. Shields have almost all of the rate. If
+// not every router is a shield, the others keep a little for when no shield answers them.
 func (s *State) EvenShare(node string) float64 {
 	isShield := Shields(s.Routers)
 	n, shields := float64(max(len(s.Routers), 1)), float64(max(len(isShield), 1))
@@ -71,13 +72,13 @@
 		if !ok && current == nil {
 			previous = s.EvenShare(node)
 		}
-		moved = moved || math.Abs(part-previous) >= recutThreshold
+		moved = moved || math.Abs(part-previous) >= redivisionThreshold
 	}
 	return c, moved
 }
 
-// applyCut puts a division of a service's rate into force if its parts are valid and don't exceed the whole.
-func (s *State) applyCut(c *RateDivision) Outcome {
+// applyRateDivision puts a division of a service's rate into force if its parts are valid and don't exceed the whole.
+func (s *State) applyRateDivision(c *RateDivision) Outcome {
 	total := 0.0
 	for _, part := range c.Parts {
 		if !(part >= 0 && part <= 1) {
--- a/internal/cdn/clusterstate/share_test.go
+++ b/internal/cdn/clusterstate/share_test.go
@@ -68,7 +68,8 @@
 		assert.Equal(t, s.Apply(99, Command{Cut: &RateDivision{"shop", bad}, Epoch: 7}).Status, StatusInvalid)
 	}
 	assert.DeepEqual(t, s.Parts, before)
-	assert.Equal(t, s.Apply(100, Command{Put: manifest(`"r1"`, `0`, `{"parcel_kind":"carriers","label":{"name":"other"},"manifest":{}}`)}).Status, StatusOK)
+	assert.Equal(t, s.Apply(100, Command{Put: manifest(`"r1"`, `0`,
+		`{"parcel_kind":"carriers","label":{"name":"other"},"manifest":{}}`)}).Status, StatusOK)
 	assert.Equal(t, len(s.Parts), 0) // the service was removed
 }
 
--- a/internal/cdn/clusterstate/text.go
+++ b/internal/cdn/clusterstate/text.go
@@ -10,8 +10,9 @@
 	"sync"
 )
 
-// CompressedText is a long text, usually a configuration, that is compressed with DEFLATE on the wire and on disk. Routes are very similar and
-// compress well; uncompressed, a thousand of them take seconds on a link of 12 Mbit/s that is full of responses to clients.
+// CompressedText is a long text, usually a configuration, that is compressed with DEFLATE on the wire and on disk; in memory it is plain.
+// Routes are very similar and compress well; uncompressed, a thousand of them take seconds on a link of 12 Mbit/s that is full of responses
+// to clients.
 type CompressedText []byte
 
 const (
@@ -42,7 +43,7 @@
 	return b.Bytes()
 }
 
-// decompress is the inverse of Text.compress. It refuses a text of more than maxTextBytes without holding all of it.
+// decompress is the inverse of CompressedText.compress. It refuses a text of more than maxTextBytes without holding all of it.
 func decompress(compressed []byte) (CompressedText, error) {
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxTextBytes+1))
 	if err != nil {
--- a/internal/cdn/clusterstate/usage_test.go
+++ b/internal/cdn/clusterstate/usage_test.go
@@ -13,8 +13,8 @@
 	return Command{Epoch: epoch, FixUsage: &UsageReport{Round: round, Counts: counts}}
 }
 
-// The counts of a window become final once, under the newest epoch of the duty, whoever holds it. A restored snapshot and a copy that
-// follows by changes agree.
+// The counts of a window become final once, under the newest epoch of the duty, whoever holds it. A restored snapshot and a replica
+// that follows by changes agree.
 func TestUsageIsFixedOnce(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -25,11 +25,13 @@
 	}{
 		{"a holder is appointed", Command{Appoint: "10.0.0.1"}, StatusOK, 0, nil},
 		{"the first window", fixUsageCommand(1, 70, map[string]int64{"a": 4}), StatusOK, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"the same window, another count", fixUsageCommand(1, 70, map[string]int64{"a": 5}), StatusOK, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"the same window, another count", fixUsageCommand(1, 70, map[string]int64{"a": 5}), StatusOK, 70,
+			[]UsageReport{{70, map[string]int64{"a": 4}}}},
 		{"another holder is appointed", Command{Appoint: "10.0.0.2"}, StatusOK, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
 		{"the old holder reports", fixUsageCommand(1, 71, nil), StatusStale, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
 		{"the old holder acknowledges", Command{Epoch: 1, UsageTaken: 70}, StatusStale, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
-		{"the new holder reports the old window again", fixUsageCommand(4, 70, map[string]int64{"a": 9}), StatusOK, 70, []UsageReport{{70, map[string]int64{"a": 4}}}},
+		{"the new holder reports the old window again", fixUsageCommand(4, 70, map[string]int64{"a": 9}), StatusOK, 70,
+			[]UsageReport{{70, map[string]int64{"a": 4}}}},
 		{"an empty window", fixUsageCommand(4, 71, map[string]int64{}), StatusOK, 71, []UsageReport{{70, map[string]int64{"a": 4}}, {71, nil}}},
 		{"an older window", fixUsageCommand(4, 69, nil), StatusStale, 71, []UsageReport{{70, map[string]int64{"a": 4}}, {71, nil}}},
 		{"taken", Command{Epoch: 4, UsageTaken: 70}, StatusOK, 71, []UsageReport{{71, nil}}},
--- a/internal/cdn/configstore/forwarding.go
+++ b/internal/cdn/configstore/forwarding.go
@@ -48,22 +48,22 @@
 	if !hasDeadline {
 		deadline = time.Now().Add(defaultLeaderTimeout)
 	}
-	question := NewLeaderRequest(forwarded, deadline)
+	request := NewLeaderRequest(forwarded, deadline)
 	for {
 		isLeader, address := s.waitForLeader(ctx)
-		move := question.OnLeader(time.Now(), isLeader, address)
-		switch move.Kind {
+		step := request.OnLeader(time.Now(), isLeader, address)
+		switch step.Kind {
 		case HandleLocally:
 			known := local()
-			move = question.OnReply(time.Now(), known)
+			step = request.OnReply(time.Now(), known)
 		case ForwardToLeader:
-			known := remote(s.peers.At(move.To))
-			move = question.OnReply(time.Now(), known)
+			known := remote(s.peers.At(step.To))
+			step = request.OnReply(time.Now(), known)
 		}
-		if !move.IsFinal() {
-			move = waitBefore(ctx, question, move)
+		if !step.IsFinal() {
+			step = waitBefore(ctx, request, step)
 		}
-		switch move.Kind {
+		switch step.Kind {
 		case EndAnswered:
 			return true, nil
 		case EndUnknown:
@@ -75,10 +75,10 @@
 }
 
 // waitBefore waits for the delay of the next step; it ends the request if the context is done first.
-func waitBefore(ctx context.Context, question *LeaderRequest, next Step) Step {
+func waitBefore(ctx context.Context, request *LeaderRequest, next Step) Step {
 	select {
 	case <-ctx.Done():
-		return question.Abandon()
+		return request.Abandon()
 	case <-time.After(next.After):
 		return next
 	}
--- a/internal/cdn/configstore/leader_request.go
+++ b/internal/cdn/configstore/leader_request.go
@@ -15,10 +15,10 @@
 	return &LeaderRequest{forwarded: forwarded, deadline: deadline}
 }
 
-// StepKind is a kind of Move.
+// StepKind is a kind of Step.
 type StepKind int
 
-// The kinds of moves. The last three end the request.
+// The kinds of steps. The last three end the request.
 const (
 	WaitForLeader   StepKind = iota // no leader is known on this machine
 	HandleLocally                   // this machine leads: handle the request
@@ -32,48 +32,48 @@
 // Step is the next step of a request.
 type Step struct {
 	Kind  StepKind
-	To    string        // the leader's address, for AskThere
-	After time.Duration // the delay before the next attempt, for AskAgain
+	To    string        // the leader's address, for ForwardToLeader
+	After time.Duration // the delay before the next attempt, for RetryLater
 }
 
 // IsFinal reports whether the request has ended.
-func (m Step) IsFinal() bool { return m.Kind >= EndAnswered }
+func (s Step) IsFinal() bool { return s.Kind >= EndAnswered }
 
 const leaderRetryInterval = 25 * time.Millisecond
 
 // OnLeader returns the next step, given the leader as known on this machine: this machine itself, the one at the address, or none if
 // the address is empty.
-func (q *LeaderRequest) OnLeader(now time.Time, isLeader bool, address string) Step {
+func (r *LeaderRequest) OnLeader(now time.Time, isLeader bool, address string) Step {
 	switch {
-	case !now.Before(q.deadline):
-		return q.Abandon()
+	case !now.Before(r.deadline):
+		return r.Abandon()
 	case isLeader:
-		q.sent = true
+		r.sent = true
 		return Step{Kind: HandleLocally}
 	case address == "":
 		return Step{Kind: WaitForLeader}
-	case q.forwarded: // the sender tries the next leader itself
-		return q.Abandon()
+	case r.forwarded: // the sender tries the next leader itself
+		return r.Abandon()
 	}
-	q.sent = true
+	r.sent = true
 	return Step{Kind: ForwardToLeader, To: address}
 }
 
 // OnReply returns the next step after an attempt; known says whether it had a known outcome. If not, it is retried
 // until the deadline, which is safe because commands are idempotent.
-func (q *LeaderRequest) OnReply(now time.Time, known bool) Step {
+func (r *LeaderRequest) OnReply(now time.Time, known bool) Step {
 	switch {
 	case known:
 		return Step{Kind: EndAnswered}
-	case q.forwarded, !now.Before(q.deadline):
-		return q.Abandon()
+	case r.forwarded, !now.Before(r.deadline):
+		return r.Abandon()
 	}
 	return Step{Kind: RetryLater, After: leaderRetryInterval}
 }
 
 // Abandon returns the final step of a request for which nobody waits any longer.
-func (q *LeaderRequest) Abandon() Step {
-	if q.sent {
+func (r *LeaderRequest) Abandon() Step {
+	if r.sent {
 		return Step{Kind: EndUnknown}
 	}
 	return Step{Kind: EndNotSent}
--- a/internal/cdn/configstore/leader_request_test.go
+++ b/internal/cdn/configstore/leader_request_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// The steps and the end of a request to the leader in all cases. It must end as answered only after a clear reply and as not begun
+// The steps and the end of a request to the leader in all cases. It must end as answered only after a clear reply and as not sent
 // only if it was never sent; a request that was forwarded must not be forwarded again.
 func TestQuestionSteps(t *testing.T) {
 	type step struct {
@@ -20,7 +20,8 @@
 		wantTo    string
 		wantAfter time.Duration
 	}
-	leads, elsewhere, nobody := step{here: true, want: HandleLocally}, step{at: "b", want: ForwardToLeader, wantTo: "b"}, step{want: WaitForLeader}
+	leads, elsewhere, nobody := step{here: true, want: HandleLocally}, step{at: "b", want: ForwardToLeader, wantTo: "b"},
+		step{want: WaitForLeader}
 	unclear := step{answer: true, want: RetryLater, wantAfter: leaderRetryInterval}
 	good := step{answer: true, clear: true, want: EndAnswered}
 	cases := []struct {
--- a/internal/cdn/configstore/machine.go
+++ b/internal/cdn/configstore/machine.go
@@ -28,8 +28,8 @@
 // ErrDiskUnavailable is returned if the disk rejects writes while a machine is opened. Opening it may succeed later.
 var ErrDiskUnavailable = errors.New("the disk rejects writes")
 
-// DisabledSafeguards disable single safeguards, in addition to those of package consensus. Tests use them to show that a safeguard
-// is needed and that the simulation detects its absence. Nothing else may set one; a test enforces this.
+// DisabledSafeguards disables single safeguards, in addition to those of package consensus. Tests use it to show that a safeguard
+// is needed and that the simulation detects its absence. Nothing else may set a field; a test enforces this.
 type DisabledSafeguards struct {
 	Consensus               consensus.DisabledSafeguards
 	KeepIdentity            bool // a machine that lost its disk votes under its old identity
@@ -143,8 +143,8 @@
 }
 
 // OpenMachine creates a machine from the journal on disk. An empty disk means a first start or the loss of the disk; in the
-// second case the machine counts as a new one. After an error that wraps ErrNotBegun the call may be repeated; other errors
-// are final.
+// second case the machine counts as a new one. After an error that wraps ErrDiskUnavailable the call may be repeated; other
+// errors are final.
 func OpenMachine(config MachineConfig, files raftlog.Directory, now time.Time) (*Machine, error) {
 	opened, held, corruptedFile, err := raftlog.Open(files)
 	if err != nil {
@@ -271,7 +271,7 @@
 // SetContacts replaces the addresses of other machines that may know a leader.
 func (m *Machine) SetContacts(addrs []string) { m.node.SetContacts(addrs) }
 
-// Leave makes the machine leave the membership, for good or for a while. The process may end once Left returns true.
+// Leave makes the machine leave the membership, for good or for a while. The process may end once LeaveDone returns true.
 func (m *Machine) Leave() {
 	m.node.Leave()
 }
--- a/internal/cdn/configstore/persistence.go
+++ b/internal/cdn/configstore/persistence.go
@@ -73,7 +73,7 @@
 	return results
 }
 
-// sendBeforeSave sends messages one turn before the state that they promise is saved. It implements the disabled safeguard
+// sendBeforeSave sends messages one call of Advance before the state that they promise is saved. It implements the disabled safeguard
 // SendBeforeSave, for tests only.
 func (m *Machine) sendBeforeSave() bool {
 	if len(m.unsaved.Messages) == 0 || !m.unsaved.MustSave() {
--- a/internal/cdn/configstore/service.go
+++ b/internal/cdn/configstore/service.go
@@ -48,10 +48,10 @@
 }
 
 // beginCall returns the context of a call, which ends after timeoutMS or when the caller cancels the call. Calls that can
-// be cancelled, i.e. those with a ticket, are accounted for under their name.
-func (s *service) beginCall(ticket peerrpc.CallID, name string, timeoutMS int64) (context.Context, func()) {
-	ctx, done := s.session.Begin(ticket, time.Duration(timeoutMS)*time.Millisecond)
-	if ticket == 0 {
+// be cancelled, i.e. those with a call ID, are tracked under their name.
+func (s *service) beginCall(callID peerrpc.CallID, name string, timeoutMS int64) (context.Context, func()) {
+	ctx, done := s.session.Begin(callID, time.Duration(timeoutMS)*time.Millisecond)
+	if callID == 0 {
 		return ctx, done
 	}
 	caller := s.callers.Open(ctx, cancellation.Peer, name)
--- a/internal/cdn/configstore/store.go
+++ b/internal/cdn/configstore/store.go
@@ -143,8 +143,9 @@
 // machineConfig returns the configuration of the machine according to the settings.
 func (s *Store) machineConfig(wrap func(Journal) Journal) MachineConfig {
 	config := MachineConfig{IP: s.settings.IP, Address: s.settings.InternalAddress(s.settings.IP, bootconfig.ConfigStorePort),
-		FirstStart: s.settings.FirstStart, Contacts: s.seedAddresses(), Tolerate: s.settings.Limits.TolerateFailures, Timing: consensus.DefaultTiming,
-		Seed: randomSeed(), Log: s.log, Send: s.send, Identity: randomIdentity, Clock: time.Now, Wrap: wrap}
+		FirstStart: s.settings.FirstStart, Contacts: s.seedAddresses(), Tolerate: s.settings.Limits.TolerateFailures,
+		Timing: consensus.DefaultTiming,
+		Seed:   randomSeed(), Log: s.log, Send: s.send, Identity: randomIdentity, Clock: time.Now, Wrap: wrap}
 	if s.settings.Platform.ReportsUsage() {
 		config.DutyLease = s.settings.Platform.DutyLease
 	}
@@ -217,7 +218,7 @@
 	}
 }
 
-// drainRequests handles the requests that are already queued, so that one turn of the machine serves many of them.
+// drainRequests handles the requests that are already queued, so that one call of Machine.Advance serves many of them.
 func (s *Store) drainRequests() {
 	for range maxRequestsPerTurn {
 		select {
--- a/internal/cdn/configstore/view.go
+++ b/internal/cdn/configstore/view.go
@@ -177,7 +177,7 @@
 	return v.history.State.Duty
 }
 
-// Read calls read with the state while holding the mutex.
+// Read calls read with the cluster state while holding the mutex. read must not keep the state.
 func (v *View) Read(read func(*clusterstate.State)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/cdn/consensus/election.go
+++ b/internal/cdn/consensus/election.go
@@ -117,7 +117,7 @@
 }
 
 // TransferLeadership asks the live voter with the longest log to start an election at once, since this leader is about to step down. It
-// does nothing if that voter lacks committed entries.
+// does nothing if there is no such voter or if that voter lacks committed entries.
 func (n *Node) TransferLeadership() {
 	var best *progress
 	for _, id := range sortedIDs(n.peers) {
@@ -131,7 +131,7 @@
 	}
 }
 
-// StepDown makes a leader that can't work, for example because its disk fails, step down. It hands leadership over and starts no
+// StepDown makes a leader that can't work, for example because its disk fails, step down. It transfers leadership and starts no
 // election of its own for four times the minimum election timeout.
 func (n *Node) StepDown() {
 	if n.role == Leader {
--- a/internal/cdn/consensus/membership.go
+++ b/internal/cdn/consensus/membership.go
@@ -213,8 +213,8 @@
 	n.replicate(p, true)
 }
 
-// Leave starts this node's departure: until it may stop, the node hands leadership over if it has it, and keeps asking the
-// leader to remove it.
+// Leave makes this node leave the membership: until it may stop, it transfers leadership if it is the leader, and keeps asking
+// the leader to remove it. LeaveDone reports the end.
 func (n *Node) Leave() {
 	n.leaving = true
 }
@@ -223,7 +223,7 @@
 // everything committed.
 func (n *Node) LeaveDone() bool { return n.leaveDone }
 
-// sendLeave repeats the Leave to the leader when it is due. If this node leads, it hands leadership over instead.
+// sendLeave repeats the Leave to the leader when it is due. If this node leads, it transfers leadership instead.
 func (n *Node) sendLeave() {
 	if !n.leaving || n.leaveDone || n.now.Before(n.nextLeaveAt) {
 		return
--- a/internal/cdn/consensus/replication.go
+++ b/internal/cdn/consensus/replication.go
@@ -99,7 +99,7 @@
 	n.send(p.Member, Message{Append: a})
 }
 
-// MarkSaved tells the node that everything in the Readys taken so far is on disk.
+// MarkSaved tells the node that everything in the Readys that TakeReady has returned so far is on disk.
 func (n *Node) MarkSaved() {
 	if n.firstUnsaved == 0 {
 		n.savedIndex = n.lastIndex()
--- a/internal/cdn/peerrpc/peerrpc.go
+++ b/internal/cdn/peerrpc/peerrpc.go
@@ -119,8 +119,8 @@
 		p.mu.Lock()
 		silent := p.lastReply.Before(started)
 		p.mu.Unlock()
-		if options.ticket != 0 {
-			go conn.cancelCall(options.ticket) // in a goroutine: a connection whose writes block must not hold up the caller
+		if options.id != 0 {
+			go conn.cancelCall(options.id) // in a goroutine: a connection whose writes block must not hold up the caller
 		}
 		if silent && ctx.Err() == context.DeadlineExceeded { // the path may be cut: the next call dials a new connection
 			p.drop(conn)
--- a/internal/cdn/peerrpc/session.go
+++ b/internal/cdn/peerrpc/session.go
@@ -10,8 +10,8 @@
 )
 
 // This file lets a caller cancel a call. net/rpc has no cancellation: without it the server would continue to work for
-// nobody. A call that may be cancelled carries a ticket; the server registers the call with its session, which cancels
-// the call's context when the caller cancels the ticket or the connection ends.
+// nobody. A call that may be cancelled carries a call ID; the server registers the call with its session, which cancels
+// the call's context when the caller cancels the call or the connection ends.
 
 // ErrCallerCancelled is the cancellation cause of a call whose caller no longer waits.
 var ErrCallerCancelled = errors.New("cancelled by the caller")
@@ -20,22 +20,22 @@
 // cancelled.
 type CallID uint64
 
-// lastTicket is the newest ticket of this process.
-var lastTicket atomic.Uint64
+// lastCallID is the newest call ID of this process.
+var lastCallID atomic.Uint64
 
-// NewCallID returns a ticket that this process has not used before.
-func NewCallID() CallID { return CallID(lastTicket.Add(1)) }
+// NewCallID returns a call ID that this process has not used before.
+func NewCallID() CallID { return CallID(lastCallID.Add(1)) }
 
 // Session is the server's side of a connection.
 type Session struct {
 	ctx   context.Context // cancelled when the connection ends
 	mu    sync.Mutex
 	calls map[CallID]context.CancelCauseFunc // calls in progress
-	// cancelledEarly holds tickets that were cancelled before their calls began: each call runs in its own goroutine, in no defined order.
+	// cancelledEarly holds the IDs of calls that were cancelled before they began: each call runs in its own goroutine, in no defined order.
 	cancelledEarly []CallID
 }
 
-// maxCancelledEarly bounds the tickets kept for calls that have yet to begin. Most of them belong to calls that have
+// maxCancelledEarly bounds the IDs kept of cancelled calls that have yet to begin. Most of them belong to calls that have
 // already ended.
 const maxCancelledEarly = 256
 
@@ -48,44 +48,44 @@
 
 // Begin returns the context of a call; done must be called when the call ends. A nil session is that of calls within
 // the process.
-func (s *Session) Begin(ticket CallID, timeout time.Duration) (ctx context.Context, done func()) {
+func (s *Session) Begin(id CallID, timeout time.Duration) (ctx context.Context, done func()) {
 	if s == nil {
 		return context.WithTimeout(context.Background(), timeout)
 	}
 	ctx, cancel := context.WithCancelCause(s.ctx)
 	ctx, cancelTimeout := context.WithTimeout(ctx, timeout)
-	if ticket == 0 {
+	if id == 0 {
 		return ctx, func() { cancelTimeout(); cancel(nil) }
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, cancelled := range s.cancelledEarly {
-		if cancelled == ticket {
+		if cancelled == id {
 			s.cancelledEarly = append(s.cancelledEarly[:i], s.cancelledEarly[i+1:]...)
 			cancel(ErrCallerCancelled)
 			return ctx, cancelTimeout
 		}
 	}
-	s.calls[ticket] = cancel
+	s.calls[id] = cancel
 	return ctx, func() {
 		s.mu.Lock()
-		delete(s.calls, ticket)
+		delete(s.calls, id)
 		s.mu.Unlock()
 		cancelTimeout()
 		cancel(nil)
 	}
 }
 
-// cancel cancels the context of a call, or remembers its ticket if the call has not begun.
-func (s *Session) cancel(ticket CallID) {
+// cancel cancels the context of a call, or remembers its ID if the call has not begun.
+func (s *Session) cancel(id CallID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if cancel := s.calls[ticket]; cancel != nil {
-		delete(s.calls, ticket)
+	if cancel := s.calls[id]; cancel != nil {
+		delete(s.calls, id)
 		cancel(ErrCallerCancelled)
 		return
 	}
-	if s.cancelledEarly = append(s.cancelledEarly, ticket); len(s.cancelledEarly) > maxCancelledEarly {
+	if s.cancelledEarly = append(s.cancelledEarly, id); len(s.cancelledEarly) > maxCancelledEarly {
 		s.cancelledEarly = s.cancelledEarly[1:]
 	}
 }
@@ -97,8 +97,8 @@
 func (peerService) Word(_ *bool, ok *bool) error { *ok = true; return nil }
 
 // GiveUp cancels a call whose caller no longer waits for it.
-func (c peerService) GiveUp(ticket *CallID, ok *bool) error {
-	c.session.cancel(*ticket)
+func (c peerService) GiveUp(id *CallID, ok *bool) error {
+	c.session.cancel(*id)
 	*ok = true
 	return nil
 }
@@ -109,25 +109,25 @@
 )
 
 // cancelCall tells the peer that a call is cancelled. It does not wait for the reply.
-func (c *peerConn) cancelCall(ticket CallID) {
+func (c *peerConn) cancelCall(id CallID) {
 	ok := new(bool)
-	c.client.Go(cancelMethod, &ticket, ok, make(chan *rpc.Call, 1))
+	c.client.Go(cancelMethod, &id, ok, make(chan *rpc.Call, 1))
 }
 
-// CallWatched is Call for calls that may take long. It fails with ErrGone soon after the peer stops responding. When
-// ctx ends, even by its deadline, the peer is told to cancel the call with this ticket: the peer measures the call's
+// CallWatched is Call for calls that may take long. It fails with ErrPeerGone soon after the peer stops responding. When
+// ctx ends, even by its deadline, the peer is told to cancel the call with this ID: the peer measures the call's
 // time from its arrival, which may have been late.
-func CallWatched[A, R any](ctx context.Context, p *Peer, method string, args *A, ticket CallID) (R, error) {
-	return call[A, R](ctx, p, method, args, callOptions{watched: true, ticket: ticket})
+func CallWatched[A, R any](ctx context.Context, p *Peer, method string, args *A, id CallID) (R, error) {
+	return call[A, R](ctx, p, method, args, callOptions{watched: true, id: id})
 }
 
 // CallCancellable is Call, but tells the peer to cancel the call when ctx ends.
-func CallCancellable[A, R any](ctx context.Context, p *Peer, method string, args *A, ticket CallID) (R, error) {
-	return call[A, R](ctx, p, method, args, callOptions{ticket: ticket})
+func CallCancellable[A, R any](ctx context.Context, p *Peer, method string, args *A, id CallID) (R, error) {
+	return call[A, R](ctx, p, method, args, callOptions{id: id})
 }
 
 // callOptions are the options of a call.
 type callOptions struct {
 	watched bool   // fail soon after the peer stops responding
-	ticket  CallID // cancelled when the context ends; 0: none
+	id      CallID // cancelled when the context ends; 0: none
 }
--- a/internal/cdn/peerrpc/session_test.go
+++ b/internal/cdn/peerrpc/session_test.go
@@ -36,10 +36,10 @@
 	go Serve(l, "Worker", func(s *Session) any { return &blockingWorker{s, started, ended} })
 	p := NewPeer(l.Addr().String())
 	work := func(ctx context.Context) CallID {
-		ticket := NewCallID()
-		go CallWatched[CallID, bool](ctx, p, "Worker.Work", &ticket, ticket)
-		assert.Equal(t, <-started, ticket)
-		return ticket
+		id := NewCallID()
+		go CallWatched[CallID, bool](ctx, p, "Worker.Work", &id, id)
+		assert.Equal(t, <-started, id)
+		return id
 	}
 	firstCtx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -67,8 +67,8 @@
 	p := NewPeer(l.Addr().String())
 	short, stop := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer stop()
-	ticket := NewCallID()
-	go CallWatched[CallID, bool](short, p, "Worker.Work", &ticket, ticket)
+	id := NewCallID()
+	go CallWatched[CallID, bool](short, p, "Worker.Work", &id, id)
 	<-started
 	_, err = Call[bool, bool](t.Context(), p, pingMethod, new(bool)) // so that the connection does not count as cut
 	assert.NilError(t, err)
@@ -82,12 +82,12 @@
 	assert.Assert(t, p.conn == conn, "on the same connection")
 }
 
-// A call that is cancelled before it begins must not start to work. Tickets of calls that have ended must be dropped
+// A call that is cancelled before it begins must not start to work. The IDs of calls that have ended must be dropped
 // once there are too many.
 func TestCancelBeforeBegin(t *testing.T) {
 	s := newSession(t.Context())
-	for ticket := range CallID(2 * maxCancelledEarly) {
-		s.cancel(ticket + 1)
+	for id := range CallID(2 * maxCancelledEarly) {
+		s.cancel(id + 1)
 	}
 	assert.Equal(t, len(s.cancelledEarly), maxCancelledEarly)
 	ctx, done := s.Begin(2*maxCancelledEarly, time.Minute)
--- a/internal/cdn/raftlog/record.go
+++ b/internal/cdn/raftlog/record.go
@@ -22,7 +22,7 @@
 
 var errTruncated = errors.New("record is truncated")
 
-// DiskState is the state on a disk.
+// DiskState is the content of a journal: the ID of its disk and the consensus state from which a machine restarts.
 type DiskState struct {
 	ID       string // random ID of the disk, chosen at its first use; empty if it has not been used
 	Hard     consensus.HardState
--- a/internal/cdn/registry/duty.go
+++ b/internal/cdn/registry/duty.go
@@ -114,7 +114,8 @@
 	reg.mu.Unlock()
 	for _, key := range reg.confirmSilent(ctx, silent, len(servers), reg.serverTimeout()) {
 		id := key[len(configstore.ServerKey("")):]
-		if out, err := reg.propose(ctx, clusterstate.Command{Lost: id, Epoch: t.epoch}, commitTimeout); err == nil && out.Status == clusterstate.StatusOK {
+		if out, err := reg.propose(ctx, clusterstate.Command{Lost: id, Epoch: t.epoch}, commitTimeout); err == nil &&
+			out.Status == clusterstate.StatusOK {
 			reg.log.Info("silent server removed", "id", id, "epoch", t.epoch)
 		}
 	}
@@ -123,7 +124,8 @@
 // removeSilentRouters removes cache routers that no longer ask any core machine for news.
 func (reg *Registry) removeSilentRouters(ctx context.Context, t term, routers []string, timeout time.Duration) {
 	for _, node := range reg.confirmSilent(ctx, routers, 2*len(routers), timeout) {
-		if out, err := reg.propose(ctx, clusterstate.Command{Absent: node, Epoch: t.epoch}, commitTimeout); err == nil && out.Status == clusterstate.StatusOK {
+		if out, err := reg.propose(ctx, clusterstate.Command{Absent: node, Epoch: t.epoch}, commitTimeout); err == nil &&
+			out.Status == clusterstate.StatusOK {
 			reg.log.Info("silent cache router removed", "node", node, "epoch", t.epoch)
 		}
 	}
@@ -168,7 +170,8 @@
 		}
 	})
 	for _, c := range divisions {
-		if out, err := reg.propose(ctx, clusterstate.Command{Cut: &c, Epoch: t.epoch}, commitTimeout); err == nil && out.Status == clusterstate.StatusOK {
+		if out, err := reg.propose(ctx, clusterstate.Command{Cut: &c, Epoch: t.epoch}, commitTimeout); err == nil &&
+			out.Status == clusterstate.StatusOK {
 			reg.log.Info("rate limit divided", "service", c.Service, "parts", len(c.Parts), "epoch", t.epoch)
 		}
 	}
--- a/internal/cdn/registry/heartbeats_test.go
+++ b/internal/cdn/registry/heartbeats_test.go
@@ -22,7 +22,8 @@
 // of the same server has already arrived: that one may have failed. Here no config store answers. An older heartbeat
 // without news is acknowledged.
 func TestClosingIsAcknowledgedOnlyWhenCommitted(t *testing.T) {
-	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(), callers: cancellation.NewTracker()}
+	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(),
+		callers: cancellation.NewTracker()}
 	reg.store = reg.peers.At("127.0.0.1:1")
 	cases := []struct {
 		state  string
@@ -56,12 +57,15 @@
 // current through other machines: the duty holder would never hear of the servers and would remove them. Once the store
 // is back, it receives the report and heartbeats are acknowledged again.
 func TestNoAcknowledgementWithoutConfigStore(t *testing.T) {
-	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(), callers: cancellation.NewTracker()}
+	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(),
+		callers: cancellation.NewTracker()}
 	reg.replica.Set.Limits.Contact = time.Hour
 	reg.replica.Log = reg.log
 	reg.replica.Took = func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
-	server := clusterstate.Server{ID: "i-1", Service: "shop", Address: "10.0.0.9:80", Zone: "a", Edition: "v1", Slots: 4, State: clusterstate.ServerOpen, Beat: 1}
-	reg.replica.Apply(clusterstate.News{Fresh: true, Changes: []clusterstate.Change{{Index: 1, Data: clusterstate.Command{Server: &server}.Encode()}}}, time.Now())
+	server := clusterstate.Server{ID: "i-1", Service: "shop", Address: "10.0.0.9:80", Zone: "a", Edition: "v1", Slots: 4,
+		State: clusterstate.ServerOpen, Beat: 1}
+	reg.replica.Apply(clusterstate.News{Fresh: true, Changes: []clusterstate.Change{{Index: 1,
+		Data: clusterstate.Command{Server: &server}.Encode()}}}, time.Now())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	reg.store = reg.peers.At(l.Addr().String())
--- a/internal/cdn/registry/registry.go
+++ b/internal/cdn/registry/registry.go
@@ -93,7 +93,7 @@
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	server.Shutdown(shutdownCtx)
-	log.Info("shut down gracefully")
+	log.Info("shut down cleanly")
 	return nil
 }
 
--- a/internal/cdn/registry/usage_test.go
+++ b/internal/cdn/registry/usage_test.go
@@ -73,7 +73,8 @@
 
 // newTestDuty returns the usage duty of a registry whose replica always counts as up to date.
 func newTestDuty(node, ip, store, platform string) *usageDuty {
-	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(), callers: cancellation.NewTracker()}
+	reg := &Registry{log: hclog.NewNullLogger(), peers: peerrpc.NewPeers(), heartbeats: NewHeartbeats(), replica: statesync.New(),
+		callers: cancellation.NewTracker()}
 	reg.settings = bootconfig.Settings{Node: node, IP: ip, Platform: bootconfig.Platform{Address: platform, Duties: []string{bootconfig.UsageDuty},
 		DutyPerS: 1000, ReportWindow: 100 * time.Millisecond, UsageDelay: 200 * time.Millisecond, DutyLease: 300 * time.Millisecond}}
 	reg.replica.Log, reg.replica.Set.Limits.Contact = reg.log, time.Hour
--- a/internal/cdn/simulation/clients.go
+++ b/internal/cdn/simulation/clients.go
@@ -233,7 +233,7 @@
 		func(b configstore.Barrier) bool { return b.OK }, func(b configstore.Barrier) { reply(b.Index, b.OK) })
 }
 
-// sendRequest sends a request to a machine, which passes it to the leader as its process does: configstore.Question decides each step.
+// sendRequest sends a request to a machine, which passes it to the leader as its process does: configstore.LeaderRequest decides each step.
 // A process that has ended or is frozen does not reply.
 func sendRequest[T any](w *world, h *host, deadline time.Time, operation func(*configstore.Machine, func(T)), succeeded func(T) bool, reply func(T)) {
 	w.deliver("operator", h.address, func() { startRequest(w, h, deadline, operation, succeeded, reply) })
@@ -241,7 +241,8 @@
 
 // startRequest is sendRequest for a request that has already arrived at the machine.
 func startRequest[T any](w *world, h *host, deadline time.Time, operation func(*configstore.Machine, func(T)), succeeded func(T) bool, reply func(T)) {
-	p := &leaderRequest[T]{w: w, h: h, incarnation: h.incarnation, steps: configstore.NewLeaderRequest(false, deadline), operation: operation, succeeded: succeeded, reply: reply}
+	p := &leaderRequest[T]{w: w, h: h, incarnation: h.incarnation, steps: configstore.NewLeaderRequest(false, deadline),
+		operation: operation, succeeded: succeeded, reply: reply}
 	p.forward = func(to *host, answer func(T)) {
 		forwardRequest(w, h, to, deadline, operation, succeeded, answer)
 		var none T
@@ -254,12 +255,13 @@
 func forwardRequest[T any](w *world, from, to *host, deadline time.Time, operation func(*configstore.Machine, func(T)), succeeded func(T) bool, answer func(T)) {
 	sendReply := func(r T) { w.deliver(to.address, from.address, func() { from.enqueue(func() { answer(r) }) }) }
 	w.deliver(from.address, to.address, func() {
-		p := &leaderRequest[T]{w: w, h: to, incarnation: to.incarnation, steps: configstore.NewLeaderRequest(true, deadline), operation: operation, succeeded: succeeded, reply: sendReply}
+		p := &leaderRequest[T]{w: w, h: to, incarnation: to.incarnation, steps: configstore.NewLeaderRequest(true, deadline),
+			operation: operation, succeeded: succeeded, reply: sendReply}
 		p.checkLeader()
 	})
 }
 
-// leaderRequest is a request for the leader at one machine. It performs the steps of configstore.Question in virtual time.
+// leaderRequest is a request for the leader at one machine. It performs the steps of configstore.LeaderRequest in virtual time.
 type leaderRequest[T any] struct {
 	w           *world
 	h           *host
@@ -344,7 +346,8 @@
 		return
 	}
 	w.clients.lastID++
-	s := clusterstate.Server{ID: fmt.Sprintf("%s-%d", name, w.clients.lastID), Service: "c", Address: "10.1.0.1:80", State: clusterstate.ServerOpen, Beat: 1}
+	s := clusterstate.Server{ID: fmt.Sprintf("%s-%d", name, w.clients.lastID), Service: "c", Address: "10.1.0.1:80",
+		State: clusterstate.ServerOpen, Beat: 1}
 	nextHeartbeat := func(state string) clusterstate.Server {
 		s.Beat++
 		s.State = state
@@ -352,21 +355,22 @@
 	}
 	delayed := nextHeartbeat(clusterstate.ServerOpen) // arrives again after later heartbeats and the leave
 	w.sendUntilAcknowledged(w.heartbeatCall(delayed), func() {
-		w.sendHeartbeats(func() clusterstate.Server { return nextHeartbeat(clusterstate.ServerOpen) }, w.now.Add(w.randomDuration(time.Second, 20*time.Second)), func() {
-			w.sendUntilAcknowledged(w.heartbeatCall(nextHeartbeat(clusterstate.ServerClosing)), func() {
-				w.checks.closingAcknowledged[s.ID] = true
-				if !w.checks.model.closing[s.ID] {
-					w.fail("closing of server %s was acknowledged, but is not in the log", s.ID)
-				}
-				w.sendOnce(w.heartbeatCall(delayed))
-				w.sendUntilAcknowledged(w.commandCall(clusterstate.Command{Leave: s.ID}), func() {
-					w.checks.leaveAcknowledged[s.ID] = true
+		w.sendHeartbeats(func() clusterstate.Server { return nextHeartbeat(clusterstate.ServerOpen) },
+			w.now.Add(w.randomDuration(time.Second, 20*time.Second)), func() {
+				w.sendUntilAcknowledged(w.heartbeatCall(nextHeartbeat(clusterstate.ServerClosing)), func() {
+					w.checks.closingAcknowledged[s.ID] = true
+					if !w.checks.model.closing[s.ID] {
+						w.fail("closing of server %s was acknowledged, but is not in the log", s.ID)
+					}
 					w.sendOnce(w.heartbeatCall(delayed))
-					w.after(w.randomDuration(0, 3*time.Second), func() { w.sendOnce(w.heartbeatCall(delayed)) })
-					w.runServer(name)
+					w.sendUntilAcknowledged(w.commandCall(clusterstate.Command{Leave: s.ID}), func() {
+						w.checks.leaveAcknowledged[s.ID] = true
+						w.sendOnce(w.heartbeatCall(delayed))
+						w.after(w.randomDuration(0, 3*time.Second), func() { w.sendOnce(w.heartbeatCall(delayed)) })
+						w.runServer(name)
+					})
 				})
 			})
-		})
 	})
 }
 
@@ -392,7 +396,7 @@
 }
 
 // heartbeatCall returns a server's heartbeat call. The registry acknowledges it at once where it needs no log entry
-// (registry.Settled), and proposes it otherwise.
+// (registry.CanAcknowledge), and proposes it otherwise.
 func (w *world) heartbeatCall(s clusterstate.Server) registryCall {
 	return func(h *host, reply func(configstore.Reply)) {
 		late := h.heartbeats.Record(s, w.now)
--- a/internal/cdn/simulation/copies.go
+++ b/internal/cdn/simulation/copies.go
@@ -18,7 +18,7 @@
 	pollPause       = 40 * time.Millisecond
 )
 
-// stateCopy is a registry's replica of the cluster state, which polls the core machines.
+// stateCopy is a simulated registry's replica of the cluster state, which polls the core machines.
 type stateCopy struct {
 	w           *world
 	address     string
@@ -27,7 +27,7 @@
 	currentAsOf time.Time // start of the last poll that a current machine answered
 }
 
-const connectedTimeout = 1500 * time.Millisecond // half of the bound bootconfig.Bounds.Contact
+const connectedTimeout = 1500 * time.Millisecond // half of bootconfig.Limits.Contact
 
 // connected reports whether a current machine answered a recent poll.
 func (c *stateCopy) connected() bool { return c.w.now.Sub(c.currentAsOf) < connectedTimeout }
--- a/internal/cdn/simulation/disk.go
+++ b/internal/cdn/simulation/disk.go
@@ -26,7 +26,7 @@
 	errNoPower  = errors.New("no power")
 )
 
-// Disk is a simulated directory that loses unsynced data at a power loss. It implements raftlog.Files.
+// Disk is a simulated directory that loses unsynced data at a power loss. It implements raftlog.Directory.
 type Disk struct {
 	rng             *rand.Rand
 	visible         map[string]*inode // files as processes see them
@@ -38,7 +38,7 @@
 	FailSyncs           int           // number of next syncs that fail; their data is lost without an error from later syncs
 	PowerLossAfter      int           // operations until a power loss; 0 for none
 	IgnoreDirectorySync bool          // disables a safeguard, for tests: directory entries are not synced
-	SyncTime            time.Duration // time spent on syncs since the last TakeSpent
+	SyncTime            time.Duration // time spent on syncs since the last TakeSyncTime
 	Syncs, Bytes        int
 	powerLost           bool
 }
@@ -67,7 +67,7 @@
 	return &Disk{rng: rand.New(rand.NewPCG(seed, 0xd15c)), visible: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// beginOperation counts down to a power loss. After it, all operations fail until PowerLost or Wipe.
+// beginOperation counts down to a power loss. After it, all operations fail until LosePower or Wipe.
 func (d *Disk) beginOperation() error {
 	if d.PowerLossAfter > 0 {
 		if d.PowerLossAfter--; d.PowerLossAfter == 0 {
@@ -80,11 +80,11 @@
 	return nil
 }
 
-// PowerFailed reports whether power was lost between operations, by DiesAfter.
+// PowerFailed reports whether power was lost between operations, because of PowerLossAfter.
 func (d *Disk) PowerFailed() bool { return d.powerLost }
 
-// LosePower keeps what was synced and a random part of the rest: each write, each block of a torn write and each directory entry
-// is kept or lost independently.
+// LosePower simulates a power loss. It keeps what was synced and a random part of the rest: each write, each block of a torn write and
+// each directory entry is kept or lost independently.
 func (d *Disk) LosePower() {
 	allLost := d.rng.IntN(loseAllOneIn) == 0
 	for _, c := range d.unsyncedEntries {
--- a/internal/cdn/simulation/faults.go
+++ b/internal/cdn/simulation/faults.go
@@ -55,8 +55,9 @@
 }
 
 // hostFaultKinds are the kinds that are drawn for core machines, weighted by how often each is listed.
-var hostFaultKinds = []FaultKind{Kill, KillAll, PowerLoss, PowerLoss, PowerLossAll, PowerLossInSave, PowerLossInSave, Freeze, Freeze, Cut, Cut, CutOneWay,
-	BadNetwork, Wipe, Wipe, WipeOnAck, WipeAndPower, WipeAndPower, Replace, ReplaceFirst, Terminate, DiskFull, DiskSlow, DiskSyncFails, UpdateStorm, DutyDelay}
+var hostFaultKinds = []FaultKind{Kill, KillAll, PowerLoss, PowerLoss, PowerLossAll, PowerLossInSave, PowerLossInSave, Freeze, Freeze,
+	Cut, Cut, CutOneWay, BadNetwork, Wipe, Wipe, WipeOnAck, WipeAndPower, WipeAndPower, Replace, ReplaceFirst, Terminate,
+	DiskFull, DiskSlow, DiskSyncFails, UpdateStorm, DutyDelay}
 
 // drawFaults draws the faults of core machines for a run, in order of time.
 func drawFaults(rng *rand.Rand, machines int) (all []Fault) {
@@ -64,7 +65,8 @@
 		return shortest + time.Duration(rng.Int64N(int64(longest-shortest)))
 	}
 	for range 3 + rng.IntN(10) {
-		f := Fault{Kind: hostFaultKinds[rng.IntN(len(hostFaultKinds))], At: randomDuration(faultsStart, faultsEnd-time.Second), Target: rng.IntN(machines), Param: rng.IntN(1000)}
+		f := Fault{Kind: hostFaultKinds[rng.IntN(len(hostFaultKinds))], At: randomDuration(faultsStart, faultsEnd-time.Second),
+			Target: rng.IntN(machines), Param: rng.IntN(1000)}
 		if rng.IntN(3) == 0 {
 			f.Target = targetLeader
 		}
@@ -195,7 +197,8 @@
 // degradeNetwork has messages lost, duplicated and delayed for the duration of the fault.
 func (w *world) degradeNetwork(f Fault) {
 	n := &w.network
-	n.lossRate, n.duplicateRate, n.maxDelay, n.reliable = float64(f.Param%30)/100, float64(f.Param%20)/100, time.Duration(5+f.Param%300)*time.Millisecond, false
+	n.lossRate, n.duplicateRate, n.maxDelay, n.reliable = float64(f.Param%30)/100, float64(f.Param%20)/100,
+		time.Duration(5+f.Param%300)*time.Millisecond, false
 	for _, h := range w.hosts {
 		h.markLost(f.Duration)
 	}
--- a/internal/cdn/simulation/play.go
+++ b/internal/cdn/simulation/play.go
@@ -72,6 +72,7 @@
 	if r.Failure != "" {
 		return Error.New("seed %d fails with %d faults at %v: %s", seed, len(r.Faults), r.At, r.Failure)
 	}
-	fmt.Fprintf(out, "seed %d: %d updates acknowledged, %d reads answered, no invariant violated\n", seed, r.UpdatesAcknowledged, r.ReadsAnswered)
+	fmt.Fprintf(out, "seed %d: %d updates acknowledged, %d reads answered, no invariant violated\n", seed, r.UpdatesAcknowledged,
+		r.ReadsAnswered)
 	return nil
 }
--- a/internal/cdn/simulation/reports.go
+++ b/internal/cdn/simulation/reports.go
@@ -183,7 +183,8 @@
 		case usage.Fix:
 			r.propose(clusterstate.Command{Epoch: step.Fence, FixUsage: &step.Report}, func(done bool) { r.reporter.Fixed(w.now, step.Fence, done) })
 		case usage.RecordAccepted:
-			r.propose(clusterstate.Command{Epoch: step.Fence, UsageTaken: step.Report.Round}, func(done bool) { r.reporter.Recorded(w.now, step.Fence, done) })
+			r.propose(clusterstate.Command{Epoch: step.Fence, UsageTaken: step.Report.Round},
+				func(done bool) { r.reporter.Recorded(w.now, step.Fence, done) })
 		case usage.Send:
 			r.connectAndSend(step)
 		}
--- a/internal/cdn/simulation/reports_test.go
+++ b/internal/cdn/simulation/reports_test.go
@@ -39,13 +39,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			runs, first := 0, ""
-			RunSeeds(0, maxSeedsPerSafeguard, func(seed uint64) Options { return Options{Seed: seed, Reports: true, ReportWeak: c.weak} }, func(r Result) bool {
-				runs++
-				if strings.Contains(r.Failure, c.says) {
-					first = fmt.Sprintf("seed %d: %.200s", r.Seed, r.Failure)
-				}
-				return first == ""
-			})
+			RunSeeds(0, maxSeedsPerSafeguard, func(seed uint64) Options { return Options{Seed: seed, Reports: true, ReportWeak: c.weak} },
+				func(r Result) bool {
+					runs++
+					if strings.Contains(r.Failure, c.says) {
+						first = fmt.Sprintf("seed %d: %.200s", r.Seed, r.Failure)
+					}
+					return first == ""
+				})
 			assert.Assert(t, first != "", "not found in %d seeds", runs)
 			t.Logf("after %d seeds: %s", runs, first)
 		})
--- a/internal/cdn/simulation/safeguards_test.go
+++ b/internal/cdn/simulation/safeguards_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Safeguards are disabled by tests only: no other code constructs a DisabledSafeguards or DisabledReportSafeguards value, and only the packages that declare or pass on
-// such a type name it.
-func TestWeaknessesAreForTests(t *testing.T) {
+// Safeguards are disabled by tests only: no other code constructs a DisabledSafeguards or DisabledReportSafeguards value, and only the
+// packages that declare or pass on such a type name it.
+func TestSafeguardsAreDisabledByTestsOnly(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
 	allowed := map[string]bool{"internal/cdn/consensus": true, "internal/cdn/configstore": true, "internal/cdn/simulation": true, "internal/cdn/statesync": true}
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
--- a/internal/cdn/simulation/simulation_test.go
+++ b/internal/cdn/simulation/simulation_test.go
@@ -115,7 +115,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			runs, first := 0, ""
 			RunSeeds(0, maxSeedsPerSafeguard, func(seed uint64) Options {
-				return Options{Seed: seed, Weak: c.weak, SkipDirectorySync: c.no, AcknowledgeWithoutLog: c.all, WeakCopies: c.copy, DateProofFromResponse: c.late, RunWithoutProof: c.runs}
+				return Options{Seed: seed, Weak: c.weak, SkipDirectorySync: c.no, AcknowledgeWithoutLog: c.all, WeakCopies: c.copy,
+					DateProofFromResponse: c.late, RunWithoutProof: c.runs}
 			}, func(r Result) bool {
 				runs++
 				if r.Failure != "" {
--- a/internal/cdn/simulation/world.go
+++ b/internal/cdn/simulation/world.go
@@ -36,8 +36,8 @@
 	// Reports also simulates the reporting of the tenants' usage by the duty holder.
 	Reports    bool
 	ReportWeak DisabledReportSafeguards
-	// Disabled safeguards of edges, for tests. WeakCopies applies to their replicas, CountFromAnswer dates a freshness proof from the
-	// response instead of the request, RunUnproven runs keyed requests without a recent proof.
+	// Disabled safeguards of edges, for tests. WeakCopies applies to their replicas, DateProofFromResponse dates a freshness proof from
+	// the response instead of the request, RunWithoutProof runs keyed requests without a recent proof.
 	WeakCopies            statesync.DisabledSafeguards
 	DateProofFromResponse bool
 	RunWithoutProof       bool
@@ -57,7 +57,7 @@
 	Messages            int
 	DisksLost           int // includes the disks of machines removed for good
 
-	UpdateLatencies []time.Duration // latency from an operator's first attempt at an update to its acknowledgement, in order of acknowledgement
+	UpdateLatencies []time.Duration // time from the first attempt at an update to its acknowledgement, in order of acknowledgement
 	Syncs           uint64          // disk syncs by the processes that run at the end
 
 	Ran, Refused   int // keyed requests that edges ran, and refused for lack of a recent proof
@@ -126,8 +126,9 @@
 	if w.failure == "" {
 		w.checkHistory()
 	}
-	return Result{Seed: o.Seed, Failure: w.failure, At: w.since(), Faults: w.faults, UpdatesAcknowledged: w.clients.updatesAcknowledged, ReadsAnswered: w.clients.readsAnswered,
-		Elapsed: w.since(), Messages: w.messages, DisksLost: w.disksLost, UpdateLatencies: w.clients.updateLatencies, Syncs: w.syncCount(),
+	return Result{Seed: o.Seed, Failure: w.failure, At: w.since(), Faults: w.faults,
+		UpdatesAcknowledged: w.clients.updatesAcknowledged, ReadsAnswered: w.clients.readsAnswered, Elapsed: w.since(),
+		Messages: w.messages, DisksLost: w.disksLost, UpdateLatencies: w.clients.updateLatencies, Syncs: w.syncCount(),
 		Ran: w.edges.ran, Refused: w.edges.refused, NeighbourPolls: w.edges.neighbourPolls}
 }
 
--- a/internal/cdn/statesync/statesync.go
+++ b/internal/cdn/statesync/statesync.go
@@ -1,5 +1,5 @@
 // Package statesync keeps a process's copy of the replicated state up to date by long polling. It asks a core machine for the changes since
-// the index that it holds, and goes on to the next machine if that one does not answer or does not know whether it is current. The copy
+// the index that it holds, and goes on to the next machine if that one does not answer or does not know whether it is current. The replica
 // never goes back. It keeps a proof of how current it is; while the proof is old, it also asks neighbours, which pass on their changes
 // and their own proof.
 package statesync
@@ -36,14 +36,14 @@
 	neighbourTimeout   = 700 * time.Millisecond
 )
 
-// Phase is the state of a copy's contact with the core machines.
+// Phase is the state of a replica's contact with the core machines.
 type Phase int
 
-// The phases. A copy starts as Empty and then alternates between InTouch and OutOfTouch.
+// The phases. A replica starts in PhaseEmpty and then alternates between Connected and Disconnected.
 const (
 	PhaseEmpty   Phase = iota // no core machine has answered yet
 	Connected                 // a core machine that follows a leader with a majority answered lately
-	Disconnected              // none answered lately: the copy may be stale
+	Disconnected              // none answered lately: the replica may be stale
 )
 
 // String returns the name of the phase, for logs.
@@ -56,7 +56,7 @@
 	Log    hclog.Logger
 	Router clusterstate.Router // this process's own entry, if it is a cache router
 	Prefer string              // address of the core machine that is asked first, if any
-	// Took is called for each change in order, with the copy locked; whole means that the state was replaced. It must not block.
+	// Took is called for each change in order, with the replica locked; whole means that the state was replaced. It must not block.
 	Took func(s *clusterstate.State, c clusterstate.Command, index uint64, whole bool)
 	// Heard is called with the time of day of a core machine that answered a request, and with when the request was started and answered;
 	// it may be nil.
@@ -76,33 +76,33 @@
 	needWhole     bool                      // the next request is for the whole state
 }
 
-// DisabledSafeguards disable one safeguard of a copy each. Tests set them to show that the safeguard is needed; a test checks that nothing else
-// does.
+// DisabledSafeguards disables safeguards of a replica, one per field. Tests set them to show that the safeguard is needed; a test checks
+// that nothing else does.
 type DisabledSafeguards struct {
 	DropAge         bool // the proof that is passed on to neighbours has age 0, whatever its real age
 	ProveIncomplete bool // a reply advances the proof even if it does not contain all changes
 }
 
-// New returns an empty copy.
+// New returns an empty replica.
 func New() *Replica {
 	return &Replica{history: clusterstate.NewHistory(clusterstate.New()), changed: make(chan struct{})}
 }
 
-// View calls a function with the state while the copy is locked. The function must not keep the state.
+// View calls a function with the replicated state while the replica is locked. The function must not keep the state.
 func (r *Replica) View(read func(*clusterstate.State)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	read(r.history.State)
 }
 
-// ConfigCommand returns the command that puts a configuration on top of the one that this copy holds; see clusterstate.History.
+// ConfigCommand returns the command that puts a configuration on top of the one that this replica holds; see clusterstate.History.
 func (r *Replica) ConfigCommand(body []byte) (clusterstate.Command, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.history.ConfigCommand(body)
 }
 
-// Phase returns the phase and when the copy was last known to be current. It also notices that the contact has timed out.
+// Phase returns the phase and when the replica was last known to be current. It also notices that the contact has timed out.
 func (r *Replica) Phase() (Phase, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,8 +112,8 @@
 	return r.phase, r.lastCurrent
 }
 
-// Proof returns the moment, on this process's monotonic clock, by which the copy is proven current: it contains all that had been
-// acknowledged by then. The zero time means that nothing is proven. A read of the copy after Proof sees at least as much.
+// Proof returns the moment, on this process's monotonic clock, by which the replica is proven current: it contains all that had been
+// acknowledged by then. The zero time means that nothing is proven. A read of the replica after Proof sees at least as much.
 func (r *Replica) Proof() time.Time {
 	if provenAt := r.proof.Load(); provenAt != nil {
 		return *provenAt
@@ -139,14 +139,14 @@
 	}
 }
 
-// Index returns the index of the last command that the copy has applied.
+// Index returns the index of the last command that the replica has applied.
 func (r *Replica) Index() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.history.State.Index
 }
 
-// Await waits until the copy has applied the command at an index, and returns false if the context ends before.
+// Await waits until the replica has applied the command at an index, and returns false if the context ends before.
 func (r *Replica) Await(ctx context.Context, index uint64) bool {
 	for {
 		r.mu.Lock()
@@ -164,7 +164,7 @@
 }
 
 // News answers another process's request, which arrived at the given moment, as a core machine would. The reply is never marked as
-// fresh, but states the age of this copy's proof.
+// fresh, but states the age of this replica's proof.
 func (r *Replica) News(request clusterstate.Ask, arrived time.Time) clusterstate.News {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -198,7 +198,7 @@
 	return addresses
 }
 
-// Run keeps the copy up to date until the context ends.
+// Run keeps the replica up to date until the context ends.
 func (r *Replica) Run(ctx context.Context) {
 	var neighbours sync.WaitGroup
 	neighbours.Go(func() { r.pollNeighbours(ctx) })
@@ -314,8 +314,8 @@
 	r.ApplyFromNeighbour(reply, started)
 }
 
-// ApplyFromNeighbour applies a neighbour's reply. It may advance the proof, but never changes the phase to InTouch. The addresses of the
-// core machines are adopted only if the neighbour's proof is newer than the copy's.
+// ApplyFromNeighbour applies a neighbour's reply. It may advance the proof, but never changes the phase to Connected. The addresses of the
+// core machines are adopted only if the neighbour's proof is newer than the replica's.
 func (r *Replica) ApplyFromNeighbour(reply clusterstate.News, started time.Time) Coverage {
 	reply.Fresh = false
 	if !reply.ProvenAt(started).After(r.Proof()) {
@@ -324,18 +324,18 @@
 	return r.Apply(reply, started)
 }
 
-// Coverage tells how much of the sender's state the copy holds after a reply was applied.
+// Coverage tells how much of the sender's state the replica holds after a reply was applied.
 type Coverage int
 
-// The values of Taken.
+// The values of Coverage.
 const (
 	CoverageNone     Coverage = iota // the sender holds more, and the reply brought no change that could be applied
 	CoveragePartial                  // the sender holds more, but the reply brought some changes
-	CoverageComplete                 // the copy holds at least all that the sender does
+	CoverageComplete                 // the replica holds at least all that the sender does
 )
 
-// Apply applies the reply to a request that was started at that time. A reply older than the copy changes nothing. Only if the copy then
-// holds all that the sender does can the reply advance the proof or change the phase to InTouch.
+// Apply applies the reply to a request that was started at that time. A reply older than the replica changes nothing. Only if the replica
+// then holds all that the sender does can the reply advance the proof or change the phase to Connected.
 func (r *Replica) Apply(reply clusterstate.News, started time.Time) Coverage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -382,8 +382,8 @@
 	return got
 }
 
-// coverage returns how much of the sender's state the copy holds after a reply was applied; before is the index that the copy had before
-// it. The caller holds the lock.
+// coverage returns how much of the sender's state the replica holds after a reply was applied; before is the index that the replica had
+// before it. The caller holds the lock.
 func (r *Replica) coverage(reply clusterstate.News, before uint64) Coverage {
 	switch have := r.history.State.Index; {
 	case have >= reply.Index:
--- a/internal/cdn/statesync/statesync_test.go
+++ b/internal/cdn/statesync/statesync_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// The life of a copy: it begins with a barrier, applies changes in order, leaves a core machine that does not know whether it is current,
-// does not go back when a machine is behind, and takes changes from neighbours when no core machine answers.
+// The life of a replica: it begins with a barrier, applies changes in order, leaves a core machine that does not know whether it is
+// current, does not go back when a machine is behind, and takes changes from neighbours when no core machine answers.
 func TestReplicaLifecycle(t *testing.T) {
 	a, b, neighbour := &fakeCore{history: clusterstate.NewHistory(clusterstate.New())}, &fakeCore{history: clusterstate.NewHistory(clusterstate.New())}, &fakeCore{history: clusterstate.NewHistory(clusterstate.New())}
 	serve(t, "127.0.73.1:7660", "ConfigStore", a)
@@ -90,7 +90,8 @@
 	a.addPurges(1, 3)
 
 	s := New()
-	s.Set = bootconfig.Settings{IP: "127.0.0.1", FirstSparePort: 7660, Seeds: []string{"127.0.73.1:1", "127.0.73.2:1"}, Limits: bootconfig.Limits{Contact: 600 * time.Millisecond}}
+	s.Set = bootconfig.Settings{IP: "127.0.0.1", FirstSparePort: 7660, Seeds: []string{"127.0.73.1:1", "127.0.73.2:1"},
+		Limits: bootconfig.Limits{Contact: 600 * time.Millisecond}}
 	s.Peers, s.Log = peerrpc.NewPeers(), hclog.NewNullLogger()
 	s.Neighbours = func() []string { return []string{"127.0.73.3:7661"} }
 	var seen []uint64
@@ -136,13 +137,14 @@
 	waitFor(t, "in touch again", func() bool { p, _ := s.Phase(); return p == Connected && s.Index() == 30 })
 }
 
-// While a copy was cut off, all core machines it knows were replaced. It asks the new ones once the settings file names them.
+// While a replica was cut off, all core machines it knows were replaced. It asks the new ones once the settings file names them.
 func TestNewSeedsAreAsked(t *testing.T) {
 	c := &fakeCore{history: clusterstate.NewHistory(clusterstate.New()), fresh: true}
 	serve(t, "127.0.73.5:7660", "ConfigStore", c)
 	c.addPurges(1, 3)
 	s := New()
-	s.Set = bootconfig.Settings{IP: "127.0.0.1", FirstSparePort: 7660, Seeds: []string{"127.0.73.4:1"}, CurrentSeeds: new(bootconfig.Seeds), Limits: bootconfig.Limits{Contact: time.Second}}
+	s.Set = bootconfig.Settings{IP: "127.0.0.1", FirstSparePort: 7660, Seeds: []string{"127.0.73.4:1"}, CurrentSeeds: new(bootconfig.Seeds),
+		Limits: bootconfig.Limits{Contact: time.Second}}
 	s.Peers, s.Log = peerrpc.NewPeers(), hclog.NewNullLogger()
 	s.Took = func(*clusterstate.State, clusterstate.Command, uint64, bool) {}
 	assert.DeepEqual(t, s.CoreAddresses(), []string{"127.0.73.4:7660"})
@@ -151,7 +153,7 @@
 	waitFor(t, "news from the new seed", func() bool { p, _ := s.Phase(); return p == Connected && s.Index() == 3 })
 }
 
-// newTestReplica returns a copy that polls nobody; the test passes replies to it.
+// newTestReplica returns a replica that polls nobody; the test passes replies to it.
 func newTestReplica() *Replica {
 	s := New()
 	s.Set.Limits.Contact, s.Log = time.Hour, hclog.NewNullLogger()
@@ -159,7 +161,7 @@
 	return s
 }
 
-// A copy is in touch, and its proof advances, only once it holds all that the sender does: a reply may contain only a part of the
+// A replica is connected, and its proof advances, only once it holds all that the sender does: a reply may contain only a part of the
 // changes, and a change may not be decodable.
 func TestIncompleteReplyProvesNothing(t *testing.T) {
 	c := &fakeCore{history: clusterstate.NewHistory(clusterstate.New()), fresh: true}
@@ -181,7 +183,8 @@
 	assert.Equal(t, s.Index(), uint64(600))
 
 	s = newTestReplica()
-	s.Apply(clusterstate.News{Fresh: true, Proven: true, Index: 2, Changes: []clusterstate.Change{first, {Index: 2, Data: []byte("{")}}}, time.Now())
+	s.Apply(clusterstate.News{Fresh: true, Proven: true, Index: 2, Changes: []clusterstate.Change{first, {Index: 2, Data: []byte("{")}}},
+		time.Now())
 	if p, _ := s.Phase(); p == Connected || !s.Proof().IsZero() {
 		t.Errorf("%v after a change that can't be decoded, proof %v", p, s.Proof())
 	}
@@ -207,7 +210,7 @@
 	}
 }
 
-// neighbour serves a copy to other processes over RPC.
+// neighbour serves a replica to other processes over RPC.
 type neighbour struct{ of *Replica }
 
 func (n neighbour) News(a *clusterstate.Ask, got *clusterstate.News) error {
@@ -215,8 +218,8 @@
 	return nil
 }
 
-// Copies that are cut off from all core machines, to which their requests hang, adopt the proofs of neighbours, also over several hops,
-// without being in touch. Once the core machines are gone, no proof advances.
+// Replicas that are cut off from all core machines, to which their requests hang, adopt the proofs of neighbours, also over several hops,
+// without being connected. Once the core machines are gone, no proof advances.
 func TestProofsPassBetweenNeighbours(t *testing.T) {
 	c := &fakeCore{history: clusterstate.NewHistory(clusterstate.New()), fresh: true}
 	c.addPurges(1, 3)
--- a/internal/cdn/usage/meter.go
+++ b/internal/cdn/usage/meter.go
@@ -101,7 +101,7 @@
 	return r
 }
 
-// RequestCount accounts for one request that servers run for a tenant. It is counted in the window of the first attempt that
+// RequestCount keeps the count of one request that servers run for a tenant. The request is counted in the window of the first attempt that
 // a server may have started, and removed from the count when no server that it was sent to has started it.
 type RequestCount struct {
 	meter *Meter
@@ -113,7 +113,7 @@
 	attempts int // attempts that a server may have started
 }
 
-// NewRequestCount returns the account of a request that is not counted yet.
+// NewRequestCount returns the RequestCount of a request that is not counted yet. now returns the true time.
 func NewRequestCount(m *Meter, now func() time.Time) *RequestCount {
 	return &RequestCount{meter: m, now: now}
 }
--- a/internal/cdn/usage/reporter.go
+++ b/internal/cdn/usage/reporter.go
@@ -73,7 +73,7 @@
 	RecordAccepted          // propose that the platform accepted Report's window, under the epoch in Fence
 )
 
-// Step is what a holder does next. The result of each step but Wait must be passed to Fixed, Sent or Noted.
+// Step is what a holder does next. The result of each step but Wait must be passed to Fixed, Sent or Recorded.
 type Step struct {
 	Kind   StepKind
 	Until  time.Time // with Wait: nothing is to be done before this moment of the monotonic clock
@@ -100,7 +100,7 @@
 
 // Reporter decides what the duty holder does next to report the tenants' usage. It is not safe for concurrent use.
 type Reporter struct {
-	timetable       Timing
+	timing          Timing
 	state           ReporterState
 	epoch           uint64
 	heldSince       time.Time      // when this machine learned that it holds the duty under this epoch
@@ -133,7 +133,7 @@
 	if t.DutyPerS <= 0 {
 		t.DutyPerS = defaultCallsPerSecond
 	}
-	return &Reporter{timetable: t, accepted: map[int64]bool{}, unclearCalls: map[int64]int{}}
+	return &Reporter{timing: t, accepted: map[int64]bool{}, unclearCalls: map[int64]int{}}
 }
 
 // State returns the current state.
@@ -152,11 +152,11 @@
 	if v.Now.Before(r.proposalBackoff.until) {
 		return Step{Kind: Wait, Until: r.proposalBackoff.until}
 	}
-	toNote, toSend := r.nextPending(v.Ledger)
+	toRecord, toSend := r.nextPending(v.Ledger)
 	report, fixAt := r.nextWindow(v)
 	switch {
-	case toNote != nil:
-		return r.begin(Recording, Step{Kind: RecordAccepted, Report: *toNote, Fence: r.epoch})
+	case toRecord != nil:
+		return r.begin(Recording, Step{Kind: RecordAccepted, Report: *toRecord, Fence: r.epoch})
 	case !fixAt.After(v.Now):
 		return r.begin(Fixing, Step{Kind: Fix, Report: report, Fence: r.epoch})
 	case toSend == nil:
@@ -170,18 +170,18 @@
 
 // nextPending returns the oldest window to record as accepted, and the window to send: the oldest of those with the
 // fewest calls without a clear answer, so that a platform that is slow for one window still receives the others.
-func (r *Reporter) nextPending(ledger clusterstate.UsageLedger) (toNote, toSend *clusterstate.UsageReport) {
+func (r *Reporter) nextPending(ledger clusterstate.UsageLedger) (toRecord, toSend *clusterstate.UsageReport) {
 	for i := range ledger.Pending {
 		report := &ledger.Pending[i]
 		recorded, accepted := r.accepted[report.Round]
 		switch {
-		case accepted && !recorded && toNote == nil:
-			toNote = report
+		case accepted && !recorded && toRecord == nil:
+			toRecord = report
 		case !accepted && (toSend == nil || r.unclearCalls[report.Round] < r.unclearCalls[toSend.Round]):
 			toSend = report
 		}
 	}
-	return toNote, toSend
+	return toRecord, toSend
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -217,7 +217,7 @@
 // leaseHeld reports whether no later holder can have started to act. An earlier holder has stopped one lease after this
 // machine learned that it holds the duty; nextSendAt waits for that.
 func (r *Reporter) leaseHeld(now time.Time, epoch uint64, proof time.Time) bool {
-	return epoch == r.epoch && epoch > 0 && !proof.IsZero() && now.Sub(proof) < r.timetable.Lease/2
+	return epoch == r.epoch && epoch > 0 && !proof.IsZero() && now.Sub(proof) < r.timing.Lease/2
 }
 
 // MaySend is the lease check right before a call is written: much time may have passed since the step was decided.
@@ -227,9 +227,9 @@
 
 // nextSendAt returns the earliest time of the next call of the platform; a time in the past means now.
 func (r *Reporter) nextSendAt(v View) time.Time {
-	at := later(r.nextCallAt, later(r.callBackoff.until, r.heldSince.Add(r.timetable.Lease)))
+	at := later(r.nextCallAt, later(r.callBackoff.until, r.heldSince.Add(r.timing.Lease)))
 	if !at.After(v.Now) && !r.leaseHeld(v.Now, v.Epoch, v.Proof) { // a recent enough proof may arrive at any time
-		return v.Now.Add(r.timetable.Lease / proofRetryDivisor)
+		return v.Now.Add(r.timing.Lease / proofRetryDivisor)
 	}
 	return at
 }
@@ -246,12 +246,12 @@
 func (r *Reporter) nextWindow(v View) (clusterstate.UsageReport, time.Time) {
 	sum, known := r.nextSum(v)
 	if !v.Summed || !known {
-		return clusterstate.UsageReport{}, v.Now.Add(r.timetable.Window)
+		return clusterstate.UsageReport{}, v.Now.Add(r.timing.Window)
 	}
-	end := v.Now.Add(EndOf(sum.Round, r.timetable.Window).Sub(v.True))
-	at := end.Add(min(reportArrivalDelay, maxFixDelay(r.timetable.Delay)))
+	end := v.Now.Add(EndOf(sum.Round, r.timing.Window).Sub(v.True))
+	at := end.Add(min(reportArrivalDelay, maxFixDelay(r.timing.Delay)))
 	if !sum.Complete {
-		at = later(end.Add(maxFixDelay(r.timetable.Delay)), r.heldSince.Add(newHolderDelay))
+		at = later(end.Add(maxFixDelay(r.timing.Delay)), r.heldSince.Add(newHolderDelay))
 	}
 	return clusterstate.UsageReport{Round: sum.Round, Counts: sum.Counts}, at
 }
@@ -267,7 +267,7 @@
 		}
 		return Sum{}, false
 	}
-	round := max(fixed+1, RoundOf(v.True, r.timetable.Window)-clusterstate.MaxPendingUsage)
+	round := max(fixed+1, RoundOf(v.True, r.timing.Window)-clusterstate.MaxPendingUsage)
 	if i := slices.IndexFunc(v.Sums, func(s Sum) bool { return s.Round == round }); i >= 0 {
 		return v.Sums[i], true
 	}
@@ -281,7 +281,7 @@
 	if v.Epoch == 0 || r.state == Fenced {
 		return false
 	}
-	return fixed == 0 || !EndOf(fixed+1, r.timetable.Window).Add(min(reportArrivalDelay, maxFixDelay(r.timetable.Delay))).After(v.True)
+	return fixed == 0 || !EndOf(fixed+1, r.timing.Window).Add(min(reportArrivalDelay, maxFixDelay(r.timing.Delay))).After(v.True)
 }
 
 // forgetRemoved forgets windows that are no longer pending in the replica.
@@ -307,7 +307,7 @@
 	}
 }
 
-// Recorded records the end of a Note step. If done, it is committed.
+// Recorded records the end of a RecordAccepted step. If done, the acceptance is committed.
 func (r *Reporter) Recorded(now time.Time, epoch uint64, done bool) {
 	if r.isCurrent(Recording, epoch) {
 		if done {
@@ -333,7 +333,7 @@
 
 // Sent records the end of a Send step. A report that is not known to be accepted is sent again unchanged.
 func (r *Reporter) Sent(now time.Time, epoch uint64, outcome CallOutcome, retryAfter time.Duration) {
-	r.nextCallAt = now.Add(time.Duration(float64(time.Second) / (callRateShare * r.timetable.DutyPerS)))
+	r.nextCallAt = now.Add(time.Duration(float64(time.Second) / (callRateShare * r.timing.DutyPerS)))
 	if outcome == Refused {
 		r.fencedEpoch = max(r.fencedEpoch, epoch)
 	}
