--- a/internal/cdn/configstore/store.go
+++ b/internal/cdn/configstore/store.go
@@ -144,8 +144,7 @@
 func (s *Store) machineConfig(wrap func(Journal) Journal) MachineConfig {
 	config := MachineConfig{IP: s.settings.IP, Address: s.settings.InternalAddress(s.settings.IP, bootconfig.ConfigStorePort),
 		FirstStart: s.settings.FirstStart, Contacts: s.seedAddresses(), Tolerate: s.settings.Limits.TolerateFailures,
-		Timing: consensus.DefaultTiming,
-		Seed:   randomSeed(), Log: s.log, Send: s.send, Identity: randomIdentity, Clock: time.Now, Wrap: wrap}
+		Timing: consensus.DefaultTiming, Seed: randomSeed(), Log: s.log, Send: s.send, Identity: randomIdentity, Clock: time.Now, Wrap: wrap}
 	if s.settings.Platform.ReportsUsage() {
 		config.DutyLease = s.settings.Platform.DutyLease
 	}
