--- a/internal/kit/rig/agent.go
+++ b/internal/kit/rig/agent.go
@@ -12,7 +12,7 @@
 	"cedarmast/internal/kit/model"
 )
 
-// agent is discovery on one router's machine.
+// agent is the discovery service's local agent on one router's machine.
 type agent struct {
 	rig    *Rig
 	router int
@@ -20,25 +20,26 @@
 	mu      sync.Mutex
 	address string
 	server  *http.Server
-	changed chan struct{} // closed at news, and when silence ends
+	changed chan struct{} // closed and replaced when the list changes and when silence starts or ends
 	silent  bool
 }
 
-const oldAgentFor = 1500 * time.Millisecond // that open calls at an old address are kept
+// oldAddressGrace is how long open calls at a replaced address may go on.
+const oldAddressGrace = 1500 * time.Millisecond
 
 func newAgent(r *Rig, router int) (*agent, error) {
 	a := &agent{rig: r, router: router, changed: make(chan struct{})}
 	return a, a.open()
 }
 
-// open serves at a new address.
+// open starts to serve at a new address.
 func (a *agent) open() error {
 	l, err := a.rig.listen("")
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /registry/instances", a.list)
+	mux.HandleFunc("GET /registry/instances", a.serveInstances)
 	s := &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return a.rig.ctx }}
 	a.mu.Lock()
 	a.address, a.server = l.Addr().String(), s
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// move opens a new address and ends the old one, which still has its open calls for a moment.
+// move opens a new address and closes the old one, whose open calls may go on for oldAddressGrace.
 func (a *agent) move() error {
 	a.mu.Lock()
 	old := a.server
@@ -56,7 +57,7 @@
 		return err
 	}
 	a.rig.background(func() {
-		ctx, cancel := context.WithTimeout(a.rig.ctx, oldAgentFor)
+		ctx, cancel := context.WithTimeout(a.rig.ctx, oldAddressGrace)
 		defer cancel()
 		old.Shutdown(ctx)
 		old.Close()
@@ -64,24 +65,27 @@
 	return nil
 }
 
-func (a *agent) at() string {
+// currentAddress returns the address at which the agent serves now.
+func (a *agent) currentAddress() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.address
 }
 
-func (a *agent) news() {
+// notifyChanged wakes the calls that wait for a change.
+func (a *agent) notifyChanged() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-func (a *agent) silence(on bool) {
+// setSilent makes the agent leave calls unanswered, or ends that.
+func (a *agent) setSilent(on bool) {
 	a.mu.Lock()
 	a.silent = on
 	a.mu.Unlock()
-	a.news()
+	a.notifyChanged()
 }
 
 func (a *agent) close() {
@@ -92,7 +96,7 @@
 	}
 }
 
-// endpoint is a line of the list.
+// endpoint is an entry of the instance list on the wire.
 type endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -104,27 +108,27 @@
 	SinceMS int64   `json:"since_ms"`
 }
 
-// instances is the list as discovery writes it.
+// instances is the instance list on the wire.
 type instances struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []endpoint `json:"endpoints"`
 
-	told []model.Entry
+	entries []model.Entry
 }
 
-// instances asks the model. It is called on the model's goroutine.
-func (r *Rig) instances(router int, since int64, known bool) instances {
-	index, whole, entries := r.world.List(router, since, known)
-	return r.listed(router, index, whole, entries)
+// listInstances returns the model's list for a router since an index. It must be called on the model's goroutine.
+func (r *Rig) listInstances(router int, since int64, hasIndex bool) instances {
+	index, snapshot, entries := r.world.List(router, since, hasIndex)
+	return r.encodeInstances(router, index, snapshot, entries)
 }
 
-// listed writes entries as discovery does to a router.
-func (r *Rig) listed(router int, index int64, whole bool, entries []model.Entry) instances {
-	list := instances{Index: index, Snapshot: whole, Endpoints: []endpoint{}, told: entries}
+// encodeInstances encodes entries as discovery sends them to a router.
+func (r *Rig) encodeInstances(router int, index int64, snapshot bool, entries []model.Entry) instances {
+	list := instances{Index: index, Snapshot: snapshot, Endpoints: []endpoint{}, entries: entries}
 	for _, e := range entries {
 		ms := int64(0)
-		if e.Since > -r.set.WarmUp.D() && r.set.Discovery.Starts {
+		if e.Since > -r.scenario.WarmUp.D() && r.scenario.Discovery.Starts {
 			ms = r.start.Add(e.Since).UnixMilli()
 		}
 		list.Endpoints = append(list.Endpoints, endpoint{e.Node.Name, r.nodes[e.Node.Index][router].address, r.world.SiteName(e.Node),
@@ -133,26 +137,27 @@
 	return list
 }
 
-const longestWait = 60 * time.Second
+const maxPollWait = 60 * time.Second
 
-func (a *agent) list(w http.ResponseWriter, req *http.Request) {
+// serveInstances answers a long poll: at once if there is anything to tell, else after a change or when the caller's wait is over.
+func (a *agent) serveInstances(w http.ResponseWriter, req *http.Request) {
 	since, err := strconv.ParseInt(req.URL.Query().Get("index"), 10, 64)
-	known := err == nil
+	hasIndex := err == nil
 	wait, _ := strconv.Atoi(req.URL.Query().Get("wait"))
-	until := time.NewTimer(min(time.Duration(wait)*time.Millisecond, longestWait))
-	defer until.Stop()
-	over := false
+	timeout := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxPollWait))
+	defer timeout.Stop()
+	waitOver := false
 	a.rig.post(func() { a.rig.world.Ledger().ListPolled(a.rig.world.Now()) })
 	for {
 		a.mu.Lock()
 		changed, silent := a.changed, a.silent
 		a.mu.Unlock()
 		if !silent {
-			list, ok := ask(a.rig, func() instances { return a.rig.instances(a.router, since, known) })
+			list, ok := ask(a.rig, func() instances { return a.rig.listInstances(a.router, since, hasIndex) })
 			if !ok {
 				return
 			}
-			if list.Snapshot || len(list.Endpoints) > 0 || over || !known {
+			if list.Snapshot || len(list.Endpoints) > 0 || waitOver || !hasIndex {
 				text, err := json.Marshal(list)
 				if err != nil {
 					return
@@ -161,15 +166,15 @@
 				w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 				w.Write(text)
 				if http.NewResponseController(w).Flush() == nil {
-					a.rig.post(func() { a.rig.world.ListSent(a.router, list.Snapshot, list.told) })
+					a.rig.post(func() { a.rig.world.ListSent(a.router, list.Snapshot, list.entries) })
 				}
 				return
 			}
 		}
 		select {
 		case <-changed:
-		case <-until.C:
-			over = true
+		case <-timeout.C:
+			waitOver = true
 		case <-req.Context().Done():
 			return
 		}
--- a/internal/kit/rig/clients.go
+++ b/internal/kit/rig/clients.go
@@ -16,89 +16,90 @@
 	"cedarmast/internal/socket"
 )
 
-// clients are those who ask. They are open: each try has a goroutine of its own, and none waits for another.
+// clients sends the model's requests to routers as an open workload: each try has its own goroutine and none waits for another.
 type clients struct {
 	rig *Rig
 
-	mu   sync.Mutex
-	idle map[string][]*conn // by address, the newest last
-	out  map[*model.Try]*progress
-	done bool
+	mu       sync.Mutex
+	idle     map[string][]*clientConn // by router address, the most recently used last
+	inFlight map[*model.Try]*progress
+	closed   bool
 }
 
-// conn is a client's connection to a router.
-type conn struct {
+// clientConn is a client's connection to a router.
+type clientConn struct {
 	net.Conn
-	r    *bufio.Reader
-	used bool   // has brought an answer
-	last string // the id of the one before
+	reader   *bufio.Reader
+	answered bool   // has carried an answer
+	lastID   string // correlation ID of the previous request
 }
 
-// progress is how far a try has come at its client.
+// progress is the state of a try in flight.
 type progress struct {
-	conn *conn // nil: it has none
-	sent bool  // a byte of it may have left
-	left bool  // its client's time is over
+	conn     *clientConn // nil while the try has none
+	sent     bool        // a byte of the request may have been sent
+	canceled bool        // the client has given up
 }
 
 const (
-	dialWithin = time.Second
-	// dialAgain is the time after which a connection's first packet is sent again, because nobody took it. A connection that came up sooner and
-	// yet after its client's time was late by the rig's own lack of a processor.
-	dialAgain = time.Second
+	dialTimeout = time.Second
+	// synRetransmitDelay is how long the kernel waits before it resends an unanswered SYN. A connection that was established sooner than this
+	// and yet after its client's timeout was late because the rig itself lacked processor time.
+	synRetransmitDelay = time.Second
 )
 
 func newClients(r *Rig) *clients {
-	return &clients{rig: r, idle: map[string][]*conn{}, out: map[*model.Try]*progress{}}
+	return &clients{rig: r, idle: map[string][]*clientConn{}, inFlight: map[*model.Try]*progress{}}
 }
 
-// take returns the newest idle connection that stands, or nil.
-func (c *clients) take(address string) *conn {
+// takeIdle returns the most recently used idle connection that is still open, or nil.
+func (c *clients) takeIdle(address string) *clientConn {
 	for {
 		c.mu.Lock()
-		all := c.idle[address]
-		if len(all) == 0 {
+		idle := c.idle[address]
+		if len(idle) == 0 {
 			c.mu.Unlock()
 			return nil
 		}
-		one := all[len(all)-1]
-		c.idle[address] = all[:len(all)-1]
+		conn := idle[len(idle)-1]
+		c.idle[address] = idle[:len(idle)-1]
 		c.mu.Unlock()
-		switch socket.Peek(one.Conn) {
+		switch socket.Peek(conn.Conn) {
 		case socket.Idle:
-			return one
-		case socket.Unread: // nobody has asked for anything: it answers what it has answered before
-			last := one.last
+			return conn
+		case socket.Unread: // no request is open: this is a second answer to the previous one
+			last := conn.lastID
 			c.rig.post(func() { c.rig.world.Ledger().ExtraAnswer(last, c.rig.world.Now()) })
 		}
-		one.Close()
+		conn.Close()
 	}
 }
 
-func (c *clients) put(address string, one *conn) {
+// putIdle keeps a connection for later requests, or closes it if the pool is full.
+func (c *clients) putIdle(address string, conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.done || len(c.idle[address]) >= c.rig.set.Clients.Connections {
-		one.Close()
+	if c.closed || len(c.idle[address]) >= c.rig.scenario.Clients.Connections {
+		conn.Close()
 		return
 	}
-	c.idle[address] = append(c.idle[address], one)
+	c.idle[address] = append(c.idle[address], conn)
 }
 
-// send is called on the model's goroutine.
+// send starts a try. It must be called on the model's goroutine.
 func (c *clients) send(t *model.Try) {
 	address := c.rig.routers[t.Router].listen
 	if c.rig.opt.Direct {
-		address = c.rig.direct(t)
+		address = c.rig.directAddress(t)
 	}
 	c.mu.Lock()
-	c.out[t] = &progress{}
+	c.inFlight[t] = &progress{}
 	c.mu.Unlock()
-	c.rig.background(func() { c.run(t, address) })
+	c.rig.background(func() { c.runTry(t, address) })
 }
 
-// direct is where a try goes when there are no routers: to a node of its key that is up.
-func (r *Rig) direct(t *model.Try) string {
+// directAddress returns where a try goes when there are no routers: the first node from the key's position that is up.
+func (r *Rig) directAddress(t *model.Try) string {
 	for k := range uint64(len(r.world.Nodes)) {
 		if n := r.world.Nodes[(t.Key+k)%uint64(len(r.world.Nodes))]; n.Up() {
 			return r.nodes[n.Index][t.Router].address
@@ -107,116 +108,117 @@
 	return r.nodes[0][t.Router].address
 }
 
-// leave closes the connection under a try. If nothing of it was sent yet, run tells how it ends.
-func (c *clients) leave(t *model.Try) (sent bool) {
+// cancel closes a try's connection because its client gives up. If nothing was sent yet, runTry reports how the try ends.
+func (c *clients) cancel(t *model.Try) (sent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.out[t]
+	p := c.inFlight[t]
 	if p == nil {
 		return true
 	}
-	p.left = true
+	p.canceled = true
 	if p.conn != nil {
 		p.conn.Close()
 	}
 	return p.sent
 }
 
-func (c *clients) run(t *model.Try, address string) {
+// runTry sends a try and reports its answer to the model.
+func (c *clients) runTry(t *model.Try, address string) {
 	a := c.try(t, address)
 	at := c.rig.now()
 	c.mu.Lock()
-	delete(c.out, t)
+	delete(c.inFlight, t)
 	c.mu.Unlock()
 	c.rig.post(func() { c.rig.world.Answered(t, a, at) })
 }
 
-// try sends a request and waits for its answer. If a connection that has been used closes before a byte of the answer,
-// the request is sent once more on a new one: the router may have closed it before it came. Where no new one comes up the first
-// may have been read all the same, by a router that has died since: then it is broken, and not unheard.
+// try sends a request and waits for its answer. If a reused connection closes before a byte of the answer, the request is sent once
+// more on a new connection: the router may have closed the idle one before the request arrived. If the new connection can't be
+// established, a router that has died since may still have read the first request, so the outcome is Truncated and not NotConnected.
 func (c *clients) try(t *model.Try, address string) model.Answer {
 	for fresh := false; ; fresh = true {
-		var one *conn
+		var conn *clientConn
 		if !fresh {
-			one = c.take(address)
+			conn = c.takeIdle(address)
 		}
-		begun := time.Now()
-		if one == nil {
-			raw, err := net.DialTimeout("tcp", address, dialWithin)
+		started := time.Now()
+		if conn == nil {
+			raw, err := net.DialTimeout("tcp", address, dialTimeout)
 			switch {
 			case err != nil && fresh:
 				return model.Answer{Outcome: ledger.Truncated}
-			case err != nil && c.isOver(t) && time.Since(begun) >= dialAgain:
-				return model.Answer{Outcome: ledger.NoAnswer} // nobody took the connection while its client waited
+			case err != nil && c.isCanceled(t) && time.Since(started) >= synRetransmitDelay:
+				return model.Answer{Outcome: ledger.NoAnswer} // no router accepted the connection while the client waited
 			case err != nil:
 				return model.Answer{Outcome: ledger.NotConnected}
 			}
-			one = &conn{Conn: raw, r: bufio.NewReader(raw)}
+			conn = &clientConn{Conn: raw, reader: bufio.NewReader(raw)}
 		}
-		if !c.begin(t, one) {
-			one.Close()
-			return c.notSent(t, time.Since(begun))
+		if !c.attach(t, conn) {
+			conn.Close()
+			return c.canceledAnswer(t, time.Since(started))
 		}
-		a, silent := c.ask(t, one, address)
-		if silent && one.used && !fresh {
+		a, noBytes := c.exchange(t, conn, address)
+		if noBytes && conn.answered && !fresh {
 			continue
 		}
 		return a
 	}
 }
 
-// isOver tells whether a try's client has left.
-func (c *clients) isOver(t *model.Try) bool {
+// isCanceled reports whether a try's client has given up.
+func (c *clients) isCanceled(t *model.Try) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.out[t].left
+	return c.inFlight[t].canceled
 }
 
-// begin gives a try its connection; false if its client's time is over.
-func (c *clients) begin(t *model.Try, one *conn) bool {
+// attach assigns a connection to a try; false if the client has given up.
+func (c *clients) attach(t *model.Try, conn *clientConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.out[t]
-	if p.left {
+	p := c.inFlight[t]
+	if p.canceled {
 		return false
 	}
-	p.conn, p.sent = one, true
+	p.conn, p.sent = conn, true
 	return true
 }
 
-// notSent is the end of a try whose client's time was over as it had its connection. It is unheard, unless it was sent before, on a connection
-// that closed, or the connection came up as late as where nobody takes any.
-func (c *clients) notSent(t *model.Try, took time.Duration) model.Answer {
+// canceledAnswer returns the outcome of a try whose client had given up by the time it had a connection. It is NotConnected, unless the
+// request was sent before on a connection that closed, or the connection took as long as one that no router accepts.
+func (c *clients) canceledAnswer(t *model.Try, took time.Duration) model.Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.out[t].sent || took >= dialAgain {
+	if c.inFlight[t].sent || took >= synRetransmitDelay {
 		return model.Answer{Outcome: ledger.NoAnswer}
 	}
 	return model.Answer{Outcome: ledger.NotConnected}
 }
 
-// ask sends one request on a connection; silent tells that the connection ended without a byte.
-func (c *clients) ask(t *model.Try, one *conn, address string) (a model.Answer, silent bool) {
+// exchange sends one request on a connection and reads the answer; noBytes reports that the connection ended before the first byte.
+func (c *clients) exchange(t *model.Try, conn *clientConn, address string) (a model.Answer, noBytes bool) {
 	keep := false
 	defer func() {
 		c.mu.Lock()
-		c.out[t].conn = nil
+		c.inFlight[t].conn = nil
 		c.mu.Unlock()
 		if keep {
-			c.put(address, one)
+			c.putIdle(address, conn)
 		} else {
-			one.Close()
+			conn.Close()
 		}
 	}()
 	a.Outcome = ledger.Truncated
-	one.SetDeadline(time.Now().Add(t.Timeout + time.Second)) // the model ends it before
-	if _, err := io.WriteString(one, c.request(t, c.rig.now())); err != nil {
+	conn.SetDeadline(time.Now().Add(t.Timeout + time.Second)) // the model cancels the try before
+	if _, err := io.WriteString(conn, c.request(t, c.rig.now())); err != nil {
 		return a, true
 	}
-	if _, err := one.r.Peek(1); err != nil {
+	if _, err := conn.reader.Peek(1); err != nil {
 		return a, true
 	}
-	resp, err := http.ReadResponse(one.r, nil)
+	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
 		return a, false
 	}
@@ -235,31 +237,31 @@
 	default:
 		a.Outcome = ledger.Failed
 	}
-	if one.r.Buffered() > 0 {
+	if conn.reader.Buffered() > 0 {
 		c.rig.post(func() { c.rig.world.Ledger().ExtraAnswer(t.CorrelationID, c.rig.world.Now()) })
 		return a, false
 	}
-	one.SetDeadline(time.Time{})
-	one.used, one.last = true, t.CorrelationID
+	conn.SetDeadline(time.Time{})
+	conn.answered, conn.lastID = true, t.CorrelationID
 	keep = !resp.Close
 	return a, false
 }
 
-// leastLeft is the time left that a client tells which is sent when its time is as good as over.
-const leastLeft = time.Millisecond
+// minTimeLeft is the least X-Time-Left that a client sends, however little of its timeout remains.
+const minTimeLeft = time.Millisecond
 
-// request writes a try out at a moment of the day. It tells the time that is left then: the client's time runs from the moment at which the try
-// was due, and on a busy machine its goroutine and its connection come later.
+// request encodes a try as an HTTP request sent at the given time of the run. X-Time-Left is what remains then: the timeout runs from
+// the time at which the try was due, and on a busy machine its goroutine and its connection come later.
 func (c *clients) request(t *model.Try, at time.Duration) string {
-	left := max(t.StartedAt+t.Timeout-at, leastLeft)
-	class := &c.rig.set.Classes[t.Class]
+	left := max(t.StartedAt+t.Timeout-at, minTimeLeft)
+	class := &c.rig.scenario.Classes[t.Class]
 	var b strings.Builder
 	method, body := "GET", ""
 	if class.Write {
 		method, body = "PUT", fmt.Sprintf("value of %s", t.IdempotencyKey)
 	}
 	fmt.Fprintf(&b, "%s /%s/%016x HTTP/1.1\r\nHost: rehearsal.local\r\nX-Correlation-Id: %s\r\nX-Service-Class: %s\r\nX-Account: %s\r\nX-Time-Left: %dm\r\n",
-		method, class.Name, t.Key, t.CorrelationID, class.Name, c.rig.set.Tenants[t.Tenant].Name, left.Milliseconds())
+		method, class.Name, t.Key, t.CorrelationID, class.Name, c.rig.scenario.Tenants[t.Tenant].Name, left.Milliseconds())
 	if class.Effect == "keyed" {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.IdempotencyKey)
 	}
@@ -272,21 +274,21 @@
 func (c *clients) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.done = true
-	for _, all := range c.idle {
-		for _, one := range all {
-			one.Close()
+	c.closed = true
+	for _, idle := range c.idle {
+		for _, conn := range idle {
+			conn.Close()
 		}
 	}
-	for _, p := range c.out {
+	for _, p := range c.inFlight {
 		if p.conn != nil {
 			p.conn.Close()
 		}
 	}
 }
 
-// badMessages are what clients send that no router can use.
-var badMessages = []string{
+// malformedMessages are malformed or incomplete requests.
+var malformedMessages = []string{
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 not what you think\r\n\r\n",
 	"GET /list/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: b%d\r\nX-Service-Class: nothing\r\nX-Time-Left: 500m\r\n\r\n",
 	"GET /list/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: b%d\r\nX-Service-Class: list\r\nX-Time-Left: soon\r\n\r\n",
@@ -297,32 +299,32 @@
 	"",
 }
 
-const badPause = 20 * time.Millisecond
+const malformedPause = 20 * time.Millisecond
 
-// bad runs clients that send what can't be read, or say nothing, for a while.
-func (c *clients) bad(count int, span time.Duration) {
-	until := time.Now().Add(span)
+// sendMalformed runs clients that send malformed requests, or nothing, for the given time.
+func (c *clients) sendMalformed(count int, span time.Duration) {
+	deadline := time.Now().Add(span)
 	for k := range count {
 		c.rig.background(func() {
-			for n := k; time.Now().Before(until) && c.rig.ctx.Err() == nil; n += count {
-				c.badOne(c.rig.routers[n%len(c.rig.routers)].listen, n, until)
-				time.Sleep(badPause)
+			for n := k; time.Now().Before(deadline) && c.rig.ctx.Err() == nil; n += count {
+				c.sendOneMalformed(c.rig.routers[n%len(c.rig.routers)].listen, n, deadline)
+				time.Sleep(malformedPause)
 			}
 		})
 	}
 }
 
-func (c *clients) badOne(address string, n int, until time.Time) {
-	raw, err := net.DialTimeout("tcp", address, dialWithin)
+func (c *clients) sendOneMalformed(address string, n int, deadline time.Time) {
+	raw, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return
 	}
 	defer raw.Close()
-	text := badMessages[n%len(badMessages)]
+	text := malformedMessages[n%len(malformedMessages)]
 	if strings.Contains(text, "%d") {
 		text = fmt.Sprintf(text, n)
 	}
-	raw.SetDeadline(time.Now().Add(min(time.Until(until), 3*time.Second)))
+	raw.SetDeadline(time.Now().Add(min(time.Until(deadline), 3*time.Second)))
 	io.WriteString(raw, text)
 	io.Copy(io.Discard, raw)
 }
--- a/internal/kit/rig/clients_test.go
+++ b/internal/kit/rig/clients_test.go
@@ -12,8 +12,8 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// TestTimeLeft guards against a client that tells a router more time than it has: where the machine was busy its request went out up to 111 ms after
-// its time had begun, told all of it, and the router's answer in time by that was held against the router.
+// TestTimeLeft guards against a client that announces more time than it has left: on a busy machine a request went out up to 111 ms
+// after its timeout had started but announced the whole timeout, and the router's answer, in time by that, counted against the router.
 func TestTimeLeft(t *testing.T) {
 	set, err := scenario.Parse("time left", []byte(`
 name = "time left"
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClients(&Rig{set: set})
+	c := newClients(&Rig{scenario: set})
 	try := &model.Try{Request: &model.Request{}, StartedAt: 6 * time.Second, Timeout: 1625 * time.Millisecond}
 	for at, want := range map[time.Duration]string{
 		0:                       "1625m",
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestLeftBeforeSent guards against a client that asks after it has left: where the machine was busy its connection took 175 ms of the 125 ms that
-// it had, and a request that no router had seen by then was held against the router, as was the answer to it.
+// TestLeftBeforeSent guards against a client that sends after it has given up: on a busy machine the connection took 175 ms of a timeout
+// of 125 ms, and a request that no router had seen by then counted against the router, as did the answer to it.
 func TestLeftBeforeSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,11 +63,11 @@
 	}{
 		"nothing was sent":    {progress{}, ledger.NotConnected},
 		"it was sent once":    {progress{sent: true}, ledger.NoAnswer},
-		"its connection came": {progress{sent: true, conn: &conn{Conn: closed{}}}, ledger.NoAnswer},
+		"its connection came": {progress{sent: true, conn: &clientConn{Conn: closed{}}}, ledger.NoAnswer},
 	} {
 		try := &model.Try{Request: &model.Request{}, Timeout: time.Second}
-		c.out[try] = &v.progress
-		if sent := c.leave(try); sent != v.progress.sent {
+		c.inFlight[try] = &v.progress
+		if sent := c.cancel(try); sent != v.progress.sent {
 			t.Errorf("%s: leave says %v", name, sent)
 		}
 		if a := c.try(try, listener.Addr().String()); a.Outcome != v.want {
@@ -78,13 +78,13 @@
 		}
 	}
 	try := &model.Try{Request: &model.Request{}}
-	c.out[try] = &progress{}
-	if a := c.notSent(try, dialAgain); a.Outcome != ledger.NoAnswer {
-		t.Errorf("a connection that nobody took for %v: %v", dialAgain, a.Outcome)
+	c.inFlight[try] = &progress{}
+	if a := c.canceledAnswer(try, synRetransmitDelay); a.Outcome != ledger.NoAnswer {
+		t.Errorf("a connection that nobody took for %v: %v", synRetransmitDelay, a.Outcome)
 	}
 }
 
-// closed is a connection that only closes.
+// closed is a connection that only supports Close.
 type closed struct{ net.Conn }
 
 func (closed) Close() error { return nil }
--- a/internal/kit/rig/control.go
+++ b/internal/kit/rig/control.go
@@ -11,14 +11,14 @@
 	"cedarmast/internal/shared"
 )
 
-// Control is a hand in a day on sockets: tests drive with it what no scenario says. Its calls may come from any goroutine and
-// have taken effect when they return, unless the day is over.
+// Control lets a test inject faults and operator calls into a running rehearsal that the scenario does not describe. Its methods
+// may be called from any goroutine and have taken effect when they return, unless the run has ended.
 type Control struct{ rig *Rig }
 
-// do has the model's goroutine do something and waits for it.
-func (c *Control) do(f func()) { ask(c.rig, func() struct{} { f(); return struct{}{} }) }
+// run runs f on the model's goroutine and waits for it.
+func (c *Control) run(f func()) { ask(c.rig, func() struct{} { f(); return struct{}{} }) }
 
-// Await waits until a moment of the day; false if the day has ended before.
+// Await waits until the given time of the run. It returns false if the run ends first.
 func (c *Control) Await(at time.Duration) bool {
 	timer := time.NewTimer(at - c.rig.now())
 	defer timer.Stop()
@@ -30,47 +30,48 @@
 	}
 }
 
-// Kill ends a router outright. Stop ends it in order, and Start starts it again; those two return before it has gone or is ready.
-func (c *Control) Kill(router int) { c.do(func() { c.rig.KillRouter(router) }) }
-func (c *Control) Stop(router int) { c.do(func() { c.rig.StopRouter(router) }) }
+// Kill ends a router with SIGKILL. Stop shuts it down gracefully and Start starts it again; these two return before the router has
+// exited or is ready.
+func (c *Control) Kill(router int) { c.run(func() { c.rig.KillRouter(router) }) }
+func (c *Control) Stop(router int) { c.run(func() { c.rig.StopRouter(router) }) }
 func (c *Control) Start(router int, f model.StoredState) {
-	c.do(func() { c.rig.StartRouter(router, f) })
+	c.run(func() { c.rig.StartRouter(router, f) })
 }
 
-// Stall has a router's process stand still, or go on.
-func (c *Control) Stall(router int, on bool) { c.do(func() { c.rig.world.Stall(router, on) }) }
+// Stall suspends a router's process, or resumes it.
+func (c *Control) Stall(router int, on bool) { c.run(func() { c.rig.world.Stall(router, on) }) }
 
-// FillDisk has nothing that a router stores be written, or has it written again.
-func (c *Control) FillDisk(router int, full bool) { c.do(func() { c.rig.SetDiskFull(router, full) }) }
+// FillDisk makes a router's writes to files fail, or lets them succeed again.
+func (c *Control) FillDisk(router int, full bool) { c.run(func() { c.rig.SetDiskFull(router, full) }) }
 
-// Strike strikes the links between some routers and others, as a trouble of kind router-link does, until heal is called.
+// Strike injects a fault into the links between two sets of routers, as a trouble of kind router-link does, until heal is called.
 func (c *Control) Strike(routers, others []int, t scenario.Trouble) (heal func()) {
 	var end func()
-	c.do(func() { end = c.rig.world.AddLinkFault(routers, others, t) })
+	c.run(func() { end = c.rig.world.AddLinkFault(routers, others, t) })
 	return func() {
 		if end != nil {
-			c.do(end)
+			c.run(end)
 		}
 	}
 }
 
-// Silence keeps discovery from answering any router, or ends that.
-func (c *Control) Silence(on bool) { c.do(func() { c.rig.SetDiscoverySilence(on) }) }
+// Silence stops discovery from answering any router, or ends that.
+func (c *Control) Silence(on bool) { c.run(func() { c.rig.SetDiscoverySilence(on) }) }
 
-// Stats are a router's counters, by group and name.
+// Stats returns a router's counters, by group and name.
 func (c *Control) Stats(router int) (all map[string]map[string]int64, err error) {
-	err = read(c.rig.routers[router].listen, "/stats", &all)
+	err = getJSON(c.rig.routers[router].listen, "/stats", &all)
 	return all, err
 }
 
-// Facts are what a router holds of the state that routers share, by its operators' address.
+// Facts returns a router's replica of the state that routers share, read at its operators' address.
 func (c *Control) Facts(router int) (r shared.Report, err error) {
-	err = read(c.rig.routers[router].operators, "/facts", &r)
+	err = getJSON(c.rig.routers[router].operatorAddr, "/facts", &r)
 	return r, err
 }
 
-// read asks an address for a page of JSON.
-func read(addr, path string, to any) error {
+// getJSON fetches path from addr and decodes the JSON body into to.
+func getJSON(addr, path string, to any) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + addr + path)
 	if err != nil {
@@ -83,15 +84,16 @@
 	return json.NewDecoder(resp.Body).Decode(to)
 }
 
-// Holds has the ledger hold an order, given elsewhere, against a router from now on: a send against it is stale.
+// Holds tells the ledger that an operator order given elsewhere applies to a router from now on: a send that contradicts it counts as
+// stale.
 func (c *Control) Holds(router int, node string, out bool) {
-	c.do(func() { c.rig.world.Ledger().OperatorOrder(router, node, out, c.rig.world.Now()) })
+	c.run(func() { c.rig.world.Ledger().OperatorOrder(router, node, out, c.rig.world.Now()) })
 }
 
-// Order takes a node out for maintenance at a router, or back, by its operators' address, and tells what was answered.
+// Order puts a node into maintenance at a router, or back into service, through its operators' address. It returns the HTTP status.
 func (c *Control) Order(router int, node string, out bool) (status int, err error) {
 	call := map[bool]string{true: "maint", false: "ready"}[out]
-	req, err := http.NewRequest(http.MethodPut, fmt.Sprintf("http://%s/cache-servers/%s/%s", c.rig.routers[router].operators, node, call), nil)
+	req, err := http.NewRequest(http.MethodPut, fmt.Sprintf("http://%s/cache-servers/%s/%s", c.rig.routers[router].operatorAddr, node, call), nil)
 	if err != nil {
 		return 0, err
 	}
@@ -102,7 +104,7 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode == http.StatusOK {
-		c.do(func() { c.rig.world.Ledger().OperatorOrder(router, node, out, c.rig.world.Now()) })
+		c.run(func() { c.rig.world.Ledger().OperatorOrder(router, node, out, c.rig.world.Now()) })
 	}
 	return resp.StatusCode, nil
 }
--- a/internal/kit/rig/between_test.go
+++ b/internal/kit/rig/datagram_relay_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// TestHomesAreFreeForTheirRouters guards against routers that can't start: the rig drew their ports, gave them back and then
-// drew some hundred others at the same address, one of which took a router's home in every second start of 24.
+// TestHomesAreFreeForTheirRouters guards against routers that can't start because their port is taken: the rig drew the routers'
+// ports, released them and then drew some hundred others at the same address, which took a router's port in every second start of 24.
 func TestHomesAreFreeForTheirRouters(t *testing.T) {
 	const routers = 24
 	r := testRig(t)
 	for range 40 {
-		b, err := newBetween(r, routers)
+		b, err := newDatagramRelay(r, routers)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestRunsSideBySideHaveTheirOwnHosts guards against days that are played side by side in one process and take one another's ports, as
-// between the moment in which a rig gives a router's back and the router's start.
+// TestRunsSideBySideHaveTheirOwnHosts guards against concurrent runs in one process that take each other's ports, as in the time
+// between a rig's release of a router's port and the router's start.
 func TestRunsSideBySideHaveTheirOwnHosts(t *testing.T) {
 	seen := map[string]bool{}
 	for range 5 {
--- a/internal/kit/rig/limits.go
+++ b/internal/kit/rig/limits.go
@@ -11,17 +11,17 @@
 	"golang.org/x/sys/unix"
 )
 
-const watchEvery = 200 * time.Millisecond
+const memoryCheckInterval = 200 * time.Millisecond
 
-// limit holds a router's process to the scenario's limits: descriptors by the system, memory by looking, now and then, and
-// killing what is over it, as the machine that it stands for would. Processor time is told to routers and only measured.
-func (r *Rig) limit(t *router, pid int) {
-	most := uint64(r.set.Limits.Descriptors)
-	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: most, Max: most}, nil) // fails only for one that has ended
-	limitFiles(pid, t.full)
+// enforceLimits enforces the scenario's limits on a router's process. The kernel limits descriptors. Memory is polled, and a process
+// over its limit is killed, as the kernel of the simulated machine would do. Processor time is told to routers and only measured.
+func (r *Rig) enforceLimits(t *router, pid int) {
+	descriptors := uint64(r.scenario.Limits.Descriptors)
+	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: descriptors, Max: descriptors}, nil) // fails only for a process that has exited
+	setFileWriteLimit(pid, t.diskFull)
 	exited := t.exited
 	r.background(func() {
-		tick := time.NewTicker(watchEvery)
+		tick := time.NewTicker(memoryCheckInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -29,8 +29,8 @@
 			case <-exited:
 				return
 			}
-			if mb := residentMB(pid); mb > float64(r.set.Limits.MemoryMB) {
-				r.RecordEvent(r.now(), fmt.Sprintf("%s took %.0f MB of %d and was killed for it", t.name, mb, r.set.Limits.MemoryMB))
+			if mb := residentMB(pid); mb > float64(r.scenario.Limits.MemoryMB) {
+				r.RecordEvent(r.now(), fmt.Sprintf("%s took %.0f MB of %d and was killed for it", t.name, mb, r.scenario.Limits.MemoryMB))
 				syscall.Kill(-pid, syscall.SIGKILL)
 				return
 			}
@@ -38,16 +38,16 @@
 	})
 }
 
-// limitFiles lets a process write no byte to any file, or as much as it will. Pipes and sockets are none.
-func limitFiles(pid int, full bool) {
-	most := uint64(unix.RLIM_INFINITY)
-	if full {
-		most = 0
+// setFileWriteLimit makes a process's writes to files fail, or lifts that limit. Pipes and sockets are not affected.
+func setFileWriteLimit(pid int, diskFull bool) {
+	limit := uint64(unix.RLIM_INFINITY)
+	if diskFull {
+		limit = 0
 	}
-	unix.Prlimit(pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}, nil) // fails only for one that has ended
+	unix.Prlimit(pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: limit, Max: unix.RLIM_INFINITY}, nil) // fails only for a process that has exited
 }
 
-// residentMB is the memory that a process has now, of its own; 0 if it has ended.
+// residentMB returns a process's anonymous resident memory in MB; 0 if it has exited.
 func residentMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/internal/kit/rig/port.go
+++ b/internal/kit/rig/port.go
@@ -16,32 +16,33 @@
 	"cedarmast/internal/kit/model"
 )
 
-// port is where one router reaches one node: its own listener, so that a node can be silent towards one router alone.
+// port is the listener at which one router reaches one node. Each router has its own, so that a node can be silent towards one
+// router only.
 //
-// Silence is made without privileges. Open connections are left unread and unanswered. New ones must not come up: the
-// listener's queue is set to its least length and filled with connections of the rig's own, so that the system drops
-// what else comes, as if nobody were there. Its limits: what a router writes to an open connection is still acknowledged
-// by the system, and a connection that came up in the moment before the queue was full stands open and silent.
+// Silence needs no privileges. Open connections are left unread and unanswered. New ones must not be established: the listener's
+// backlog is set to its minimum and filled with the rig's own connections, so that the kernel drops further SYN packets as if no
+// host were there. Limits: the kernel still acknowledges what a router writes to an open connection, and a connection that was
+// established just before the backlog was full stays open and silent.
 type port struct {
 	rig     *Rig
 	node    *model.Node
 	router  int
 	address string
 
-	mu      sync.Mutex
-	l       *net.TCPListener           // nil while the node is down
-	conns   map[net.Conn]chan struct{} // closed when the connection is ended by the node
-	silent  bool
-	fillers []net.Conn
-	spoken  chan struct{} // closed when silence ends
-	closed  bool
+	mu           sync.Mutex
+	listener     *net.TCPListener           // nil while the node is down
+	conns        map[net.Conn]chan struct{} // each channel is closed when the node ends the connection
+	silent       bool
+	fillers      []net.Conn
+	silenceEnded chan struct{} // closed when silence ends
+	closed       bool
 }
 
 const (
 	backlog = 1024
 
-	fillWithin = 20 * time.Millisecond // on loopback a connection that comes up does so at once
-	fillTries  = 20
+	fillTimeout     = 20 * time.Millisecond // on loopback a connection is established at once or not at all
+	maxFillAttempts = 20
 )
 
 func newPort(r *Rig, n *model.Node, router int) (*port, error) {
@@ -49,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &port{rig: r, node: n, router: router, address: l.Addr().String(), conns: map[net.Conn]chan struct{}{}, spoken: make(chan struct{})}
+	p := &port{rig: r, node: n, router: router, address: l.Addr().String(), conns: map[net.Conn]chan struct{}{}, silenceEnded: make(chan struct{})}
 	if !n.Up() {
 		l.Close()
 		return p, nil
@@ -58,19 +59,20 @@
 	return p, nil
 }
 
+// accept serves the listener's connections in the background. While the port is silent it waits for the silence to end.
 func (p *port) accept(l net.Listener) {
 	tcp := l.(*net.TCPListener)
-	p.l = tcp
+	p.listener = tcp
 	p.rig.background(func() {
 		for {
 			c, err := tcp.Accept()
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				p.mu.Lock()
-				spoken, silent := p.spoken, p.silent
+				silenceEnded, silent := p.silenceEnded, p.silent
 				p.mu.Unlock()
 				if silent {
 					select {
-					case <-spoken:
+					case <-silenceEnded:
 					case <-p.rig.ctx.Done():
 						return
 					}
@@ -80,25 +82,26 @@
 			if err != nil {
 				return
 			}
-			p.take(c)
+			p.addConn(c)
 		}
 	})
 }
 
-func (p *port) take(c net.Conn) {
+// addConn serves an accepted connection, or closes it if it is a filler or the node is down.
+func (p *port) addConn(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if from, ok := c.RemoteAddr().(*net.TCPAddr); ok && from.IP.Equal(fillersFrom.IP) { // one of the rig's own has been let in
+	if remote, ok := c.RemoteAddr().(*net.TCPAddr); ok && remote.IP.Equal(fillerAddr.IP) { // a filler connection was accepted
 		c.Close()
-		p.fillers = slices.DeleteFunc(p.fillers, func(f net.Conn) bool { return f.LocalAddr().String() == from.String() })
-		if p.silent && p.l != nil {
-			p.l.SetDeadline(time.Unix(1, 0))
-			l, spoken := p.l, p.spoken
-			p.rig.background(func() { p.fill(l, spoken) })
+		p.fillers = slices.DeleteFunc(p.fillers, func(f net.Conn) bool { return f.LocalAddr().String() == remote.String() })
+		if p.silent && p.listener != nil {
+			p.listener.SetDeadline(time.Unix(1, 0))
+			l, silenceEnded := p.listener, p.silenceEnded
+			p.rig.background(func() { p.fillBacklog(l, silenceEnded) })
 		}
 		return
 	}
-	if p.closed || p.l == nil {
+	if p.closed || p.listener == nil {
 		reset(c)
 		return
 	}
@@ -107,7 +110,7 @@
 	p.rig.background(func() { p.serve(c, ended) })
 }
 
-// reset closes a connection as the system does for a process that has died.
+// reset closes a connection with a RST, as the kernel does for a process that has died.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -115,18 +118,18 @@
 	c.Close()
 }
 
-// down is the node's death: open connections are reset, new ones refused.
-func (p *port) down() {
+// goDown simulates the node's crash: open connections are reset and new ones refused.
+func (p *port) goDown() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.l != nil {
-		p.l.Close()
-		p.l = nil
+	if p.listener != nil {
+		p.listener.Close()
+		p.listener = nil
 	}
 	p.resetAll()
 }
 
-// resetAll ends all connections. The caller holds the lock.
+// resetAll resets all connections. The caller holds p.mu.
 func (p *port) resetAll() {
 	for c, ended := range p.conns {
 		reset(c)
@@ -135,71 +138,73 @@
 	clear(p.conns)
 }
 
-func (p *port) up() {
+// goUp listens again after down.
+func (p *port) goUp() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.l != nil || p.closed {
+	if p.listener != nil || p.closed {
 		return
 	}
 	l, err := p.rig.listen(p.address)
-	if err != nil { // the address is this run's own: nobody else has it
+	if err != nil { // unexpected: the address is reserved for this run
 		p.rig.RecordEvent(p.rig.now(), fmt.Sprintf("%s can't listen again: %v", p.node.Name, err))
 		return
 	}
 	p.accept(l)
 }
 
-func (p *port) silence(on bool) {
+// setSilent starts or ends the node's silence towards the router.
+func (p *port) setSilent(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.silent == on {
 		return
 	}
 	if p.silent = on; on {
-		p.spoken = make(chan struct{})
-		if p.l == nil {
+		p.silenceEnded = make(chan struct{})
+		if p.listener == nil {
 			return
 		}
-		p.l.SetDeadline(time.Unix(1, 0))
-		setBacklog(p.l, 0)
-		spoken := p.spoken
-		l := p.l
-		p.rig.background(func() { p.fill(l, spoken) })
+		p.listener.SetDeadline(time.Unix(1, 0))
+		setBacklog(p.listener, 0)
+		silenceEnded := p.silenceEnded
+		l := p.listener
+		p.rig.background(func() { p.fillBacklog(l, silenceEnded) })
 		return
 	}
-	p.resetAll() // the machine is back and knows nothing of what was open
+	p.resetAll() // the machine is back and has lost its connections
 	for _, c := range p.fillers {
 		reset(c)
 	}
 	p.fillers = nil
-	if p.l != nil {
-		setBacklog(p.l, backlog)
-		p.l.SetDeadline(time.Time{})
+	if p.listener != nil {
+		setBacklog(p.listener, backlog)
+		p.listener.SetDeadline(time.Time{})
 	}
-	close(p.spoken)
+	close(p.silenceEnded)
 }
 
-// fill fills the queue of a listener that does not accept with connections of the rig's own, as many as it holds. What was
-// quicker and stands in it is taken: it came up before the machine fell silent, and the model is to know what is sent on
-// it. One that stayed in the queue unseen would look to the ledger as if its router held its request back.
-func (p *port) fill(l *net.TCPListener, spoken chan struct{}) {
-	holds := queueHolds()
-	for range fillTries {
-		own, err := (&net.Dialer{Timeout: fillWithin, LocalAddr: fillersFrom}).Dial("tcp", p.address)
+// fillBacklog fills the backlog of a listener that does not accept with the rig's own connections. A router's connection that got into
+// the backlog first is accepted: it was established before the machine fell silent, and the model must see what is sent on it. If
+// it stayed in the backlog unseen, the ledger would take its router for holding the request back.
+func (p *port) fillBacklog(l *net.TCPListener, silenceEnded chan struct{}) {
+	capacity := backlogCapacity()
+	for range maxFillAttempts {
+		filler, err := (&net.Dialer{Timeout: fillTimeout, LocalAddr: fillerAddr}).Dial("tcp", p.address)
 		p.mu.Lock()
-		if !p.silent || p.spoken != spoken {
+		if !p.silent || p.silenceEnded != silenceEnded {
 			p.mu.Unlock()
 			if err == nil {
-				own.Close()
+				filler.Close()
 			}
 			return
 		}
 		if err == nil {
-			p.fillers = append(p.fillers, own)
+			p.fillers = append(p.fillers, filler)
 		}
-		full := len(p.fillers) >= holds
-		if !full && err != nil { // another's stands in the queue; the first in it is taken out, whosever it is
-			l.SetDeadline(time.Now().Add(fillWithin))
+		full := len(p.fillers) >= capacity
+		if !full && err != nil { // a router's connection is in the backlog; accept the oldest one, whoever opened it
+			l.SetDeadline(time.Now().Add(fillTimeout))
 		}
 		p.mu.Unlock()
 		if full {
@@ -209,7 +214,7 @@
 			continue
 		}
 		if c, err := l.Accept(); err == nil {
-			p.take(c)
+			p.addConn(c)
 		}
 		p.mu.Lock()
 		if l.SetDeadline(time.Time{}); p.silent {
@@ -219,9 +224,8 @@
 	}
 }
 
-// queueHolds is how many connections the queue of a listener holds whose length is set to 0. It is tried once, for systems
-// differ.
-var queueHolds = sync.OnceValue(func() int {
+// backlogCapacity returns how many connections a listener's backlog of length 0 holds. This differs between kernels, so it is probed once.
+var backlogCapacity = sync.OnceValue(func() int {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return 1
@@ -229,19 +233,19 @@
 	defer l.Close()
 	setBacklog(l.(*net.TCPListener), 0)
 	for n := 0; ; n++ {
-		c, err := net.DialTimeout("tcp", l.Addr().String(), 2*fillWithin)
-		if err != nil || n == fillTries/2 {
+		c, err := net.DialTimeout("tcp", l.Addr().String(), 2*fillTimeout)
+		if err != nil || n == maxFillAttempts/2 {
 			return max(n, 1)
 		}
 		defer c.Close()
 	}
 })
 
-// fillersFrom is where the rig's own connections come from, by which they are known also in the moment before they are
-// noted: the goroutine that accepts may be awake yet when the queue is filled.
-var fillersFrom = &net.TCPAddr{IP: net.IPv4(127, 0, 9, 9)}
+// fillerAddr is the source address of filler connections. It identifies them even before they are recorded in fillers, because
+// the accepting goroutine may still be awake while the backlog is being filled.
+var fillerAddr = &net.TCPAddr{IP: net.IPv4(127, 0, 9, 9)}
 
-// setBacklog changes the length of a listener's queue while it listens.
+// setBacklog changes the backlog of an open listener.
 func setBacklog(l *net.TCPListener, n int) {
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
@@ -254,12 +258,12 @@
 	silent := p.silent
 	p.mu.Unlock()
 	if silent {
-		p.silence(false)
+		p.setSilent(false)
 	}
-	p.down()
+	p.goDown()
 }
 
-// serve answers one request after the other, as the model says.
+// serve answers the requests on a connection one after the other, as the model decides.
 func (p *port) serve(c net.Conn, ended <-chan struct{}) {
 	defer func() {
 		c.Close()
@@ -268,13 +272,13 @@
 		p.mu.Unlock()
 	}()
 	p.rig.post(func() { p.rig.world.Ledger().Connected(p.rig.world.Now()) })
-	in := bufio.NewReader(c)
+	reader := bufio.NewReader(c)
 	replies := make(chan *model.Reply, 1)
 	for n := 0; ; n++ {
-		if !p.awaitByte(c, in) {
+		if !p.awaitRequest(c, reader) {
 			return
 		}
-		req, err := http.ReadRequest(in)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -296,66 +300,68 @@
 				p.rig.world.Ledger().NodeReceived(id, p.router, p.node.Name, p.rig.world.Now(), false)
 				p.rig.world.Ledger().SendAnswered(id, p.rig.world.Now(), false)
 			})
-			io.WriteString(c, turnedAway)
+			io.WriteString(c, unprocessedResponse)
 			return
 		}
-		job := &model.Job{ID: id, Router: p.router, NewConnection: n == 0, Reply: func(a *model.Reply) { replies <- a }}
+		job := &model.Job{ID: id, Router: p.router, NewConnection: n == 0, Reply: func(reply *model.Reply) { replies <- reply }}
 		p.rig.post(func() { p.node.Arrive(job) })
-		var a *model.Reply
+		var reply *model.Reply
 		select {
-		case a = <-replies:
+		case reply = <-replies:
 		case <-p.rig.ctx.Done():
 			return
 		case <-ended:
 			return
 		}
-		time.Sleep(a.Delay)
-		if !p.write(c, a) {
+		time.Sleep(reply.Delay)
+		if !p.writeReply(c, reply) {
 			return
 		}
 	}
 }
 
-const turnedAway = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+// unprocessedResponse is the response to a request that the node rejects without processing it.
+const unprocessedResponse = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 
-func (p *port) write(c net.Conn, a *model.Reply) bool {
+// writeReply writes the model's reply as an HTTP response; false if the connection failed.
+func (p *port) writeReply(c net.Conn, reply *model.Reply) bool {
 	text := ""
 	switch {
-	case a.Corrupt:
+	case reply.Corrupt:
 		text = "HTTP/1.1 2\x000 OK\r\nContent-Length: 12\r\n\r\nnothing said"
-	case a.Status == model.StatusUnavailable:
-		text = turnedAway
-	case a.Status == model.StatusOK:
+	case reply.Status == model.StatusUnavailable:
+		text = unprocessedResponse
+	case reply.Status == model.StatusOK:
 		text = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n"
-		if a.Lookup != "" {
-			text += "X-Lookup: " + a.Lookup + "\r\n"
+		if reply.Lookup != "" {
+			text += "X-Lookup: " + reply.Lookup + "\r\n"
 		}
-		text += fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(a.Body), a.Body)
+		text += fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(reply.Body), reply.Body)
 	default:
-		text = fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Length: 0\r\n\r\n", a.Status, http.StatusText(int(a.Status)))
+		text = fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Length: 0\r\n\r\n", reply.Status, http.StatusText(int(reply.Status)))
 	}
 	_, err := io.WriteString(c, text)
 	return err == nil
 }
 
-// awaitByte waits for a request's first byte, as long as the node keeps an idle connection. A silent machine closes none.
-func (p *port) awaitByte(c net.Conn, in *bufio.Reader) bool {
+// awaitRequest waits for the first byte of a request, up to the node's idle timeout. A silent machine closes no connection.
+func (p *port) awaitRequest(c net.Conn, reader *bufio.Reader) bool {
 	for {
 		c.SetReadDeadline(time.Now().Add(p.node.Model.Idle.D()))
-		_, err := in.Peek(1)
+		_, err := reader.Peek(1)
 		if err == nil {
 			c.SetReadDeadline(time.Time{})
 			return true
 		}
 		p.mu.Lock()
-		silent, spoken := p.silent, p.spoken
+		silent, silenceEnded := p.silent, p.silenceEnded
 		p.mu.Unlock()
 		if !silent {
 			return false
 		}
-		if !errors.Is(err, os.ErrDeadlineExceeded) { // the other side has closed; nobody here takes note
+		if !errors.Is(err, os.ErrDeadlineExceeded) { // the peer has closed; a silent machine does not react
 			select {
-			case <-spoken:
+			case <-silenceEnded:
 			case <-p.rig.ctx.Done():
 			}
 			return false
--- a/internal/kit/rig/port_test.go
+++ b/internal/kit/rig/port_test.go
@@ -16,21 +16,21 @@
 	"cedarmast/internal/standin"
 )
 
-// testRig is a rig whose model runs on a goroutine of its own, with no routers.
+// testRig returns a rig without routers whose model runs on its own goroutine.
 func testRig(t *testing.T) *Rig {
 	t.Helper()
 	s, err := scenario.Find("calm", "warm_up=0s", "rate=0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Rig{set: s, host: "127.0.0.1", routersHost: "127.0.0.2", inbox: make(chan posted, 100), start: time.Now()}
+	r := &Rig{scenario: s, host: "127.0.0.1", routersHost: "127.0.0.2", inbox: make(chan task, 100), start: time.Now()}
 	r.ctx, r.cancel = context.WithCancel(t.Context())
 	r.world = model.New(s, 1, r)
 	r.background(func() {
 		for {
 			select {
 			case p := <-r.inbox:
-				p.f()
+				p.run()
 			case <-r.ctx.Done():
 				return
 			}
@@ -43,8 +43,8 @@
 	return r
 }
 
-// A silent node answers nothing on what is open and lets nothing new come up; when it is back what was open is reset,
-// and it serves again.
+// TestSilence checks that a silent node neither answers on open connections nor accepts new ones, and that after the silence open
+// connections are reset and new ones are served.
 func TestSilence(t *testing.T) {
 	r := testRig(t)
 	p, err := newPort(r, r.world.Nodes[0], 0)
@@ -74,14 +74,14 @@
 		if err := ask(open, 5*time.Second); err != nil {
 			t.Fatal(err)
 		}
-		crowd := make(chan net.Conn, 16)         // come in the very moment
-		for range cap(crowd) / 2 * (round % 2) { // and in other rounds nobody does: the first one after must not come up either
+		crowd := make(chan net.Conn, 16)         // connections that arrive as the silence starts
+		for range cap(crowd) / 2 * (round % 2) { // none in even rounds: the first later one must fail too
 			go func() {
 				c, _ := net.DialTimeout("tcp", p.address, 100*time.Millisecond)
 				crowd <- c
 			}()
 		}
-		p.silence(true)
+		p.setSilent(true)
 		for range cap(crowd) / 2 * (round % 2) {
 			if c := <-crowd; c != nil {
 				defer c.Close()
@@ -90,7 +90,7 @@
 		standin.Eventually(t, "the queue is full of the rig's own", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return len(p.fillers) == queueHolds()
+			return len(p.fillers) == backlogCapacity()
 		})
 		for range 8 {
 			if c, err := net.DialTimeout("tcp", p.address, 50*time.Millisecond); err == nil {
@@ -101,7 +101,7 @@
 		if err := ask(open, 50*time.Millisecond); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("round %d: a silent node says %v", round, err)
 		}
-		p.silence(false)
+		p.setSilent(false)
 		if err := ask(open, 5*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("round %d: back, and what was open goes on: %v", round, err)
 		}
--- a/internal/kit/rig/rig.go
+++ b/internal/kit/rig/rig.go
@@ -1,5 +1,5 @@
-// Package rig is the model's host on sockets: it starts real router processes and stands in for nodes, discovery, clients
-// and the way between routers, on loopback, in real time. One goroutine owns the model; everything else posts to it.
+// Package rig runs a scenario's model in real time on loopback sockets: it starts real router processes and simulates nodes,
+// discovery, clients and the network between routers. One goroutine owns the model; everything else posts tasks to it.
 package rig
 
 import (
@@ -24,67 +24,68 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// Options are what a run is told beside its scenario.
+// Options configures a run beyond its scenario.
 type Options struct {
 	Seed   uint64
 	Router []string // the router's command line
-	Logs   string   // the folder for routers' logs; empty: none are kept
-	Env    []string // further variables for routers
-	Direct bool     // no routers at all: clients ask nodes, to see what the rig itself carries
+	Logs   string   // folder for routers' logs; empty: no logs are kept
+	Env    []string // additional environment variables for routers
+	Direct bool     // no routers: clients send to nodes, to measure the rig's own capacity
 	Notes  func(at time.Duration, what string)
-	Drive  func(c *Control) // does what no scenario says; called on a goroutine of its own as the day begins
+	Drive  func(c *Control) // injects what the scenario does not describe; called on its own goroutine at the start
 }
 
-// ErrLate says that the machine was too slow for the figures to count.
+// ErrLate means that the machine was too slow for the run's figures to be valid.
 var ErrLate = errors.New("the machine ran too late for the figures to count")
 
 const (
-	readyWithin = 30 * time.Second      // all routers are to be ready
-	mostLate    = 15 * time.Millisecond // at the 99th percentile of what the rig does itself
-	endsWithin  = 4200 * time.Millisecond
-	tailFor     = 500 * time.Millisecond // after the day, for answers that come too late
+	readyTimeout    = 30 * time.Second      // for all routers to be ready
+	maxLateness     = 15 * time.Millisecond // at the 99th percentile of the rig's own tasks
+	shutdownTimeout = 4200 * time.Millisecond
+	drainDuration   = 500 * time.Millisecond // after the run, for late answers
 )
 
-// Rig is one day on sockets.
+// Rig is one run of a scenario on sockets.
 type Rig struct {
-	set      *scenario.Scenario
-	opt      Options
-	world    *model.World
-	dir      string
-	operator string // the operators' file; empty: none
-	host     string // loopback address of this run's own
-
-	// routersHost is another one, at which routers alone bind: a port that one gives back when it dies is free when it
-	// starts again, whatever the rig has opened meanwhile.
+	scenario     *scenario.Scenario
+	opt          Options
+	world        *model.World
+	tempDir      string
+	operatorPath string // path of the operators' file; empty: none
+	host         string // loopback address reserved for this run
+
+	// routersHost is a second reserved address at which only routers bind, so that a router's port is still free when it restarts,
+	// whatever the rig has opened meanwhile.
 	routersHost string
 
-	start   time.Time // of the day
+	start   time.Time // when the run's time is 0
 	running atomic.Bool
-	inbox   chan posted
+	inbox   chan task
 	ctx     context.Context
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
 
-	nodes   [][]*port // by node, by router
-	agents  []*agent
-	routers []*router
-	clients *clients
-	between *between
-	late    *hdrhistogram.Histogram // microseconds
-	rng     *rand.Rand
-	marksMu sync.Mutex
-	marks   []ledger.Mark
-	beliefs map[string]map[string][]byte
+	nodes    [][]*port // by node, by router
+	agents   []*agent
+	routers  []*router
+	clients  *clients
+	relay    *datagramRelay
+	lateness *hdrhistogram.Histogram // microseconds
+	rng      *rand.Rand
+	marksMu  sync.Mutex
+	marks    []ledger.Mark
+	views    map[string]map[string][]byte
 }
 
-type posted struct {
-	f  func()
-	at time.Time
+// task is a function to run on the model's goroutine.
+type task struct {
+	run      func()
+	postedAt time.Time
 }
 
-// Run plays a day and returns its report. It leaves no process, no socket and no file but the logs asked for.
+// Run plays the scenario and returns its report. It leaves behind no process, no socket and no file but the logs of opt.Logs.
 func Run(ctx context.Context, s *scenario.Scenario, opt Options) (report *ledger.Report, err error) {
-	if err := fits(s); err != nil {
+	if err := checkCapacity(s); err != nil {
 		return nil, err
 	}
 	dir, err := os.MkdirTemp("", "rehearse-")
@@ -97,25 +98,25 @@
 			return nil, err
 		}
 	}
-	host, routersHost, giveBack, err := claimHosts()
+	host, routersHost, release, err := claimHosts()
 	if err != nil {
 		return nil, err
 	}
-	defer giveBack()
-	r := &Rig{set: s, opt: opt, dir: dir, host: host, routersHost: routersHost,
-		inbox: make(chan posted, 4096), late: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
-		rng: model.Stream(opt.Seed, "host"), beliefs: map[string]map[string][]byte{}}
+	defer release()
+	r := &Rig{scenario: s, opt: opt, tempDir: dir, host: host, routersHost: routersHost,
+		inbox: make(chan task, 4096), lateness: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
+		rng: model.Stream(opt.Seed, "host"), views: map[string]map[string][]byte{}}
 	r.ctx, r.cancel = context.WithCancel(ctx)
 	r.world = model.New(s, opt.Seed, r)
-	defer r.end()
-	if r.operator, err = r.operatorFile(); err != nil {
+	defer r.shutdown()
+	if r.operatorPath, err = r.operatorFile(); err != nil {
 		return nil, err
 	}
-	if err := r.open(); err != nil {
+	if err := r.openStandIns(); err != nil {
 		return nil, err
 	}
 	before := cpuTime()
-	if err := r.ready(); err != nil {
+	if err := r.startRouters(); err != nil {
 		return nil, err
 	}
 	if err := r.play(); err != nil {
@@ -125,67 +126,67 @@
 	l := r.world.Ledger()
 	report = l.Report()
 	report.Seed, report.DatabasePeak, report.Fetches = opt.Seed, r.world.DatabasePeak(), r.world.DatabaseRequests()
-	report.HostLateMS = float64(r.late.ValueAtQuantile(99)) / 1000
+	report.HostLateMS = float64(r.lateness.ValueAtQuantile(99)) / 1000
 	report.HostCPU = (cpuTime() - before).Seconds()
 	report.HostMemoryMB = residentMB(os.Getpid())
 	for _, router := range r.routers {
-		report.MemoryMB = max(report.MemoryMB, router.memory())
-		report.CPU += router.cpu().Seconds()
-		report.Crashes += router.crashed()
+		report.MemoryMB = max(report.MemoryMB, router.peakMemoryMB())
+		report.CPU += router.cpuTime().Seconds()
+		report.Crashes += router.crashCount()
 	}
-	report.Marks, report.Nodes, report.Beliefs = r.marks, r.world.Samples(), r.believedAll()
+	report.Marks, report.Nodes, report.Beliefs = r.marks, r.world.Samples(), r.viewRows()
 	report.CheckExpectations(l)
-	if report.HostLateMS > float64(mostLate/time.Millisecond) {
+	if report.HostLateMS > float64(maxLateness/time.Millisecond) {
 		return report, ErrLate
 	}
 	return report, nil
 }
 
-// claimHosts finds two loopback addresses for one run alone, of this process or any other: whoever listens at the claim port of the
-// first has both.
-func claimHosts() (host, routersHost string, giveBack func(), err error) {
-	for i := range claimTries {
+// claimHosts reserves two loopback addresses for one run among all processes: the run that listens on claimPort of the first one
+// owns both.
+func claimHosts() (host, routersHost string, release func(), err error) {
+	for i := range maxClaimAttempts {
 		id := (os.Getpid() + i*4099) & (1<<21 - 1)
-		at := func(from int) string { return fmt.Sprintf("127.%d.%d.%d", from+id>>16, id>>8&255, id&255) }
+		hostAt := func(octet int) string { return fmt.Sprintf("127.%d.%d.%d", octet+id>>16, id>>8&255, id&255) }
 		var l net.Listener
-		if l, err = net.Listen("tcp", fmt.Sprintf("%s:%d", at(80), claimPort)); err == nil {
-			return at(80), at(112), func() { l.Close() }, nil
+		if l, err = net.Listen("tcp", fmt.Sprintf("%s:%d", hostAt(80), claimPort)); err == nil {
+			return hostAt(80), hostAt(112), func() { l.Close() }, nil
 		}
 	}
 	return "", "", nil, fmt.Errorf("no loopback address is free for this run: %w", err)
 }
 
 const (
-	claimPort  = 65000 // none that the system draws
-	claimTries = 1000
+	claimPort        = 65000 // outside the ephemeral port range
+	maxClaimAttempts = 1000
 )
 
-// fits tells whether the machine can carry the scenario, by its descriptors and cores.
-func fits(s *scenario.Scenario) error {
+// checkCapacity returns an error if the scenario needs more descriptors or cores than the machine has.
+func checkCapacity(s *scenario.Scenario) error {
 	nodes, routers := len(s.NodeNames()), len(s.RouterNames())
-	most := uint64(0)
-	var have syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &have) == nil {
-		have.Cur = have.Max
-		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &have)
-		most = have.Cur
-	}
-	needs := uint64(nodes*routers*(1+s.Clients.Connections/2) + routers*(routers+s.Clients.Connections+8))
+	available := uint64(0)
+	var limit syscall.Rlimit
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil {
+		limit.Cur = limit.Max
+		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit)
+		available = limit.Cur
+	}
+	needed := uint64(nodes*routers*(1+s.Clients.Connections/2) + routers*(routers+s.Clients.Connections+8))
 	switch {
-	case most > 0 && needs > most:
-		return &scenario.Error{File: s.Name, Key: "site", What: fmt.Sprintf("%d nodes and %d routers may need %d descriptors; this machine gives %d", nodes, routers, needs, most)}
+	case available > 0 && needed > available:
+		return &scenario.Error{File: s.Name, Key: "site", What: fmt.Sprintf("%d nodes and %d routers may need %d descriptors; this machine gives %d", nodes, routers, needed, available)}
 	case routers > 8*runtime.NumCPU():
 		return &scenario.Error{File: s.Name, Key: "site", What: fmt.Sprintf("%d routers are too many processes for %d cores", routers, runtime.NumCPU())}
 	}
 	return nil
 }
 
-// open brings up all stand-ins and starts the routers.
-func (r *Rig) open() error {
-	names := r.set.RouterNames()
+// openStandIns starts the simulated clients, links, nodes and discovery agents, and draws the routers' addresses.
+func (r *Rig) openStandIns() error {
+	names := r.scenario.RouterNames()
 	r.clients = newClients(r)
 	var err error
-	if r.between, err = newBetween(r, len(names)); err != nil {
+	if r.relay, err = newDatagramRelay(r, len(names)); err != nil {
 		return err
 	}
 	for _, n := range r.world.Nodes {
@@ -207,38 +208,38 @@
 		r.agents = append(r.agents, a)
 	}
 	for k, name := range names {
-		var at [2]string // for clients and for operators
-		for i := range at {
+		var addrs [2]string // for clients and for operators
+		for i := range addrs {
 			l, err := r.listen(r.routersHost + ":0")
 			if err != nil {
 				return err
 			}
-			defer l.Close() // the router binds it, once all are drawn
-			at[i] = l.Addr().String()
+			defer l.Close() // the router binds the port later; open until all are drawn
+			addrs[i] = l.Addr().String()
 		}
-		r.routers = append(r.routers, newRouter(r, k, name, at[0], at[1]))
+		r.routers = append(r.routers, newRouter(r, k, name, addrs[0], addrs[1]))
 	}
 	return nil
 }
 
-// ready starts all routers and waits until they are ready. Discovery answers meanwhile; the day has not begun.
-func (r *Rig) ready() error {
-	r.start = time.Now().Add(readyWithin) // the model's clock stands at nought
+// startRouters starts all routers and waits until they are ready. Discovery answers meanwhile, but the run's clock has not started.
+func (r *Rig) startRouters() error {
+	r.start = time.Now().Add(readyTimeout) // keeps the model's clock before 0
 	ready := make(chan error, len(r.routers))
 	for k := range r.routers {
 		r.launch(k, func(err error) { ready <- err })
 	}
-	limit := time.NewTimer(readyWithin)
+	limit := time.NewTimer(readyTimeout)
 	defer limit.Stop()
-	for left := len(r.routers); left > 0; {
+	for pending := len(r.routers); pending > 0; {
 		select {
 		case p := <-r.inbox:
-			p.f()
+			p.run()
 		case err := <-ready:
 			if err != nil {
 				return err
 			}
-			left--
+			pending--
 		case <-limit.C:
 			return errors.New("not all routers were ready in time")
 		case <-r.ctx.Done():
@@ -251,15 +252,15 @@
 	return nil
 }
 
-// play runs the queue in real time until the day is over.
+// play runs the model's event queue in real time until the run is over.
 func (r *Rig) play() error {
-	r.start = time.Now().Add(r.set.WarmUp.D())
+	r.start = time.Now().Add(r.scenario.WarmUp.D())
 	r.running.Store(true)
 	for _, t := range r.routers {
 		t.copyState(r.stateDir("state"), r.stateDir("beginning"))
 	}
 	r.world.Start()
-	r.background(r.askBeliefs)
+	r.background(r.requestViews)
 	if r.opt.Drive != nil {
 		r.background(func() { r.opt.Drive(&Control{r}) })
 	}
@@ -275,24 +276,24 @@
 		case <-timer.C:
 			r.step()
 		case p := <-r.inbox:
-			r.note(time.Since(p.at))
+			r.recordLateness(time.Since(p.postedAt))
 			r.step()
-			p.f()
+			p.run()
 		case <-r.ctx.Done():
 			return context.Cause(r.ctx)
 		}
 	}
-	return r.drainInbox(tailFor)
+	return r.drainInbox(drainDuration)
 }
 
-// drainInbox goes on for a while after the day.
+// drainInbox goes on running tasks for the given time after the run.
 func (r *Rig) drainInbox(span time.Duration) error {
 	end := time.After(span)
 	for {
 		select {
 		case p := <-r.inbox:
 			r.step()
-			p.f()
+			p.run()
 		case <-end:
 			return nil
 		case <-r.ctx.Done():
@@ -301,26 +302,27 @@
 	}
 }
 
-// step lets the model catch up with the clock.
+// step runs the model's events that are due.
 func (r *Rig) step() {
 	if late := r.world.Run(time.Since(r.start)); late > 0 {
-		r.note(late)
+		r.recordLateness(late)
 	}
 }
 
-func (r *Rig) note(late time.Duration) {
-	r.late.RecordValue(min(max(int64(late/time.Microsecond), 1), r.late.HighestTrackableValue()))
+// recordLateness records how late an event or task ran.
+func (r *Rig) recordLateness(late time.Duration) {
+	r.lateness.RecordValue(min(max(int64(late/time.Microsecond), 1), r.lateness.HighestTrackableValue()))
 }
 
-// post has the model's goroutine do something.
+// post queues f for the model's goroutine.
 func (r *Rig) post(f func()) {
 	select {
-	case r.inbox <- posted{f, time.Now()}:
+	case r.inbox <- task{f, time.Now()}:
 	case <-r.ctx.Done():
 	}
 }
 
-// ask has it answer something.
+// ask runs f on the model's goroutine and returns its result; ok is false if the run ends first.
 func ask[T any](r *Rig, f func() T) (answer T, ok bool) {
 	c := make(chan T, 1)
 	r.post(func() { c <- f() })
@@ -332,10 +334,10 @@
 	}
 }
 
-// now is the time of the day.
+// now returns the time since the start of the run; negative before it.
 func (r *Rig) now() time.Duration { return time.Since(r.start) }
 
-// background runs f until the end.
+// background runs f on a goroutine that shutdown waits for.
 func (r *Rig) background(f func()) {
 	r.wg.Add(1)
 	go func() {
@@ -344,7 +346,7 @@
 	}()
 }
 
-// stopAll ends the routers in order. The model still answers what they ask.
+// stopAll shuts all routers down gracefully. The model still answers their requests meanwhile.
 func (r *Rig) stopAll() {
 	var wg sync.WaitGroup
 	for _, router := range r.routers {
@@ -356,15 +358,15 @@
 		select {
 		case p := <-r.inbox:
 			r.step()
-			p.f()
+			p.run()
 		case <-done:
 			return
 		}
 	}
 }
 
-// end lets go of everything, whatever has happened.
-func (r *Rig) end() {
+// shutdown stops all processes and goroutines and closes all sockets, at whatever stage the run is.
+func (r *Rig) shutdown() {
 	r.cancel()
 	for _, router := range r.routers {
 		router.kill()
@@ -380,13 +382,13 @@
 	if r.clients != nil {
 		r.clients.close()
 	}
-	if r.between != nil {
-		r.between.close()
+	if r.relay != nil {
+		r.relay.close()
 	}
 	r.wg.Wait()
 }
 
-// listen opens a listener at this run's own loopback address, at a port of the system's choice unless given.
+// listen opens a listener at the given address; if empty, at a free port of the run's loopback address.
 func (r *Rig) listen(address string) (net.Listener, error) {
 	if address == "" {
 		address = r.host + ":0"
@@ -394,6 +396,7 @@
 	return net.Listen("tcp", address)
 }
 
+// logFile opens a router's log for appending, or returns a writer that discards if logs are not kept.
 func (r *Rig) logFile(name string) (io.WriteCloser, error) {
 	if r.opt.Logs == "" {
 		return nopCloser{io.Discard}, nil
@@ -413,37 +416,37 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// The model asks for these.
+// The methods below implement the model's host interface.
 
 func (r *Rig) Send(t *model.Try)                    { r.clients.send(t) }
-func (r *Rig) CloseClient(t *model.Try) (sent bool) { return r.clients.leave(t) }
+func (r *Rig) CloseClient(t *model.Try) (sent bool) { return r.clients.cancel(t) }
 
 func (r *Rig) NodeDown(n *model.Node) {
 	for _, p := range r.nodes[n.Index] {
-		p.down()
+		p.goDown()
 	}
 }
 
 func (r *Rig) NodeUp(n *model.Node) {
 	for _, p := range r.nodes[n.Index] {
-		p.up()
+		p.goUp()
 	}
 }
 
 func (r *Rig) SetNodeSilence(n *model.Node, router int, on bool) {
-	r.nodes[n.Index][router].silence(on)
+	r.nodes[n.Index][router].setSilent(on)
 }
 
-func (r *Rig) DiscoveryUpdated(router int) { r.agents[router].news() }
+func (r *Rig) DiscoveryUpdated(router int) { r.agents[router].notifyChanged() }
 
 func (r *Rig) SetDiscoverySilence(on bool) {
 	for _, a := range r.agents {
-		a.silence(on)
+		a.setSilent(on)
 	}
 }
 
 func (r *Rig) StartRouter(k int, f model.StoredState) {
-	r.routers[k].finds(f)
+	r.routers[k].prepareState(f)
 	r.launch(k, func(err error) {
 		if err == nil {
 			r.post(func() { r.world.RouterReady(k) })
@@ -452,7 +455,7 @@
 }
 
 func (r *Rig) KillRouter(k int) {
-	r.world.RouterEnded(k, true) // first: its clients see their connections end before its process is gone
+	r.world.RouterEnded(k, true) // before the kill: clients may see their connections end before the process has exited
 	r.routers[k].kill()
 }
 
@@ -467,7 +470,7 @@
 
 func (r *Rig) ReloadRouter(k int) { r.routers[k].reload() }
 
-func (r *Rig) BadClients(count int, span time.Duration) { r.clients.bad(count, span) }
+func (r *Rig) BadClients(count int, span time.Duration) { r.clients.sendMalformed(count, span) }
 
 func (r *Rig) RecordEvent(at time.Duration, what string) {
 	r.marksMu.Lock()
--- a/internal/kit/rig/router.go
+++ b/internal/kit/rig/router.go
@@ -22,56 +22,56 @@
 	"cedarmast/internal/settings"
 )
 
-// router is one router process, over all its starts.
+// router is one router across all starts of its process.
 type router struct {
 	rig    *Rig
-	k      int
+	index  int
 	name   string
 	listen string // the same after a restart
 
-	operators string // where operators' calls come
+	operatorAddr string // address for operators' calls
 
-	path string // of its configuration
+	configPath string // of its configuration file
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd // nil while none runs
-	exited  chan struct{}
-	killed  bool
-	starts  int
-	peakMB  float64
-	used    time.Duration // processor time of those that have ended
-	crashes int           // ends that nobody asked for
-	asked   bool          // to end
-	running bool
-	ready   bool // has said so since its start
-	full    bool // its disk
-	old     bool // its next start finds the list of the day's beginning; the model's goroutine's
+	mu            sync.Mutex
+	cmd           *exec.Cmd // nil while none runs
+	exited        chan struct{}
+	killed        bool
+	starts        int
+	peakMB        float64
+	cpuUsed       time.Duration // processor time of the processes that have exited
+	crashes       int           // exits that were not requested
+	stopRequested bool          // a graceful stop of the running process
+	running       bool
+	ready         bool // has answered its readiness check since its start
+	diskFull      bool // its writes to files fail
+	initialList   bool // its next start gets the list as of the run's start; used on the model's goroutine only
 }
 
 func newRouter(r *Rig, k int, name, listen, operators string) *router {
-	return &router{rig: r, k: k, name: name, listen: listen, operators: operators, path: filepath.Join(r.dir, name+".json")}
+	return &router{rig: r, index: k, name: name, listen: listen, operatorAddr: operators, configPath: filepath.Join(r.tempDir, name+".json")}
 }
 
-// config is what a router is told at a start. It is called on the model's goroutine.
+// config returns the router's configuration file for its next start or reload. It must be called on the model's goroutine.
 func (t *router) config() ([]byte, error) {
 	r := t.rig
-	peerListen, peers := r.between.peers(t.k)
-	known := r.instances(t.k, 0, false)
-	if t.old {
-		known = r.listed(t.k, 0, true, r.world.InitialEntries())
+	peerListen, peers := r.relay.peers(t.index)
+	known := r.listInstances(t.index, 0, false)
+	if t.initialList {
+		known = r.encodeInstances(t.index, 0, true, r.world.InitialEntries())
 	}
 	return json.Marshal(map[string]any{
-		"name": t.name, "listen": t.listen, "discovery": r.agents[t.k].at(),
-		"seed":   strconv.FormatUint(r.opt.Seed*1000+uint64(t.k)*100+uint64(t.starts), 16),
-		"limits": map[string]any{"cores": r.set.Limits.Cores, "memory_mb": r.set.Limits.MemoryMB, "sockets": r.set.Limits.Descriptors},
-		"known":  known, "operator": t.operators, "peer_listen": peerListen, "peers": peers, "settings": r.world.Profile(t.k),
+		"name": t.name, "listen": t.listen, "discovery": r.agents[t.index].currentAddress(),
+		"seed":   strconv.FormatUint(r.opt.Seed*1000+uint64(t.index)*100+uint64(t.starts), 16),
+		"limits": map[string]any{"cores": r.scenario.Limits.Cores, "memory_mb": r.scenario.Limits.MemoryMB, "sockets": r.scenario.Limits.Descriptors},
+		"known":  known, "operator": t.operatorAddr, "peer_listen": peerListen, "peers": peers, "settings": r.world.Profile(t.index),
 	})
 }
 
-// operatorFile writes the operators' file that all routers read, and returns its path; empty if nothing is to stand in it.
+// operatorFile writes the operators' file that all routers read and returns its path; empty if it would have no content.
 func (r *Rig) operatorFile() (string, error) {
 	own := r.world.Operator()
-	if r.set.Stored.On {
+	if r.scenario.Stored.On {
 		for _, dir := range []string{"state", "beginning"} {
 			if err := os.Mkdir(r.stateDir(dir), 0o700); err != nil {
 				return "", err
@@ -79,7 +79,7 @@
 		}
 		own.State = &settings.State{Dir: r.stateDir("state"), Every: "1s"}
 	}
-	if r.set.Shared.On {
+	if r.scenario.Shared.On {
 		own.Shared = &settings.Shared{}
 	}
 	if own.Sites == nil && own.State == nil && own.Shared == nil && own.Placement == nil {
@@ -89,14 +89,14 @@
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(r.dir, "operator.toml")
+	path := filepath.Join(r.tempDir, "operator.toml")
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// stateDir is a folder of stored states: state, which routers write, and beginning, as it was when the day began.
-func (r *Rig) stateDir(name string) string { return filepath.Join(r.dir, name) }
+// stateDir returns a folder of stored states: "state", which routers write, or "beginning", a copy from the start of the run.
+func (r *Rig) stateDir(name string) string { return filepath.Join(r.tempDir, name) }
 
-// stateFiles are a router's in a folder, the newest first.
+// stateFiles returns the router's state files in a folder, the newest first.
 func (t *router) stateFiles(dir string) []string {
 	all, _ := filepath.Glob(filepath.Join(dir, "state-"+strings.ReplaceAll(t.listen, ":", "_")+".[01]"))
 	age := func(path string) time.Time {
@@ -110,7 +110,7 @@
 	return all
 }
 
-// copyState puts a router's files of one folder in the place of those in another.
+// copyState replaces the router's state files in folder to by those in folder from.
 func (t *router) copyState(from, to string) {
 	for _, path := range t.stateFiles(to) {
 		os.Remove(path)
@@ -122,9 +122,10 @@
 	}
 }
 
-// finds lays out what a router is to find at its next start. It is called on the model's goroutine, with no process running.
-func (t *router) finds(f model.StoredState) {
-	t.old = f.InitialList
+// prepareState prepares the stored state and the list that the router's next start gets. It must be called on the model's goroutine while no
+// process is running.
+func (t *router) prepareState(f model.StoredState) {
+	t.initialList = f.InitialList
 	dir := t.rig.stateDir("state")
 	switch f.State {
 	case "lost":
@@ -140,7 +141,8 @@
 	}
 }
 
-// launch starts a router; ready hears once it answers that it is, or why it won't. It is called on the model's goroutine.
+// launch starts a router. ready is called once, with nil when the router answers that it is ready, or with the reason why it is not.
+// launch must be called on the model's goroutine.
 func (r *Rig) launch(k int, ready func(error)) {
 	if r.opt.Direct {
 		ready(nil)
@@ -150,12 +152,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.running {
-		return // two troubles have met; it is there already
+		return // two overlapping troubles start it; it is running already
 	}
 	t.starts++
 	text, err := t.config()
 	if err == nil {
-		err = os.WriteFile(t.path, text, 0o600)
+		err = os.WriteFile(t.configPath, text, 0o600)
 	}
 	if err != nil {
 		ready(err)
@@ -167,11 +169,11 @@
 		return
 	}
 	cmd := exec.Command(r.opt.Router[0], r.opt.Router[1:]...)
-	var last tail
+	var last logTail
 	cmd.Stdout, cmd.Stderr = io.Discard, io.MultiWriter(log, &last, &viewReader{rig: r, router: t.name})
-	cmd.Env = append(append(os.Environ(), "GW_CONFIG="+t.path, "GW_NAME="+t.name, "GW_LISTEN="+t.listen, "GW_DISCOVERY="+r.agents[k].at(), "CEDARMAST_OPERATOR="+r.operator,
-		"TMPDIR="), r.opt.Env...) // nothing lasts but what the scenario says
-	// Of its own group, so that an interrupt of the terminal does not reach it, and dead with the rig, whatever ends that.
+	cmd.Env = append(append(os.Environ(), "GW_CONFIG="+t.configPath, "GW_NAME="+t.name, "GW_LISTEN="+t.listen, "GW_DISCOVERY="+r.agents[k].currentAddress(), "CEDARMAST_OPERATOR="+r.operatorPath,
+		"TMPDIR="), r.opt.Env...) // no state outlives the process but what the scenario stores
+	// Its own process group keeps a terminal's interrupt from it; Pdeathsig kills it when the rig ends for whatever reason.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		log.Close()
@@ -179,8 +181,8 @@
 		return
 	}
 	exited := make(chan struct{})
-	t.cmd, t.exited, t.killed, t.asked, t.running = cmd, exited, false, false, true
-	r.limit(t, cmd.Process.Pid)
+	t.cmd, t.exited, t.killed, t.stopRequested, t.running = cmd, exited, false, false, true
+	r.enforceLimits(t, cmd.Process.Pid)
 	r.wg.Add(1)
 	go func() {
 		defer r.wg.Done()
@@ -188,11 +190,11 @@
 		log.Close()
 		t.mu.Lock()
 		t.running, t.ready = false, false
-		t.used += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+		t.cpuUsed += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 		if u, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
 			t.peakMB = max(t.peakMB, float64(u.Maxrss)/1024)
 		}
-		killed, crashed := t.killed, !t.killed && (!t.asked || !cmd.ProcessState.Success())
+		killed, crashed := t.killed, !t.killed && (!t.stopRequested || !cmd.ProcessState.Success())
 		if crashed {
 			t.crashes++
 		}
@@ -217,10 +219,10 @@
 	})
 }
 
-// awaitReady asks the router until it says that it is ready.
+// awaitReady polls the router until it answers that it is ready.
 func (t *router) awaitReady(exited <-chan struct{}) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for until := time.Now().Add(readyWithin); time.Now().Before(until); {
+	for until := time.Now().Add(readyTimeout); time.Now().Before(until); {
 		if resp, err := client.Get("http://" + t.listen + "/health/ready"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -235,10 +237,10 @@
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("%s is not ready after %v", t.name, readyWithin)
+	return fmt.Errorf("%s is not ready after %v", t.name, readyTimeout)
 }
 
-// kill ends a router outright and returns once it is gone.
+// kill ends the router with SIGKILL and returns once it has exited.
 func (t *router) kill() {
 	t.mu.Lock()
 	cmd, exited, running := t.cmd, t.exited, t.running
@@ -250,7 +252,7 @@
 	}
 }
 
-// stall stops a router's process as it stands, or has it go on.
+// stall suspends the router's process with SIGSTOP, or resumes it.
 func (t *router) stall(on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -259,20 +261,20 @@
 	}
 }
 
-// fillDisk has the system refuse what the process writes to files, as a full disk does, or has it take that again.
+// fillDisk makes the process's writes to files fail, as on a full disk, or lets them succeed again.
 func (t *router) fillDisk(full bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.full = full; t.running {
-		limitFiles(t.cmd.Process.Pid, full)
+	if t.diskFull = full; t.running {
+		setFileWriteLimit(t.cmd.Process.Pid, full)
 	}
 }
 
-// terminate ends a router in order, and outright if that takes too long.
+// terminate shuts the router down gracefully, and with SIGKILL after shutdownTimeout.
 func (t *router) terminate() {
 	t.mu.Lock()
 	cmd, exited, running := t.cmd, t.exited, t.running
-	t.asked = true
+	t.stopRequested = true
 	t.mu.Unlock()
 	if !running {
 		return
@@ -280,75 +282,76 @@
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-exited:
-	case <-time.After(endsWithin):
+	case <-time.After(shutdownTimeout):
 		t.rig.RecordEvent(t.rig.now(), t.name+" did not end in time and was killed")
-		syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) // what it holds then is not excused
+		syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) // requests that it still holds count against it
 		<-exited
 	}
 }
 
-// reload gives the router discovery at a new address. It is called on the model's goroutine.
+// reload moves the router's discovery agent to a new address and makes the router reload its configuration. It must be called on the
+// model's goroutine.
 func (t *router) reload() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.running || t.rig.agents[t.k].move() != nil {
+	if !t.running || t.rig.agents[t.index].move() != nil {
 		return
 	}
 	text, err := t.config()
-	if err != nil || os.WriteFile(t.path+".new", text, 0o600) != nil || os.Rename(t.path+".new", t.path) != nil {
+	if err != nil || os.WriteFile(t.configPath+".new", text, 0o600) != nil || os.Rename(t.configPath+".new", t.configPath) != nil {
 		return
 	}
 	t.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// memory is the most that any of the router's processes has taken, in MB.
-func (t *router) memory() float64 {
+// peakMemoryMB returns the peak memory of any of the router's exited processes, in MB.
+func (t *router) peakMemoryMB() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.peakMB
 }
 
-// crashed is how often it has ended when nobody had asked it to.
-func (t *router) crashed() int {
+// crashCount returns how often the process has exited without being asked to, or failed while it stopped.
+func (t *router) crashCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.crashes
 }
 
-// cpu is the processor time of those that have ended.
-func (t *router) cpu() time.Duration {
+// cpuTime returns the processor time of the processes that have exited.
+func (t *router) cpuTime() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.used
+	return t.cpuUsed
 }
 
-// tail keeps the end of what a router says, for the message if it can't start.
-type tail struct {
+// logTail keeps the end of a router's log, for the error message if it does not start.
+type logTail struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-const tailLength = 400
+const logTailBytes = 400
 
-func (t *tail) Write(p []byte) (int, error) {
+func (t *logTail) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.b.Write(p)
-	if t.b.Len() > 4*tailLength {
-		t.b.Next(t.b.Len() - tailLength)
+	if t.b.Len() > 4*logTailBytes {
+		t.b.Next(t.b.Len() - logTailBytes)
 	}
 	return len(p), nil
 }
 
-func (t *tail) Len() int {
+func (t *logTail) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.b.Len()
 }
 
-func (t *tail) String() string {
+func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	text := t.b.Bytes()
-	return string(text[max(len(text)-tailLength, 0):])
+	return string(text[max(len(text)-logTailBytes, 0):])
 }
