--- a/internal/kit/rehearse/compare.go
+++ b/internal/kit/rehearse/compare.go
@@ -17,6 +17,7 @@
 	"cedarmast/internal/kit/virtual"
 )
 
+// compareCmd holds the arguments of "rehearse compare".
 type compareCmd struct {
 	Name    string   `arg:"" help:"A scenario that the kit brings, or a file."`
 	Router  []string `required:"" sep:"none" placeholder:"ROUTER" help:"Twice: a program, cedarmast, or a baseline (random, least-of-two). The first is A, the second B."`
@@ -28,14 +29,14 @@
 	JSON    string   `name:"json" placeholder:"FILE" help:"Write all reports and the comparison as JSON."`
 }
 
-// Pair is one day played by both.
+// Pair holds the reports of both routers for one seed.
 type Pair struct {
 	Seed uint64         `json:"seed"`
 	A    *ledger.Report `json:"a"`
 	B    *ledger.Report `json:"b"`
 }
 
-// Difference is one measure over all pairs: A less B.
+// Difference is one measure over all pairs: A minus B.
 type Difference struct {
 	Measure  string  `json:"measure"`
 	A        float64 `json:"a_mean"`
@@ -49,17 +50,18 @@
 	Pairs    int     `json:"pairs"`
 }
 
-// Comparison is what compare writes.
+// Comparison is the result of compare, as written to JSON.
 type Comparison struct {
 	Scenario    string       `json:"scenario"`
 	A           string       `json:"router_a"`
 	B           string       `json:"router_b"`
 	Differences []Difference `json:"differences"`
-	Broken      [2]int       `json:"rules_broken"` // days on which a rule was, A and B
+	Broken      [2]int       `json:"rules_broken"` // runs in which a rule was broken, by A and by B
 	Late        int          `json:"late_left_out"`
 	Pairs       []Pair       `json:"pairs"`
 }
 
+// measures are the figures of a report that comparisons and sweeps use.
 var measures = []struct {
 	name string
 	of   func(r *ledger.Report) float64
@@ -78,21 +80,21 @@
 	{"router_memory_mb", func(r *ledger.Report) float64 { return r.MemoryMB }},
 }
 
-// compare plays each seed's day with both routers, one after the other, the first one by turns: what drifts on the
-// machine falls on both.
+// compare runs each seed with both routers, one after the other. Which one goes first alternates, so that drift of the machine
+// affects both.
 func (p *program) compare(c compareCmd) int {
 	if len(c.Router) != 2 {
-		return p.fail(fmt.Errorf("%w: --router belongs there twice, not %d times", errArgument, len(c.Router)))
+		return p.fail(fmt.Errorf("%w: --router belongs there twice, not %d times", errBadArgument, len(c.Router)))
 	}
 	if c.Seeds < 1 {
-		return p.fail(fmt.Errorf("%w: --seeds %d is under 1", errArgument, c.Seeds))
+		return p.fail(fmt.Errorf("%w: --seeds %d is under 1", errBadArgument, c.Seeds))
 	}
 	var routers [2][]string
 	for i, name := range c.Router {
 		var err error
 		if c.Virtual {
 			if name != "cedarmast" && baseline.New(name) == nil {
-				return p.fail(fmt.Errorf("%w: --virtual has no router %q: it is cedarmast or one of %s", errArgument, name, strings.Join(baseline.Names, ", ")))
+				return p.fail(fmt.Errorf("%w: --virtual has no router %q: it is cedarmast or one of %s", errBadArgument, name, strings.Join(baseline.Names, ", ")))
 			}
 			continue
 		}
@@ -100,13 +102,13 @@
 			return p.fail(err)
 		}
 	}
-	all := Comparison{A: c.Router[0], B: c.Router[1]}
+	comparison := Comparison{A: c.Router[0], B: c.Router[1]}
 	for n := range c.Seeds {
 		seed := c.From + uint64(n)
 		var reports [2]*ledger.Report
 		late := false
 		for k := range 2 {
-			which := (n + k) % 2
+			index := (n + k) % 2
 			s, err := scenario.Find(c.Name, c.Set...)
 			if err != nil {
 				return p.fail(err)
@@ -114,46 +116,47 @@
 			if c.Short {
 				s.Shorten()
 			}
-			all.Scenario = s.Name
-			fmt.Fprintf(p.stderr, "seed %d, %s\n", seed, c.Router[which])
+			comparison.Scenario = s.Name
+			fmt.Fprintf(p.stderr, "seed %d, %s\n", seed, c.Router[index])
 			var report *ledger.Report
 			if c.Virtual {
-				report, err = virtual.Run(p.ctx, s, virtual.Options{Seed: seed, NewDecider: baseline.New(c.Router[which])})
+				report, err = virtual.Run(p.ctx, s, virtual.Options{Seed: seed, NewDecider: baseline.New(c.Router[index])})
 			} else {
-				report, err = rig.Run(p.ctx, s, rig.Options{Seed: seed, Router: routers[which]})
+				report, err = rig.Run(p.ctx, s, rig.Options{Seed: seed, Router: routers[index]})
 			}
 			if errors.Is(err, rig.ErrLate) {
 				late = true
 			} else if err != nil {
 				return p.fail(err)
 			}
-			report.Router, report.Policy = c.Router[which], c.Router[which]
-			reports[which] = report
+			report.Router, report.Policy = c.Router[index], c.Router[index]
+			reports[index] = report
 		}
 		if late {
-			all.Late++
+			comparison.Late++
 			continue
 		}
 		for i, r := range reports {
 			if r.Lost+r.Double+r.Drain+r.ColdFalls+r.Held > 0 {
-				all.Broken[i]++
+				comparison.Broken[i]++
 			}
 		}
-		all.Pairs = append(all.Pairs, Pair{seed, reports[0], reports[1]})
+		comparison.Pairs = append(comparison.Pairs, Pair{seed, reports[0], reports[1]})
 	}
-	if len(all.Pairs) == 0 {
+	if len(comparison.Pairs) == 0 {
 		return p.fail(rig.ErrLate)
 	}
-	all.Differences = differences(all.Pairs)
-	printComparison(p.stdout, &all)
+	comparison.Differences = differences(comparison.Pairs)
+	printComparison(p.stdout, &comparison)
 	if c.JSON != "" {
-		if err := writeFile(c.JSON, func(w io.Writer) error { return writeJSON(w, &all) }); err != nil {
+		if err := writeFile(c.JSON, func(w io.Writer) error { return writeJSON(w, &comparison) }); err != nil {
 			return p.fail(err)
 		}
 	}
-	return held
+	return exitOK
 }
 
+// differences computes each measure's difference over all pairs.
 func differences(pairs []Pair) (all []Difference) {
 	for _, m := range measures {
 		var a, b, d []float64
@@ -161,23 +164,24 @@
 			x, y := m.of(p.A), m.of(p.B)
 			a, b, d = append(a, x), append(b, y), append(d, x-y)
 		}
-		one := Difference{Measure: m.name, A: stat.Mean(a, nil), B: stat.Mean(b, nil), Mean: stat.Mean(d, nil), Pairs: len(d),
+		diff := Difference{Measure: m.name, A: stat.Mean(a, nil), B: stat.Mean(b, nil), Mean: stat.Mean(d, nil), Pairs: len(d),
 			Least: math.Inf(1), Most: math.Inf(-1)}
 		if len(d) > 1 {
-			one.Spread = stat.StdDev(d, nil)
+			diff.Spread = stat.StdDev(d, nil)
 		}
-		_, one.Half = interval(d)
+		_, diff.Half = interval(d)
 		for _, x := range d {
-			one.Least, one.Most = min(one.Least, x), max(one.Most, x)
+			diff.Least, diff.Most = min(diff.Least, x), max(diff.Most, x)
 			if x > 0 {
-				one.Positive++
+				diff.Positive++
 			}
 		}
-		all = append(all, one)
+		all = append(all, diff)
 	}
 	return all
 }
 
+// printComparison writes the comparison as a text table.
 func printComparison(out io.Writer, c *Comparison) {
 	fmt.Fprintf(out, "%s over %d days, A %s, B %s\n", c.Scenario, len(c.Pairs), c.A, c.B)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/internal/kit/rehearse/hunt.go
+++ b/internal/kit/rehearse/hunt.go
@@ -21,6 +21,7 @@
 	"cedarmast/internal/kit/virtual"
 )
 
+// huntCmd holds the arguments of "rehearse hunt".
 type huntCmd struct {
 	Name    string        `arg:"" help:"The fleet and its load: a scenario that the kit brings, or a file. Its own troubles are left out."`
 	Budget  time.Duration `default:"1m" help:"How long to search; shrinking comes on top."`
@@ -36,14 +37,15 @@
 	Out     string        `placeholder:"DIR" help:"Save each find there as a scenario that replays."`
 }
 
-// find is a day that the hunt has met.
-type find struct {
+// finding is a combination of troubles and the result of the run with it.
+type finding struct {
 	troubles []scenario.Trouble
 	score    float64
 	broken   bool
 }
 
-func (f find) kinds() string {
+// kindNames returns the distinct kinds of trouble, sorted and joined by "+".
+func (f finding) kindNames() string {
 	var names []string
 	for _, t := range f.troubles {
 		names = append(names, t.Kind)
@@ -52,25 +54,26 @@
 	return strings.Join(slices.Compact(names), "+")
 }
 
-func (f find) worse(o find) bool {
+// isWorse orders by broken rules first, then by lower score.
+func (f finding) isWorse(o finding) bool {
 	return f.broken && !o.broken || f.broken == o.broken && f.score < o.score
 }
 
-// hunter plays days with troubles of its own on one fleet.
+// hunter runs one fleet with generated troubles.
 type hunter struct {
 	ctx   context.Context
 	c     huntCmd
 	kinds []string
 }
 
-// hunt searches for the days on which this build does worst.
+// hunt searches for the combinations of troubles with which this build does worst.
 func (p *program) hunt(c huntCmd) int {
 	s, err := scenario.Find(c.Name, c.Set...)
 	if err != nil {
 		return p.fail(err)
 	}
 	if c.Most < 1 || c.Keep < 1 || c.Days < 0 {
-		return p.fail(fmt.Errorf("%w: --most and --keep are 1 at least, --days is not under 0", errArgument))
+		return p.fail(fmt.Errorf("%w: --most and --keep are 1 at least, --days is not under 0", errBadArgument))
 	}
 	if c.Jobs < 1 {
 		c.Jobs = runtime.NumCPU()
@@ -78,33 +81,33 @@
 	h := &hunter{ctx: p.ctx, c: c}
 	for _, kind := range c.Without {
 		if !slices.Contains(scenario.Kinds(), kind) {
-			return p.fail(fmt.Errorf("%w: --without %q is no kind of trouble", errArgument, kind))
+			return p.fail(fmt.Errorf("%w: --without %q is no kind of trouble", errBadArgument, kind))
 		}
 	}
-	for _, kind := range scenario.Kinds() { // none that decisions never hear of, or that needs a layout of its own
+	for _, kind := range scenario.Kinds() { // without the kinds that do not reach decisions or that need a layout of their own
 		if !slices.Contains([]string{"bad-clients", "grow", "router-reload", "cut", "disk-full"}, kind) && (kind != "router-link" || s.Messages.On) && !slices.Contains(c.Without, kind) {
 			h.kinds = append(h.kinds, kind)
 		}
 	}
-	rng, until := model.Stream(c.Seed, "hunt"), time.Now().Add(c.Budget)
-	var finds []find
-	tried := 0
+	rng, deadline := model.Stream(c.Seed, "hunt"), time.Now().Add(c.Budget)
+	var finds []finding
+	runs := 0
 	if len(h.kinds) == 0 {
-		return p.fail(fmt.Errorf("%w: --without leaves no kind of trouble", errArgument))
+		return p.fail(fmt.Errorf("%w: --without leaves no kind of trouble", errBadArgument))
 	}
-	for h.ctx.Err() == nil && (c.Days > 0 && tried < c.Days || c.Days == 0 && time.Now().Before(until)) {
+	for h.ctx.Err() == nil && (c.Days > 0 && runs < c.Days || c.Days == 0 && time.Now().Before(deadline)) {
 		n := 4 * c.Jobs
 		if c.Days > 0 {
-			n = min(64, c.Days-tried) // the same batches for any number of jobs
+			n = min(64, c.Days-runs) // the same batches for any number of jobs
 		}
-		batch := make([]find, n)
+		batch := make([]finding, n)
 		for i := range batch {
-			batch[i].troubles = h.draw(rng, s)
+			batch[i].troubles = h.drawTroubles(rng, s)
 		}
-		if err := h.play(batch); err != nil {
+		if err := h.runAll(batch); err != nil {
 			return p.fail(err)
 		}
-		tried += n
+		runs += n
 		for _, f := range batch {
 			if f.broken || f.score < c.Below {
 				finds = append(finds, f)
@@ -114,53 +117,53 @@
 	if err := h.ctx.Err(); err != nil {
 		return p.fail(err)
 	}
-	slices.SortStableFunc(finds, func(a, b find) int {
-		if a.worse(b) {
+	slices.SortStableFunc(finds, func(a, b finding) int {
+		if a.isWorse(b) {
 			return -1
 		}
-		if b.worse(a) {
+		if b.isWorse(a) {
 			return 1
 		}
 		return 0
 	})
-	fmt.Fprintf(p.stdout, "%s: %d days tried, %d under %.2f or with a broken rule\n", s.Name, tried, len(finds), c.Below)
+	fmt.Fprintf(p.stdout, "%s: %d days tried, %d under %.2f or with a broken rule\n", s.Name, runs, len(finds), c.Below)
 	seen := map[string]bool{}
 	kept := 0
 	for _, f := range finds {
-		if seen[f.kinds()] || kept == c.Keep {
+		if seen[f.kindNames()] || kept == c.Keep {
 			continue
 		}
-		seen[f.kinds()] = true
-		least, err := h.shrink(f)
+		seen[f.kindNames()] = true
+		shrunk, err := h.shrink(f)
 		if err != nil {
 			return p.fail(err)
 		}
-		if seen[least.kinds()] && least.kinds() != f.kinds() { // what is left of it has been told
+		if seen[shrunk.kindNames()] && shrunk.kindNames() != f.kindNames() { // it shrank to kinds that are reported already
 			continue
 		}
-		seen[least.kinds()] = true
+		seen[shrunk.kindNames()] = true
 		kept++
-		fmt.Fprintf(p.stdout, "%d. score %.3f (found with %.3f)%s: %s\n", kept, least.score, f.score,
-			map[bool]string{true: ", a rule is broken"}[least.broken], least.kinds())
-		for _, t := range least.troubles {
-			fmt.Fprintf(p.stdout, "   %s\n", strings.ReplaceAll(strings.TrimSpace(write(t)), "\n", ", "))
+		fmt.Fprintf(p.stdout, "%d. score %.3f (found with %.3f)%s: %s\n", kept, shrunk.score, f.score,
+			map[bool]string{true: ", a rule is broken"}[shrunk.broken], shrunk.kindNames())
+		for _, t := range shrunk.troubles {
+			fmt.Fprintf(p.stdout, "   %s\n", strings.ReplaceAll(strings.TrimSpace(troubleTOML(t)), "\n", ", "))
 		}
 		if c.Out != "" {
-			if err := h.save(s, least, kept); err != nil {
+			if err := h.save(s, shrunk, kept); err != nil {
 				return p.fail(err)
 			}
 		}
 	}
-	return held
+	return exitOK
 }
 
-// draw makes up the troubles of a day.
-func (h *hunter) draw(rng *rand.Rand, s *scenario.Scenario) (all []scenario.Trouble) {
+// drawTroubles generates the troubles of one run.
+func (h *hunter) drawTroubles(rng *rand.Rand, s *scenario.Scenario) (troubles []scenario.Trouble) {
 	length := s.Length.D()
 	for range 1 + rng.IntN(h.c.Most) {
 		kind := h.kinds[rng.IntN(len(h.kinds))]
-		t := scenario.Trouble{Kind: kind, At: round(time.Duration((0.1 + 0.5*rng.Float64()) * float64(length))),
-			For: round(time.Duration((0.05 + 0.3*rng.Float64()) * float64(length)))}
+		t := scenario.Trouble{Kind: kind, At: roundTenth(time.Duration((0.1 + 0.5*rng.Float64()) * float64(length))),
+			For: roundTenth(time.Duration((0.05 + 0.3*rng.Float64()) * float64(length)))}
 		part := float64(1+rng.IntN(10)) / 20 // up to half of the nodes or routers
 		switch scenario.Strikes(kind) {
 		case "nodes", "routers":
@@ -182,17 +185,18 @@
 		case "hot-key":
 			t.Size, t.Part = float64(1+rng.IntN(4)), float64(1+rng.IntN(6))/10
 		}
-		all = append(all, t)
+		troubles = append(troubles, t)
 	}
-	return all
+	return troubles
 }
 
-func round(d time.Duration) scenario.Duration {
+// roundTenth rounds to 100 milliseconds.
+func roundTenth(d time.Duration) scenario.Duration {
 	return scenario.Duration(d.Round(100 * time.Millisecond))
 }
 
-// play plays days, several at once, and notes how each went.
-func (h *hunter) play(batch []find) error {
+// runAll runs all combinations of the batch concurrently and stores their results in it.
+func (h *hunter) runAll(batch []finding) error {
 	group, ctx := errgroup.WithContext(h.ctx)
 	group.SetLimit(h.c.Jobs)
 	for i := range batch {
@@ -217,46 +221,46 @@
 	return group.Wait()
 }
 
-// shrink takes out of a find what it does not need: whole troubles first, then halves of their spans, parts and sizes.
-func (h *hunter) shrink(f find) (find, error) {
+// shrink minimizes a finding while it stays one: it removes whole troubles first, then halves their durations, parts and sizes.
+func (h *hunter) shrink(f finding) (finding, error) {
 	for {
-		var smaller []find
+		var variants []finding
 		for i, t := range f.troubles {
-			less := func(change func(t *scenario.Trouble)) {
+			addVariant := func(change func(t *scenario.Trouble)) {
 				all := slices.Clone(f.troubles)
 				if change == nil {
 					all = slices.Delete(all, i, i+1)
 				} else {
 					change(&all[i])
 				}
-				smaller = append(smaller, find{troubles: all})
+				variants = append(variants, finding{troubles: all})
 			}
 			if len(f.troubles) > 1 {
-				less(nil)
+				addVariant(nil)
 			}
 			if t.For.D() >= 2*time.Second {
-				less(func(t *scenario.Trouble) { t.For = round(t.For.D() / 2) })
+				addVariant(func(t *scenario.Trouble) { t.For = roundTenth(t.For.D() / 2) })
 			}
 			if t.Part >= 0.1 {
-				less(func(t *scenario.Trouble) { t.Part = float64(int(t.Part*50)) / 100 })
+				addVariant(func(t *scenario.Trouble) { t.Part = float64(int(t.Part*50)) / 100 })
 			}
 			if t.Size >= 2 && t.Kind != "hot-key" {
-				less(func(t *scenario.Trouble) { t.Size = max(float64(int(t.Size*5))/10, 1.1) })
+				addVariant(func(t *scenario.Trouble) { t.Size = max(float64(int(t.Size*5))/10, 1.1) })
 			}
 		}
-		if err := h.play(smaller); err != nil {
+		if err := h.runAll(variants); err != nil {
 			return f, err
 		}
-		at := slices.IndexFunc(smaller, func(s find) bool { return s.broken && f.broken || !f.broken && s.score < h.c.Below })
-		if at < 0 {
+		index := slices.IndexFunc(variants, func(s finding) bool { return s.broken && f.broken || !f.broken && s.score < h.c.Below })
+		if index < 0 {
 			return f, nil
 		}
-		f = smaller[at]
+		f = variants[index]
 	}
 }
 
-// write is a trouble as a scenario file has it.
-func write(t scenario.Trouble) string {
+// troubleTOML encodes a trouble as in a scenario file.
+func troubleTOML(t scenario.Trouble) string {
 	var b strings.Builder
 	row := func(key string, set bool, value any) {
 		if set {
@@ -272,8 +276,8 @@
 	return b.String()
 }
 
-// save writes a find as a scenario over the fleet that was searched.
-func (h *hunter) save(s *scenario.Scenario, f find, n int) error {
+// save writes a finding as a scenario file based on the searched scenario.
+func (h *hunter) save(s *scenario.Scenario, f finding, n int) error {
 	if _, ok := scenario.Text(h.c.Name); !ok {
 		return errors.New("finds can be saved over a scenario that the kit brings alone: a file has no base to name")
 	}
@@ -282,17 +286,17 @@
 	}
 	name := fmt.Sprintf("%s-%d-%d", s.Name, h.c.Seed, n)
 	return writeFile(filepath.Join(h.c.Out, name+".toml"), func(w io.Writer) error {
-		how := ""
+		flags := ""
 		for _, set := range h.c.Set {
-			how += fmt.Sprintf(" --set '%s'", set)
+			flags += fmt.Sprintf(" --set '%s'", set)
 		}
 		if h.c.Short {
-			how += " --short"
+			flags += " --short"
 		}
-		fmt.Fprintf(w, "# Found by a hunt on %s. Replay: rehearse run THIS --virtual --seed %d%s\n", h.c.Name, h.c.Seed, how)
-		fmt.Fprintf(w, "name = %q\nabout = \"a day found by a hunt: %s\"\nbase = %q\n", name, f.kinds(), h.c.Name)
+		fmt.Fprintf(w, "# Found by a hunt on %s. Replay: rehearse run THIS --virtual --seed %d%s\n", h.c.Name, h.c.Seed, flags)
+		fmt.Fprintf(w, "name = %q\nabout = \"a day found by a hunt: %s\"\nbase = %q\n", name, f.kindNames(), h.c.Name)
 		for _, t := range f.troubles {
-			fmt.Fprintf(w, "\n[[trouble]]\n%s", write(t))
+			fmt.Fprintf(w, "\n[[trouble]]\n%s", troubleTOML(t))
 		}
 		_, err := fmt.Fprintf(w, "\n[expect]\nscore = %.2f\n", max(f.score-0.05, 0))
 		return err
--- a/internal/kit/rehearse/rehearse.go
+++ b/internal/kit/rehearse/rehearse.go
@@ -1,4 +1,4 @@
-// Package rehearse is the rehearsal kit's command line: it finds scenarios, runs them on a rig and shows what came of it.
+// Package rehearse implements the rehearsal kit's command line: it finds scenarios, runs them and reports the results.
 package rehearse
 
 import (
@@ -28,14 +28,15 @@
 	"cedarmast/internal/kit/virtual"
 )
 
-// The statuses to exit with.
+// Exit statuses.
 const (
-	held     = 0 // all rules and expectations
-	broken   = 1 // a rule or an expectation, or a run that could not go on
-	badInput = 2 // scenario or argument
-	tooLate  = 3 // the machine was too slow for the figures to count
+	exitOK       = 0 // all rules and expectations held
+	exitFailed   = 1 // a rule or an expectation was broken, or the run failed
+	exitBadInput = 2 // invalid scenario or argument
+	exitTooLate  = 3 // the machine was too slow for the figures to be valid
 )
 
+// command is the command line.
 type command struct {
 	List     struct{}    `cmd:"" help:"List the scenarios that the kit brings."`
 	Show     showCmd     `cmd:"" help:"Print a scenario's file, to read or to start one's own from."`
@@ -51,14 +52,17 @@
 	Version  struct{}    `cmd:"" help:"Print the version."`
 }
 
+// policyCmd holds the argument of the hidden commands that run a router.
 type policyCmd struct {
 	Name string `arg:""`
 }
 
+// showCmd holds the argument of "rehearse show".
 type showCmd struct {
 	Name string `arg:"" help:"A scenario that the kit brings."`
 }
 
+// runCmd holds the arguments of "rehearse run".
 type runCmd struct {
 	Name    string   `arg:"" help:"A scenario that the kit brings, or a file."`
 	Seed    uint64   `default:"1" help:"Of all that is drawn."`
@@ -72,7 +76,7 @@
 	Logs    string   `placeholder:"DIR" help:"Keep the routers' logs there."`
 }
 
-// Main carries out a command line, without the program's name, and returns the status to exit with.
+// Main runs the command given by args, without the program's name, and returns the exit status.
 func Main(args []string, stdout, stderr io.Writer) int {
 	var c command
 	status := -1
@@ -80,31 +84,31 @@
 		kong.Writers(stdout, stderr), kong.Exit(func(s int) { status = s }))
 	if err != nil {
 		fmt.Fprintln(stderr, "rehearse:", err)
-		return badInput
+		return exitBadInput
 	}
-	given, err := parser.Parse(args)
+	parsed, err := parser.Parse(args)
 	switch {
-	case status >= 0: // help was asked for and given
+	case status >= 0: // kong has printed the help
 		return status
 	case err != nil:
 		fmt.Fprintln(stderr, "rehearse:", err)
-		return badInput
+		return exitBadInput
 	}
-	switch given.Selected().Name { // these are routers themselves, and see to their signals
+	switch parsed.Selected().Name { // these run a router, which handles signals itself
 	case "baseline":
 		if decide := baseline.New(c.Baseline.Name); decide != nil {
 			return daemon.RunWithDecider(decide, os.Getenv, stderr)
 		}
 		fmt.Fprintf(stderr, "rehearse: there is no policy %q\n", c.Baseline.Name)
-		return badInput
+		return exitBadInput
 	case "faulty":
 		return faulty.Main(c.Faulty.Name, os.Getenv, stderr)
 	}
-	// From here on an interrupt ends what was started, in order.
+	// From here on a signal cancels the context, so that everything started is stopped in order.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	defer stop()
 	p := &program{ctx, stdout, stderr}
-	switch given.Selected().Name {
+	switch parsed.Selected().Name {
 	case "list":
 		return p.list()
 	case "show":
@@ -123,32 +127,35 @@
 		return p.spread(c.Spread)
 	case "keys":
 		io.WriteString(stdout, scenario.Reference())
-		return held
+		return exitOK
 	}
 	fmt.Fprintln(stdout, build.VersionLine("rehearse"))
-	return held
+	return exitOK
 }
 
-// program is one call of the kit.
+// program is one invocation of the kit.
 type program struct {
 	ctx            context.Context
 	stdout, stderr io.Writer
 }
 
+// fail prints the error and returns its exit status.
 func (p *program) fail(err error) int {
 	fmt.Fprintln(p.stderr, "rehearse:", err)
-	var fault *scenario.Error
+	var scenarioError *scenario.Error
 	switch {
-	case errors.As(err, &fault), errors.Is(err, os.ErrNotExist), errors.Is(err, errArgument):
-		return badInput
+	case errors.As(err, &scenarioError), errors.Is(err, os.ErrNotExist), errors.Is(err, errBadArgument):
+		return exitBadInput
 	case errors.Is(err, rig.ErrLate):
-		return tooLate
+		return exitTooLate
 	}
-	return broken
+	return exitFailed
 }
 
-var errArgument = errors.New("argument")
+// errBadArgument marks errors in the command line.
+var errBadArgument = errors.New("argument")
 
+// list prints the built-in scenarios.
 func (p *program) list() int {
 	w := tabwriter.NewWriter(p.stdout, 0, 0, 2, ' ', 0)
 	for _, name := range scenario.Names() {
@@ -159,49 +166,51 @@
 		fmt.Fprintf(w, "%s\t%v, short %v\t%s\n", name, s.Length.D(), s.Short.D(), s.About)
 	}
 	w.Flush()
-	return held
+	return exitOK
 }
 
+// show prints the file of a built-in scenario.
 func (p *program) show(c showCmd) int {
 	text, ok := scenario.Text(c.Name)
 	if !ok {
-		return p.fail(fmt.Errorf("%w: there is no scenario %q; they are %s", errArgument, c.Name, strings.Join(scenario.Names(), ", ")))
+		return p.fail(fmt.Errorf("%w: there is no scenario %q; they are %s", errBadArgument, c.Name, strings.Join(scenario.Names(), ", ")))
 	}
 	p.stdout.Write(text)
-	return held
+	return exitOK
 }
 
-// findRouter finds a router by what it was called: a baseline's name, or a program; nothing means cedarmast beside this
-// program, or on the path.
-func findRouter(given string) ([]string, error) {
-	own, err := os.Executable()
+// findRouter returns the command line of a router given as a baseline's name or a program. An empty name means cedarmast in this
+// program's folder, or on the path.
+func findRouter(name string) ([]string, error) {
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
 	switch {
-	case baseline.New(given) != nil:
-		return []string{own, "baseline", given}, nil
-	case given != "" && given != "cedarmast":
-		path, err := exec.LookPath(given)
+	case baseline.New(name) != nil:
+		return []string{executable, "baseline", name}, nil
+	case name != "" && name != "cedarmast":
+		path, err := exec.LookPath(name)
 		if err != nil {
-			return nil, fmt.Errorf("%w: router %q: %w", errArgument, given, err)
+			return nil, fmt.Errorf("%w: router %q: %w", errBadArgument, name, err)
 		}
 		if path, err = filepath.Abs(path); err != nil {
 			return nil, err
 		}
 		return []string{path}, nil
 	}
-	beside := filepath.Join(filepath.Dir(own), "cedarmast")
-	if _, err := os.Stat(beside); err == nil {
-		return []string{beside}, nil
+	sibling := filepath.Join(filepath.Dir(executable), "cedarmast")
+	if _, err := os.Stat(sibling); err == nil {
+		return []string{sibling}, nil
 	}
 	path, err := exec.LookPath("cedarmast")
 	if err != nil {
-		return nil, fmt.Errorf("%w: no program cedarmast beside this one or on the path; name one with --router", errArgument)
+		return nil, fmt.Errorf("%w: no program cedarmast beside this one or on the path; name one with --router", errBadArgument)
 	}
 	return []string{path}, nil
 }
 
+// run plays a scenario once, on sockets or in virtual time.
 func (p *program) run(c runCmd) int {
 	s, err := scenario.Find(c.Name, c.Set...)
 	if err != nil {
@@ -211,22 +220,22 @@
 		s.Shorten()
 	}
 	if c.Policy != "" && c.Router != "" {
-		return p.fail(fmt.Errorf("%w: --policy and --router exclude one another", errArgument))
+		return p.fail(fmt.Errorf("%w: --policy and --router exclude one another", errBadArgument))
 	}
 	direct := c.Policy == "none"
 	oracle := c.Virtual && c.Policy == "oracle"
 	if c.Policy != "" && c.Policy != "cedarmast" && !direct && !oracle && baseline.New(c.Policy) == nil {
-		return p.fail(fmt.Errorf("%w: there is no policy %q; they are cedarmast, none, %s, and with --virtual oracle", errArgument, c.Policy, strings.Join(baseline.Names, ", ")))
+		return p.fail(fmt.Errorf("%w: there is no policy %q; they are cedarmast, none, %s, and with --virtual oracle", errBadArgument, c.Policy, strings.Join(baseline.Names, ", ")))
 	}
 	if c.Virtual && (c.Router != "" || direct || c.Logs != "") {
-		return p.fail(fmt.Errorf("%w: --virtual has no --router, --logs or policy none", errArgument))
+		return p.fail(fmt.Errorf("%w: --virtual has no --router, --logs or policy none", errBadArgument))
 	}
 	if c.Virtual {
 		report, err := virtual.Run(p.ctx, s, virtual.Options{Seed: c.Seed, NewDecider: baseline.New(c.Policy), Oracle: oracle})
 		if err != nil {
 			return p.fail(err)
 		}
-		return p.tell(c, report, "virtual", nil)
+		return p.writeReport(c, report, "virtual", nil)
 	}
 	router := []string{"none"}
 	if !direct {
@@ -234,29 +243,29 @@
 			return p.fail(err)
 		}
 	}
-	watch := newProgress(p.stderr, s)
-	report, err := rig.Run(p.ctx, s, rig.Options{Seed: c.Seed, Router: router, Logs: c.Logs, Direct: direct, Notes: watch.note})
-	watch.end()
+	display := newProgress(p.stderr, s)
+	report, err := rig.Run(p.ctx, s, rig.Options{Seed: c.Seed, Router: router, Logs: c.Logs, Direct: direct, Notes: display.logEvent})
+	display.stop()
 	if report == nil {
 		return p.fail(err)
 	}
-	return p.tell(c, report, filepath.Base(router[0]), err)
+	return p.writeReport(c, report, filepath.Base(router[0]), err)
 }
 
-// tell writes a run's report where it is wanted; err is what the run ended with beside it.
-func (p *program) tell(c runCmd, report *ledger.Report, router string, err error) int {
-	report.Router, report.Policy = router, cmp.Or(c.Policy, "cedarmast")
-	if c.HTML != "" {
-		if err := writeFile(c.HTML, func(w io.Writer) error { return writeHTML(w, report) }); err != nil {
+// writeReport writes a run's report to the requested outputs and returns the exit status; err is the error that the run returned with it.
+func (p *program) writeReport(cmd runCmd, report *ledger.Report, router string, err error) int {
+	report.Router, report.Policy = router, cmp.Or(cmd.Policy, "cedarmast")
+	if cmd.HTML != "" {
+		if err := writeFile(cmd.HTML, func(w io.Writer) error { return writeHTML(w, report) }); err != nil {
 			return p.fail(err)
 		}
 	}
-	if c.JSON == "-" {
+	if cmd.JSON == "-" {
 		writeJSON(p.stdout, report)
 	} else {
 		printReport(p.stdout, report)
-		if c.JSON != "" {
-			if err := writeFile(c.JSON, func(w io.Writer) error { return writeJSON(w, report) }); err != nil {
+		if cmd.JSON != "" {
+			if err := writeFile(cmd.JSON, func(w io.Writer) error { return writeJSON(w, report) }); err != nil {
 				return p.fail(err)
 			}
 		}
@@ -265,9 +274,9 @@
 	case err != nil:
 		return p.fail(err)
 	case !report.RulesHeld:
-		return broken
+		return exitFailed
 	}
-	return held
+	return exitOK
 }
 
 func writeFile(path string, write func(io.Writer) error) error {
--- a/internal/kit/rehearse/rehearse_test.go
+++ b/internal/kit/rehearse/rehearse_test.go
@@ -19,17 +19,17 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// The test binary is the kit itself, and the routers that it starts, when it is called as such.
+// TestMain makes the test binary act as the kit, and as the routers that it starts, when called with their arguments.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 {
 		switch os.Args[1] {
 		case "cedarmast":
 			os.Exit(daemon.Main(nil, os.Getenv, os.Stdout, os.Stderr))
-		case "hang": // never ready, and heeds no signal
+		case "hang": // never becomes ready and ignores signals
 			os.WriteFile(os.Getenv("HANG_PID"), fmt.Append(nil, os.Getpid()), 0o600)
 			time.Sleep(time.Minute)
 			os.Exit(0)
-		case "crash", "hog": // good for a while
+		case "crash", "hog": // works for 1500 ms, then exits or exhausts its memory
 			go func() {
 				time.Sleep(1500 * time.Millisecond)
 				for memory := []byte{1}; os.Args[1] == "hog"; memory = append(memory, memory...) {
@@ -45,19 +45,21 @@
 	os.Exit(m.Run())
 }
 
-// The ledger convicts each faulty router of its own rule and clears the good one. A machine that was late gives no verdict.
+// TestSelftest checks that the ledger detects each faulty router's broken rule and none of the correct router. It skips if the machine
+// was too slow.
 func TestSelftest(t *testing.T) {
 	var out, errs bytes.Buffer
 	switch status := Main([]string{"selftest"}, &out, &errs); status {
-	case held:
-	case tooLate:
+	case exitOK:
+	case exitTooLate:
 		t.Skipf("the machine ran late:\n%s", &out)
 	default:
 		t.Errorf("status %d\n%s%s", status, &out, &errs)
 	}
 }
 
-// A short calm day on sockets, before cedarmast: all rules are kept and nearly all is served in time.
+// TestCalmDayOnSockets runs a short scenario without troubles against cedarmast: all rules hold and nearly all requests are served in
+// time.
 func TestCalmDayOnSockets(t *testing.T) {
 	s, err := scenario.Find("calm", "warm_up=2s", "length=6s", "short=6s", "expect.score=0.9")
 	if err != nil {
@@ -90,7 +92,7 @@
 	}
 }
 
-// No day holds on which a router ends by itself or takes more memory than it may.
+// TestRouterThatEndsFailsTheDay checks that a run fails if a router exits by itself or exceeds its memory limit.
 func TestRouterThatEndsFailsTheDay(t *testing.T) {
 	for _, how := range []string{"crash", "hog"} {
 		s, err := scenario.Find("calm", "warm_up=0s", "length=4s", "short=4s", "rate=40", "limits.memory_mb=64", "site[1].routers=0", "site[2].routers=0")
@@ -108,7 +110,7 @@
 	}
 }
 
-// The keys that other programs read stay as they are.
+// TestReportKeys checks that the report's JSON keys that other programs read are present.
 func TestReportKeys(t *testing.T) {
 	text, err := json.Marshal(&ledger.Report{Classes: map[string]ledger.ClassReport{"c": {}}})
 	if err != nil {
@@ -132,7 +134,7 @@
 	}
 }
 
-// Bad input is one line and status 2, before anything is started.
+// TestBadInput checks that invalid input gives one error line and status 2 before anything is started.
 func TestBadInput(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.toml")
 	if err := os.WriteFile(file, []byte("name = \"d\"\nbase = \"calm\"\nsped = 3\n"), 0o600); err != nil {
@@ -154,13 +156,13 @@
 		var out, errs bytes.Buffer
 		status := Main(strings.Fields(c.args), &out, &errs)
 		lines := strings.Split(strings.TrimSpace(errs.String()), "\n")
-		if last := lines[len(lines)-1]; status != badInput || !strings.Contains(last, c.says) {
+		if last := lines[len(lines)-1]; status != exitBadInput || !strings.Contains(last, c.says) {
 			t.Errorf("%s: status %d, %q", c.args, status, errs.String())
 		}
 	}
 }
 
-// Whatever ends a run, nothing that it started is left: here a router that hangs, and an interrupt.
+// TestInterruptLeavesNothing checks that no router process survives a run that a signal ends, even if the router hangs.
 func TestInterruptLeavesNothing(t *testing.T) {
 	pidFile := filepath.Join(t.TempDir(), "pid")
 	hang := filepath.Join(t.TempDir(), "hang.sh")
@@ -184,17 +186,18 @@
 		})
 		cmd.Process.Signal(sig)
 		err := cmd.Wait()
-		if sig != syscall.SIGKILL && cmd.ProcessState.ExitCode() != broken {
+		if sig != syscall.SIGKILL && cmd.ProcessState.ExitCode() != exitFailed {
 			t.Errorf("%v: %v", sig, err)
 		}
 		eventually(t, fmt.Sprintf("after %v its router is gone", sig), func() bool { return syscall.Kill(pid, 0) != nil })
 	}
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually fails the test unless the condition holds within 20 seconds.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for until := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(until) {
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("not in time: %s", what)
 		}
 	}
--- a/internal/kit/rehearse/selftest.go
+++ b/internal/kit/rehearse/selftest.go
@@ -13,14 +13,16 @@
 	"cedarmast/internal/kit/scenario"
 )
 
+// selftestCmd holds the argument of "rehearse selftest".
 type selftestCmd struct {
 	Seed uint64 `default:"1" help:"Of all that is drawn."`
 }
 
-const trialsAtOnce = 3
+// maxConcurrentRuns bounds the concurrent runs of a self-test.
+const maxConcurrentRuns = 3
 
-// selftest tries the ledger on routers that break one rule each: it must catch each one, for its own rule, and clear the
-// one that breaks none.
+// selftest checks the ledger with routers that each break one rule: it must detect each broken rule, and find none with the router
+// that breaks none.
 func (p *program) selftest(c selftestCmd) int {
 	own, err := os.Executable()
 	if err != nil {
@@ -32,7 +34,7 @@
 		err  error
 	}
 	verdicts := make([]verdict, len(faulty.Kinds))
-	slots := make(chan struct{}, trialsAtOnce)
+	slots := make(chan struct{}, maxConcurrentRuns)
 	var wg sync.WaitGroup
 	for i, kind := range faulty.Kinds {
 		wg.Go(func() {
@@ -48,11 +50,11 @@
 				verdicts[i].err = err
 				return
 			}
-			verdicts[i].says, verdicts[i].good = judge(report, kind.Breaks)
+			verdicts[i].says, verdicts[i].good = checkVerdict(report, kind.Breaks)
 		})
 	}
 	wg.Wait()
-	status := held
+	status := exitOK
 	w := tabwriter.NewWriter(p.stdout, 0, 0, 2, ' ', 0)
 	var late error
 	for i, kind := range faulty.Kinds {
@@ -62,40 +64,40 @@
 			late = v.err
 			fmt.Fprintf(w, "%s\tno verdict: %v\n", kind.Name, v.err)
 		case v.err != nil:
-			status = broken
+			status = exitFailed
 			fmt.Fprintf(w, "%s\tno verdict: %v\n", kind.Name, v.err)
 		case v.good:
 			fmt.Fprintf(w, "%s\tas it should: %s\n", kind.Name, v.says)
 		default:
-			status = broken
+			status = exitFailed
 			fmt.Fprintf(w, "%s\tWRONG: %s\n", kind.Name, v.says)
 		}
 	}
 	w.Flush()
-	if status == held && late != nil {
-		return tooLate
+	if status == exitOK && late != nil {
+		return exitTooLate
 	}
 	return status
 }
 
-// judge tells whether a report convicts of the one rule, or of none.
-func judge(r *ledger.Report, breaks string) (says string, good bool) {
+// checkVerdict reports whether a report shows the expected rule broken, or none if expectedRule is empty.
+func checkVerdict(r *ledger.Report, expectedRule string) (verdict string, ok bool) {
 	counts := map[string]int{"lost": r.Lost, "effect": r.Double, "drain": r.Drain, "cold": r.ColdFalls, "held": r.Held}
-	says, good = "cleared", true
+	verdict, ok = "cleared", true
 	for _, rule := range []string{"lost", "effect", "drain", "cold", "held"} {
 		if n := counts[rule]; n > 0 {
-			if says == "cleared" {
-				says = "convicted of"
+			if verdict == "cleared" {
+				verdict = "convicted of"
 			}
-			says += fmt.Sprintf(" %s (%d)", rule, n)
+			verdict += fmt.Sprintf(" %s (%d)", rule, n)
 		}
-		// A fault may drag another rule with it; its own must be there, and nothing at all where there is no fault.
-		if breaks == "" && counts[rule] > 0 || breaks == rule && counts[rule] == 0 {
-			good = false
+		// A fault may break other rules as well, but must break its own; without a fault no rule may be broken.
+		if expectedRule == "" && counts[rule] > 0 || expectedRule == rule && counts[rule] == 0 {
+			ok = false
 		}
 	}
-	if breaks == "" && len(r.Breaches) > 0 {
-		says += ": " + r.Breaches[0].String()
+	if expectedRule == "" && len(r.Breaches) > 0 {
+		verdict += ": " + r.Breaches[0].String()
 	}
-	return says, good
+	return verdict, ok
 }
--- a/internal/kit/rehearse/show.go
+++ b/internal/kit/rehearse/show.go
@@ -14,31 +14,31 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// progress tells how far a day is: a line that is written over on a terminal, plain lines elsewhere.
+// progress shows a run's progress: a line that is redrawn on a terminal, plain lines of events elsewhere.
 type progress struct {
 	w        io.Writer
 	terminal bool
 	name     string
 	length   time.Duration
-	begun    time.Time
+	started  time.Time
 	done     chan struct{}
 	ended    chan struct{}
 	mu       sync.Mutex
 }
 
 func newProgress(w io.Writer, s *scenario.Scenario) *progress {
-	p := &progress{w: w, name: s.Name, length: s.Length.D(), begun: time.Now().Add(s.WarmUp.D()), done: make(chan struct{}), ended: make(chan struct{})}
+	p := &progress{w: w, name: s.Name, length: s.Length.D(), started: time.Now().Add(s.WarmUp.D()), done: make(chan struct{}), ended: make(chan struct{})}
 	if f, ok := w.(*os.File); ok {
 		if info, err := f.Stat(); err == nil {
 			p.terminal = info.Mode()&os.ModeCharDevice != 0
 		}
 	}
 	fmt.Fprintf(w, "%s: %v with %d nodes and %d routers\n", s.Name, p.length, len(s.NodeNames()), len(s.RouterNames()))
-	go p.run()
+	go p.redraw()
 	return p
 }
 
-func (p *progress) run() {
+func (p *progress) redraw() {
 	defer close(p.ended)
 	if !p.terminal {
 		<-p.done
@@ -50,8 +50,8 @@
 		select {
 		case <-tick.C:
 			p.mu.Lock()
-			part := max(min(float64(time.Since(p.begun))/float64(p.length), 1), 0)
-			fmt.Fprintf(p.w, "\r\x1b[K%s [%-30s] %v of %v", p.name, strings.Repeat("=", int(30*part)), time.Since(p.begun).Round(time.Second), p.length)
+			fraction := max(min(float64(time.Since(p.started))/float64(p.length), 1), 0)
+			fmt.Fprintf(p.w, "\r\x1b[K%s [%-30s] %v of %v", p.name, strings.Repeat("=", int(30*fraction)), time.Since(p.started).Round(time.Second), p.length)
 			p.mu.Unlock()
 		case <-p.done:
 			fmt.Fprint(p.w, "\r\x1b[K")
@@ -60,8 +60,8 @@
 	}
 }
 
-// note tells what happens in the day.
-func (p *progress) note(at time.Duration, what string) {
+// logEvent prints an event of the run.
+func (p *progress) logEvent(at time.Duration, what string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.terminal {
@@ -70,12 +70,12 @@
 	fmt.Fprintf(p.w, "%7.1fs %s\n", at.Seconds(), what)
 }
 
-func (p *progress) end() {
+func (p *progress) stop() {
 	close(p.done)
 	<-p.ended
 }
 
-// printReport tells a report in words.
+// printReport writes a report as text.
 func printReport(out io.Writer, r *ledger.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	row := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
--- a/internal/kit/rehearse/spread.go
+++ b/internal/kit/rehearse/spread.go
@@ -8,6 +8,7 @@
 	"cedarmast/internal/kit/spread"
 )
 
+// spreadCmd holds the arguments of "rehearse spread".
 type spreadCmd struct {
 	Routers []int   `default:"3,30,300" help:"How many, a line each."`
 	Facts   int     `default:"200" help:"That all know before anything happens."`
@@ -16,22 +17,23 @@
 	Seed    uint64  `default:"1" help:"Of all that is drawn."`
 }
 
+// spread measures how shared state propagates between routers and prints a table with a row for each fleet size.
 func (p *program) spread(c spreadCmd) int {
 	w := tabwriter.NewWriter(p.stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "routers\torder everywhere\thealed split\tcaught up\tknows it\tbytes a second, quiet\tnot by the rule")
 	for _, n := range c.Routers {
 		r, err := spread.Measure(spread.Options{Routers: n, Facts: c.Facts, Loss: c.Loss, Repeats: c.Repeats, Seed: c.Seed})
 		if err != nil {
-			return p.fail(fmt.Errorf("%w: %w", errArgument, err))
+			return p.fail(fmt.Errorf("%w: %w", errBadArgument, err))
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%d\t%d\n", n, span(r.Order), span(r.Heal), span(r.CatchUp), span(r.Knows), r.Quiet, r.Wrong)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%d\t%d\n", n, formatDuration(r.Order), formatDuration(r.Heal), formatDuration(r.CatchUp), formatDuration(r.Knows), r.Quiet, r.Wrong)
 		w.Flush()
 	}
-	return held
+	return exitOK
 }
 
-// span shows how long something took, or that it did not come to pass.
-func span(d time.Duration) string {
+// formatDuration formats how long something took, or that it did not happen before spread.Timeout.
+func formatDuration(d time.Duration) string {
 	if d >= spread.Timeout {
 		return "over " + spread.Timeout.String()
 	}
--- a/internal/kit/rehearse/sweep_test.go
+++ b/internal/kit/rehearse/sweep_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A sweep's result hangs neither on how many days are played at once nor on where it was cut off; a state of something else, or a
-// line that is not whole, does not get into it.
+// TestSweep checks that a sweep's result depends neither on the number of concurrent runs nor on where it was interrupted, and that a
+// state file of another sweep or an incomplete line is not used.
 func TestSweep(t *testing.T) {
 	dir := t.TempDir()
 	state, page := filepath.Join(dir, "state"), filepath.Join(dir, "page.html")
@@ -20,13 +20,13 @@
 		if status := Main(append(args, more...), &out, &errs); status != want {
 			t.Fatalf("%v: status %d, %s", more, status, &errs)
 		}
-		return out.String() + map[bool]string{true: errs.String()}[want != held]
+		return out.String() + map[bool]string{true: errs.String()}[want != exitOK]
 	}
-	one := run(held, "--jobs", "1", "--state", state, "--html", page)
-	if !strings.Contains(one, `"rate=90",`) || strings.Count(one, `"sets"`) != 4 {
-		t.Errorf("%s", one)
+	reference := run(exitOK, "--jobs", "1", "--state", state, "--html", page)
+	if !strings.Contains(reference, `"rate=90",`) || strings.Count(reference, `"sets"`) != 4 {
+		t.Errorf("%s", reference)
 	}
-	if many := run(held, "--jobs", "5"); many != one {
+	if parallel := run(exitOK, "--jobs", "5"); parallel != reference {
 		t.Error("another number of jobs gives another result")
 	}
 	text, err := os.ReadFile(state)
@@ -34,26 +34,26 @@
 		t.Fatal(err)
 	}
 	lines := bytes.SplitAfter(text, []byte("\n"))
-	if len(lines) != 10 { // a head, eight days, and nothing
+	if len(lines) != 10 { // a header, eight runs, and an empty remainder
 		t.Fatalf("%d lines of state", len(lines))
 	}
-	cut := append(bytes.Join(lines[:4], nil), lines[5][:20]...)
-	if err := os.WriteFile(state, cut, 0o600); err != nil {
+	truncated := append(bytes.Join(lines[:4], nil), lines[5][:20]...)
+	if err := os.WriteFile(state, truncated, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if again := run(held, "--state", state); again != one {
+	if resumed := run(exitOK, "--state", state); resumed != reference {
 		t.Error("gone on with, it gives another result")
 	}
-	if says := run(badInput, "--state", state, "--seeds", "3"); !strings.Contains(says, "of another sweep") {
+	if says := run(exitBadInput, "--state", state, "--seeds", "3"); !strings.Contains(says, "of another sweep") {
 		t.Errorf("%s", says)
 	}
-	if html, err := os.ReadFile(page); err != nil || strings.Count(string(html), "<svg") != len(tabled) || strings.Contains(string(html), "http") {
+	if html, err := os.ReadFile(page); err != nil || strings.Count(string(html), "<svg") != len(tableMeasures) || strings.Contains(string(html), "http") {
 		t.Errorf("%v, %d bytes", err, len(html))
 	}
-	if says := run(badInput, "--vary", "rate"); !strings.Contains(says, "KEY=A,B,C") {
+	if says := run(exitBadInput, "--vary", "rate"); !strings.Contains(says, "KEY=A,B,C") {
 		t.Errorf("%s", says)
 	}
-	if says := run(badInput, "--vary", "speed=1,2"); !strings.Contains(says, "unknown key") {
+	if says := run(exitBadInput, "--vary", "speed=1,2"); !strings.Contains(says, "unknown key") {
 		t.Errorf("%s", says)
 	}
 }
