--- a/internal/kit/rig/router.go
+++ b/internal/kit/rig/router.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// prepareState prepares the stored state and the list that the router's next start gets. It must be called on the model's goroutine while no
-// process is running.
+// prepareState prepares the stored state and the list that the router's next start gets. It must be called on the model's goroutine
+// while no process is running.
 func (t *router) prepareState(f model.StoredState) {
 	t.initialList = f.InitialList
 	dir := t.rig.stateDir("state")
--- a/internal/kit/scenario/builtin.go
+++ b/internal/kit/scenario/builtin.go
@@ -7,30 +7,30 @@
 )
 
 //go:embed builtin/*.toml
-var builtin embed.FS
+var builtinFiles embed.FS
 
 //go:embed selftest.toml
-var selftest []byte
+var selftestText []byte
 
-// Selftest is the day on which the ledger is tried.
-func Selftest() (*Scenario, error) { return Parse("selftest", selftest) }
+// Selftest returns the scenario that the ledger is tested with.
+func Selftest() (*Scenario, error) { return Parse("selftest", selftestText) }
 
-// Names are the scenarios that the kit brings.
+// Names returns the names of the built-in scenarios.
 func Names() (names []string) {
-	entries, _ := builtin.ReadDir("builtin")
+	entries, _ := builtinFiles.ReadDir("builtin")
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
 	}
 	return names
 }
 
-// Text is the file of one of them.
+// Text returns the file of a built-in scenario.
 func Text(name string) ([]byte, bool) {
-	text, err := builtin.ReadFile(path.Join("builtin", name+".toml"))
+	text, err := builtinFiles.ReadFile(path.Join("builtin", name+".toml"))
 	return text, err == nil
 }
 
-// Find returns a scenario that the kit brings, or reads a file.
+// Find returns a built-in scenario, or reads a file. Each of sets is key=value, as in Parse.
 func Find(name string, sets ...string) (*Scenario, error) {
 	if text, ok := Text(name); ok {
 		return Parse(name, text, sets...)
--- a/internal/kit/scenario/check.go
+++ b/internal/kit/scenario/check.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// kinds are the kinds of trouble, with what each needs and what it means.
+// kinds are the kinds of trouble: the keys that each needs, the largest size, what it affects and what happens.
 var kinds = map[string]struct {
 	needsFor, needsSize bool
 	sizeMost            float64
@@ -45,22 +45,23 @@
 	"database-stall":    {true, false, 0, "", "the database finishes nothing"},
 }
 
-// Kinds are the kinds of trouble, by name.
+// Kinds returns the names of the kinds of trouble, sorted.
 func Kinds() []string { return slices.Sorted(maps.Keys(kinds)) }
 
-// Strikes tells what a kind of trouble strikes: nodes, routers, site, or nothing of these.
+// Strikes returns what a kind of trouble affects: "nodes", "routers", "site" or "".
 func Strikes(kind string) string { return kinds[kind].strikes }
 
-func (s *Scenario) check(fault faultFunc) error {
+// validate reports the first inconsistency between the scenario's values.
+func (s *Scenario) validate(errorAt errorFunc) error {
 	if s.Name == "" {
-		return fault("name", "missing")
+		return errorAt("name", "missing")
 	}
 	for _, list := range []struct {
 		name string
 		n    int
 	}{{"site", len(s.Sites)}, {"model", len(s.Models)}, {"class", len(s.Classes)}, {"tenant", len(s.Tenants)}} {
 		if list.n == 0 {
-			return fault(list.name, "there must be one at least")
+			return errorAt(list.name, "there must be one at least")
 		}
 	}
 	unique := func(list string, n int, name func(int) string) error {
@@ -68,13 +69,13 @@
 		for i := range n {
 			key := fmt.Sprintf("%s[%d].name", list, i)
 			if name(i) == "" {
-				return fault(key, "missing")
+				return errorAt(key, "missing")
 			}
 			if strings.ContainsAny(name(i), " /,=\"\r\n\t") {
-				return fault(key, "%q has a character that names can't have", name(i))
+				return errorAt(key, "%q has a character that names can't have", name(i))
 			}
 			if first, ok := seen[name(i)]; ok {
-				return fault(key, "%q is the name of %s[%d] already", name(i), list, first)
+				return errorAt(key, "%q is the name of %s[%d] already", name(i), list, first)
 			}
 			seen[name(i)] = i
 		}
@@ -98,10 +99,10 @@
 	for i, c := range s.Classes {
 		classes += c.Share
 		if c.Wanted > c.Deadline {
-			return fault(fmt.Sprintf("class[%d].wanted", i), "%v is over the deadline, %v", c.Wanted.D(), c.Deadline.D())
+			return errorAt(fmt.Sprintf("class[%d].wanted", i), "%v is over the deadline, %v", c.Wanted.D(), c.Deadline.D())
 		}
 		if c.Effect == "keyed" && c.Memory == 0 {
-			return fault(fmt.Sprintf("class[%d].memory", i), "a keyed class needs one")
+			return errorAt(fmt.Sprintf("class[%d].memory", i), "a keyed class needs one")
 		}
 	}
 	for _, t := range s.Tenants {
@@ -109,28 +110,28 @@
 	}
 	switch {
 	case nodes == 0:
-		return fault("site", "no site has a node")
+		return errorAt("site", "no site has a node")
 	case routers == 0:
-		return fault("site", "no site has a router")
+		return errorAt("site", "no site has a router")
 	case clients == 0:
-		return fault("site", "the shares of all sites are 0")
+		return errorAt("site", "the shares of all sites are 0")
 	case models == 0:
-		return fault("model", "the shares of all models are 0")
+		return errorAt("model", "the shares of all models are 0")
 	case classes == 0:
-		return fault("class", "the shares of all classes are 0")
+		return errorAt("class", "the shares of all classes are 0")
 	case tenants == 0:
-		return fault("tenant", "the shares of all tenants, or their usage, are 0")
+		return errorAt("tenant", "the shares of all tenants, or their usage, are 0")
 	case s.Clients.Patience[0] > s.Clients.Patience[1]:
-		return fault("clients.patience", "%v is over %v", s.Clients.Patience[0], s.Clients.Patience[1])
+		return errorAt("clients.patience", "%v is over %v", s.Clients.Patience[0], s.Clients.Patience[1])
 	case s.Shared.On && !s.Messages.On:
-		return fault("shared.on", "routers share by messages, and messages.on is false")
+		return errorAt("shared.on", "routers share by messages, and messages.on is false")
 	}
 	for _, span := range []struct {
 		key string
 		of  [2]Duration
 	}{{"discovery.lag", s.Discovery.Lag}, {"discovery.silent_lag", s.Discovery.SilentLag}, {"messages.delay", s.Messages.Delay}} {
 		if span.of[0] > span.of[1] {
-			return fault(span.key, "%v is over %v", span.of[0].D(), span.of[1].D())
+			return errorAt(span.key, "%v is over %v", span.of[0].D(), span.of[1].D())
 		}
 	}
 	nodeNames, routerNames := s.NodeNames(), s.RouterNames()
@@ -139,52 +140,52 @@
 		kind := kinds[t.Kind]
 		switch {
 		case t.Kind == "":
-			return fault(key("kind"), "missing")
+			return errorAt(key("kind"), "missing")
 		case kind.needsFor && t.For == 0:
-			return fault(key("for"), "%s needs one", t.Kind)
+			return errorAt(key("for"), "%s needs one", t.Kind)
 		case kind.needsSize && t.Size == 0:
-			return fault(key("size"), "%s needs one", t.Kind)
+			return errorAt(key("size"), "%s needs one", t.Kind)
 		case kind.needsSize && t.Size > kind.sizeMost:
-			return fault(key("size"), "%v is over %v, the most of %s", t.Size, kind.sizeMost, t.Kind)
+			return errorAt(key("size"), "%v is over %v, the most of %s", t.Size, kind.sizeMost, t.Kind)
 		case t.At >= s.Length:
-			return fault(key("at"), "%v is past the day's length, %v", t.At.D(), s.Length.D())
+			return errorAt(key("at"), "%v is past the day's length, %v", t.At.D(), s.Length.D())
 		case t.Site != "" && !slices.ContainsFunc(s.Sites, func(site Site) bool { return site.Name == t.Site }):
-			return fault(key("site"), "there is no site %q", t.Site)
+			return errorAt(key("site"), "there is no site %q", t.Site)
 		case t.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == t.Class }):
-			return fault(key("class"), "there is no class %q", t.Class)
+			return errorAt(key("class"), "there is no class %q", t.Class)
 		case t.Router != "" && !slices.Contains(routerNames, t.Router):
-			return fault(key("router"), "there is no router %q; they are %s", t.Router, strings.Join(routerNames, ", "))
+			return errorAt(key("router"), "there is no router %q; they are %s", t.Router, strings.Join(routerNames, ", "))
 		case kind.strikes == "site" && t.Site == "":
-			return fault(key("site"), "%s needs one", t.Kind)
+			return errorAt(key("site"), "%s needs one", t.Kind)
 		case kind.strikes == "nodes" && t.Kind != "deploy" && t.Part == 0 && len(t.Nodes) == 0 && t.Site == "":
-			return fault(key("nodes"), "%s names no node: give nodes, part or site", t.Kind)
+			return errorAt(key("nodes"), "%s names no node: give nodes, part or site", t.Kind)
 		case kind.strikes == "routers" && t.Part == 0 && t.Router == "" && t.Site == "":
-			return fault(key("router"), "%s names no router: give router, part or site", t.Kind)
+			return errorAt(key("router"), "%s names no router: give router, part or site", t.Kind)
 		case t.Kind == "disk-full" && !s.Stored.On:
-			return fault(key("kind"), "disk-full strikes what routers store, and stored.on is false")
+			return errorAt(key("kind"), "disk-full strikes what routers store, and stored.on is false")
 		case t.State != "kept" && !s.Stored.On:
-			return fault(key("state"), "%s needs routers that store anything: stored.on is false", t.State)
+			return errorAt(key("state"), "%s needs routers that store anything: stored.on is false", t.State)
 		case t.To != "" && t.Kind != "router-link":
-			return fault(key("to"), "only router-link has one")
+			return errorAt(key("to"), "only router-link has one")
 		case t.To != "" && !slices.Contains(routerNames, t.To) && !slices.ContainsFunc(s.Sites, func(site Site) bool { return site.Name == t.To }):
-			return fault(key("to"), "there is no router and no site %q", t.To)
+			return errorAt(key("to"), "there is no router and no site %q", t.To)
 		case t.Delay[0] > t.Delay[1]:
-			return fault(key("delay"), "%v is over %v", t.Delay[0].D(), t.Delay[1].D())
+			return errorAt(key("delay"), "%v is over %v", t.Delay[0].D(), t.Delay[1].D())
 		case t.Kind == "router-link" && !s.Messages.On:
-			return fault(key("kind"), "router-link strikes messages, and messages.on is false")
+			return errorAt(key("kind"), "router-link strikes messages, and messages.on is false")
 		case t.Kind == "cut" && t.Router == "":
-			return fault(key("router"), "cut needs the router that is cut off")
+			return errorAt(key("router"), "cut needs the router that is cut off")
 		}
 		for j, name := range t.Nodes {
 			if !slices.Contains(nodeNames, name) {
-				return fault(fmt.Sprintf("trouble[%d].nodes[%d]", i, j), "there is no node %q", name)
+				return errorAt(fmt.Sprintf("trouble[%d].nodes[%d]", i, j), "there is no node %q", name)
 			}
 		}
 	}
 	return nil
 }
 
-// NodeNames are the nodes in the order of their sites: north-c1, north-c2, ...
+// NodeNames returns the names of the nodes in the order of their sites: north-c1, north-c2, ...
 func (s *Scenario) NodeNames() (names []string) {
 	for _, site := range s.Sites {
 		for i := range site.Nodes {
@@ -194,7 +195,7 @@
 	return names
 }
 
-// RouterNames are the routers in the order of their sites: north-r1, ...
+// RouterNames returns the names of the routers in the order of their sites: north-r1, ...
 func (s *Scenario) RouterNames() (names []string) {
 	for _, site := range s.Sites {
 		for i := range site.Routers {
@@ -204,8 +205,8 @@
 	return names
 }
 
-// Shorten brings the day to its short length; the time line is drawn together with it, but what lasts long for a reason
-// of its own, as a node's warming, is not.
+// Shorten reduces the run to its short length. The times of troubles are scaled with it; durations with a cause of their own, such
+// as a node's warm-up, are not.
 func (s *Scenario) Shorten() {
 	if s.Short >= s.Length {
 		return
--- a/internal/kit/scenario/read.go
+++ b/internal/kit/scenario/read.go
@@ -13,23 +13,23 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Error is a fault of a scenario file.
+// Error is an error in a scenario file or a --set argument.
 type Error struct {
 	File string
-	Line int    // from 1; 0 where a key is missing
+	Line int    // from 1; 0 if unknown
 	Key  string // as site[1].share
 	What string
 }
 
 func (e *Error) Error() string {
-	at := e.File
+	text := e.File
 	if e.Line > 0 {
-		at += ":" + strconv.Itoa(e.Line)
+		text += ":" + strconv.Itoa(e.Line)
 	}
 	if e.Key != "" {
-		at += ": " + e.Key
+		text += ": " + e.Key
 	}
-	return at + ": " + e.What
+	return text + ": " + e.What
 }
 
 // Load reads a scenario from a file.
@@ -41,74 +41,75 @@
 	return Parse(path, text, sets...)
 }
 
-// Parse reads and checks a scenario; the name is for faults. Each of sets is key=value, the value as TOML writes it, and
-// goes over what the text has.
+// Parse reads and checks a scenario; the name is used in errors. Each of sets is key=value, the value in TOML, and overrides the
+// text.
 func Parse(name string, text []byte, sets ...string) (*Scenario, error) {
 	tree := map[string]any{}
-	if err := decode(name, text, &tree); err != nil {
+	if err := decodeTOML(name, text, &tree); err != nil {
 		return nil, err
 	}
-	for base, ok := tree["base"].(string); ok; { // a base may have one as well
-		under, found := Text(base)
+	for base, ok := tree["base"].(string); ok; { // a base may have a base of its own
+		baseText, found := Text(base)
 		if !found {
-			return nil, &Error{name, lines(text)["base"], "base", fmt.Sprintf("the kit brings no scenario %q", base)}
+			return nil, &Error{name, keyLines(text)["base"], "base", fmt.Sprintf("the kit brings no scenario %q", base)}
 		}
-		below := map[string]any{}
-		if err := decode(base, under, &below); err != nil {
+		baseTree := map[string]any{}
+		if err := decodeTOML(base, baseText, &baseTree); err != nil {
 			return nil, err
 		}
-		next, more := below["base"].(string)
-		tree = over(below, tree)
+		next, more := baseTree["base"].(string)
+		tree = mergeTables(baseTree, tree)
 		base, ok = next, more
 	}
-	given := map[string]string{} // by key: what --set said of it
+	setByKey := map[string]string{} // by key: the --set argument
 	for _, set := range sets {
-		if err := apply(tree, set); err != nil {
+		if err := applySet(tree, set); err != nil {
 			return nil, err
 		}
 		key, _, _ := strings.Cut(set, "=")
-		given[key] = set
+		setByKey[key] = set
 	}
-	at := lines(text)
-	fault := func(key, format string, args ...any) error {
-		if set, ok := given[key]; ok {
+	lineOf := keyLines(text)
+	errorAt := func(key, format string, args ...any) error {
+		if set, ok := setByKey[key]; ok {
 			return &Error{File: "--set " + set, Key: key, What: fmt.Sprintf(format, args...)}
 		}
-		line := max(at[key], at[key+"[0]"])
+		line := max(lineOf[key], lineOf[key+"[0]"])
 		for k := key; line == 0 && strings.ContainsAny(k, ".["); {
 			k = k[:strings.LastIndexAny(k, ".[")]
-			line = at[k]
+			line = lineOf[k]
 		}
 		return &Error{name, line, key, fmt.Sprintf(format, args...)}
 	}
 	s := Default()
-	if err := fill(reflect.ValueOf(&s).Elem(), tree, "", fault); err != nil {
+	if err := fillStruct(reflect.ValueOf(&s).Elem(), tree, "", errorAt); err != nil {
 		return nil, err
 	}
-	if err := s.check(fault); err != nil {
+	if err := s.validate(errorAt); err != nil {
 		return nil, err
 	}
 	return &s, nil
 }
 
-// over lays a tree over another one: tables key by key, all else whole.
-func over(below, above map[string]any) map[string]any {
+// mergeTables merges the tree above into below: tables key by key, all other values replaced.
+func mergeTables(below, above map[string]any) map[string]any {
 	for key, value := range above {
 		lower, both := below[key].(map[string]any)
 		if upper, ok := value.(map[string]any); ok && both {
-			value = over(lower, upper)
+			value = mergeTables(lower, upper)
 		}
 		below[key] = value
 	}
 	return below
 }
 
-func decode(name string, text []byte, to any) error {
-	var wrong *toml.DecodeError
+// decodeTOML parses TOML; errors name the file, line and key.
+func decodeTOML(name string, text []byte, to any) error {
+	var decodeError *toml.DecodeError
 	err := toml.Unmarshal(text, to)
-	if errors.As(err, &wrong) {
-		row, _ := wrong.Position()
-		return &Error{name, row, strings.Join(wrong.Key(), "."), strings.TrimPrefix(wrong.Error(), "toml: ")}
+	if errors.As(err, &decodeError) {
+		line, _ := decodeError.Position()
+		return &Error{name, line, strings.Join(decodeError.Key(), "."), strings.TrimPrefix(decodeError.Error(), "toml: ")}
 	}
 	if err != nil {
 		return &Error{File: name, What: err.Error()}
@@ -116,9 +117,9 @@
 	return nil
 }
 
-// lines finds the line of each key, as site[1].share.
-func lines(text []byte) map[string]int {
-	at, counts, prefix := map[string]int{}, map[string]int{}, ""
+// keyLines returns the line of each key, keyed by paths such as site[1].share.
+func keyLines(text []byte) map[string]int {
+	lineOf, counts, prefix := map[string]int{}, map[string]int{}, ""
 	var p unstable.Parser
 	p.Reset(text)
 	path := func(n *unstable.Node) string {
@@ -139,153 +140,155 @@
 		switch e := p.Expression(); e.Kind {
 		case unstable.Table:
 			prefix = path(e)
-			at[prefix] = line(e)
+			lineOf[prefix] = line(e)
 		case unstable.ArrayTable:
 			name := path(e)
 			prefix = fmt.Sprintf("%s[%d]", name, counts[name])
 			counts[name]++
-			at[prefix] = line(e)
+			lineOf[prefix] = line(e)
 		case unstable.KeyValue:
 			key := path(e)
 			if prefix != "" {
 				key = prefix + "." + key
 			}
-			at[key] = line(e)
+			lineOf[key] = line(e)
 		}
 	}
-	return at
+	return lineOf
 }
 
-// apply puts key=value over a tree; a key is as site[1].share or database.workers.
-func apply(tree map[string]any, set string) error {
+// applySet sets a key=value in a tree; a key is a path such as site[1].share or database.workers.
+func applySet(tree map[string]any, set string) error {
 	key, value, ok := strings.Cut(set, "=")
 	if !ok {
 		return &Error{File: "--set " + set, What: "not of the form key=value"}
 	}
-	var one map[string]any
-	if toml.Unmarshal([]byte("v = "+value), &one) != nil {
-		if err := toml.Unmarshal([]byte("v = "+strconv.Quote(value)), &one); err != nil {
+	var parsed map[string]any
+	if toml.Unmarshal([]byte("v = "+value), &parsed) != nil {
+		if err := toml.Unmarshal([]byte("v = "+strconv.Quote(value)), &parsed); err != nil {
 			return &Error{File: "--set " + set, Key: key, What: fmt.Sprintf("%q is no value", value)}
 		}
 	}
 	parts := strings.Split(key, ".")
-	at := tree
+	table := tree
 	for i, part := range parts {
 		name, rest, indexed := strings.Cut(part, "[")
 		if i == len(parts)-1 && !indexed {
-			at[name] = one["v"]
+			table[name] = parsed["v"]
 			return nil
 		}
 		if indexed {
 			n, err := strconv.Atoi(strings.TrimSuffix(rest, "]"))
-			all, _ := at[name].([]any)
-			if err != nil || n < 0 || n >= len(all) {
+			list, _ := table[name].([]any)
+			if err != nil || n < 0 || n >= len(list) {
 				return &Error{File: "--set " + set, Key: key, What: "there is no " + part}
 			}
-			if at, ok = all[n].(map[string]any); !ok || i == len(parts)-1 {
+			if table, ok = list[n].(map[string]any); !ok || i == len(parts)-1 {
 				return &Error{File: "--set " + set, Key: key, What: part + " is no single value"}
 			}
 			continue
 		}
-		next, ok := at[name].(map[string]any)
+		next, ok := table[name].(map[string]any)
 		if !ok {
 			next = map[string]any{}
-			at[name] = next
+			table[name] = next
 		}
-		at = next
+		table = next
 	}
 	return nil
 }
 
 var (
-	durationType = reflect.TypeFor[Duration]()
-	defaults     = map[reflect.Type]any{reflect.TypeFor[Site](): defaultSite, reflect.TypeFor[Model](): defaultModel,
+	durationType  = reflect.TypeFor[Duration]()
+	entryDefaults = map[reflect.Type]any{reflect.TypeFor[Site](): defaultSite, reflect.TypeFor[Model](): defaultModel,
 		reflect.TypeFor[Class](): defaultClass, reflect.TypeFor[Tenant](): defaultTenant, reflect.TypeFor[Trouble](): defaultTrouble}
 )
 
-type faultFunc func(key, format string, args ...any) error
+// errorFunc returns an Error for a key, with its line.
+type errorFunc func(key, format string, args ...any) error
 
-// fill takes a table's values over into a struct, key by key, so that each fault has its key and line.
-func fill(to reflect.Value, table map[string]any, prefix string, fault faultFunc) error {
+// fillStruct sets a struct's fields from a table, key by key, so that each error names its key and line.
+func fillStruct(to reflect.Value, table map[string]any, prefix string, errorAt errorFunc) error {
 	fields := map[string]reflect.StructField{}
 	for i := range to.NumField() {
 		f := to.Type().Field(i)
 		fields[f.Tag.Get("toml")] = f
 	}
 	for _, key := range sortedKeys(table) {
-		full := prefix + key
+		path := prefix + key
 		f, ok := fields[key]
 		if !ok {
-			return fault(full, "unknown key")
+			return errorAt(path, "unknown key")
 		}
-		if err := set(to.FieldByIndex(f.Index), table[key], full, f, fault); err != nil {
+		if err := setValue(to.FieldByIndex(f.Index), table[key], path, f, errorAt); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func set(to reflect.Value, value any, key string, f reflect.StructField, fault faultFunc) error {
+// setValue converts a value to a field's type, checks the bounds in its tags and assigns it.
+func setValue(to reflect.Value, value any, key string, f reflect.StructField, errorAt errorFunc) error {
 	switch {
 	case to.Type() == durationType:
 		text, ok := value.(string)
 		if !ok {
-			return fault(key, "a span of time such as \"80ms\" belongs here")
+			return errorAt(key, "a span of time such as \"80ms\" belongs here")
 		}
 		var d Duration
 		if err := d.UnmarshalText([]byte(text)); err != nil {
-			return fault(key, "%v", err)
+			return errorAt(key, "%v", err)
 		}
 		for _, bound := range []struct {
 			tag  string
 			over bool
 		}{{"least", false}, {"most", true}} {
 			if b, err := time.ParseDuration(f.Tag.Get(bound.tag)); err == nil && (d.D() > b) == bound.over && d.D() != b {
-				return fault(key, "%v is %s %v", d.D(), map[bool]string{true: "over", false: "under"}[bound.over], b)
+				return errorAt(key, "%v is %s %v", d.D(), map[bool]string{true: "over", false: "under"}[bound.over], b)
 			}
 		}
 		to.Set(reflect.ValueOf(d))
 	case to.Kind() == reflect.Pointer:
 		to.Set(reflect.New(to.Type().Elem()))
-		return set(to.Elem(), value, key, f, fault)
+		return setValue(to.Elem(), value, key, f, errorAt)
 	case to.Kind() == reflect.Struct:
 		table, ok := value.(map[string]any)
 		if !ok {
-			return fault(key, "a table belongs here")
+			return errorAt(key, "a table belongs here")
 		}
-		return fill(to, table, key+".", fault)
+		return fillStruct(to, table, key+".", errorAt)
 	case to.Kind() == reflect.Array || to.Kind() == reflect.Slice:
-		all, ok := value.([]any)
-		if !ok || to.Kind() == reflect.Array && len(all) != to.Len() {
+		list, ok := value.([]any)
+		if !ok || to.Kind() == reflect.Array && len(list) != to.Len() {
 			if to.Kind() == reflect.Array {
-				return fault(key, "a list of %d values belongs here", to.Len())
+				return errorAt(key, "a list of %d values belongs here", to.Len())
 			}
-			return fault(key, "a list belongs here")
+			return errorAt(key, "a list belongs here")
 		}
 		if to.Kind() == reflect.Slice {
-			to.Set(reflect.MakeSlice(to.Type(), len(all), len(all)))
+			to.Set(reflect.MakeSlice(to.Type(), len(list), len(list)))
 		}
-		for i, one := range all {
-			if d, ok := defaults[to.Type().Elem()]; ok {
+		for i, element := range list {
+			if d, ok := entryDefaults[to.Type().Elem()]; ok {
 				to.Index(i).Set(reflect.ValueOf(d))
 			}
-			if err := set(to.Index(i), one, fmt.Sprintf("%s[%d]", key, i), f, fault); err != nil {
+			if err := setValue(to.Index(i), element, fmt.Sprintf("%s[%d]", key, i), f, errorAt); err != nil {
 				return err
 			}
 		}
 	case to.Kind() == reflect.String:
 		text, ok := value.(string)
 		if !ok {
-			return fault(key, "a text belongs here")
+			return errorAt(key, "a text belongs here")
 		}
-		if of := f.Tag.Get("oneof"); of != "" && !contains(strings.Split(of, ","), text) {
-			return fault(key, "%q is none of %s", text, strings.ReplaceAll(of, ",", ", "))
+		if allowed := f.Tag.Get("oneof"); allowed != "" && !contains(strings.Split(allowed, ","), text) {
+			return errorAt(key, "%q is none of %s", text, strings.ReplaceAll(allowed, ",", ", "))
 		}
 		to.SetString(text)
 	case to.Kind() == reflect.Bool:
 		b, ok := value.(bool)
 		if !ok {
-			return fault(key, "true or false belongs here")
+			return errorAt(key, "true or false belongs here")
 		}
 		to.SetBool(b)
 	default:
@@ -296,19 +299,19 @@
 		case float64:
 			n = v
 		default:
-			return fault(key, "a number belongs here")
+			return errorAt(key, "a number belongs here")
 		}
 		for _, bound := range []struct {
 			tag  string
 			over bool
 		}{{"least", false}, {"most", true}} {
 			if b, err := strconv.ParseFloat(f.Tag.Get(bound.tag), 64); err == nil && !(n == b) && !((n < b) == bound.over) {
-				return fault(key, "%v is %s %v", n, map[bool]string{true: "over", false: "under"}[bound.over], b)
+				return errorAt(key, "%v is %s %v", n, map[bool]string{true: "over", false: "under"}[bound.over], b)
 			}
 		}
 		if to.Kind() == reflect.Int {
 			if n != float64(int64(n)) {
-				return fault(key, "a whole number belongs here, not %v", n)
+				return errorAt(key, "a whole number belongs here, not %v", n)
 			}
 			to.SetInt(int64(n))
 			return nil
@@ -318,9 +321,9 @@
 	return nil
 }
 
-func contains(all []string, one string) bool {
-	for _, a := range all {
-		if a == one {
+func contains(list []string, wanted string) bool {
+	for _, a := range list {
+		if a == wanted {
 			return true
 		}
 	}
@@ -332,7 +335,7 @@
 	for k := range m {
 		keys = append(keys, k)
 	}
-	// A fault of a table's own keys comes before those of the tables in it, and by name: the same fault each time.
+	// Sorted so that the same error is reported each time: by name, a table's own keys before those of the tables in it.
 	for i := range keys {
 		for j := i; j > 0 && keys[j] < keys[j-1]; j-- {
 			keys[j], keys[j-1] = keys[j-1], keys[j]
--- a/internal/kit/scenario/reference.go
+++ b/internal/kit/scenario/reference.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Reference is the reference page of a scenario file's keys, made from the types that read it.
+// Reference returns the reference page of a scenario file's keys in Markdown, generated from the types that read it.
 func Reference() string {
 	var b strings.Builder
 	b.WriteString("# Keys of a scenario file\n\nMade by `rehearse keys`. Spans of time are written as \"80ms\", \"1.5s\" or \"2m\"; lists of two are drawn between.\nAn unknown key is a fault.\n")
@@ -25,7 +25,7 @@
 			case f.Tag.Get("least") == "":
 				bounds = ""
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", f.Tag.Get("toml"), written(v.Field(i)), bounds, f.Tag.Get("help"))
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", f.Tag.Get("toml"), formatDefault(v.Field(i)), bounds, f.Tag.Get("help"))
 		}
 	}
 	section("The day", reflect.ValueOf(s))
@@ -61,13 +61,13 @@
 	return b.String()
 }
 
-// written is a value as a scenario file has it; nothing for what has no default.
-func written(v reflect.Value) string {
+// formatDefault formats a default as in a scenario file; empty if there is none.
+func formatDefault(v reflect.Value) string {
 	switch {
 	case v.Kind() == reflect.Pointer || v.Kind() == reflect.Slice:
 		return ""
 	case v.Kind() == reflect.Array:
-		return fmt.Sprintf("[%s, %s]", written(v.Index(0)), written(v.Index(1)))
+		return fmt.Sprintf("[%s, %s]", formatDefault(v.Index(0)), formatDefault(v.Index(1)))
 	case v.Type() == durationType:
 		return fmt.Sprintf("%q", v.Interface().(Duration).D().String())
 	case v.Kind() == reflect.String && v.String() == "":
--- a/internal/kit/scenario/scenario.go
+++ b/internal/kit/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario holds what a rehearsal is told: the fleet, its load, the troubles of the day and what is expected of
-// the routers. It reads scenario files strictly and names file, line and key of what is wrong.
+// Package scenario defines what a rehearsal runs: the fleet, its load, the troubles injected into it and what is expected of the
+// routers. It parses scenario files strictly and reports errors with file, line and key.
 package scenario
 
 import (
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Duration is a span of time as Go writes it: 80ms, 1.5s, 2m.
+// Duration is a duration in Go's notation: 80ms, 1.5s, 2m.
 type Duration time.Duration
 
-// D is the span as the time package has it.
+// D returns d as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// UnmarshalText reads a number with its unit.
+// UnmarshalText parses Go's notation of a duration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	span, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -23,11 +23,11 @@
 	return nil
 }
 
-// MarshalText writes it as it is read.
+// MarshalText writes what UnmarshalText reads.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Scenario is one day. The tags tell its reference page and its checks: `help` what a key means, `least` and `most` its
-// bounds; defaults stand in Default.
+// Scenario describes one run. Its tags define the reference page and the checks: `help` is the meaning of a key, `least` and
+// `most` are its bounds. Defaults are in Default.
 type Scenario struct {
 	Name   string   `toml:"name" help:"what the day is called in reports"`
 	About  string   `toml:"about" help:"one sentence on what is rehearsed"`
@@ -58,7 +58,7 @@
 	Expect    Expect    `toml:"expect"`
 }
 
-// Site is one place with nodes, routers and clients.
+// Site is a location with nodes, routers and clients.
 type Site struct {
 	Name    string  `toml:"name" help:"its name; nodes are listed with it as their zone"`
 	Nodes   int     `toml:"nodes" least:"0" most:"10000" help:"cache nodes that stand here"`
@@ -96,14 +96,14 @@
 	Write     bool     `toml:"write" help:"whether it writes its key: it goes on to the database and voids kept copies"`
 }
 
-// Tenant is one customer.
+// Tenant is a customer.
 type Tenant struct {
 	Name  string  `toml:"name" help:"its name"`
 	Share float64 `toml:"share" least:"0" most:"1" help:"of the service that it has paid for"`
 	Usage float64 `toml:"usage" least:"0" most:"100" help:"what it asks for, as a multiple of its share of the rate"`
 }
 
-// Database is what stands behind the cache nodes.
+// Database is the origin behind the cache nodes.
 type Database struct {
 	Workers  int      `toml:"workers" least:"1" most:"100000" help:"fetches and writes that are worked on at once"`
 	Time     Duration `toml:"time" least:"100us" most:"1m" help:"that one takes"`
@@ -113,13 +113,13 @@
 	StallFor Duration `toml:"stall_for" least:"0s" most:"10m" help:"for how long it stalls then"`
 }
 
-// Network is the time that messages take.
+// Network is the latency between machines.
 type Network struct {
 	Same  Duration `toml:"same" least:"0s" most:"1s" help:"one way within a site"`
 	Cross Duration `toml:"cross" least:"0s" most:"1s" help:"one way between sites"`
 }
 
-// Keys is what is asked for.
+// Keys is the distribution of requested keys.
 type Keys struct {
 	Count   int     `toml:"count" least:"1" most:"100000000" help:"how many there are"`
 	Zipf    float64 `toml:"zipf" least:"0" most:"3" help:"the exponent of their popularity; 0: all alike"`
@@ -127,7 +127,7 @@
 	Offset  float64 `toml:"offset" least:"0" most:"10000" help:"ranks that the head of the popularity is flattened by"`
 }
 
-// Clients is how those who ask behave.
+// Clients is the clients' behaviour.
 type Clients struct {
 	Connections int        `toml:"connections" least:"1" most:"10000" help:"that are kept open to each router at most while idle"`
 	Patience    [2]float64 `toml:"patience" least:"0.01" most:"1" help:"part of its class's deadline that one try is given, drawn between the two"`
@@ -138,7 +138,7 @@
 	OverShare   float64    `toml:"over_share" least:"0" most:"1" help:"what a tenant's traffic over its share is worth, as a part of the usual"`
 }
 
-// Discovery is how routers hear of nodes.
+// Discovery is how routers learn of nodes.
 type Discovery struct {
 	Mode      string      `toml:"mode" oneof:"push,on_request" help:"whether changes come by themselves or to those who ask; routers are told, and watch either way"`
 	Lag       [2]Duration `toml:"lag" least:"0s" most:"10m" help:"after which a change is told to a router, drawn between the two"`
@@ -153,7 +153,7 @@
 	Loss  float64     `toml:"loss" least:"0" most:"1" help:"part of them that is lost"`
 }
 
-// Tiers are the operators' word on sites: what routers find as [sites] in the operators' file.
+// Tiers are the operators' settings for sites: [sites] in the operators' file that routers read.
 type Tiers struct {
 	On     bool     `toml:"on" help:"whether routers keep to sites, their own first"`
 	Prefer []string `toml:"prefer" help:"sites by preference, at all routers alike; left out: a router's own, then by the time to connect"`
@@ -161,29 +161,29 @@
 	Hold   Duration `toml:"hold" least:"0s" most:"10m" help:"least time on each step of a return; 0: as the router has it"`
 }
 
-// Stored is the operators' word on stored state: what routers find as [state] in the operators' file.
+// Stored is the operators' setting for stored state: [state] in the operators' file that routers read.
 type Stored struct {
 	On bool `toml:"on" help:"whether routers have a disk that lasts, and store their state there"`
 }
 
-// Shared is the operators' word on state that routers share: what they find as [shared] in the operators' file.
+// Shared is the operators' setting for state that routers share: [shared] in the operators' file that routers read.
 type Shared struct {
 	On bool `toml:"on" help:"whether routers share operators' orders, by messages; on sockets alone"`
 }
 
-// Placement is the operators' word on where keys belong: what routers find as [placement] in the operators' file.
+// Placement is the operators' setting for where keys belong: [placement] in the operators' file that routers read.
 type Placement struct {
 	By string `toml:"by" oneof:"cuts,list" help:"what decides where a key belongs: cuts of the interval table, or the list alone"`
 }
 
-// Limits are a router's.
+// Limits are the resource limits of a router.
 type Limits struct {
 	Cores       float64 `toml:"cores" least:"0.01" most:"256" help:"of its machine; told to the router and not enforced"`
 	MemoryMB    int     `toml:"memory_mb" least:"32" most:"1000000" help:"that it may take; over it the router is killed"`
 	Descriptors int     `toml:"descriptors" least:"64" most:"1000000" help:"that it may hold; the system gives it no more"`
 }
 
-// Rules are the four rules' figures and what routers may do.
+// Rules are the thresholds of the four rules and what routers are allowed to do.
 type Rules struct {
 	DrainGrace    Duration `toml:"drain_grace" least:"0s" most:"1m" help:"after being told of a drain, in which sends are still right"`
 	Fall          float64  `toml:"fall" least:"1" most:"1000" help:"a cold node sent this multiple of what it can do falls over"`
@@ -195,7 +195,7 @@
 	ConnectWithin Duration `toml:"connect_within" least:"10ms" most:"1m" help:"a connection that does not come up by then is given up"`
 }
 
-// Trouble is one thing that goes wrong, from At on for For.
+// Trouble is one fault, injected at At for the duration For.
 type Trouble struct {
 	Kind   string   `toml:"kind" oneof:"crash,router-link,router-stall,router-crash-loop,disk-full,silence,freeze,errors,hot-key,turn-away,slow,spoil,cut,site-loss,burst,heavy,flush,deploy,shrink,grow,discovery-silence,discovery-stale,discovery-flap,router-kill,router-stop,router-reload,bad-clients,database-stall" help:"what happens; see the table of kinds"`
 	At     Duration `toml:"at" least:"0s" most:"2h" help:"when it begins"`
@@ -218,7 +218,7 @@
 	Known   string      `toml:"known" oneof:"current,old" help:"router-kill, router-stop, router-crash-loop: the list that a restarted router finds in its configuration: discovery's of that moment, or that of the day's beginning"`
 }
 
-// Expect is what the day must come to; what is left out is not looked at. The rules are expected always.
+// Expect is what a run must achieve; what is left out is not checked. The rules must hold in every run.
 type Expect struct {
 	Score        *float64 `toml:"score" least:"0" most:"1" help:"least score"`
 	WorstWindow  *float64 `toml:"worst_window" least:"0" most:"1" help:"least score of any ten seconds"`
@@ -235,7 +235,7 @@
 	StaleRefusals *float64 `toml:"stale_refusals" least:"0" most:"1000000" help:"most requests refused unsent by a router whose last five sends, of the last two seconds, had all ended well and quickly"`
 }
 
-// Default is what a key has that a file leaves out. Lists have none: a file brings its own.
+// Default returns the values of keys that a file leaves out. Lists have no default: each file has its own.
 func Default() Scenario {
 	return Scenario{
 		WarmUp: Duration(8 * time.Second), Length: Duration(30 * time.Second), Short: Duration(15 * time.Second), Rate: 70, Swing: 0.1,
@@ -252,7 +252,7 @@
 	}
 }
 
-// defaultModel, defaultClass and defaultTenant fill in what an entry of a list leaves out.
+// The defaults of keys that an entry of a list leaves out.
 var (
 	defaultModel = Model{Share: 1, Cores: 2, Speed: 1, Queue: 8, Cache: 2000, ColdFrom: 0.25, ColdFor: Duration(15 * time.Second),
 		ConnWork: Duration(time.Millisecond), ConnMost: 1000, Idle: Duration(5 * time.Second)}
--- a/internal/kit/scenario/scenario_test.go
+++ b/internal/kit/scenario/scenario_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-const good = `name = "x"
+const validFile = `name = "x"
 rate = 10
 [[site]]
 name = "a"
@@ -24,7 +24,7 @@
 name = "t"
 `
 
-// Each fault is one line with file, line and key, whatever kind it is of.
+// TestFaultsNameFileLineAndKey checks that every kind of error in a file is one line with file, line and key.
 func TestFaultsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ from, to, says string }{
 		{"rate = 10", "rate = 10\nspeed = 3", "f.toml:3: speed: unknown key"},
@@ -51,7 +51,7 @@
 		{"rate = 10", "rate = 10\nclients = { patience = [0.9, 0.1] }", "clients.patience: 0.9 is over 0.1"},
 		{"rate = 10", "rate = 10\nbase = \"nowhere\"", "f.toml:3: base: the kit brings no scenario"},
 	} {
-		text := strings.Replace(good, c.from, c.to, 1)
+		text := strings.Replace(validFile, c.from, c.to, 1)
 		_, err := Parse("f.toml", []byte(text))
 		var fault *Error
 		if !errors.As(err, &fault) || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
@@ -61,7 +61,7 @@
 }
 
 func TestSetGoesOverTheFile(t *testing.T) {
-	s, err := Parse("f.toml", []byte(good), "rate=25", "site[0].nodes=7", "database.time=5ms", "class[0].effect=unsafe")
+	s, err := Parse("f.toml", []byte(validFile), "rate=25", "site[0].nodes=7", "database.time=5ms", "class[0].effect=unsafe")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,13 +70,13 @@
 	}
 	for set, says := range map[string]string{"rate=-1": "--set rate=-1: rate: -1 is under", "rate": "not of the form", "site[4].nodes=1": "there is no site[4]",
 		"nonsense=1": "--set nonsense=1: nonsense: unknown key"} {
-		if _, err := Parse("f.toml", []byte(good), set); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := Parse("f.toml", []byte(validFile), set); err == nil || !strings.Contains(err.Error(), says) {
 			t.Errorf("%s: %v", set, err)
 		}
 	}
 }
 
-// What the kit brings is good in both lengths, and shortening keeps the order of the time line.
+// TestBuiltinScenarios checks that the built-in scenarios are valid in both lengths and that shortening keeps the order of troubles.
 func TestBuiltinScenarios(t *testing.T) {
 	for _, want := range []string{"calm", "count-weekend", "burst", "deploy", "bad-clients", "bad-servers", "router-restarts", "discovery-down"} {
 		s, err := Find(want)
@@ -103,7 +103,7 @@
 	}
 }
 
-// The reference page in the docs is the one that the types make, and has every key.
+// TestReferenceIsUpToDate checks that the reference page in the docs is the generated one and has every key.
 func TestReferenceIsUpToDate(t *testing.T) {
 	text := Reference()
 	page, err := os.ReadFile("../../../docs/operate/scenario-keys.md")
