--- a/internal/kit/harness/harness.go
+++ b/internal/kit/harness/harness.go
@@ -1,5 +1,5 @@
-// Package harness is how tests start several processes of the router and fault what is between them: a day of the rig, driven by the
-// test's own hand. What it does is the same each time; how the processes take it is theirs.
+// Package harness lets tests start several router processes on a rig and inject faults between them. The injected faults are the same
+// in every run; the timing of the processes is not.
 package harness
 
 import (
@@ -13,7 +13,7 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// Base is a small fleet: eight routers at two sites, twelve nodes, a day of fourteen seconds with five before anything happens.
+// Base is a small fleet: eight routers at two sites, twelve nodes, a run of fourteen seconds of which the first five have no faults.
 const Base = `
 name = "harness"
 base = "calm"
@@ -43,28 +43,28 @@
 score = 0.3
 `
 
-// Fleet is what a test starts.
+// Fleet is the configuration of a run.
 type Fleet struct {
-	Router []string // the command line of the router's program
-	Env    []string // further variables of its processes
-	Text   string   // of the scenario, laid over Base: its troubles
-	Sets   []string // key=value, over both
+	Router []string // the router's command line
+	Env    []string // additional environment variables of the routers
+	Text   string   // scenario text appended to Base: its troubles
+	Sets   []string // key=value, overrides both
 	Drive  func(c *rig.Control)
 }
 
-// atOnce bounds the days that are played side by side: more processes than a machine has cores for run late, and tell nothing.
-var atOnce = make(chan struct{}, max(runtime.NumCPU()*3/8, 1))
+// runSlots bounds the concurrent runs: with more processes than the cores can carry, runs are late and give no verdict.
+var runSlots = make(chan struct{}, max(runtime.NumCPU()*3/8, 1))
 
-// Play plays the fleet's day and returns its report. It fails the test if the day can't be played, and skips it where the machine
-// was too slow for a verdict.
+// Play runs the fleet and returns the report. It fails the test if the run fails, and skips it if the machine was too slow for a
+// verdict.
 func (f Fleet) Play(t testing.TB) *ledger.Report {
 	t.Helper()
 	s, err := scenario.Parse("harness", []byte(Base+f.Text), f.Sets...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	atOnce <- struct{}{}
-	defer func() { <-atOnce }()
+	runSlots <- struct{}{}
+	defer func() { <-runSlots }()
 	report, err := rig.Run(t.Context(), s, rig.Options{Seed: 1, Router: f.Router, Env: f.Env, Drive: f.Drive})
 	if errors.Is(err, rig.ErrLate) {
 		t.Skipf("%v: %.1f ms", err, report.HostLateMS)
@@ -75,7 +75,7 @@
 	return report
 }
 
-// Part is the part of the worth that was earned in the seconds from..to of a day.
+// Part returns the fraction of the worth that was earned in the seconds from..to of a run.
 func Part(r *ledger.Report, from, to time.Duration) float64 {
 	var asked, earned float64
 	for _, s := range r.Seconds[int(from/time.Second):int(to/time.Second)] {
--- a/internal/kit/harness/harness_test.go
+++ b/internal/kit/harness/harness_test.go
@@ -13,7 +13,7 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// The test binary is the router as well, when it is called as such.
+// TestMain makes the test binary act as the router when called with its name.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "cedarmast" {
 		os.Exit(daemon.Main(nil, os.Getenv, os.Stdout, os.Stderr))
@@ -21,23 +21,23 @@
 	os.Exit(m.Run())
 }
 
-var own = []string{os.Args[0], "cedarmast"}
+var routerCommand = []string{os.Args[0], "cedarmast"}
 
 const second = time.Second
 
 func trouble(text string) string { return "\n[[trouble]]\n" + text }
 
-// kept fails the test where a rule is broken, a router ended by itself, or one sent where it knew that it may not.
-func kept(t *testing.T, r *ledger.Report) {
+// checkRulesHeld fails the test if a rule was broken, a router exited by itself, or a router sent to a node against an order that it knew.
+func checkRulesHeld(t *testing.T, r *ledger.Report) {
 	t.Helper()
 	if r.Lost+r.Double+r.Drain+r.ColdFalls+r.Held > 0 || r.Crashes > 0 || r.StaleSends > 0 {
 		t.Errorf("%d crashes, %d stale sends, %v", r.Crashes, r.StaleSends, r.Breaches)
 	}
 }
 
-// TestComingBack restarts most of eight real processes in the ways in which that happens, while other parts fail. On each day all
-// rules are kept, nothing is sent against a known drain, calls for lists stay under five times the usual where no news of nodes comes (each router makes two at its start), and the service
-// is back by the end.
+// TestComingBack restarts most of eight real processes in several ways while other parts fail. In each run all rules hold, nothing is
+// sent against a known drain, list calls stay under five times the usual where the list does not change (each router makes two at its
+// start), and service has recovered by the end.
 func TestComingBack(t *testing.T) {
 	const kill = "kind = \"router-kill\"\npart = 0.7\nat = \"5s\"\nfor = \"1200ms\"\n"
 	for name, text := range map[string]string{
@@ -56,12 +56,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := Fleet{Router: own, Text: text}.Play(t)
-			kept(t, r)
+			r := Fleet{Router: routerCommand, Text: text}.Play(t)
+			checkRulesHeld(t, r)
 			lists := 0.0
 			for _, tr := range r.Troubles {
 				if strings.HasPrefix(tr.Kind, "router-") && !strings.Contains(text, "node") && !strings.Contains(text, "site-loss") && !strings.Contains(text, "\"crash\"") {
-					lists = max(lists, tr.PeakListCalls) // news of nodes is a call each
+					lists = max(lists, tr.PeakListCalls) // each change of the list costs a call
 				}
 			}
 			if before, after := Part(r, second, 4*second), Part(r, 12*second, 14*second); before < 0.85 || after < 0.75*before || lists > 5 {
@@ -71,11 +71,11 @@
 	}
 }
 
-// TestFaultsBetweenProcesses sees each fault act on real processes: a router behind a cut link hears nothing while the others do, one
-// that stands still serves nothing and goes on afterwards, one in a crash loop has started as often as it died.
+// TestFaultsBetweenProcesses checks that each fault affects real processes: a router behind a cut link receives nothing while the others
+// do, and a stalled router serves nothing and goes on afterwards.
 func TestFaultsBetweenProcesses(t *testing.T) {
 	t.Parallel()
-	r := Fleet{Router: own, Drive: func(c *rig.Control) {
+	r := Fleet{Router: routerCommand, Drive: func(c *rig.Control) {
 		heard := func(k int) int64 {
 			all, err := c.Stats(k)
 			if err != nil {
@@ -86,7 +86,7 @@
 		others := []int{1, 2, 3, 4, 5, 6, 7}
 		c.Await(2 * second)
 		heal := c.Strike([]int{0}, others, scenario.Trouble{Way: "in"})
-		c.Await(2200 * time.Millisecond) // what was under way has come
+		c.Await(2200 * time.Millisecond) // messages in flight have arrived
 		behind, free := heard(0), heard(1)
 		c.Await(4 * second)
 		if n := heard(0) - behind; n != 0 {
@@ -120,15 +120,15 @@
 			t.Errorf("after it stood still: %v", err)
 		}
 	}}.Play(t)
-	kept(t, r)
+	checkRulesHeld(t, r)
 	if after := Part(r, 10*second, 14*second); after < 0.85 {
 		t.Errorf("earned %.2f in the end", after)
 	}
 }
 
-// TestStoredState takes a node out at one of eight real processes, kills that and starts it again. With what it had stored, or with the
-// newest file torn, it still leaves the node out; with its disk lost, old, or full as the order came, it sends there: the guard taken out. A
-// full disk costs no more than that: the order is taken, and kept once there is room.
+// TestStoredState takes a node out at one of eight real processes, kills that process and restarts it. With its stored state, or with
+// the newest file torn, it still leaves the node out. With its disk lost, old, or full when the order came, it sends to the node, which
+// shows that stored state is what prevents it. A full disk has no other effect: the order is accepted, and stored once there is room.
 func TestStoredState(t *testing.T) {
 	for name, c := range map[string]struct {
 		state      string
@@ -140,14 +140,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := Fleet{Router: own, Sets: []string{"stored.on=true"}, Drive: func(h *rig.Control) {
+			r := Fleet{Router: routerCommand, Sets: []string{"stored.on=true"}, Drive: func(h *rig.Control) {
 				h.FillDisk(0, c.full)
 				h.Await(second)
 				if status, err := h.Order(0, "north-c1", true); status != 200 || err != nil {
 					t.Errorf("the order: %d, %v", status, err)
 				}
 				h.FillDisk(0, c.full && !c.room)
-				h.Await(3500 * time.Millisecond) // the torn file is not the only one with the order
+				h.Await(3500 * time.Millisecond) // so that the file that is torn is not the only one with the order
 				h.Kill(0)
 				h.FillDisk(0, false)
 				h.Start(0, model.StoredState{State: c.state})
--- a/internal/kit/harness/orders.go
+++ b/internal/kit/harness/orders.go
@@ -8,7 +8,7 @@
 	"cedarmast/internal/kit/rig"
 )
 
-// Order gives an operator's order at a router, and fails the test where that does not say yes.
+// Order gives an operator's order at a router and fails the test if the router does not accept it.
 func Order(t testing.TB, c *rig.Control, router int, node string, out bool) {
 	t.Helper()
 	if status, err := c.Order(router, node, out); status != 200 || err != nil {
@@ -16,8 +16,8 @@
 	}
 }
 
-// Says tells what some routers hold of an order: out, back, or nothing where it is not known or nobody answers.
-func Says(c *rig.Control, node string, who ...int) (all []string) {
+// Says returns what each of the routers holds of the order for a node: "out", "back", or "" if it knows none or does not answer.
+func Says(c *rig.Control, node string, who ...int) (words []string) {
 	for _, k := range who {
 		word := ""
 		if r, err := c.Facts(k); err == nil {
@@ -27,32 +27,32 @@
 				}
 			}
 		}
-		all = append(all, word)
+		words = append(words, word)
 	}
-	return all
+	return words
 }
 
-// Agree waits until some routers say the same of a node, logs how long that took, and fails the test where it takes longer than most.
-func Agree(t testing.TB, c *rig.Control, what, node, word string, most time.Duration, who ...int) {
+// Agree waits until the routers all hold the given word for a node and logs how long that took. It fails the test after the timeout.
+func Agree(t testing.TB, c *rig.Control, what, node, word string, timeout time.Duration, who ...int) {
 	t.Helper()
-	began := time.Now()
+	started := time.Now()
 	for {
-		all := Says(c, node, who...)
-		if !slices.ContainsFunc(all, func(said string) bool { return said != word }) {
-			t.Logf("%s: after %v", what, time.Since(began).Round(10*time.Millisecond))
+		words := Says(c, node, who...)
+		if !slices.ContainsFunc(words, func(said string) bool { return said != word }) {
+			t.Logf("%s: after %v", what, time.Since(started).Round(10*time.Millisecond))
 			return
 		}
-		if time.Since(began) > most {
-			t.Errorf("%s: after %v: %q", what, most, all)
+		if time.Since(started) > timeout {
+			t.Errorf("%s: after %v: %q", what, timeout, words)
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// Hold has all that some routers send to a node from now on count as stale where it is out, whoever was told.
+// Hold makes the ledger count sends of the routers to a node that is out as stale from now on, wherever the order was given.
 func Hold(c *rig.Control, who []int, node string, out bool) {
-	time.Sleep(150 * time.Millisecond) // what was sent before has come
+	time.Sleep(150 * time.Millisecond) // requests sent before have arrived
 	for _, k := range who {
 		c.Holds(k, node, out)
 	}
--- a/internal/kit/harness/shared_test.go
+++ b/internal/kit/harness/shared_test.go
@@ -9,47 +9,48 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-var eight = []int{0, 1, 2, 3, 4, 5, 6, 7}
+var allRouters = []int{0, 1, 2, 3, 4, 5, 6, 7}
 
-// lossy has three in ten datagrams between routers lost and one in ten come twice.
-var lossy = scenario.Trouble{Way: "both", Loss: 0.3, Repeats: 0.1}
+// lossyLinks drops three in ten datagrams between routers and duplicates one in ten.
+var lossyLinks = scenario.Trouble{Way: "both", Loss: 0.3, Repeats: 0.1}
 
-// TestOrderOutlivesItsRouter takes a node out at one of eight real processes, over links that lose three in ten datagrams, kills that one with
-// its yes barely out, and then every other one in turn, seven at once at last; nothing lasts on a disk. None that has come back sends there.
-// Without sharing, and where all die at once without a disk, nobody is left who knows, and they do; where one of all has kept its disk they don't.
+// TestOrderOutlivesItsRouter takes a node out at one of eight real processes over links that lose three in ten datagrams, kills that
+// process right after its acknowledgement, and then the others in turn, at last seven at once; no state is on disk. No restarted router
+// sends to the node. Without sharing, or if all die at once without a disk, no replica of the order is left and they do send; if one
+// of all kept its disk they don't.
 func TestOrderOutlivesItsRouter(t *testing.T) {
 	for name, day := range map[string]struct {
 		sets  []string
 		kills [][]int
-		state map[int]string // what each finds
+		state map[int]string // by router: the stored state that it restarts with; kept if absent
 		keeps bool
 	}{
 		"each in turn":        {kills: [][]int{{0}, {1}, {2, 3}, {4, 5}, {6, 7}, {0, 1, 2, 4, 5, 6, 7}}, keeps: true},
 		"not shared":          {sets: []string{"shared.on=false"}, kills: [][]int{{0}}},
-		"all, without a disk": {kills: [][]int{eight}},
-		"all, one kept": {sets: []string{"stored.on=true"}, kills: [][]int{eight}, keeps: true,
+		"all, without a disk": {kills: [][]int{allRouters}},
+		"all, one kept": {sets: []string{"stored.on=true"}, kills: [][]int{allRouters}, keeps: true,
 			state: map[int]string{0: "lost", 1: "lost", 2: "lost", 3: "lost", 4: "lost", 5: "lost", 6: "torn"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := Fleet{Router: own, Sets: append([]string{"shared.on=true", "length=9s", "short=9s"}, day.sets...), Drive: func(c *rig.Control) {
-				c.Strike(eight, eight, lossy)
+			r := Fleet{Router: routerCommand, Sets: append([]string{"shared.on=true", "length=9s", "short=9s"}, day.sets...), Drive: func(c *rig.Control) {
+				c.Strike(allRouters, allRouters, lossyLinks)
 				c.Await(second)
 				Order(t, c, 0, "north-c1", true)
 				shares := name != "not shared"
 				if !shares {
-					for _, k := range eight[1:] {
-						Order(t, c, k, "north-c1", true) // as operators have to
+					for _, k := range allRouters[1:] {
+						Order(t, c, k, "north-c1", true) // without sharing, operators give the order at each router
 					}
 				} else if len(day.kills) == 1 {
-					Agree(t, c, "all know", "north-c1", "out", 3*second, eight...)
+					Agree(t, c, "all know", "north-c1", "out", 3*second, allRouters...)
 				}
 				for n, kill := range day.kills {
 					for _, k := range kill {
 						c.Kill(k)
 					}
 					if n == 0 {
-						Hold(c, eight, "north-c1", true)
+						Hold(c, allRouters, "north-c1", true)
 						if shares && len(day.kills) > 1 {
 							Agree(t, c, "the others know", "north-c1", "out", 3*second, 1, 2, 3, 4, 5, 6, 7)
 						}
@@ -73,35 +74,35 @@
 	}
 }
 
-// TestContraryOrders cuts eight real processes into two halves, gives them contrary orders, and heals the cut: the order that keeps a drain wins
-// at all of them, an operator sees both copies, and one call settles them. A router behind a cut that is one way only, and one that stood
-// still, hear of an order once they can; and what is later wins whoever hears it late.
+// TestContraryOrders partitions eight real processes into two halves, gives them conflicting orders and heals the partition: the order
+// that keeps a drain wins at all of them, an operator sees both copies, and one call resolves the conflict. A router behind a one-way cut
+// and a stalled one learn of an order once they can; a later order wins even where it arrives late.
 func TestContraryOrders(t *testing.T) {
 	t.Parallel()
-	r := Fleet{Router: own, Sets: []string{"shared.on=true"}, Drive: func(c *rig.Control) {
-		north, south := eight[:4], eight[4:]
-		c.Strike(eight, eight, lossy)
+	r := Fleet{Router: routerCommand, Sets: []string{"shared.on=true"}, Drive: func(c *rig.Control) {
+		north, south := allRouters[:4], allRouters[4:]
+		c.Strike(allRouters, allRouters, lossyLinks)
 		c.Await(500 * time.Millisecond)
 		Order(t, c, 0, "north-c1", true)
 		Order(t, c, 0, "north-c2", true)
-		Agree(t, c, "before the cut", "north-c1", "out", 3*second, eight...)
-		Agree(t, c, "before the cut", "north-c2", "out", 3*second, eight...)
+		Agree(t, c, "before the cut", "north-c1", "out", 3*second, allRouters...)
+		Agree(t, c, "before the cut", "north-c2", "out", 3*second, allRouters...)
 		heal := c.Strike(north, south, scenario.Trouble{Way: "both"})
-		Order(t, c, 1, "north-c1", false) // and the other half is told the same, then out once more
+		Order(t, c, 1, "north-c1", false) // the other half gets the same order, then out again
 		Order(t, c, 5, "north-c1", false)
 		Order(t, c, 6, "north-c1", true)
-		Order(t, c, 2, "north-c2", false) // here one half alone says anything: it is later than what the other knows
+		Order(t, c, 2, "north-c2", false) // an order in one half only: later than what the other half knows
 		Agree(t, c, "the north", "north-c1", "back", 3*second, north...)
 		Agree(t, c, "the south", "north-c1", "out", 3*second, south...)
 		heal()
-		Agree(t, c, "healed, contrary", "north-c1", "out", 3*second, eight...)
-		Agree(t, c, "healed, later", "north-c2", "back", 3*second, eight...)
-		Hold(c, eight, "north-c1", true)
-		Hold(c, eight, "north-c2", false)
+		Agree(t, c, "healed, contrary", "north-c1", "out", 3*second, allRouters...)
+		Agree(t, c, "healed, later", "north-c2", "back", 3*second, allRouters...)
+		Hold(c, allRouters, "north-c1", true)
+		Hold(c, allRouters, "north-c2", false)
 		if r, err := c.Facts(7); err != nil || len(r.Facts) != 2 || len(r.Facts[0].Copies) < 2 {
 			t.Errorf("the copies of contrary orders: %+v, %v", r, err)
 		}
-		heal = c.Strike([]int{4}, eight, scenario.Trouble{Way: "in"}) // it is heard, and hears nothing
+		heal = c.Strike([]int{4}, allRouters, scenario.Trouble{Way: "in"}) // it can send and receives nothing
 		c.Stall(2, true)
 		Order(t, c, 7, "south-c1", true)
 		Agree(t, c, "beside a router that is deaf and one that stands still", "south-c1", "out", 3*second, 0, 1, 3, 5, 6, 7)
@@ -110,13 +111,13 @@
 		}
 		heal()
 		c.Stall(2, false)
-		Agree(t, c, "once they can hear", "south-c1", "out", 3*second, eight...)
-		Hold(c, eight, "south-c1", true)
+		Agree(t, c, "once they can hear", "south-c1", "out", 3*second, allRouters...)
+		Hold(c, allRouters, "south-c1", true)
 		Order(t, c, 3, "north-c1", false)
-		Agree(t, c, "settled by one call", "north-c1", "back", 3*second, eight...)
-		Hold(c, eight, "north-c1", false)
+		Agree(t, c, "settled by one call", "north-c1", "back", 3*second, allRouters...)
+		Hold(c, allRouters, "north-c1", false)
 		digests := map[string]bool{}
-		for _, k := range eight {
+		for _, k := range allRouters {
 			r, err := c.Facts(k)
 			if digests[r.Digest] = true; err != nil || len(r.Facts) != 3 || len(r.Facts[0].Copies) != 1 {
 				t.Errorf("router %d in the end: %+v, %v", k, r, err)
@@ -126,5 +127,5 @@
 			t.Errorf("%d digests in the end", len(digests))
 		}
 	}}.Play(t)
-	kept(t, r)
+	checkRulesHeld(t, r)
 }
