--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # The whole check: formatting, vet, the linter on the delivery network, the build of deploy/balancer.toml, and the tests under the race detector.
-# Tests that KNOWN-RED.txt lists are passed over, each in its own package alone, and printed; known_red.sh says how an entry reads.
+# Tests listed in KNOWN-RED.txt are skipped, each in its own package only, and printed; known_red.sh describes the format.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 unformatted=$(gofmt -l .)
@@ -12,8 +12,8 @@
 go tool staticcheck -checks all ./internal/cdn/... ./cmd/edge ./cmd/registry ./cmd/configstore ./cmd/localnet
 sh -c "$(sed -n 's/^build = "\(.*\)".*$/\1/p' deploy/balancer.toml)"
 bash scripts/linked.sh bin/cedarmast
-bash scripts/known_red.sh >/dev/null # a list that can't be read fails before the tests do
-# The simulation of the control side is one goroutine a run: the race detector would find nothing there, and takes it ten times as long.
+bash scripts/known_red.sh >/dev/null # fail early on a list that can't be parsed
+# A run of the control plane's simulation is a single goroutine: the race detector would find nothing and makes it ten times slower.
 simulation=cedarmast/internal/cdn/simulation
 # shellcheck disable=SC2046 # a list of words
 bash scripts/test_packages.sh "-race -count=1" $(go list ./... | grep -v "^$simulation\$")
--- a/scripts/known_red_test.go
+++ b/scripts/known_red_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// goodEntry is an entry of KNOWN-RED.txt that can be read.
+// goodEntry is a valid entry of KNOWN-RED.txt.
 const goodEntry = "sample/one.TestSame; command: go test -run TestSame ./one (seed 7); seen: 2 of 3 answers late; they waited; issue 12"
 
-// sampleModule writes a module of two packages, in both of which TestSame stands, beside the scripts and a list of known failures.
+// sampleModule writes a module of two packages that both have a test TestSame, with the scripts and a list of known failures.
 func sampleModule(t *testing.T, list string) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -52,7 +52,7 @@
 	return dir
 }
 
-// TestKnownRedPatterns: the patterns are of exactly the listed tests, package by package.
+// TestKnownRedPatterns checks that the patterns match exactly the listed tests of each package.
 func TestKnownRedPatterns(t *testing.T) {
 	const rest = "; command: go test (no seed); seen: it fails; issue 3\n"
 	for name, c := range map[string]struct {
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestKnownRedRefuses: a line that can't be read is named, and nothing is printed for the others.
+// TestKnownRedRefuses checks that an invalid line is reported and nothing is printed for the others.
 func TestKnownRedRefuses(t *testing.T) {
 	for name, line := range map[string]string{
 		"the old form":            "sample/one.TestSame: it fails at times, issue 67",
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestListedTestsArePassedOver: of two tests of one name only the listed one is passed over, and of a test's parts the listed one.
+// TestListedTestsArePassedOver checks that of two tests of the same name, and of a test's subtests, only the listed one is skipped.
 func TestListedTestsArePassedOver(t *testing.T) {
 	const rest = "; command: go test (no seed); seen: it fails; issue 3\n"
 	dir := sampleModule(t, goodEntry+"\nsample/one.TestParts/a part"+rest+"sample/one.TestParts/x|y (z)"+rest)
@@ -134,7 +134,7 @@
 	}
 }
 
-// TestAnUnreadableListFailsTheTests: nothing is tested as though no test were listed.
+// TestAnUnreadableListFailsTheTests checks that an invalid list is an error and not taken for an empty list.
 func TestAnUnreadableListFailsTheTests(t *testing.T) {
 	dir := sampleModule(t, "sample/one.TestSame: it fails\n")
 	out, err := exec.Command("bash", filepath.Join(dir, "scripts/test_packages.sh"), "-count=1", "sample/two").CombinedOutput()
--- a/scripts/linked.sh
+++ b/scripts/linked.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Refuses a program that is not linked against the C library: benches and hosts that load a library into it find no way
-# into a static one. What ldd prints is taken whole first: grep -q at the end of a pipe leaves at its first match, and on a
-# busy machine ldd, a script that writes line by line, then dies of the closed pipe, which pipefail takes for "not linked".
+# Fails if a program is not dynamically linked against the C library: benchmarks and hosts that preload a library can't load it into
+# a static program. The output of ldd is captured whole: in a pipe, grep -q exits at its first match, and on a busy machine ldd, a
+# script that writes line by line, is then killed by SIGPIPE, which pipefail reports as "not linked".
 set -euo pipefail
 linked=$(ldd "$1" 2>&1 || true)
 case "$linked" in
--- a/scripts/linked_test.go
+++ b/scripts/linked_test.go
@@ -1,4 +1,4 @@
-// Package scripts has no code of its own: its tests are of the scripts beside it.
+// Package scripts contains only tests of the shell scripts in its folder.
 package scripts
 
 import (
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestLinked guards against a check that fails on a busy machine: ldd that is still writing when its reader has seen enough
-// died of the closed pipe, and a router that is linked was refused. A static one must be refused all the same.
+// TestLinked guards against a check that fails on a busy machine: ldd was killed by SIGPIPE when it was still writing after its reader
+// had exited, and a correctly linked router was refused. A static one must still be refused.
 func TestLinked(t *testing.T) {
 	for _, c := range []struct {
 		ldd string
--- a/scripts/standing.sh
+++ b/scripts/standing.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plays the operators' standing test against a clean clone of HEAD and ends with the gate's verdict: 0 passed, 1 failed, 2 a wrong
-# call, 3 without the kit, when nothing is played. See docs/operate/standing.md. CI does not call it.
+# Runs the operators' standing test against a clean clone of HEAD and exits with the gate's verdict: 0 passed, 1 failed, 2 usage
+# error, 3 if the kit is missing and nothing was run. See docs/operate/standing.md. CI does not call it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 root=$PWD
--- a/scripts/test_packages.sh
+++ b/scripts/test_packages.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Tests packages: test_packages.sh FLAGS PACKAGE... . Tests that KNOWN-RED.txt lists are passed over, each in its own package alone: -skip
-# goes by the name, so a package with a listed test is tested by itself.
+# Tests packages: test_packages.sh FLAGS PACKAGE... . Tests listed in KNOWN-RED.txt are skipped in their own package only: -skip matches
+# by name, so a package with a listed test gets its own go test.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 read -ra flags <<<"$1"
@@ -9,7 +9,7 @@
 whole=() apart=()
 for package in "$@"; do
 	if grep -qxF -- "$package" <<<"$listed"; then
-		go test "${flags[@]}" -skip "$(bash scripts/known_red.sh "$package")" "$package" & # as it would run beside the others without an entry
+		go test "${flags[@]}" -skip "$(bash scripts/known_red.sh "$package")" "$package" & # in parallel with the others, as without an entry
 		apart+=($!)
 	else
 		whole+=("$package")
