--- a/internal/kit/harness/harness.go
+++ b/internal/kit/harness/harness.go
@@ -13,8 +13,8 @@
 	"cedarmast/internal/kit/scenario"
 )
 
-// Base is a small fleet: eight routers at two sites, twelve nodes, a run of fourteen seconds of which the first five have no faults.
-const Base = `
+// BaseScenario is a small fleet: eight routers at two sites, twelve nodes, a run of fourteen seconds of which the first five have no faults.
+const BaseScenario = `
 name = "harness"
 base = "calm"
 warm_up = "3s"
@@ -45,28 +45,28 @@
 
 // Fleet is the configuration of a run.
 type Fleet struct {
-	Router []string // the router's command line
-	Env    []string // additional environment variables of the routers
-	Text   string   // scenario text appended to Base: its troubles
-	Sets   []string // key=value, overrides both
-	Drive  func(c *rig.Control)
+	Router       []string // the router's command line
+	Env          []string // additional environment variables of the routers
+	ScenarioText string   // scenario text appended to Base: its troubles
+	Overrides    []string // key=value, overrides both
+	Drive        func(c *rig.Control)
 }
 
 // runSlots bounds the concurrent runs: with more processes than the cores can carry, runs are late and give no verdict.
 var runSlots = make(chan struct{}, max(runtime.NumCPU()*3/8, 1))
 
-// Play runs the fleet and returns the report. It fails the test if the run fails, and skips it if the machine was too slow for a
+// Run runs the fleet and returns the report. It fails the test if the run fails, and skips it if the machine was too slow for a
 // verdict.
-func (f Fleet) Play(t testing.TB) *ledger.Report {
+func (f Fleet) Run(t testing.TB) *ledger.Report {
 	t.Helper()
-	s, err := scenario.Parse("harness", []byte(Base+f.Text), f.Sets...)
+	s, err := scenario.Parse("harness", []byte(BaseScenario+f.ScenarioText), f.Overrides...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	runSlots <- struct{}{}
 	defer func() { <-runSlots }()
 	report, err := rig.Run(t.Context(), s, rig.Options{Seed: 1, Router: f.Router, Env: f.Env, Drive: f.Drive})
-	if errors.Is(err, rig.ErrLate) {
+	if errors.Is(err, rig.ErrHostTooSlow) {
 		t.Skipf("%v: %.1f ms", err, report.HostLateMS)
 	}
 	if err != nil {
@@ -75,8 +75,8 @@
 	return report
 }
 
-// Part returns the fraction of the worth that was earned in the seconds from..to of a run.
-func Part(r *ledger.Report, from, to time.Duration) float64 {
+// EarnedFraction returns the fraction of the worth that was earned in the seconds from..to of a run.
+func EarnedFraction(r *ledger.Report, from, to time.Duration) float64 {
 	var asked, earned float64
 	for _, s := range r.Seconds[int(from/time.Second):int(to/time.Second)] {
 		asked, earned = asked+s.Asked, earned+s.Earned
--- a/internal/kit/harness/harness_test.go
+++ b/internal/kit/harness/harness_test.go
@@ -56,7 +56,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := Fleet{Router: routerCommand, Text: text}.Play(t)
+			r := Fleet{Router: routerCommand, ScenarioText: text}.Run(t)
 			checkRulesHeld(t, r)
 			lists := 0.0
 			for _, tr := range r.Troubles {
@@ -64,7 +64,7 @@
 					lists = max(lists, tr.PeakListCalls) // each change of the list costs a call
 				}
 			}
-			if before, after := Part(r, second, 4*second), Part(r, 12*second, 14*second); before < 0.85 || after < 0.75*before || lists > 5 {
+			if before, after := EarnedFraction(r, second, 4*second), EarnedFraction(r, 12*second, 14*second); before < 0.85 || after < 0.75*before || lists > 5 {
 				t.Errorf("earned %.2f before, %.2f in the end; list calls at %.1f times the usual: %v", before, after, lists, r.Timeline["list_calls"])
 			}
 		})
@@ -85,7 +85,7 @@
 		}
 		others := []int{1, 2, 3, 4, 5, 6, 7}
 		c.Await(2 * second)
-		heal := c.Strike([]int{0}, others, scenario.Trouble{Way: "in"})
+		heal := c.InjectLinkFault([]int{0}, others, scenario.Trouble{Way: "in"})
 		c.Await(2200 * time.Millisecond) // messages in flight have arrived
 		behind, free := heard(0), heard(1)
 		c.Await(4 * second)
@@ -96,7 +96,7 @@
 			t.Error("a router beside the cut heard nothing either")
 		}
 		heal()
-		c.Stall(1, true)
+		c.SetStalled(1, true)
 		taken := func() int64 {
 			all, err := c.Stats(2)
 			if err != nil {
@@ -109,7 +109,7 @@
 			t.Error("a process that stands still told its counters")
 		}
 		c.Await(6 * second)
-		c.Stall(1, false)
+		c.SetStalled(1, false)
 		if heard(0) == behind {
 			t.Error("a healed link brings nothing")
 		}
@@ -119,9 +119,9 @@
 		if _, err := c.Stats(1); err != nil {
 			t.Errorf("after it stood still: %v", err)
 		}
-	}}.Play(t)
+	}}.Run(t)
 	checkRulesHeld(t, r)
-	if after := Part(r, 10*second, 14*second); after < 0.85 {
+	if after := EarnedFraction(r, 10*second, 14*second); after < 0.85 {
 		t.Errorf("earned %.2f in the end", after)
 	}
 }
@@ -140,18 +140,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := Fleet{Router: routerCommand, Sets: []string{"stored.on=true"}, Drive: func(h *rig.Control) {
-				h.FillDisk(0, c.full)
+			r := Fleet{Router: routerCommand, Overrides: []string{"stored.on=true"}, Drive: func(h *rig.Control) {
+				h.SetDiskFull(0, c.full)
 				h.Await(second)
-				if status, err := h.Order(0, "north-c1", true); status != 200 || err != nil {
+				if status, err := h.SendOperatorOrder(0, "north-c1", true); status != 200 || err != nil {
 					t.Errorf("the order: %d, %v", status, err)
 				}
-				h.FillDisk(0, c.full && !c.room)
+				h.SetDiskFull(0, c.full && !c.room)
 				h.Await(3500 * time.Millisecond) // so that the file that is torn is not the only one with the order
 				h.Kill(0)
-				h.FillDisk(0, false)
+				h.SetDiskFull(0, false)
 				h.Start(0, model.StoredState{State: c.state})
-			}}.Play(t)
+			}}.Run(t)
 			if r.Lost+r.Double+r.Drain+r.ColdFalls+r.Held > 0 || r.Crashes > 0 || (r.StaleSends == 0) != c.keeps {
 				t.Errorf("%d crashes, %d stale sends, %v", r.Crashes, r.StaleSends, r.Breaches)
 			}
--- a/internal/kit/harness/orders.go
+++ b/internal/kit/harness/orders.go
@@ -8,16 +8,16 @@
 	"cedarmast/internal/kit/rig"
 )
 
-// Order gives an operator's order at a router and fails the test if the router does not accept it.
-func Order(t testing.TB, c *rig.Control, router int, node string, out bool) {
+// GiveOrder gives an operator's order at a router and fails the test if the router does not accept it.
+func GiveOrder(t testing.TB, c *rig.Control, router int, node string, out bool) {
 	t.Helper()
-	if status, err := c.Order(router, node, out); status != 200 || err != nil {
+	if status, err := c.SendOperatorOrder(router, node, out); status != 200 || err != nil {
 		t.Errorf("an order at router %d: %d, %v", router, status, err)
 	}
 }
 
-// Says returns what each of the routers holds of the order for a node: "out", "back", or "" if it knows none or does not answer.
-func Says(c *rig.Control, node string, who ...int) (words []string) {
+// KnownOrders returns what each of the routers holds of the order for a node: "out", "back", or "" if it knows none or does not answer.
+func KnownOrders(c *rig.Control, node string, who ...int) (words []string) {
 	for _, k := range who {
 		word := ""
 		if r, err := c.Facts(k); err == nil {
@@ -32,12 +32,12 @@
 	return words
 }
 
-// Agree waits until the routers all hold the given word for a node and logs how long that took. It fails the test after the timeout.
-func Agree(t testing.TB, c *rig.Control, what, node, word string, timeout time.Duration, who ...int) {
+// AwaitAgreement waits until the routers all hold the given word for a node and logs how long that took. It fails the test after the timeout.
+func AwaitAgreement(t testing.TB, c *rig.Control, what, node, word string, timeout time.Duration, who ...int) {
 	t.Helper()
 	started := time.Now()
 	for {
-		words := Says(c, node, who...)
+		words := KnownOrders(c, node, who...)
 		if !slices.ContainsFunc(words, func(said string) bool { return said != word }) {
 			t.Logf("%s: after %v", what, time.Since(started).Round(10*time.Millisecond))
 			return
@@ -50,10 +50,10 @@
 	}
 }
 
-// Hold makes the ledger count sends of the routers to a node that is out as stale from now on, wherever the order was given.
-func Hold(c *rig.Control, who []int, node string, out bool) {
+// RecordOrders makes the ledger count sends of the routers to a node that is out as stale from now on, wherever the order was given.
+func RecordOrders(c *rig.Control, who []int, node string, out bool) {
 	time.Sleep(150 * time.Millisecond) // requests sent before have arrived
 	for _, k := range who {
-		c.Holds(k, node, out)
+		c.RecordOperatorOrder(k, node, out)
 	}
 }
--- a/internal/kit/harness/shared_test.go
+++ b/internal/kit/harness/shared_test.go
@@ -33,26 +33,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := Fleet{Router: routerCommand, Sets: append([]string{"shared.on=true", "length=9s", "short=9s"}, day.sets...), Drive: func(c *rig.Control) {
-				c.Strike(allRouters, allRouters, lossyLinks)
+			r := Fleet{Router: routerCommand, Overrides: append([]string{"shared.on=true", "length=9s", "short=9s"}, day.sets...), Drive: func(c *rig.Control) {
+				c.InjectLinkFault(allRouters, allRouters, lossyLinks)
 				c.Await(second)
-				Order(t, c, 0, "north-c1", true)
+				GiveOrder(t, c, 0, "north-c1", true)
 				shares := name != "not shared"
 				if !shares {
 					for _, k := range allRouters[1:] {
-						Order(t, c, k, "north-c1", true) // without sharing, operators give the order at each router
+						GiveOrder(t, c, k, "north-c1", true) // without sharing, operators give the order at each router
 					}
 				} else if len(day.kills) == 1 {
-					Agree(t, c, "all know", "north-c1", "out", 3*second, allRouters...)
+					AwaitAgreement(t, c, "all know", "north-c1", "out", 3*second, allRouters...)
 				}
 				for n, kill := range day.kills {
 					for _, k := range kill {
 						c.Kill(k)
 					}
 					if n == 0 {
-						Hold(c, allRouters, "north-c1", true)
+						RecordOrders(c, allRouters, "north-c1", true)
 						if shares && len(day.kills) > 1 {
-							Agree(t, c, "the others know", "north-c1", "out", 3*second, 1, 2, 3, 4, 5, 6, 7)
+							AwaitAgreement(t, c, "the others know", "north-c1", "out", 3*second, 1, 2, 3, 4, 5, 6, 7)
 						}
 					}
 					for _, k := range kill {
@@ -63,10 +63,10 @@
 						c.Start(k, model.StoredState{State: state})
 					}
 					if day.keeps {
-						Agree(t, c, "those that were killed know again", "north-c1", "out", 3*second, kill...)
+						AwaitAgreement(t, c, "those that were killed know again", "north-c1", "out", 3*second, kill...)
 					}
 				}
-			}}.Play(t)
+			}}.Run(t)
 			if r.Lost+r.Double+r.ColdFalls+r.Held > 0 || r.Crashes > 0 || (r.StaleSends+r.Drain == 0) != day.keeps {
 				t.Errorf("%d crashes, %d stale sends, %d against drains, %.500v", r.Crashes, r.StaleSends, r.Drain, r.Breaches)
 			}
@@ -79,43 +79,43 @@
 // and a stalled one learn of an order once they can; a later order wins even where it arrives late.
 func TestContraryOrders(t *testing.T) {
 	t.Parallel()
-	r := Fleet{Router: routerCommand, Sets: []string{"shared.on=true"}, Drive: func(c *rig.Control) {
+	r := Fleet{Router: routerCommand, Overrides: []string{"shared.on=true"}, Drive: func(c *rig.Control) {
 		north, south := allRouters[:4], allRouters[4:]
-		c.Strike(allRouters, allRouters, lossyLinks)
+		c.InjectLinkFault(allRouters, allRouters, lossyLinks)
 		c.Await(500 * time.Millisecond)
-		Order(t, c, 0, "north-c1", true)
-		Order(t, c, 0, "north-c2", true)
-		Agree(t, c, "before the cut", "north-c1", "out", 3*second, allRouters...)
-		Agree(t, c, "before the cut", "north-c2", "out", 3*second, allRouters...)
-		heal := c.Strike(north, south, scenario.Trouble{Way: "both"})
-		Order(t, c, 1, "north-c1", false) // the other half gets the same order, then out again
-		Order(t, c, 5, "north-c1", false)
-		Order(t, c, 6, "north-c1", true)
-		Order(t, c, 2, "north-c2", false) // an order in one half only: later than what the other half knows
-		Agree(t, c, "the north", "north-c1", "back", 3*second, north...)
-		Agree(t, c, "the south", "north-c1", "out", 3*second, south...)
+		GiveOrder(t, c, 0, "north-c1", true)
+		GiveOrder(t, c, 0, "north-c2", true)
+		AwaitAgreement(t, c, "before the cut", "north-c1", "out", 3*second, allRouters...)
+		AwaitAgreement(t, c, "before the cut", "north-c2", "out", 3*second, allRouters...)
+		heal := c.InjectLinkFault(north, south, scenario.Trouble{Way: "both"})
+		GiveOrder(t, c, 1, "north-c1", false) // the other half gets the same order, then out again
+		GiveOrder(t, c, 5, "north-c1", false)
+		GiveOrder(t, c, 6, "north-c1", true)
+		GiveOrder(t, c, 2, "north-c2", false) // an order in one half only: later than what the other half knows
+		AwaitAgreement(t, c, "the north", "north-c1", "back", 3*second, north...)
+		AwaitAgreement(t, c, "the south", "north-c1", "out", 3*second, south...)
 		heal()
-		Agree(t, c, "healed, contrary", "north-c1", "out", 3*second, allRouters...)
-		Agree(t, c, "healed, later", "north-c2", "back", 3*second, allRouters...)
-		Hold(c, allRouters, "north-c1", true)
-		Hold(c, allRouters, "north-c2", false)
+		AwaitAgreement(t, c, "healed, contrary", "north-c1", "out", 3*second, allRouters...)
+		AwaitAgreement(t, c, "healed, later", "north-c2", "back", 3*second, allRouters...)
+		RecordOrders(c, allRouters, "north-c1", true)
+		RecordOrders(c, allRouters, "north-c2", false)
 		if r, err := c.Facts(7); err != nil || len(r.Facts) != 2 || len(r.Facts[0].Copies) < 2 {
 			t.Errorf("the copies of contrary orders: %+v, %v", r, err)
 		}
-		heal = c.Strike([]int{4}, allRouters, scenario.Trouble{Way: "in"}) // it can send and receives nothing
-		c.Stall(2, true)
-		Order(t, c, 7, "south-c1", true)
-		Agree(t, c, "beside a router that is deaf and one that stands still", "south-c1", "out", 3*second, 0, 1, 3, 5, 6, 7)
-		if got := Says(c, "south-c1", 4)[0]; got != "" {
+		heal = c.InjectLinkFault([]int{4}, allRouters, scenario.Trouble{Way: "in"}) // it can send and receives nothing
+		c.SetStalled(2, true)
+		GiveOrder(t, c, 7, "south-c1", true)
+		AwaitAgreement(t, c, "beside a router that is deaf and one that stands still", "south-c1", "out", 3*second, 0, 1, 3, 5, 6, 7)
+		if got := KnownOrders(c, "south-c1", 4)[0]; got != "" {
 			t.Errorf("the deaf one knows: %q", got)
 		}
 		heal()
-		c.Stall(2, false)
-		Agree(t, c, "once they can hear", "south-c1", "out", 3*second, allRouters...)
-		Hold(c, allRouters, "south-c1", true)
-		Order(t, c, 3, "north-c1", false)
-		Agree(t, c, "settled by one call", "north-c1", "back", 3*second, allRouters...)
-		Hold(c, allRouters, "north-c1", false)
+		c.SetStalled(2, false)
+		AwaitAgreement(t, c, "once they can hear", "south-c1", "out", 3*second, allRouters...)
+		RecordOrders(c, allRouters, "south-c1", true)
+		GiveOrder(t, c, 3, "north-c1", false)
+		AwaitAgreement(t, c, "settled by one call", "north-c1", "back", 3*second, allRouters...)
+		RecordOrders(c, allRouters, "north-c1", false)
 		digests := map[string]bool{}
 		for _, k := range allRouters {
 			r, err := c.Facts(k)
@@ -126,6 +126,6 @@
 		if len(digests) != 1 {
 			t.Errorf("%d digests in the end", len(digests))
 		}
-	}}.Play(t)
+	}}.Run(t)
 	checkRulesHeld(t, r)
 }
--- a/internal/kit/rehearse/compare.go
+++ b/internal/kit/rehearse/compare.go
@@ -124,7 +124,7 @@
 			} else {
 				report, err = rig.Run(p.ctx, s, rig.Options{Seed: seed, Router: routers[index]})
 			}
-			if errors.Is(err, rig.ErrLate) {
+			if errors.Is(err, rig.ErrHostTooSlow) {
 				late = true
 			} else if err != nil {
 				return p.fail(err)
@@ -144,7 +144,7 @@
 		comparison.Pairs = append(comparison.Pairs, Pair{seed, reports[0], reports[1]})
 	}
 	if len(comparison.Pairs) == 0 {
-		return p.fail(rig.ErrLate)
+		return p.fail(rig.ErrHostTooSlow)
 	}
 	comparison.Differences = differences(comparison.Pairs)
 	printComparison(p.stdout, &comparison)
--- a/internal/kit/rehearse/hunt.go
+++ b/internal/kit/rehearse/hunt.go
@@ -165,7 +165,7 @@
 		t := scenario.Trouble{Kind: kind, At: roundTenth(time.Duration((0.1 + 0.5*rng.Float64()) * float64(length))),
 			For: roundTenth(time.Duration((0.05 + 0.3*rng.Float64()) * float64(length)))}
 		part := float64(1+rng.IntN(10)) / 20 // up to half of the nodes or routers
-		switch scenario.Strikes(kind) {
+		switch scenario.AffectedTargets(kind) {
 		case "nodes", "routers":
 			t.Part = part
 		case "site":
@@ -278,7 +278,7 @@
 
 // save writes a finding as a scenario file based on the searched scenario.
 func (h *hunter) save(s *scenario.Scenario, f finding, n int) error {
-	if _, ok := scenario.Text(h.c.Name); !ok {
+	if _, ok := scenario.BuiltinText(h.c.Name); !ok {
 		return errors.New("finds can be saved over a scenario that the kit brings alone: a file has no base to name")
 	}
 	if err := os.MkdirAll(h.c.Out, 0o755); err != nil {
--- a/internal/kit/rehearse/rehearse.go
+++ b/internal/kit/rehearse/rehearse.go
@@ -146,7 +146,7 @@
 	switch {
 	case errors.As(err, &scenarioError), errors.Is(err, os.ErrNotExist), errors.Is(err, errBadArgument):
 		return exitBadInput
-	case errors.Is(err, rig.ErrLate):
+	case errors.Is(err, rig.ErrHostTooSlow):
 		return exitTooLate
 	}
 	return exitFailed
@@ -158,7 +158,7 @@
 // list prints the built-in scenarios.
 func (p *program) list() int {
 	w := tabwriter.NewWriter(p.stdout, 0, 0, 2, ' ', 0)
-	for _, name := range scenario.Names() {
+	for _, name := range scenario.BuiltinNames() {
 		s, err := scenario.Find(name)
 		if err != nil {
 			return p.fail(err)
@@ -171,9 +171,9 @@
 
 // show prints the file of a built-in scenario.
 func (p *program) show(c showCmd) int {
-	text, ok := scenario.Text(c.Name)
+	text, ok := scenario.BuiltinText(c.Name)
 	if !ok {
-		return p.fail(fmt.Errorf("%w: there is no scenario %q; they are %s", errBadArgument, c.Name, strings.Join(scenario.Names(), ", ")))
+		return p.fail(fmt.Errorf("%w: there is no scenario %q; they are %s", errBadArgument, c.Name, strings.Join(scenario.BuiltinNames(), ", ")))
 	}
 	p.stdout.Write(text)
 	return exitOK
@@ -244,7 +244,7 @@
 		}
 	}
 	display := newProgress(p.stderr, s)
-	report, err := rig.Run(p.ctx, s, rig.Options{Seed: c.Seed, Router: router, Logs: c.Logs, Direct: direct, Notes: display.logEvent})
+	report, err := rig.Run(p.ctx, s, rig.Options{Seed: c.Seed, Router: router, LogDir: c.Logs, Direct: direct, OnEvent: display.logEvent})
 	display.stop()
 	if report == nil {
 		return p.fail(err)
--- a/internal/kit/rehearse/rehearse_test.go
+++ b/internal/kit/rehearse/rehearse_test.go
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	report, err := rig.Run(t.Context(), s, rig.Options{Seed: 1, Router: []string{os.Args[0], "cedarmast"}})
-	if errors.Is(err, rig.ErrLate) {
+	if errors.Is(err, rig.ErrHostTooSlow) {
 		t.Skipf("%v: %.1f ms", err, report.HostLateMS)
 	}
 	if err != nil {
--- a/internal/kit/rehearse/selftest.go
+++ b/internal/kit/rehearse/selftest.go
@@ -60,7 +60,7 @@
 	for i, kind := range faulty.Kinds {
 		v := verdicts[i]
 		switch {
-		case errors.Is(v.err, rig.ErrLate):
+		case errors.Is(v.err, rig.ErrHostTooSlow):
 			late = v.err
 			fmt.Fprintf(w, "%s\tno verdict: %v\n", kind.Name, v.err)
 		case v.err != nil:
--- a/internal/kit/rig/control.go
+++ b/internal/kit/rig/control.go
@@ -38,14 +38,16 @@
 	c.run(func() { c.rig.StartRouter(router, f) })
 }
 
-// Stall suspends a router's process, or resumes it.
-func (c *Control) Stall(router int, on bool) { c.run(func() { c.rig.world.Stall(router, on) }) }
+// SetStalled suspends a router's process, or resumes it.
+func (c *Control) SetStalled(router int, on bool) { c.run(func() { c.rig.world.Stall(router, on) }) }
 
-// FillDisk makes a router's writes to files fail, or lets them succeed again.
-func (c *Control) FillDisk(router int, full bool) { c.run(func() { c.rig.SetDiskFull(router, full) }) }
+// SetDiskFull makes a router's writes to files fail, or lets them succeed again.
+func (c *Control) SetDiskFull(router int, full bool) {
+	c.run(func() { c.rig.SetDiskFull(router, full) })
+}
 
-// Strike injects a fault into the links between two sets of routers, as a trouble of kind router-link does, until heal is called.
-func (c *Control) Strike(routers, others []int, t scenario.Trouble) (heal func()) {
+// InjectLinkFault injects a fault into the links between two sets of routers, as a trouble of kind router-link does, until heal is called.
+func (c *Control) InjectLinkFault(routers, others []int, t scenario.Trouble) (heal func()) {
 	var end func()
 	c.run(func() { end = c.rig.world.AddLinkFault(routers, others, t) })
 	return func() {
@@ -55,8 +57,8 @@
 	}
 }
 
-// Silence stops discovery from answering any router, or ends that.
-func (c *Control) Silence(on bool) { c.run(func() { c.rig.SetDiscoverySilence(on) }) }
+// SetDiscoverySilent stops discovery from answering any router, or ends that.
+func (c *Control) SetDiscoverySilent(on bool) { c.run(func() { c.rig.SetDiscoverySilence(on) }) }
 
 // Stats returns a router's counters, by group and name.
 func (c *Control) Stats(router int) (all map[string]map[string]int64, err error) {
@@ -84,14 +86,14 @@
 	return json.NewDecoder(resp.Body).Decode(to)
 }
 
-// Holds tells the ledger that an operator order given elsewhere applies to a router from now on: a send that contradicts it counts as
+// RecordOperatorOrder tells the ledger that an operator order given elsewhere applies to a router from now on: a send that contradicts it counts as
 // stale.
-func (c *Control) Holds(router int, node string, out bool) {
+func (c *Control) RecordOperatorOrder(router int, node string, out bool) {
 	c.run(func() { c.rig.world.Ledger().OperatorOrder(router, node, out, c.rig.world.Now()) })
 }
 
-// Order puts a node into maintenance at a router, or back into service, through its operators' address. It returns the HTTP status.
-func (c *Control) Order(router int, node string, out bool) (status int, err error) {
+// SendOperatorOrder puts a node into maintenance at a router, or back into service, through its operators' address. It returns the HTTP status.
+func (c *Control) SendOperatorOrder(router int, node string, out bool) (status int, err error) {
 	call := map[bool]string{true: "maint", false: "ready"}[out]
 	req, err := http.NewRequest(http.MethodPut, fmt.Sprintf("http://%s/cache-servers/%s/%s", c.rig.routers[router].operatorAddr, node, call), nil)
 	if err != nil {
--- a/internal/kit/rig/rig.go
+++ b/internal/kit/rig/rig.go
@@ -26,17 +26,17 @@
 
 // Options configures a run beyond its scenario.
 type Options struct {
-	Seed   uint64
-	Router []string // the router's command line
-	Logs   string   // folder for routers' logs; empty: no logs are kept
-	Env    []string // additional environment variables for routers
-	Direct bool     // no routers: clients send to nodes, to measure the rig's own capacity
-	Notes  func(at time.Duration, what string)
-	Drive  func(c *Control) // injects what the scenario does not describe; called on its own goroutine at the start
+	Seed    uint64
+	Router  []string // the router's command line
+	LogDir  string   // folder for routers' logs; empty: no logs are kept
+	Env     []string // additional environment variables for routers
+	Direct  bool     // no routers: clients send to nodes, to measure the rig's own capacity
+	OnEvent func(at time.Duration, what string)
+	Drive   func(c *Control) // injects what the scenario does not describe; called on its own goroutine at the start
 }
 
-// ErrLate means that the machine was too slow for the run's figures to be valid.
-var ErrLate = errors.New("the machine ran too late for the figures to count")
+// ErrHostTooSlow means that the machine was too slow for the run's figures to be valid.
+var ErrHostTooSlow = errors.New("the machine ran too late for the figures to count")
 
 const (
 	readyTimeout    = 30 * time.Second      // for all routers to be ready
@@ -93,8 +93,8 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	if opt.Logs != "" {
-		if err := os.MkdirAll(opt.Logs, 0o755); err != nil {
+	if opt.LogDir != "" {
+		if err := os.MkdirAll(opt.LogDir, 0o755); err != nil {
 			return nil, err
 		}
 	}
@@ -137,7 +137,7 @@
 	report.Marks, report.Nodes, report.Beliefs = r.marks, r.world.Samples(), r.viewRows()
 	report.CheckExpectations(l)
 	if report.HostLateMS > float64(maxLateness/time.Millisecond) {
-		return report, ErrLate
+		return report, ErrHostTooSlow
 	}
 	return report, nil
 }
@@ -174,9 +174,9 @@
 	needed := uint64(nodes*routers*(1+s.Clients.Connections/2) + routers*(routers+s.Clients.Connections+8))
 	switch {
 	case available > 0 && needed > available:
-		return &scenario.Error{File: s.Name, Key: "site", What: fmt.Sprintf("%d nodes and %d routers may need %d descriptors; this machine gives %d", nodes, routers, needed, available)}
+		return &scenario.Error{File: s.Name, Key: "site", Message: fmt.Sprintf("%d nodes and %d routers may need %d descriptors; this machine gives %d", nodes, routers, needed, available)}
 	case routers > 8*runtime.NumCPU():
-		return &scenario.Error{File: s.Name, Key: "site", What: fmt.Sprintf("%d routers are too many processes for %d cores", routers, runtime.NumCPU())}
+		return &scenario.Error{File: s.Name, Key: "site", Message: fmt.Sprintf("%d routers are too many processes for %d cores", routers, runtime.NumCPU())}
 	}
 	return nil
 }
@@ -398,10 +398,10 @@
 
 // logFile opens a router's log for appending, or returns a writer that discards if logs are not kept.
 func (r *Rig) logFile(name string) (io.WriteCloser, error) {
-	if r.opt.Logs == "" {
+	if r.opt.LogDir == "" {
 		return nopCloser{io.Discard}, nil
 	}
-	return os.OpenFile(filepath.Join(r.opt.Logs, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	return os.OpenFile(filepath.Join(r.opt.LogDir, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 }
 
 type nopCloser struct{ io.Writer }
@@ -476,7 +476,7 @@
 	r.marksMu.Lock()
 	r.marks = append(r.marks, ledger.Mark{AtS: at.Seconds(), What: what})
 	r.marksMu.Unlock()
-	if r.opt.Notes != nil {
-		r.opt.Notes(at, what)
+	if r.opt.OnEvent != nil {
+		r.opt.OnEvent(at, what)
 	}
 }
--- a/internal/kit/scenario/builtin.go
+++ b/internal/kit/scenario/builtin.go
@@ -15,8 +15,8 @@
 // Selftest returns the scenario that the ledger is tested with.
 func Selftest() (*Scenario, error) { return Parse("selftest", selftestText) }
 
-// Names returns the names of the built-in scenarios.
-func Names() (names []string) {
+// BuiltinNames returns the names of the built-in scenarios.
+func BuiltinNames() (names []string) {
 	entries, _ := builtinFiles.ReadDir("builtin")
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
@@ -24,15 +24,15 @@
 	return names
 }
 
-// Text returns the file of a built-in scenario.
-func Text(name string) ([]byte, bool) {
+// BuiltinText returns the file of a built-in scenario.
+func BuiltinText(name string) ([]byte, bool) {
 	text, err := builtinFiles.ReadFile(path.Join("builtin", name+".toml"))
 	return text, err == nil
 }
 
 // Find returns a built-in scenario, or reads a file. Each of sets is key=value, as in Parse.
 func Find(name string, sets ...string) (*Scenario, error) {
-	if text, ok := Text(name); ok {
+	if text, ok := BuiltinText(name); ok {
 		return Parse(name, text, sets...)
 	}
 	return Load(name, sets...)
--- a/internal/kit/scenario/check.go
+++ b/internal/kit/scenario/check.go
@@ -48,8 +48,8 @@
 // Kinds returns the names of the kinds of trouble, sorted.
 func Kinds() []string { return slices.Sorted(maps.Keys(kinds)) }
 
-// Strikes returns what a kind of trouble affects: "nodes", "routers", "site" or "".
-func Strikes(kind string) string { return kinds[kind].strikes }
+// AffectedTargets returns what a kind of trouble affects: "nodes", "routers", "site" or "".
+func AffectedTargets(kind string) string { return kinds[kind].strikes }
 
 // validate reports the first inconsistency between the scenario's values.
 func (s *Scenario) validate(errorAt errorFunc) error {
--- a/internal/kit/scenario/read.go
+++ b/internal/kit/scenario/read.go
@@ -15,10 +15,10 @@
 
 // Error is an error in a scenario file or a --set argument.
 type Error struct {
-	File string
-	Line int    // from 1; 0 if unknown
-	Key  string // as site[1].share
-	What string
+	File    string
+	Line    int    // from 1; 0 if unknown
+	Key     string // as site[1].share
+	Message string
 }
 
 func (e *Error) Error() string {
@@ -29,7 +29,7 @@
 	if e.Key != "" {
 		text += ": " + e.Key
 	}
-	return text + ": " + e.What
+	return text + ": " + e.Message
 }
 
 // Load reads a scenario from a file.
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	for base, ok := tree["base"].(string); ok; { // a base may have a base of its own
-		baseText, found := Text(base)
+		baseText, found := BuiltinText(base)
 		if !found {
 			return nil, &Error{name, keyLines(text)["base"], "base", fmt.Sprintf("the kit brings no scenario %q", base)}
 		}
@@ -72,7 +72,7 @@
 	lineOf := keyLines(text)
 	errorAt := func(key, format string, args ...any) error {
 		if set, ok := setByKey[key]; ok {
-			return &Error{File: "--set " + set, Key: key, What: fmt.Sprintf(format, args...)}
+			return &Error{File: "--set " + set, Key: key, Message: fmt.Sprintf(format, args...)}
 		}
 		line := max(lineOf[key], lineOf[key+"[0]"])
 		for k := key; line == 0 && strings.ContainsAny(k, ".["); {
@@ -112,7 +112,7 @@
 		return &Error{name, line, strings.Join(decodeError.Key(), "."), strings.TrimPrefix(decodeError.Error(), "toml: ")}
 	}
 	if err != nil {
-		return &Error{File: name, What: err.Error()}
+		return &Error{File: name, Message: err.Error()}
 	}
 	return nil
 }
@@ -161,12 +161,12 @@
 func applySet(tree map[string]any, set string) error {
 	key, value, ok := strings.Cut(set, "=")
 	if !ok {
-		return &Error{File: "--set " + set, What: "not of the form key=value"}
+		return &Error{File: "--set " + set, Message: "not of the form key=value"}
 	}
 	var parsed map[string]any
 	if toml.Unmarshal([]byte("v = "+value), &parsed) != nil {
 		if err := toml.Unmarshal([]byte("v = "+strconv.Quote(value)), &parsed); err != nil {
-			return &Error{File: "--set " + set, Key: key, What: fmt.Sprintf("%q is no value", value)}
+			return &Error{File: "--set " + set, Key: key, Message: fmt.Sprintf("%q is no value", value)}
 		}
 	}
 	parts := strings.Split(key, ".")
@@ -181,10 +181,10 @@
 			n, err := strconv.Atoi(strings.TrimSuffix(rest, "]"))
 			list, _ := table[name].([]any)
 			if err != nil || n < 0 || n >= len(list) {
-				return &Error{File: "--set " + set, Key: key, What: "there is no " + part}
+				return &Error{File: "--set " + set, Key: key, Message: "there is no " + part}
 			}
 			if table, ok = list[n].(map[string]any); !ok || i == len(parts)-1 {
-				return &Error{File: "--set " + set, Key: key, What: part + " is no single value"}
+				return &Error{File: "--set " + set, Key: key, Message: part + " is no single value"}
 			}
 			continue
 		}
--- a/internal/kit/virtual/virtual_test.go
+++ b/internal/kit/virtual/virtual_test.go
@@ -75,7 +75,7 @@
 // Scenarios with the loss and recovery of a site: all rules are kept, the expectations are met, the run without site tiers is
 // not much better, and with tiers few requests cross sites.
 func TestSiteScenarios(t *testing.T) {
-	for _, name := range scenario.Names() {
+	for _, name := range scenario.BuiltinNames() {
 		if !strings.HasPrefix(name, "site-") || name == "site-fleet" {
 			continue
 		}
