--- a/internal/cdn/localnet/platform.go
+++ b/internal/cdn/localnet/platform.go
@@ -166,7 +166,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if other, seen := p.holders[call.Fence]; seen && other != call.Holder {
-		p.addViolationLocked("fence %d is used by %s and %s", call.Fence, other, call.Holder)
+		p.addViolationLocked("fence %d of %s and %s", call.Fence, other, call.Holder)
 	}
 	p.holders[call.Fence] = call.Holder
 	if call.Fence < p.highestFence {
