--- a/internal/kit/rig/port.go
+++ b/internal/kit/rig/port.go
@@ -138,7 +138,7 @@
 	clear(p.conns)
 }
 
-// goUp listens again after down.
+// goUp listens again after goDown.
 func (p *port) goUp() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/kit/rig/rig.go
+++ b/internal/kit/rig/rig.go
@@ -416,7 +416,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// The methods below implement the model's host interface.
+// The methods below implement model.Host.
 
 func (r *Rig) Send(t *model.Try)                    { r.clients.send(t) }
 func (r *Rig) CloseClient(t *model.Try) (sent bool) { return r.clients.cancel(t) }
--- a/internal/kit/rig/views.go
+++ b/internal/kit/rig/views.go
@@ -56,7 +56,7 @@
 	return len(p), nil
 }
 
-// parseView parses one line: the router has the node on its list, and uses it unless it is excluded.
+// parseView parses and records one line: the router has the node on its list, and uses it unless it is excluded.
 func (v *viewReader) parseView(line string) {
 	fields := map[string]string{}
 	for _, f := range strings.Fields(line) {
